--- a/crates/wax-agent/src/owner_link.rs
+++ b/crates/wax-agent/src/owner_link.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wax_batch::RunMark;
-use wax_policy::AGENT_PERIOD;
+use wax_policy::AGENT_HEARTBEAT_PERIOD;
 use wax_types::TimePoint;
 use wax_wire::{AgentHello, LinkPing, PoolBody, PoolReader, PoolWriter, WorkerKept, split_stream};
 
@@ -242,7 +242,7 @@
 }
 
 fn silence_limit(state: &AgentState) -> Duration {
-    let longer = state.period.get().saturating_sub(AGENT_PERIOD);
+    let longer = state.period.get().saturating_sub(AGENT_HEARTBEAT_PERIOD);
     if state.is_kept() || state.boot.borrow().is_none() {
         LINK_LIMIT + longer
     } else {
@@ -274,7 +274,7 @@
     match body {
         PoolBody::Grant(grant) => {
             state.owner_cut_off.set(grant.store_lost);
-            state.period.set(grant.period(AGENT_PERIOD));
+            state.period.set(grant.period(AGENT_HEARTBEAT_PERIOD));
             state.overload.set(f64::from(grant.overload));
             if let Some(frame) = grant.drains {
                 state.take_drains(frame, TimePoint(grant.sent_us));
--- a/crates/wax-agent/src/pace.rs
+++ b/crates/wax-agent/src/pace.rs
@@ -3,13 +3,15 @@
 //! A serving task is taken as a queue: with the load `u` its tail is its tail without load divided
 //! by `1 - u`. Tasks that fill slow its work, so that `u` is its own load times one plus the
 //! press: for each filling image the cores in use, times what a core of that image presses
-//! (`wax_policy::PressTable`). The own load is what the last looks leave after the press. The pace
+//! (`wax_policy::InterferenceTable`). The own load is what the last looks leave after the press. The pace
 //! of an image is what keeps every predicted load below the aim.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 use wax_batch::RunMark;
-use wax_policy::{CoreUse, LoadChange, LoadLook, PaceRules, PairPress, PressTable};
+use wax_policy::{
+    CoresByImage, InterferenceTable, LoadChange, LoadSample, PaceRules, PairInterference,
+};
 use wax_types::TimePoint;
 
 /// One serving run as the worker shows it.
@@ -42,7 +44,7 @@
 }
 
 impl PaceSample {
-    fn cores_used(&self) -> CoreUse {
+    fn cores_used(&self) -> CoresByImage {
         let fills = self.filling.iter();
         fills
             .map(|(image, fill)| (image.clone(), fill.used))
@@ -140,7 +142,7 @@
 /// The paces of all images that fill on one worker.
 #[derive(Debug, Clone, Default)]
 pub struct PaceControl {
-    pairs: PressTable,
+    pairs: InterferenceTable,
     loads: HashMap<RunMark, ServingLoad>,
     /// The least tail of each serving image, as a share of its target.
     idle: HashMap<Box<str>, f64>,
@@ -150,9 +152,9 @@
     changes: Vec<PaceChange>,
     looked: TimePoint,
     /// Cores in use by what fills, by the last look.
-    cores: CoreUse,
+    cores: CoresByImage,
     /// What was observed of pairs since they were last told.
-    fresh: PressTable,
+    fresh: InterferenceTable,
     /// How much press each serving image bears in all, by the last look, and as last told.
     rooms: BTreeMap<Box<str>, f64>,
     rooms_told: BTreeMap<Box<str>, f64>,
@@ -204,7 +206,7 @@
     }
 
     /// Takes what the owner has gathered of a pair.
-    pub fn set_pair(&mut self, serving: &str, filling: &str, press: PairPress) {
+    pub fn set_pair(&mut self, serving: &str, filling: &str, press: PairInterference) {
         self.pairs.set(serving, filling, press);
     }
 
@@ -230,7 +232,7 @@
     }
 
     /// What was observed of pairs since the last call.
-    pub fn take_fresh(&mut self) -> Vec<(Box<str>, Box<str>, PairPress)> {
+    pub fn take_fresh(&mut self) -> Vec<(Box<str>, Box<str>, PairInterference)> {
         self.rooms_told.clone_from(&self.rooms);
         let fresh = std::mem::take(&mut self.fresh);
         let pairs = fresh
@@ -285,7 +287,7 @@
     /// Learns what presses on each image from the change since the last look. Runs of one image
     /// bear the same press, so that the middle one speaks for all: one that is slow by itself
     /// blames nobody.
-    fn learn(&mut self, looks: &[RunLook<'_>], cores: &CoreUse, span: Duration) {
+    fn learn(&mut self, looks: &[RunLook<'_>], cores: &CoresByImage, span: Duration) {
         let mut changes: BTreeMap<&str, Vec<(f64, f64, f64)>> = BTreeMap::new();
         for look in looks {
             let known = self.loads.get(&look.run.mark);
@@ -300,11 +302,11 @@
             let (growth, before, after) = runs[runs.len() / 2];
             let change = LoadChange {
                 serving,
-                before: LoadLook {
+                before: LoadSample {
                     cores: &self.cores,
                     full: before >= FULL_LOAD,
                 },
-                after: LoadLook {
+                after: LoadSample {
                     cores,
                     full: after >= FULL_LOAD,
                 },
@@ -319,7 +321,13 @@
     }
 
     /// Takes the load of one run.
-    fn follow(&mut self, look: &RunLook<'_>, cores: &CoreUse, now: TimePoint, rules: &PaceRules) {
+    fn follow(
+        &mut self,
+        look: &RunLook<'_>,
+        cores: &CoresByImage,
+        now: TimePoint,
+        rules: &PaceRules,
+    ) {
         let own = look.load / (1.0 + self.pairs.press_on(&look.run.image, cores));
         let known = self
             .loads
--- a/crates/wax-agent/src/process.rs
+++ b/crates/wax-agent/src/process.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use wax_http::{HttpServer, ShutdownSignal, bind_listener};
-use wax_policy::{AGENT_PERIOD, DrainRules, PaceRules};
+use wax_policy::{AGENT_HEARTBEAT_PERIOD, DrainRules, PaceRules};
 use wax_settings::DaemonSettings;
 use wax_types::{ErrorKind, ProcessClock, Step, TimePoint, WaxError};
 
@@ -77,7 +77,7 @@
         owner_cut_off: Cell::new(false),
         drains: RefCell::default(),
         drain_rules,
-        period: Cell::new(AGENT_PERIOD),
+        period: Cell::new(AGENT_HEARTBEAT_PERIOD),
         overload: Cell::new(0.0),
         token: Cell::new(0),
         changed: Event::new(),
--- a/crates/wax-agent/tests/pacing.rs
+++ b/crates/wax-agent/tests/pacing.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use wax_agent::{FillingSample, PaceControl, PaceSample, ServingSample};
 use wax_batch::{JobName, RunMark, TaskName};
-use wax_policy::{PaceRules, PairPress};
+use wax_policy::{PaceRules, PairInterference};
 use wax_types::TimePoint;
 
 fn mark() -> RunMark {
@@ -82,7 +82,7 @@
     world.control.set_pair(
         "red",
         "light",
-        PairPress {
+        PairInterference {
             per_core: 0.0,
             weight: 50.0,
         },
@@ -125,7 +125,7 @@
     world.control.set_pair(
         "red",
         "sly",
-        PairPress {
+        PairInterference {
             per_core: 0.0,
             weight: 200.0,
         },
@@ -136,7 +136,7 @@
         world.control.set_pair(
             "red",
             "sly",
-            PairPress {
+            PairInterference {
                 per_core: 0.0,
                 weight: 200.0,
             },
@@ -155,7 +155,7 @@
         world.control.set_pair(
             "red",
             "calm",
-            PairPress {
+            PairInterference {
                 per_core: 0.0,
                 weight: 200.0,
             },
@@ -173,7 +173,7 @@
 #[test]
 fn a_tail_that_fades_is_not_taken_for_a_load() {
     let mut world = World::new();
-    let known = PairPress {
+    let known = PairInterference {
         per_core: 0.15,
         weight: 2_000.0,
     };
--- a/crates/wax-agent/tests/presses.rs
+++ b/crates/wax-agent/tests/presses.rs
@@ -155,7 +155,7 @@
 fn a_worker_that_stands_still_teaches_nothing() {
     let rules = PaceRules::default();
     let mut control = PaceControl::default();
-    let known = wax_policy::PairPress {
+    let known = wax_policy::PairInterference {
         per_core: 0.2,
         weight: 300.0,
     };
--- a/crates/wax-batch/src/book.rs
+++ b/crates/wax-batch/src/book.rs
@@ -15,7 +15,7 @@
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
-use wax_policy::{PairPress, PlaceRules, PressTable, WorkerPress};
+use wax_policy::{InterferenceTable, PairInterference, PlacementRules, WorkerInterference};
 use wax_types::TimePoint;
 
 slotmap::new_key_type! {
@@ -130,7 +130,7 @@
     /// When its agent was last heard.
     pub heard_at: TimePoint,
     /// What serves and what fills here, by image.
-    pub press: WorkerPress,
+    pub press: WorkerInterference,
     /// Its machine: another boot of the worker is on the same one.
     pub(crate) machine: Box<str>,
     /// When a start was last ordered here.
@@ -171,11 +171,11 @@
     /// Waits that are to be told; see [`JobBook::take_waits`].
     pub(crate) waits: Vec<StepWait>,
     pub(crate) config: Rc<QueueConfig>,
-    pub(crate) rules: PlaceRules,
+    pub(crate) rules: PlacementRules,
     /// What the advisor has said of steps.
     pub(crate) approvals: HashMap<StepAt, StepApproval>,
     /// What filling images press on serving ones.
-    pub(crate) pairs: PressTable,
+    pub(crate) pairs: InterferenceTable,
     /// The owner's term.
     pub(crate) epoch: u64,
     /// When a worker of a machine last crashed, for a while.
@@ -192,7 +192,7 @@
 
 impl JobBook {
     /// An empty book of the term `epoch`.
-    pub fn new(epoch: u64, rules: PlaceRules) -> Self {
+    pub fn new(epoch: u64, rules: PlacementRules) -> Self {
         Self {
             jobs: SlotMap::with_key(),
             names: HashMap::new(),
@@ -205,7 +205,7 @@
             config: Rc::default(),
             rules,
             approvals: HashMap::new(),
-            pairs: PressTable::default(),
+            pairs: InterferenceTable::default(),
             epoch,
             crashed: HashMap::new(),
             unheard: UnheardRuns::Any,
@@ -236,7 +236,7 @@
     }
 
     /// Takes other limits and weights of placement.
-    pub fn set_rules(&mut self, rules: PlaceRules) {
+    pub fn set_rules(&mut self, rules: PlacementRules) {
         self.rules = rules;
     }
 
@@ -248,17 +248,22 @@
     }
 
     /// What is known of all pairs of images.
-    pub fn presses(&self) -> &PressTable {
+    pub fn presses(&self) -> &InterferenceTable {
         &self.pairs
     }
 
     /// Takes what an earlier owner knew of a pair.
-    pub fn restore_press(&mut self, serving: &str, filling: &str, press: PairPress) {
+    pub fn restore_press(&mut self, serving: &str, filling: &str, press: PairInterference) {
         self.pairs.set(serving, filling, press);
     }
 
     /// Merges what an agent has learned of a pair of images; says what is known now.
-    pub fn merge_press(&mut self, serving: &str, filling: &str, press: PairPress) -> PairPress {
+    pub fn merge_press(
+        &mut self,
+        serving: &str,
+        filling: &str,
+        press: PairInterference,
+    ) -> PairInterference {
         self.pairs.merge(serving, filling, press)
     }
 
--- a/crates/wax-batch/src/fit.rs
+++ b/crates/wax-batch/src/fit.rs
@@ -4,7 +4,7 @@
 use crate::spec::{StepSpec, TaskSize};
 use crate::why::WaitReason;
 use crate::worker::WorkerState;
-use wax_policy::{PlaceRules, PressChoice, PressTable};
+use wax_policy::{InterferenceEstimate, InterferenceTable, PlacementRules};
 use wax_types::TimePoint;
 
 impl WorkerLife {
@@ -47,7 +47,7 @@
         &self,
         service: &str,
         step: &StepSpec,
-        (fill_limit, rules): (f64, &PlaceRules),
+        (fill_limit, rules): (f64, &PlacementRules),
         now: TimePoint,
     ) -> bool {
         self.obstacle(service, step, (fill_limit, rules), now)
@@ -59,7 +59,7 @@
         &self,
         service: &str,
         step: &StepSpec,
-        (fill_limit, rules): (f64, &PlaceRules),
+        (fill_limit, rules): (f64, &PlacementRules),
         now: TimePoint,
     ) -> Option<WaitReason> {
         if let Some(refusal) = self.refusal(service, step, now) {
@@ -73,7 +73,7 @@
     }
 
     /// Thousandths of a core that are left to tasks that fill.
-    fn fill_room_milli(&self, fill_limit: f64, rules: &PlaceRules) -> f64 {
+    fn fill_room_milli(&self, fill_limit: f64, rules: &PlacementRules) -> f64 {
         let lasting = f64::from(self.lasting_milli);
         let batch = f64::from(self.booked.cpu_milli) - lasting;
         let left = f64::from(self.view.capacity.cpu_milli) - batch - lasting * rules.lasting_use;
@@ -84,9 +84,9 @@
     pub(crate) fn press_choice(
         &self,
         step: &StepSpec,
-        pairs: &PressTable,
-        rules: &PlaceRules,
-    ) -> PressChoice {
+        pairs: &InterferenceTable,
+        rules: &PlacementRules,
+    ) -> InterferenceEstimate {
         let cpu_milli = step.size.cpu_milli;
         self.press
             .choice(pairs, &step.image, cpu_milli, rules.no_press)
@@ -97,14 +97,19 @@
         &self,
         step: &StepSpec,
         least_pace: f64,
-        pairs: &PressTable,
-        rules: &PlaceRules,
+        pairs: &InterferenceTable,
+        rules: &PlacementRules,
     ) -> bool {
         !step.fills || self.press_choice(step, pairs, rules).pace >= least_pace
     }
 
     /// The pace that one more task of the step would be left here, 0 to 1.
-    pub(crate) fn pace_for(&self, step: &StepSpec, pairs: &PressTable, rules: &PlaceRules) -> f64 {
+    pub(crate) fn pace_for(
+        &self,
+        step: &StepSpec,
+        pairs: &InterferenceTable,
+        rules: &PlacementRules,
+    ) -> f64 {
         match step.fills {
             true => self.press_choice(step, pairs, rules).pace,
             false => 1.0,
@@ -124,8 +129,8 @@
         &self,
         step: &StepSpec,
         rack: Option<&str>,
-        pairs: &PressTable,
-        rules: &PlaceRules,
+        pairs: &InterferenceTable,
+        rules: &PlacementRules,
     ) -> f64 {
         let capacity = f64::from(self.view.capacity.cpu_milli.max(1));
         let used = f64::from(self.booked.cpu_milli)
--- a/crates/wax-batch/src/patience.rs
+++ b/crates/wax-batch/src/patience.rs
@@ -1,7 +1,7 @@
 //! How long a task that fills waits for what.
 
 use crate::life::{JobLife, StepLife};
-use wax_policy::PlaceRules;
+use wax_policy::PlacementRules;
 use wax_types::TimePoint;
 
 /// What a task that fills puts up with by now.
@@ -20,7 +20,7 @@
 impl FillPatience {
     /// What a step's tasks put up with now; `calm` if nothing else excuses that the job waits.
     pub(crate) fn of(
-        rules: &PlaceRules,
+        rules: &PlacementRules,
         job: &JobLife,
         step: &StepLife,
         calm: bool,
@@ -40,7 +40,7 @@
     }
 
     /// The least pace that it takes, 0 to 1.
-    pub(crate) fn least_pace(self, rules: &PlaceRules) -> f64 {
+    pub(crate) fn least_pace(self, rules: &PlacementRules) -> f64 {
         match self {
             Self::Careful => rules.careful_pace,
             Self::Late => rules.late_pace,
--- a/crates/wax-batch/src/reports.rs
+++ b/crates/wax-batch/src/reports.rs
@@ -7,7 +7,7 @@
 use crate::why::StopReason;
 use crate::worker::{RunEnd, RunEndKind, RunReport, WorkerKey, WorkerView};
 use std::collections::{HashMap, HashSet, VecDeque};
-use wax_policy::WorkerPress;
+use wax_policy::WorkerInterference;
 use wax_types::TimePoint;
 
 impl JobBook {
@@ -28,7 +28,7 @@
             shunned_until: TimePoint::default(),
             reachable: true,
             heard_at: TimePoint::default(),
-            press: WorkerPress::default(),
+            press: WorkerInterference::default(),
             machine: machine.into(),
             last_start: TimePoint::default(),
             trial: None,
--- a/crates/wax-batch/tests/places.rs
+++ b/crates/wax-batch/tests/places.rs
@@ -4,7 +4,7 @@
 
 use support::*;
 use wax_batch::{JobBook, StepSpec, TaskSize, WorkerKey};
-use wax_policy::PairPress;
+use wax_policy::PairInterference;
 
 fn filling(count: u32, cpu_milli: u32, image: &str) -> StepSpec {
     StepSpec {
@@ -24,15 +24,15 @@
     }
 }
 
-fn known(press: f64) -> PairPress {
-    PairPress {
+fn known(press: f64) -> PairInterference {
+    PairInterference {
         per_core: press,
         weight: 100.0,
     }
 }
 
-fn sure(press: f64) -> PairPress {
-    PairPress {
+fn sure(press: f64) -> PairInterference {
+    PairInterference {
         per_core: press,
         weight: 100_000.0,
     }
--- a/crates/wax-batch/tests/support/mod.rs
+++ b/crates/wax-batch/tests/support/mod.rs
@@ -6,7 +6,7 @@
     JobBook, JobName, JobProgress, JobRow, JobSpec, QueueConfig, QueueRules, RunEnd, RunEndKind,
     RunMark, RunReport, StartOrder, StepSpec, TaskName, TaskSize, WorkerKey, WorkerView,
 };
-use wax_policy::PlaceRules;
+use wax_policy::PlacementRules;
 use wax_types::TimePoint;
 
 /// Unix milliseconds at [`at`] zero.
@@ -70,7 +70,7 @@
 
 /// A settled book of term `epoch`.
 pub(crate) fn book(epoch: u64) -> JobBook {
-    let mut book = JobBook::new(epoch, PlaceRules::default());
+    let mut book = JobBook::new(epoch, PlacementRules::default());
     book.set_config(config(2).into());
     book.settle();
     book
--- a/crates/wax-front/src/owner_link.rs
+++ b/crates/wax-front/src/owner_link.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wax_owner::{CandidateRank, OwnerFitness, relay_transaction};
-use wax_policy::{FRONT_PERIOD, is_watcher};
+use wax_policy::{FRONT_HEARTBEAT_PERIOD, is_early_candidate};
 use wax_types::TimePoint;
 use wax_wire::{
     BootsDead, ConfigPush, EntryHello, LinkPing, PoolBody, PoolReader, PoolWriter, RelayAsk,
@@ -145,7 +145,7 @@
         select(read, replaced).await;
     }
     // What was heard on the link says no more than a heartbeat at the usual period would.
-    state.shared.heartbeat.set(FRONT_PERIOD);
+    state.shared.heartbeat.set(FRONT_HEARTBEAT_PERIOD);
     *state.outbox.borrow_mut() = None;
     state.asks.borrow_mut().clear();
     state.relays.borrow_mut().clear();
@@ -157,13 +157,13 @@
 /// A new owner may wait for workers that this front knows to be gone. The fronts that go first at a takeover hear
 /// of each sooner than others; what all would tell is the same.
 fn tell_dead(state: &FrontState, outbox: &UnboundedSender<PoolBody>) {
-    let is_watcher = state
+    let is_early_candidate = state
         .shared
         .rank
         .get()
-        .is_none_or(|turn| is_watcher(turn.rank));
+        .is_none_or(|turn| is_early_candidate(turn.rank));
     let gone = state.shared.gone.borrow();
-    let mut told = if is_watcher { 0 } else { gone.count() };
+    let mut told = if is_early_candidate { 0 } else { gone.count() };
     loop {
         let page = BootsDead::new(gone.after(told, MOST_DEAD_TOLD));
         if page.boots.is_empty() {
@@ -252,7 +252,10 @@
             };
             state.shared.owner_heard.set(heard);
             state.shared.link_heard.set(state.shared.now());
-            state.shared.heartbeat.set(grant.period(FRONT_PERIOD));
+            state
+                .shared
+                .heartbeat
+                .set(grant.period(FRONT_HEARTBEAT_PERIOD));
             state.shared.rank.set(Some(CandidateRank {
                 rank: grant.rank,
                 best: OwnerFitness(grant.best),
--- a/crates/wax-owner/src/entries.rs
+++ b/crates/wax-owner/src/entries.rs
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wax_batch::{BootId, JobName};
-use wax_policy::front_period;
+use wax_policy::front_heartbeat_period;
 use wax_types::TimePoint;
 use wax_wire::{
     ConfigPush, JobAsk, JobTold, LeaseGrant, LinkPing, OwnerWelcome, PoolBody, PoolReader,
@@ -127,7 +127,7 @@
     }
     let rank = fronts.rank(node, now);
     fronts.tell_watchers(&shared.gone.borrow());
-    let period = front_period(fronts.len(), rank.rank, &shared.config_rules);
+    let period = front_heartbeat_period(fronts.len(), rank.rank, &shared.config_rules);
     drop(fronts);
     let mut answers = vec![PoolBody::Grant(LeaseGrant {
         sent_us: ping.sent_us,
--- a/crates/wax-owner/src/fronts.rs
+++ b/crates/wax-owner/src/fronts.rs
@@ -5,7 +5,7 @@
 use futures_channel::mpsc::UnboundedSender;
 use std::collections::HashMap;
 use std::time::Duration;
-use wax_policy::is_watcher;
+use wax_policy::is_early_candidate;
 use wax_types::TimePoint;
 use wax_wire::{BootsDead, PoolBody};
 
@@ -201,7 +201,9 @@
                 front.rank = rank;
             }
         }
-        let watchers = (0..).zip(names).take_while(|(rank, _)| is_watcher(*rank));
+        let watchers = (0..)
+            .zip(names)
+            .take_while(|(rank, _)| is_early_candidate(*rank));
         self.watchers = watchers.map(|(_, node)| node).collect();
     }
 }
--- a/crates/wax-owner/src/roster.rs
+++ b/crates/wax-owner/src/roster.rs
@@ -12,7 +12,7 @@
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::time::Duration;
 use wax_batch::{BootId, JobName, UnheardRuns, WorkerKey};
-use wax_policy::agent_period;
+use wax_policy::agent_heartbeat_period;
 use wax_types::TimePoint;
 use wax_wire::PoolBody;
 
@@ -531,7 +531,7 @@
 
     /// The pause between two heartbeats of each agent.
     pub fn period(&self) -> Duration {
-        agent_period(self.agents.len())
+        agent_heartbeat_period(self.agents.len())
     }
 }
 
--- a/crates/wax-owner/src/shared.rs
+++ b/crates/wax-owner/src/shared.rs
@@ -12,7 +12,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wax_batch::QueueTable;
-use wax_policy::{ConfigRules, ConfigView, DrainRules, DrainView, FRONT_PERIOD, PlaceRules};
+use wax_policy::{
+    ConfigRules, ConfigView, DrainRules, DrainView, FRONT_HEARTBEAT_PERIOD, PlacementRules,
+};
 use wax_types::{ErrorKind, ProcessClock, Step, TimePoint, WaxError};
 
 /// A change of the config is in force after this, where the settings name no bound.
@@ -59,7 +61,7 @@
     /// The term whose owner's process is gone: nobody listens at its address.
     pub owner_refused: Cell<u64>,
     /// Limits and weights of placement; they may change with the settings.
-    place_rules: Cell<PlaceRules>,
+    place_rules: Cell<PlacementRules>,
     /// The config in force.
     pub config: RefCell<QueueTable>,
     /// The operator's text of the config in force.
@@ -157,7 +159,7 @@
             tenure: RefCell::default(),
             owner_heard: Cell::default(),
             link_heard: Cell::default(),
-            heartbeat: Cell::new(FRONT_PERIOD),
+            heartbeat: Cell::new(FRONT_HEARTBEAT_PERIOD),
             store_heard: Cell::default(),
             config_view: Cell::default(),
             config_rules: ConfigRules::new(CONFIG_BOUND, DrainRules::default()),
@@ -180,7 +182,7 @@
     /// For how long an owner that was heard counts as there, longer by two of the heartbeats that it has done
     /// without.
     pub fn heard_within(&self, usual: Duration) -> Duration {
-        usual + self.heartbeat.get().saturating_sub(FRONT_PERIOD) * 2
+        usual + self.heartbeat.get().saturating_sub(FRONT_HEARTBEAT_PERIOD) * 2
     }
 
     /// Notes a timer of `span` that was set at `began`.
@@ -198,12 +200,12 @@
     }
 
     /// Limits and weights of placement in force.
-    pub fn place_rules(&self) -> PlaceRules {
+    pub fn place_rules(&self) -> PlacementRules {
         self.place_rules.get()
     }
 
     /// Takes other limits and weights of placement; an owner places by them from now on.
-    pub fn set_place_rules(&self, rules: PlaceRules) {
+    pub fn set_place_rules(&self, rules: PlacementRules) {
         self.place_rules.set(rules);
         if let Some(tenure) = self.current_tenure() {
             tenure.book.borrow_mut().set_rules(rules);
--- a/crates/wax-owner/tests/fronts.rs
+++ b/crates/wax-owner/tests/fronts.rs
@@ -3,7 +3,7 @@
 use futures_channel::mpsc::{UnboundedReceiver, unbounded};
 use wax_batch::BootId;
 use wax_owner::{FrontLife, FrontRoster, GoneBoots, OwnerFitness};
-use wax_policy::is_watcher;
+use wax_policy::is_early_candidate;
 use wax_types::TimePoint;
 use wax_wire::PoolBody;
 
@@ -74,7 +74,11 @@
     case.bury(0..3);
     case.rank(at(1_000));
     for number in 0..FRONTS {
-        let expected = if is_watcher(number as u32) { 3 } else { 0 };
+        let expected = if is_early_candidate(number as u32) {
+            3
+        } else {
+            0
+        };
         assert_eq!(case.told(number), expected, "front {number}");
     }
 }
--- a/crates/wax-owner/tests/press_log.rs
+++ b/crates/wax-owner/tests/press_log.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 use wax_owner::{PressLog, PressStep};
-use wax_policy::PairPress;
+use wax_policy::PairInterference;
 use wax_types::TimePoint;
 use wax_wire::{PressFrame, PressNews};
 
@@ -13,7 +13,7 @@
 }
 
 fn pair(filling: &str, per_core: f64) -> PressFrame {
-    let press = PairPress {
+    let press = PairInterference {
         per_core,
         weight: 10.0,
     };
--- a/crates/wax-owner/tests/scale/play.rs
+++ b/crates/wax-owner/tests/scale/play.rs
@@ -11,7 +11,7 @@
 use wax_owner::{
     AgentNote, AgentRoster, AgentRow, FrontLife, FrontRoster, GoneBoots, OwnerFitness, OwnerSpans,
 };
-use wax_policy::{ConfigRules, DrainRules, PlaceRules, front_period};
+use wax_policy::{ConfigRules, DrainRules, PlacementRules, front_heartbeat_period};
 use wax_types::TimePoint;
 use wax_wire::{LeaseGrant, PoolBody, PoolFrame};
 
@@ -146,7 +146,7 @@
 }
 
 fn new_book(epoch: u64) -> JobBook {
-    let mut book = JobBook::new(epoch, PlaceRules::default());
+    let mut book = JobBook::new(epoch, PlacementRules::default());
     book.set_config(config().into());
     book
 }
@@ -406,7 +406,7 @@
         );
         let is_due = front.is_due(theirs, self.config, now);
         let rank = self.fronts.rank(&name, now).rank;
-        let period = front_period(self.fronts.len(), rank, &self.rules);
+        let period = front_heartbeat_period(self.fronts.len(), rank, &self.rules);
         self.tell_watchers();
         if is_due {
             self.send(1, 20_000);
--- a/crates/wax-policy/benches/decisions.rs
+++ b/crates/wax-policy/benches/decisions.rs
@@ -4,8 +4,8 @@
 use fastrand::Rng;
 use std::time::Duration;
 use wax_policy::{
-    FirmWeights, KindTable, PairTable, PlaceContext, PlacePolicy, RoutePolicy, RouteTable,
-    RunningTask, TaskDemand, TeamLimits, TeamTable, UpstreamView, WorkerTable,
+    CustomerWeights, KindTable, PairTable, PlacementContext, PlacementPolicy, RoutePolicy,
+    RouteTable, RunningTask, TaskDemand, TeamLimits, TeamTable, UpstreamView, WorkerTable,
 };
 use wax_types::{JobId, ResourceVector, TaskId, TimePoint};
 
@@ -76,11 +76,11 @@
             size,
             urgent,
         };
-        let context = PlaceContext {
+        let context = PlacementContext {
             pairs: &setup.pairs,
-            weights: FirmWeights::default(),
+            weights: CustomerWeights::default(),
             avoid: &[],
-            policy: PlacePolicy::Weighed,
+            policy: PlacementPolicy::Weighed,
         };
         setup.table.choose(NOW, demand, context, &mut rng)
     });
--- a/crates/wax-policy/src/contact.rs
+++ b/crates/wax-policy/src/contact.rs
@@ -5,7 +5,7 @@
 
 /// Terms that bound how long a lease may outlive its last renewal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LeaseTerms {
+pub struct LeaseTimings {
     /// Term of a lease at a worker.
     pub lease: Duration,
     /// A renewal or start takes effect at the worker at most this long after it was sent.
@@ -16,7 +16,7 @@
     pub grace: Duration,
 }
 
-impl LeaseTerms {
+impl LeaseTimings {
     /// After this time without a renewal, a lease has surely lapsed.
     pub fn lapse(&self) -> Duration {
         self.lease + self.call + self.margin
@@ -29,7 +29,7 @@
     /// Renew the leases of its tasks.
     Renew,
     /// Ask without renewing, so that the leases run out while it does not answer.
-    Ask,
+    Probe,
     /// Every lease there has surely lapsed.
     Lapsed,
 }
@@ -48,7 +48,7 @@
 
 impl WorkerContact {
     /// At the takeover of a shard: the owner before may renew until its grace ends.
-    pub fn after_takeover(now: TimePoint, terms: &LeaseTerms) -> Self {
+    pub fn after_takeover(now: TimePoint, terms: &LeaseTimings) -> Self {
         Self {
             held_until: now + terms.grace + terms.lapse(),
             failures: 0,
@@ -61,19 +61,19 @@
         if self.failures < FAILURES_TO_DOUBT {
             ContactChoice::Renew
         } else if now < self.held_until {
-            ContactChoice::Ask
+            ContactChoice::Probe
         } else {
             ContactChoice::Lapsed
         }
     }
 
     /// Notes that a renewal is about to be sent.
-    pub fn note_renewal(&mut self, now: TimePoint, terms: &LeaseTerms) {
+    pub fn note_renewal(&mut self, now: TimePoint, terms: &LeaseTimings) {
         self.held_until = self.held_until.max(now + terms.lapse());
     }
 
     /// Notes an answer to a call that was sent at `sent`.
-    pub fn note_answer(&mut self, sent: TimePoint, terms: &LeaseTerms) {
+    pub fn note_answer(&mut self, sent: TimePoint, terms: &LeaseTimings) {
         if !self.answered {
             // The worker's runs are known now; only our own renewals count from here.
             self.held_until = sent + terms.lapse();
--- a/crates/wax-policy/src/gate.rs
+++ b/crates/wax-policy/src/gate.rs
@@ -15,12 +15,12 @@
     /// The queue is full; a slot is expected after this time.
     Full(Duration),
     /// Its deadline cannot be met; a slot is expected after this time.
-    Hopeless(Duration),
+    CannotMeetDeadline(Duration),
 }
 
 /// What a released slot does next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReleaseChoice<K> {
+pub enum DequeueChoice<K> {
     /// Run this one; the slot stays taken.
     Run(K),
     /// This one's deadline can no longer be met; ask again.
@@ -57,7 +57,7 @@
     pub fn ask(&mut self, now: TimePoint, deadline: TimePoint, key: K) -> GateChoice {
         let wait = self.expected_wait();
         if now + wait + self.service_floor() > deadline {
-            return GateChoice::Hopeless(wait);
+            return GateChoice::CannotMeetDeadline(wait);
         }
         if self.used < self.slots {
             self.used += 1;
@@ -83,18 +83,18 @@
     }
 
     /// Takes a free slot for the next request that waits; call until it is idle.
-    pub fn next(&mut self, now: TimePoint) -> ReleaseChoice<K> {
+    pub fn next(&mut self, now: TimePoint) -> DequeueChoice<K> {
         if self.used >= self.slots {
-            return ReleaseChoice::Idle;
+            return DequeueChoice::Idle;
         }
         let Some(((deadline, _), key)) = self.queue.pop_first() else {
-            return ReleaseChoice::Idle;
+            return DequeueChoice::Idle;
         };
         if now + self.service_floor() > deadline {
-            return ReleaseChoice::Drop(key);
+            return DequeueChoice::Drop(key);
         }
         self.used += 1;
-        ReleaseChoice::Run(key)
+        DequeueChoice::Run(key)
     }
 
     /// Takes a request out of the queue; says whether it was there.
--- a/crates/wax-policy/src/lib.rs
+++ b/crates/wax-policy/src/lib.rs
@@ -11,11 +11,11 @@
 mod heartbeats;
 mod interference;
 mod kinds;
+mod mitigation;
 mod pace_rules;
-mod place_rules;
+mod pair_interference;
 mod placement;
-mod press;
-mod relief;
+mod placement_rules;
 mod rendezvous;
 mod retry;
 mod routing;
@@ -28,25 +28,31 @@
 pub use backoff::BackoffPlan;
 pub use breaker::{BreakerChoice, StoreBreaker};
 pub use config_view::{ConfigReader, ConfigRules, ConfigView, ReadChoice};
-pub use contact::{ContactChoice, LeaseTerms, WorkerContact};
+pub use contact::{ContactChoice, LeaseTimings, WorkerContact};
 pub use drains::{DrainRules, DrainVerdict, DrainView};
-pub use gate::{GateChoice, ReleaseChoice, SlotGate};
-pub use heartbeats::{AGENT_PERIOD, FRONT_PERIOD, agent_period, front_period, is_watcher};
+pub use gate::{DequeueChoice, GateChoice, SlotGate};
+pub use heartbeats::{
+    AGENT_HEARTBEAT_PERIOD, FRONT_HEARTBEAT_PERIOD, agent_heartbeat_period, front_heartbeat_period,
+    is_early_candidate,
+};
 pub use interference::{LoadBand, PairEstimate, PairTable};
 pub use kinds::{KindKey, KindTable};
+pub use mitigation::{MitigationChoice, MitigationState, MitigationView, THROTTLED_PERCENT};
 pub use pace_rules::PaceRules;
-pub use place_rules::{ExpectedFinish, PlaceRules};
+pub use pair_interference::{
+    CoresByImage, InterferenceEstimate, InterferenceTable, LoadChange, LoadSample,
+    PairInterference, WorkerInterference,
+};
 pub use placement::{
-    FirmWeights, PlaceChoice, PlaceContext, PlacePolicy, RunningTask, TaskDemand, WorkerKey,
-    WorkerSlot, WorkerTable,
+    CustomerWeights, PlacementChoice, PlacementContext, PlacementPolicy, RunningTask, TaskDemand,
+    WorkerCapacity, WorkerKey, WorkerTable,
 };
-pub use press::{CoreUse, LoadChange, LoadLook, PairPress, PressChoice, PressTable, WorkerPress};
-pub use relief::{ReliefChoice, ReliefState, ReliefView, THROTTLED_PERCENT};
+pub use placement_rules::{ExpectedFinish, PlacementRules};
 pub use rendezvous::{rank_score, top_member};
 pub use retry::RetryBudget;
 pub use routing::{
     AttemptEnd, RouteChoice, RoutePolicy, RouteTable, UpstreamKey, UpstreamLoad, UpstreamView,
 };
-pub use rules::{RuleError, RuleInfo, RuleSwitch, RuleValue, RuleWord};
+pub use rules::{RuleError, RuleInfo, RuleSetting, RuleSwitch, RuleValue};
 pub use sizing::SizeTable;
 pub use workday::WorkDay;
--- a/crates/wax-policy/src/relief.rs
+++ b/crates/wax-policy/src/mitigation.rs
@@ -1,7 +1,7 @@
 //! Relieves latency-critical tasks of noisy neighbours: throttle first, evict last.
 
 use crate::interference::PairTable;
-use crate::placement::{FirmWeights, RunningTask, WorkerSlot};
+use crate::placement::{CustomerWeights, RunningTask, WorkerCapacity};
 use std::time::Duration;
 use wax_types::{TaskId, TimePoint};
 
@@ -24,7 +24,7 @@
 
 /// What is remembered of one worker between two looks.
 #[derive(Debug, Clone, Default)]
-pub struct ReliefState {
+pub struct MitigationState {
     throttled: Vec<TaskId>,
     last_step: TimePoint,
     calm_since: Option<TimePoint>,
@@ -32,7 +32,7 @@
 
 /// What to do on a worker now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReliefChoice {
+pub enum MitigationChoice {
     /// Nothing.
     Keep,
     /// Let a task use only [`THROTTLED_PERCENT`] of its size.
@@ -45,9 +45,9 @@
 
 /// One worker with a slowed latency-critical task, as the latest usage shows it.
 #[derive(Debug, Clone, Copy)]
-pub struct ReliefView<'a> {
+pub struct MitigationView<'a> {
     /// The worker.
-    pub slot: &'a WorkerSlot,
+    pub slot: &'a WorkerCapacity,
     /// Its latency-critical task that is slowed most.
     pub victim: &'a RunningTask,
     /// How much longer that task takes than alone; 0.5 is half as long again.
@@ -55,12 +55,12 @@
     /// What is known of pairs of kinds.
     pub pairs: &'a PairTable,
     /// What counts for the firm.
-    pub weights: FirmWeights,
+    pub weights: CustomerWeights,
 }
 
-impl ReliefState {
+impl MitigationState {
     /// Decides about one worker.
-    pub fn decide(&mut self, now: TimePoint, view: ReliefView<'_>) -> ReliefChoice {
+    pub fn decide(&mut self, now: TimePoint, view: MitigationView<'_>) -> MitigationChoice {
         let runs = |task: &TaskId| {
             view.slot
                 .tasks()
@@ -70,19 +70,19 @@
         self.throttled.retain(runs);
         self.note_calm(now, view);
         if now.since(self.last_step) < STEP_PAUSE {
-            return ReliefChoice::Keep;
+            return MitigationChoice::Keep;
         }
         let choice = match self.relieve(now, view) {
-            ReliefChoice::Keep => self.restore(now),
+            MitigationChoice::Keep => self.restore(now),
             choice => choice,
         };
-        if choice != ReliefChoice::Keep {
+        if choice != MitigationChoice::Keep {
             self.last_step = now;
         }
         choice
     }
 
-    fn note_calm(&mut self, now: TimePoint, view: ReliefView<'_>) {
+    fn note_calm(&mut self, now: TimePoint, view: MitigationView<'_>) {
         if view.excess >= threshold(view.weights) * RESTORE_SHARE {
             self.calm_since = None;
         } else if self.calm_since.is_none() {
@@ -91,25 +91,25 @@
     }
 
     /// Throttles the noisiest neighbour; evicts one only where all are throttled.
-    fn relieve(&mut self, now: TimePoint, view: ReliefView<'_>) -> ReliefChoice {
+    fn relieve(&mut self, now: TimePoint, view: MitigationView<'_>) -> MitigationChoice {
         let limit = threshold(view.weights);
         if view.excess <= limit {
-            return ReliefChoice::Keep;
+            return MitigationChoice::Keep;
         }
         if let Some(task) = self.noisiest(view, false) {
             self.throttled.push(task.task);
-            return ReliefChoice::Throttle(task.task);
+            return MitigationChoice::Throttle(task.task);
         }
         let may_evict =
             view.excess > limit * EVICT_FACTOR && view.weights.tail > view.weights.eviction;
         match self.noisiest(view, true) {
-            Some(task) if may_evict && task.settled <= now => ReliefChoice::Evict(task.task),
-            _ => ReliefChoice::Keep,
+            Some(task) if may_evict && task.settled <= now => MitigationChoice::Evict(task.task),
+            _ => MitigationChoice::Keep,
         }
     }
 
     /// The neighbour that does the victim the most harm, among those throttled or not.
-    fn noisiest(&self, view: ReliefView<'_>, throttled: bool) -> Option<RunningTask> {
+    fn noisiest(&self, view: MitigationView<'_>, throttled: bool) -> Option<RunningTask> {
         let harm = |task: &RunningTask| {
             let band = view.slot.band();
             view.pairs
@@ -126,23 +126,23 @@
     }
 
     /// Restores the task that was throttled last, once the worker was calm for long enough.
-    fn restore(&mut self, now: TimePoint) -> ReliefChoice {
+    fn restore(&mut self, now: TimePoint) -> MitigationChoice {
         let calm = self
             .calm_since
             .is_some_and(|since| now.since(since) >= CALM_SPAN);
         match self.throttled.pop_if(|_| calm) {
             Some(task) => {
                 self.calm_since = Some(now);
-                ReliefChoice::Restore(task)
+                MitigationChoice::Restore(task)
             }
-            None => ReliefChoice::Keep,
+            None => MitigationChoice::Keep,
         }
     }
 }
 
 /// The slowdown from which on neighbours are throttled: the more tail latency weighs against
 /// throughput, the lower.
-fn threshold(weights: FirmWeights) -> f64 {
+fn threshold(weights: CustomerWeights) -> f64 {
     let ratio = weights.throughput.max(1.0) / weights.tail.max(1.0);
     (THROTTLE_EXCESS * ratio.sqrt()).clamp(LEAST_EXCESS, MOST_EXCESS)
 }
--- a/crates/wax-policy/src/press.rs
+++ b/crates/wax-policy/src/pair_interference.rs
@@ -34,14 +34,14 @@
 
 /// What is known of a pair of images by observation.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct PairPress {
+pub struct PairInterference {
     /// By what share the load of the serving image grows for each core that the filling one uses.
     pub per_core: f64,
     /// How certain that is: one over its variance; 0 without an observation.
     pub weight: f64,
 }
 
-impl PairPress {
+impl PairInterference {
     /// The press of a core as far as it is known; never below 0.
     pub fn expected(self) -> f64 {
         let sum = PRIOR_PRESS * PRIOR_WEIGHT + self.per_core * self.weight;
@@ -84,13 +84,13 @@
 }
 
 /// Cores in use by each filling image.
-pub type CoreUse = BTreeMap<Box<str>, f64>;
+pub type CoresByImage = BTreeMap<Box<str>, f64>;
 
 /// What one look shows of an image that serves on a worker.
 #[derive(Debug, Clone, Copy)]
-pub struct LoadLook<'a> {
+pub struct LoadSample<'a> {
     /// Cores in use beside it.
-    pub cores: &'a CoreUse,
+    pub cores: &'a CoresByImage,
     /// Whether the load is too high to be told: it is only known to be at least that.
     pub full: bool,
 }
@@ -101,9 +101,9 @@
     /// The image that serves.
     pub serving: &'a str,
     /// The look before.
-    pub before: LoadLook<'a>,
+    pub before: LoadSample<'a>,
     /// The look now.
-    pub after: LoadLook<'a>,
+    pub after: LoadSample<'a>,
     /// The logarithm of the load now over the load before.
     pub growth: f64,
     /// The load now, 0 to 1.
@@ -114,32 +114,37 @@
 
 /// What is known of all pairs: the image that serves, then the one that fills.
 #[derive(Debug, Clone, Default)]
-pub struct PressTable {
+pub struct InterferenceTable {
     /// A look-up, of which each placement makes some hundreds, copies no name.
-    pairs: HashMap<Box<str>, HashMap<Box<str>, PairPress>>,
+    pairs: HashMap<Box<str>, HashMap<Box<str>, PairInterference>>,
 }
 
-impl PressTable {
+impl InterferenceTable {
     /// What is known of a pair.
-    pub fn get(&self, serving: &str, filling: &str) -> PairPress {
+    pub fn get(&self, serving: &str, filling: &str) -> PairInterference {
         let on_serving = self.pairs.get(serving);
         let known = on_serving.and_then(|pairs| pairs.get(filling));
         known.copied().unwrap_or_default()
     }
 
     /// Adds observations of a pair; says what is known now.
-    pub fn merge(&mut self, serving: &str, filling: &str, other: PairPress) -> PairPress {
+    pub fn merge(
+        &mut self,
+        serving: &str,
+        filling: &str,
+        other: PairInterference,
+    ) -> PairInterference {
         let known = self.entry(serving, filling);
         *known = known.plus(other).capped();
         *known
     }
 
     /// Sets what is known of a pair.
-    pub fn set(&mut self, serving: &str, filling: &str, press: PairPress) {
+    pub fn set(&mut self, serving: &str, filling: &str, press: PairInterference) {
         *self.entry(serving, filling) = press;
     }
 
-    fn entry(&mut self, serving: &str, filling: &str) -> &mut PairPress {
+    fn entry(&mut self, serving: &str, filling: &str) -> &mut PairInterference {
         let on_serving = self.pairs.entry(serving.into()).or_default();
         on_serving.entry(filling.into()).or_default()
     }
@@ -155,7 +160,7 @@
     }
 
     /// All pairs.
-    pub fn iter(&self) -> impl Iterator<Item = (&str, &str, PairPress)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&str, &str, PairInterference)> {
         let images = self.pairs.iter();
         images.flat_map(|(serving, pairs)| {
             let pairs = pairs.iter();
@@ -164,7 +169,7 @@
     }
 
     /// By what share all that fills beside an image raises its load.
-    pub fn press_on(&self, serving: &str, cores: &CoreUse) -> f64 {
+    pub fn press_on(&self, serving: &str, cores: &CoresByImage) -> f64 {
         let presses = cores
             .iter()
             .map(|(filling, used)| self.get(serving, filling).expected() * used);
@@ -172,7 +177,7 @@
     }
 
     /// Learns from a change of load; returns what was observed of each pair.
-    pub fn learn(&mut self, change: &LoadChange<'_>) -> Vec<(Box<str>, PairPress)> {
+    pub fn learn(&mut self, change: &LoadChange<'_>) -> Vec<(Box<str>, PairInterference)> {
         let before = 1.0 + self.press_on(change.serving, change.before.cores);
         let after = 1.0 + self.press_on(change.serving, change.after.cores);
         let missed = change.growth - (after / before).ln();
@@ -200,7 +205,7 @@
     }
 }
 
-impl PairPress {
+impl PairInterference {
     /// What an observation that missed by `missed` adds to what is known, if it answers with
     /// `slope` to the press of this pair.
     fn observe(self, slope: f64, missed: f64, variance: f64) -> Self {
@@ -261,7 +266,7 @@
 /// The room of an image is told by the worker's agent without regard to what fills beside it; what
 /// was placed is counted here. So a placement that the agent has yet to see is not forgotten.
 #[derive(Debug, Clone, Default)]
-pub struct WorkerPress {
+pub struct WorkerInterference {
     serving: BTreeMap<Box<str>, u32>,
     filling_milli: BTreeMap<Box<str>, u32>,
     rooms: BTreeMap<Box<str>, f64>,
@@ -269,14 +274,14 @@
 
 /// How one more filling task would fare on a worker, and at whose cost.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct PressChoice {
+pub struct InterferenceEstimate {
     /// The pace that is left to it, 0 to 1.
     pub pace: f64,
     /// The greatest share of a serving image's room that it would take at full pace.
     pub taken: f64,
 }
 
-impl WorkerPress {
+impl WorkerInterference {
     /// A run of an image that serves is placed here.
     pub fn seat_serving(&mut self, image: &str) {
         *self.serving.entry(image.into()).or_default() += 1;
@@ -310,12 +315,12 @@
     /// How one more filling task of `image` would fare; a press surely below `no_press` is none.
     pub fn choice(
         &self,
-        table: &PressTable,
+        table: &InterferenceTable,
         image: &str,
         cpu_milli: u32,
         no_press: f64,
-    ) -> PressChoice {
-        let mut choice = PressChoice {
+    ) -> InterferenceEstimate {
+        let mut choice = InterferenceEstimate {
             pace: 1.0,
             taken: 0.0,
         };
@@ -335,7 +340,7 @@
     }
 
     /// The press on an image of all that is placed here, at full pace.
-    fn pressed(&self, table: &PressTable, serving: &str, no_press: f64) -> f64 {
+    fn pressed(&self, table: &InterferenceTable, serving: &str, no_press: f64) -> f64 {
         let presses = self.filling_milli.iter().map(|(filling, cpu_milli)| {
             let pair = table.get(serving, filling);
             match pair.is_none(no_press) {
--- a/crates/wax-policy/src/placement.rs
+++ b/crates/wax-policy/src/placement.rs
@@ -26,7 +26,7 @@
 
 /// How a worker is chosen; all but the first are baselines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum PlacePolicy {
+pub enum PlacementPolicy {
     /// By a score of fit and of the harm that neighbours do to each other.
     #[default]
     Weighed,
@@ -40,7 +40,7 @@
     FirstFit,
 }
 
-impl FromStr for PlacePolicy {
+impl FromStr for PlacementPolicy {
     type Err = ();
 
     fn from_str(text: &str) -> Result<Self, ()> {
@@ -57,7 +57,7 @@
 
 /// What counts for a firm; only the proportions matter.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct FirmWeights {
+pub struct CustomerWeights {
     /// Tail latency of what is latency-critical.
     pub tail: f64,
     /// Batch throughput.
@@ -66,7 +66,7 @@
     pub eviction: f64,
 }
 
-impl Default for FirmWeights {
+impl Default for CustomerWeights {
     fn default() -> Self {
         Self {
             tail: 50.0,
@@ -99,7 +99,7 @@
 
 /// A worker as far as decisions need it.
 #[derive(Debug, Clone)]
-pub struct WorkerSlot {
+pub struct WorkerCapacity {
     capacity: ResourceVector,
     used: ResourceVector,
     open: bool,
@@ -119,20 +119,20 @@
 
 /// What a choice looks at besides the workers.
 #[derive(Debug, Clone, Copy)]
-pub struct PlaceContext<'a> {
+pub struct PlacementContext<'a> {
     /// What is known of pairs of kinds.
     pub pairs: &'a PairTable,
     /// What counts for the firm.
-    pub weights: FirmWeights,
+    pub weights: CustomerWeights,
     /// Workers on which the task failed.
     pub avoid: &'a [WorkerKey],
     /// How to choose.
-    pub policy: PlacePolicy,
+    pub policy: PlacementPolicy,
 }
 
 /// What to do with a task that waits.
 #[derive(Debug, Clone, PartialEq)]
-pub enum PlaceChoice {
+pub enum PlacementChoice {
     /// Place it on this worker.
     Place(WorkerKey),
     /// Evict these tasks of the worker; then there is room.
@@ -146,14 +146,14 @@
 /// The workers of one shard.
 #[derive(Debug, Clone, Default)]
 pub struct WorkerTable {
-    workers: SlotMap<WorkerKey, WorkerSlot>,
+    workers: SlotMap<WorkerKey, WorkerCapacity>,
     order: Vec<WorkerKey>,
     turn: usize,
     /// The largest of the latest urgent tasks: room for it is kept free somewhere.
     urgent_size: Option<ResourceVector>,
 }
 
-impl WorkerSlot {
+impl WorkerCapacity {
     /// What is not reserved.
     pub fn free(&self) -> ResourceVector {
         self.capacity.saturating_sub(self.used)
@@ -187,7 +187,7 @@
 impl WorkerTable {
     /// Adds an idle worker.
     pub fn add(&mut self, capacity: ResourceVector) -> WorkerKey {
-        let key = self.workers.insert(WorkerSlot {
+        let key = self.workers.insert(WorkerCapacity {
             capacity,
             used: ResourceVector::ZERO,
             open: true,
@@ -211,7 +211,7 @@
     }
 
     /// The worker.
-    pub fn get(&self, key: WorkerKey) -> Option<&WorkerSlot> {
+    pub fn get(&self, key: WorkerKey) -> Option<&WorkerCapacity> {
         self.workers.get(key)
     }
 
@@ -249,14 +249,14 @@
         &mut self,
         now: TimePoint,
         demand: TaskDemand,
-        context: PlaceContext<'_>,
+        context: PlacementContext<'_>,
         rng: &mut Rng,
-    ) -> PlaceChoice {
+    ) -> PlacementChoice {
         let count = self.order.len().max(1);
         let start = match context.policy {
-            PlacePolicy::FirstFit | PlacePolicy::LeastLoaded => 0,
-            PlacePolicy::RoundRobin => self.turn % count,
-            PlacePolicy::Random | PlacePolicy::Weighed => rng.usize(..count),
+            PlacementPolicy::FirstFit | PlacementPolicy::LeastLoaded => 0,
+            PlacementPolicy::RoundRobin => self.turn % count,
+            PlacementPolicy::Random | PlacementPolicy::Weighed => rng.usize(..count),
         };
         self.turn = self.turn.wrapping_add(1);
         if demand.urgent
@@ -271,28 +271,28 @@
             .fitting(start, demand, context.avoid)
             .filter(|(_, slot)| headroom.is_none_or(|size| keeps_room(slot, demand, size)));
         let chosen = match context.policy {
-            PlacePolicy::Random | PlacePolicy::RoundRobin | PlacePolicy::FirstFit => {
+            PlacementPolicy::Random | PlacementPolicy::RoundRobin | PlacementPolicy::FirstFit => {
                 fitting.next().map(|(key, _)| key)
             }
-            PlacePolicy::LeastLoaded => fitting
+            PlacementPolicy::LeastLoaded => fitting
                 .min_by(|(_, a), (_, b)| a.load().total_cmp(&b.load()))
                 .map(|(key, _)| key),
-            PlacePolicy::Weighed => fitting
+            PlacementPolicy::Weighed => fitting
                 .take(SCORED_WORKERS)
                 .map(|(key, slot)| (key, score(slot, demand, &context)))
                 .min_by(|(_, a), (_, b)| a.total_cmp(b))
                 .map(|(key, _)| key),
         };
         match chosen {
-            Some(key) => PlaceChoice::Place(key),
+            Some(key) => PlacementChoice::Place(key),
             None => self.choose_victims(now, start, demand, context.policy),
         }
     }
 
     /// The size for which a batch task must leave room, where few workers have it.
-    fn headroom(&self, demand: TaskDemand, policy: PlacePolicy) -> Option<ResourceVector> {
+    fn headroom(&self, demand: TaskDemand, policy: PlacementPolicy) -> Option<ResourceVector> {
         let size = self.urgent_size?;
-        if demand.urgent || policy != PlacePolicy::Weighed {
+        if demand.urgent || policy != PlacementPolicy::Weighed {
             return None;
         }
         let roomy = self
@@ -304,7 +304,7 @@
         (roomy <= HEADROOM_WORKERS).then_some(size)
     }
 
-    fn from(&self, start: usize) -> impl Iterator<Item = (WorkerKey, &WorkerSlot)> {
+    fn from(&self, start: usize) -> impl Iterator<Item = (WorkerKey, &WorkerCapacity)> {
         let (before, after) = self.order.split_at(start.min(self.order.len()));
         after
             .iter()
@@ -317,7 +317,7 @@
         start: usize,
         demand: TaskDemand,
         avoid: &'a [WorkerKey],
-    ) -> impl Iterator<Item = (WorkerKey, &'a WorkerSlot)> + 'a {
+    ) -> impl Iterator<Item = (WorkerKey, &'a WorkerCapacity)> + 'a {
         self.from(start).filter(move |(key, slot)| {
             slot.open && demand.size.fits_in(slot.free()) && !avoid.contains(key)
         })
@@ -329,16 +329,16 @@
         now: TimePoint,
         start: usize,
         demand: TaskDemand,
-        policy: PlacePolicy,
-    ) -> PlaceChoice {
-        let possible = |slot: &WorkerSlot| demand.size.fits_in(slot.capacity);
+        policy: PlacementPolicy,
+    ) -> PlacementChoice {
+        let possible = |slot: &WorkerCapacity| demand.size.fits_in(slot.capacity);
         if !self.workers.values().any(possible) {
-            return PlaceChoice::Impossible;
+            return PlacementChoice::Impossible;
         }
         if !demand.urgent {
-            return PlaceChoice::Wait;
+            return PlacementChoice::Wait;
         }
-        let weighed = policy == PlacePolicy::Weighed;
+        let weighed = policy == PlacementPolicy::Weighed;
         let mut plans = self
             .from(start)
             .filter(|(_, slot)| slot.open && possible(slot))
@@ -349,14 +349,14 @@
         } else {
             plans.next()
         };
-        plan.map_or(PlaceChoice::Wait, |(key, plan)| {
-            PlaceChoice::Evict(key, plan.victims)
+        plan.map_or(PlacementChoice::Wait, |(key, plan)| {
+            PlacementChoice::Evict(key, plan.victims)
         })
     }
 }
 
 /// Whether a worker has no room for `size` anyway, or has it also beside the new task.
-fn keeps_room(slot: &WorkerSlot, demand: TaskDemand, size: ResourceVector) -> bool {
+fn keeps_room(slot: &WorkerCapacity, demand: TaskDemand, size: ResourceVector) -> bool {
     let free = slot.free();
     !size.fits_in(free) || size.fits_in(free.saturating_sub(demand.size))
 }
@@ -364,7 +364,7 @@
 /// Lower is better: how full the worker becomes, and the harm that the neighbours do.
 ///
 /// All tasks spread: a fuller worker is in the worse band for everybody on it.
-fn score(slot: &WorkerSlot, demand: TaskDemand, context: &PlaceContext<'_>) -> f64 {
+fn score(slot: &WorkerCapacity, demand: TaskDemand, context: &PlacementContext<'_>) -> f64 {
     let used = slot.used.checked_add(demand.size).unwrap_or(slot.used);
     let after = used.dominant_share(slot.capacity);
     let total = context.weights.tail + context.weights.throughput;
@@ -395,7 +395,12 @@
 }
 
 /// Expected slowdown of the neighbours by the task and of the task by them, weighed.
-fn harm(slot: &WorkerSlot, demand: TaskDemand, band: LoadBand, context: &PlaceContext<'_>) -> f64 {
+fn harm(
+    slot: &WorkerCapacity,
+    demand: TaskDemand,
+    band: LoadBand,
+    context: &PlacementContext<'_>,
+) -> f64 {
     let weights = context.weights;
     let mut cost = 0.0;
     for task in &slot.tasks {
@@ -433,7 +438,7 @@
 
 /// The evictable tasks until the size fits: least work lost first, or in the order of arrival.
 fn victims_on(
-    slot: &WorkerSlot,
+    slot: &WorkerCapacity,
     now: TimePoint,
     size: ResourceVector,
     weighed: bool,
--- a/crates/wax-policy/src/place_rules.rs
+++ b/crates/wax-policy/src/placement_rules.rs
@@ -7,7 +7,7 @@
     /// Limits and weights of placement.
     ///
     /// Costs are in shares of a worker's processors; the worker of the least cost is taken.
-    PlaceRules {
+    PlacementRules {
         /// The share of its processors that a lasting task uses on average.
         lasting_use: f64 = ("lasting_use", "share", 0.5, 0 to 1, off 1),
         /// Tasks that fill may ask for this many times the processors that are left to them, if
@@ -70,7 +70,7 @@
     TooLate,
 }
 
-impl PlaceRules {
+impl PlacementRules {
     /// How much of a worker's spare processors jobs that are expected to finish so may ask for.
     pub fn fill_limit(&self, finish: ExpectedFinish) -> f64 {
         match finish {
--- a/crates/wax-policy/src/routing.rs
+++ b/crates/wax-policy/src/routing.rs
@@ -112,7 +112,7 @@
     /// Every upstream that was weighed would be late; a slot is expected after this time.
     Late(Duration),
     /// No upstream of the service takes work.
-    Nobody,
+    NoUpstream,
 }
 
 /// How an attempt ended, for what is learned from it.
@@ -345,7 +345,7 @@
         rng: &mut Rng,
     ) -> RouteChoice {
         let Some(keys) = self.services.get(service) else {
-            return RouteChoice::Nobody;
+            return RouteChoice::NoUpstream;
         };
         let start = rng.usize(..keys.len().max(1));
         let chosen = match policy {
@@ -358,7 +358,7 @@
         };
         self.turn = self.turn.wrapping_add(1);
         let Some(key) = chosen else {
-            return RouteChoice::Nobody;
+            return RouteChoice::NoUpstream;
         };
         if policy != RoutePolicy::Weighed {
             return RouteChoice::Send(key);
--- a/crates/wax-policy/src/rules.rs
+++ b/crates/wax-policy/src/rules.rs
@@ -10,7 +10,7 @@
 /// What the settings say of one rule.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(untagged)]
-pub enum RuleWord {
+pub enum RuleSetting {
     /// A value in the rule's unit.
     Number(f64),
     /// The mechanism is switched off.
@@ -48,30 +48,30 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum RuleError {
     /// The set has no such rule.
-    Unknown(Box<str>),
+    UnknownKey(Box<str>),
     /// The value is out of its bounds.
-    Bounds(RuleInfo, f64),
+    OutOfBounds(RuleInfo, f64),
     /// The rule cannot be switched off.
-    NoSwitch(RuleInfo),
+    CannotSwitchOff(RuleInfo),
     /// The rule takes a number or `off`, and has neither.
-    NoNumber(RuleInfo),
+    NotANumber(RuleInfo),
 }
 
 impl fmt::Display for RuleError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unknown(key) => write!(formatter, "{key}: no such rule"),
-            Self::Bounds(info, value) => write!(
+            Self::UnknownKey(key) => write!(formatter, "{key}: no such rule"),
+            Self::OutOfBounds(info, value) => write!(
                 formatter,
                 "{}: {value} is out of range, expected {} to {}",
                 info.key, info.least, info.most
             ),
-            Self::NoSwitch(info) => write!(
+            Self::CannotSwitchOff(info) => write!(
                 formatter,
                 "{}: it cannot be off, expected {} to {}",
                 info.key, info.least, info.most
             ),
-            Self::NoNumber(info) => write!(
+            Self::NotANumber(info) => write!(
                 formatter,
                 "{}: expected a number from {} to {}, or off",
                 info.key, info.least, info.most
@@ -88,14 +88,14 @@
     /// # Errors
     ///
     /// It is out of bounds, or the rule cannot be off.
-    pub fn number(self, word: RuleWord) -> Result<f64, RuleError> {
+    pub fn number(self, word: RuleSetting) -> Result<f64, RuleError> {
         match word {
-            RuleWord::Switch(RuleSwitch::Off) | RuleWord::Flag(false) => {
-                self.off.ok_or(RuleError::NoSwitch(self))
+            RuleSetting::Switch(RuleSwitch::Off) | RuleSetting::Flag(false) => {
+                self.off.ok_or(RuleError::CannotSwitchOff(self))
             }
-            RuleWord::Flag(true) => Err(RuleError::NoNumber(self)),
-            RuleWord::Number(value) if (self.least..=self.most).contains(&value) => Ok(value),
-            RuleWord::Number(value) => Err(RuleError::Bounds(self, value)),
+            RuleSetting::Flag(true) => Err(RuleError::NotANumber(self)),
+            RuleSetting::Number(value) if (self.least..=self.most).contains(&value) => Ok(value),
+            RuleSetting::Number(value) => Err(RuleError::OutOfBounds(self, value)),
         }
     }
 }
@@ -187,11 +187,11 @@
             pub fn set(
                 &mut self,
                 key: &str,
-                word: $crate::rules::RuleWord,
+                word: $crate::rules::RuleSetting,
             ) -> Result<(), $crate::rules::RuleError> {
                 let infos = self.infos();
                 let Some(info) = infos.iter().find(|info| info.key == key) else {
-                    return Err($crate::rules::RuleError::Unknown(key.into()));
+                    return Err($crate::rules::RuleError::UnknownKey(key.into()));
                 };
                 let number = info.number(word)?;
                 match key {
@@ -204,7 +204,7 @@
 
         impl<'de> serde::Deserialize<'de> for $name {
             fn deserialize<D: serde::Deserializer<'de>>(source: D) -> Result<Self, D::Error> {
-                let words: std::collections::BTreeMap<String, $crate::rules::RuleWord> =
+                let words: std::collections::BTreeMap<String, $crate::rules::RuleSetting> =
                     serde::Deserialize::deserialize(source)?;
                 let mut rules = Self::default();
                 for (key, word) in words {
--- a/crates/wax-policy/tests/heartbeats.rs
+++ b/crates/wax-policy/tests/heartbeats.rs
@@ -1,7 +1,9 @@
 //! Heartbeats grow no faster than a pool of the size to design for allows.
 
 use std::time::Duration;
-use wax_policy::{ConfigReader, ConfigRules, DrainRules, agent_period, front_period};
+use wax_policy::{
+    ConfigReader, ConfigRules, DrainRules, agent_heartbeat_period, front_heartbeat_period,
+};
 
 const GRANT: Duration = Duration::from_millis(2_500);
 
@@ -15,7 +17,7 @@
         $(
             #[test]
             fn $name() {
-                assert_eq!(agent_period($agents), Duration::from_millis($period_ms));
+                assert_eq!(agent_heartbeat_period($agents), Duration::from_millis($period_ms));
             }
         )*
     };
@@ -30,15 +32,15 @@
 
 #[test]
 fn two_heartbeats_may_be_lost_within_a_grant() {
-    assert!(agent_period(usize::MAX) * 2 < GRANT);
+    assert!(agent_heartbeat_period(usize::MAX) * 2 < GRANT);
 }
 
 /// Whatever the number of fronts, those that go first at a takeover watch closely.
 #[test]
 fn the_fronts_that_go_first_beat_at_the_usual_period() {
-    let usual = front_period(1, 0, &rules(5_000));
-    assert_eq!(front_period(2_000, 7, &rules(5_000)), usual);
-    assert!(front_period(2_000, 8, &rules(5_000)) > usual);
+    let usual = front_heartbeat_period(1, 0, &rules(5_000));
+    assert_eq!(front_heartbeat_period(2_000, 7, &rules(5_000)), usual);
+    assert!(front_heartbeat_period(2_000, 8, &rules(5_000)) > usual);
 }
 
 /// A front that hears too late of the owner's readings would read the operator's rows itself.
@@ -46,7 +48,8 @@
 fn a_front_hears_of_each_reading_of_the_owner_in_time() {
     for bound_ms in [2_000, 3_000, 5_000, 60_000] {
         let rules = rules(bound_ms);
-        let heard = rules.read_age(ConfigReader::Owner) + front_period(usize::MAX, 100, &rules);
+        let heard =
+            rules.read_age(ConfigReader::Owner) + front_heartbeat_period(usize::MAX, 100, &rules);
         assert!(heard < rules.read_age(ConfigReader::Front), "{bound_ms}");
     }
 }
--- a/crates/wax-policy/tests/leases.rs
+++ b/crates/wax-policy/tests/leases.rs
@@ -1,10 +1,10 @@
 //! When an owner may take a worker's leases for lapsed.
 
 use std::time::Duration;
-use wax_policy::{ContactChoice, LeaseTerms, WorkerContact};
+use wax_policy::{ContactChoice, LeaseTimings, WorkerContact};
 use wax_types::TimePoint;
 
-const TERMS: LeaseTerms = LeaseTerms {
+const TERMS: LeaseTimings = LeaseTimings {
     lease: Duration::from_secs(10),
     call: Duration::from_secs(1),
     margin: Duration::from_secs(1),
@@ -28,15 +28,15 @@
     contact.note_answer(at(0), &TERMS);
     contact.note_renewal(at(100), &TERMS);
     let contact = doubted(contact);
-    assert_eq!(contact.decide(at(101)), ContactChoice::Ask);
-    assert_eq!(contact.decide(at(111)), ContactChoice::Ask);
+    assert_eq!(contact.decide(at(101)), ContactChoice::Probe);
+    assert_eq!(contact.decide(at(111)), ContactChoice::Probe);
     assert_eq!(contact.decide(at(112)), ContactChoice::Lapsed);
 }
 
 #[test]
 fn after_a_takeover_the_owner_before_may_have_renewed_until_its_grace_ended() {
     let contact = doubted(WorkerContact::after_takeover(at(100), &TERMS));
-    assert_eq!(contact.decide(at(171)), ContactChoice::Ask);
+    assert_eq!(contact.decide(at(171)), ContactChoice::Probe);
     assert_eq!(contact.decide(at(172)), ContactChoice::Lapsed);
 }
 
@@ -45,7 +45,7 @@
     let mut contact = WorkerContact::after_takeover(at(100), &TERMS);
     contact.note_answer(at(101), &TERMS);
     let contact = doubted(contact);
-    assert_eq!(contact.decide(at(112)), ContactChoice::Ask);
+    assert_eq!(contact.decide(at(112)), ContactChoice::Probe);
     assert_eq!(contact.decide(at(113)), ContactChoice::Lapsed);
 }
 
--- a/crates/wax-policy/tests/limits.rs
+++ b/crates/wax-policy/tests/limits.rs
@@ -4,9 +4,10 @@
 use proptest::prelude::*;
 use std::time::Duration;
 use wax_policy::{
-    AdmitChoice, AttemptEnd, FirmWeights, GateChoice, KindKey, PairTable, PlaceChoice,
-    PlaceContext, PlacePolicy, ReleaseChoice, RouteChoice, RoutePolicy, RouteTable, RunningTask,
-    SlotGate, TaskDemand, TeamLimits, TeamTable, UpstreamLoad, UpstreamView, WorkerTable,
+    AdmitChoice, AttemptEnd, CustomerWeights, DequeueChoice, GateChoice, KindKey, PairTable,
+    PlacementChoice, PlacementContext, PlacementPolicy, RouteChoice, RoutePolicy, RouteTable,
+    RunningTask, SlotGate, TaskDemand, TeamLimits, TeamTable, UpstreamLoad, UpstreamView,
+    WorkerTable,
 };
 use wax_types::{JobId, ResourceVector, TaskId, TimePoint};
 
@@ -33,9 +34,9 @@
                 running -= 1;
                 loop {
                     match gate.next(now) {
-                        ReleaseChoice::Run(_) => running += 1,
-                        ReleaseChoice::Drop(_) => {}
-                        ReleaseChoice::Idle => break,
+                        DequeueChoice::Run(_) => running += 1,
+                        DequeueChoice::Drop(_) => {}
+                        DequeueChoice::Idle => break,
                     }
                 }
             }
@@ -48,8 +49,8 @@
     #[test]
     fn no_policy_reserves_more_than_a_worker_has(
         policy in prop::sample::select(vec![
-            PlacePolicy::Weighed, PlacePolicy::Random, PlacePolicy::RoundRobin,
-            PlacePolicy::LeastLoaded, PlacePolicy::FirstFit,
+            PlacementPolicy::Weighed, PlacementPolicy::Random, PlacementPolicy::RoundRobin,
+            PlacementPolicy::LeastLoaded, PlacementPolicy::FirstFit,
         ]),
         sizes in prop::collection::vec((1_u32..5_000, 1_u32..9_000, any::<bool>()), 1..80),
         seed in any::<u64>(),
@@ -66,15 +67,15 @@
                 size: ResourceVector::new(cpu, memory, 0),
                 urgent,
             };
-            let context = PlaceContext {
+            let context = PlacementContext {
                 pairs: &pairs,
-                weights: FirmWeights::default(),
+                weights: CustomerWeights::default(),
                 avoid: &[],
                 policy,
             };
             let now = at(index as u64 * 1_000);
             match table.choose(now, demand, context, &mut rng) {
-                PlaceChoice::Place(key) => {
+                PlacementChoice::Place(key) => {
                     let task = TaskId { job: JobId(1), index: index as u32 };
                     let running = RunningTask {
                         task, kind: demand.kind, size: demand.size, urgent,
@@ -82,7 +83,7 @@
                     };
                     prop_assert!(table.reserve(key, running), "a choice that does not fit");
                 }
-                PlaceChoice::Evict(key, victims) => {
+                PlacementChoice::Evict(key, victims) => {
                     prop_assert!(urgent, "a batch task evicts");
                     for victim in victims {
                         let gone = table.release(key, victim).expect("it runs there");
@@ -91,7 +92,7 @@
                     let slot = table.get(key).expect("known");
                     prop_assert!(demand.size.fits_in(slot.free()), "not enough was evicted");
                 }
-                PlaceChoice::Wait | PlaceChoice::Impossible => {}
+                PlacementChoice::Wait | PlacementChoice::Impossible => {}
             }
             for key in table.keys() {
                 let slot = table.get(key).expect("known");
@@ -204,7 +205,7 @@
     for _ in 0..50 {
         assert_eq!(choose(&mut table, at(20)), RouteChoice::Send(keys[1]));
     }
-    assert_eq!(choose(&mut table, at(60_000)), RouteChoice::Nobody);
+    assert_eq!(choose(&mut table, at(60_000)), RouteChoice::NoUpstream);
 }
 
 #[test]
--- a/crates/wax-replay/src/batch.rs
+++ b/crates/wax-replay/src/batch.rs
@@ -11,8 +11,9 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 use wax_policy::{
-    LoadBand, PairTable, PlaceChoice, PlaceContext, ReliefChoice, ReliefState, ReliefView,
-    RunningTask, SizeTable, THROTTLED_PERCENT, TaskDemand, WorkerKey, WorkerTable,
+    LoadBand, MitigationChoice, MitigationState, MitigationView, PairTable, PlacementChoice,
+    PlacementContext, RunningTask, SizeTable, THROTTLED_PERCENT, TaskDemand, WorkerKey,
+    WorkerTable,
 };
 use wax_types::{JobId, ResourceVector, TaskId, TimePoint};
 
@@ -91,7 +92,7 @@
 struct WorkerRecord {
     failures: u32,
     quarantined_until: TimePoint,
-    relief: ReliefState,
+    relief: MitigationState,
 }
 
 /// The state of all tasks.
@@ -321,7 +322,7 @@
         } else {
             Vec::new()
         };
-        let context = PlaceContext {
+        let context = PlacementContext {
             pairs: &self.batch.pairs,
             weights: self.world.options.weights,
             avoid: &avoid,
@@ -332,12 +333,12 @@
             .table
             .choose(now, demand, context, &mut self.world.rng);
         match choice {
-            PlaceChoice::Place(key) => {
+            PlacementChoice::Place(key) => {
                 let worker = self.batch.worker_of(key);
                 self.start(now, task, worker, demand, left);
                 Some(worker)
             }
-            PlaceChoice::Evict(key, victims) => {
+            PlacementChoice::Evict(key, victims) => {
                 let worker = self.batch.worker_of(key);
                 for victim in victims {
                     self.stop(now, victim);
@@ -345,7 +346,7 @@
                 let _ = worker;
                 None
             }
-            PlaceChoice::Wait | PlaceChoice::Impossible => None,
+            PlacementChoice::Wait | PlacementChoice::Impossible => None,
         }
     }
 }
--- a/crates/wax-replay/src/batch/usage.rs
+++ b/crates/wax-replay/src/batch/usage.rs
@@ -83,7 +83,7 @@
         };
         let weights = self.world.options.weights;
         let relief = &mut self.batch.records[worker].relief;
-        let view = ReliefView {
+        let view = MitigationView {
             slot,
             victim: &victim,
             excess,
@@ -92,12 +92,12 @@
         };
         let choice = relief.decide(now, view);
         match choice {
-            ReliefChoice::Keep => {}
-            ReliefChoice::Throttle(task) => {
+            MitigationChoice::Keep => {}
+            MitigationChoice::Throttle(task) => {
                 self.set_throttle(now, worker, task, f64::from(THROTTLED_PERCENT) / 100.0);
             }
-            ReliefChoice::Restore(task) => self.set_throttle(now, worker, task, 1.0),
-            ReliefChoice::Evict(task) => self.stop(now, task),
+            MitigationChoice::Restore(task) => self.set_throttle(now, worker, task, 1.0),
+            MitigationChoice::Evict(task) => self.stop(now, task),
         }
     }
 
--- a/crates/wax-replay/src/quick.rs
+++ b/crates/wax-replay/src/quick.rs
@@ -6,7 +6,7 @@
 use crate::world::ReplayWorld;
 use std::time::Duration;
 use wax_policy::{
-    AttemptEnd, GateChoice, ReleaseChoice, RetryBudget, RouteChoice, RoutePolicy, RouteTable,
+    AttemptEnd, DequeueChoice, GateChoice, RetryBudget, RouteChoice, RoutePolicy, RouteTable,
     SlotGate, UpstreamKey, UpstreamLoad, UpstreamView,
 };
 use wax_types::TimePoint;
@@ -213,7 +213,7 @@
         match self.quick.gates[upstream].ask(now, deadline, attempt) {
             GateChoice::Run => self.start_attempt(now, attempt),
             GateChoice::Queue => {}
-            GateChoice::Full(_) | GateChoice::Hopeless(_) => {
+            GateChoice::Full(_) | GateChoice::CannotMeetDeadline(_) => {
                 self.answer(now, attempt, AttemptFate::Refused);
             }
         }
@@ -254,12 +254,12 @@
     fn start_waiting(&mut self, now: TimePoint, upstream: usize) {
         loop {
             match self.quick.gates[upstream].next(now) {
-                ReleaseChoice::Idle => return,
-                ReleaseChoice::Drop(attempt) => self.answer(now, attempt, AttemptFate::Refused),
-                ReleaseChoice::Run(attempt) if self.quick.attempts[attempt].closed => {
+                DequeueChoice::Idle => return,
+                DequeueChoice::Drop(attempt) => self.answer(now, attempt, AttemptFate::Refused),
+                DequeueChoice::Run(attempt) if self.quick.attempts[attempt].closed => {
                     self.quick.gates[upstream].release_unused();
                 }
-                ReleaseChoice::Run(attempt) => self.start_attempt(now, attempt),
+                DequeueChoice::Run(attempt) => self.start_attempt(now, attempt),
             }
         }
     }
--- a/crates/wax-replay/src/trace.rs
+++ b/crates/wax-replay/src/trace.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 use std::str::FromStr;
-use wax_policy::{PlacePolicy, RoutePolicy};
+use wax_policy::{PlacementPolicy, RoutePolicy};
 use wax_settings::TaskClass;
 
 /// One line, a JSON object with the field `event`.
@@ -248,7 +248,7 @@
     /// For quick requests.
     pub route: RoutePolicy,
     /// For tasks.
-    pub place: PlacePolicy,
+    pub place: PlacementPolicy,
 }
 
 impl ReplayPolicy {
@@ -256,7 +256,7 @@
     pub const WEIGHED: Self = Self {
         name: "weighed",
         route: RoutePolicy::Weighed,
-        place: PlacePolicy::Weighed,
+        place: PlacementPolicy::Weighed,
     };
 
     /// The baselines.
@@ -264,28 +264,28 @@
         Self {
             name: "random",
             route: RoutePolicy::Random,
-            place: PlacePolicy::Random,
+            place: PlacementPolicy::Random,
         },
         Self {
             name: "round-robin",
             route: RoutePolicy::RoundRobin,
-            place: PlacePolicy::RoundRobin,
+            place: PlacementPolicy::RoundRobin,
         },
         Self {
             name: "least-loaded",
             route: RoutePolicy::LeastLoaded,
-            place: PlacePolicy::LeastLoaded,
+            place: PlacementPolicy::LeastLoaded,
         },
         Self {
             name: "first-fit",
             route: RoutePolicy::LeastLoaded,
-            place: PlacePolicy::FirstFit,
+            place: PlacementPolicy::FirstFit,
         },
     ];
 
     /// Whether what is learned and the relief of noisy neighbours are in use.
     pub fn learns(&self) -> bool {
-        self.place == PlacePolicy::Weighed
+        self.place == PlacementPolicy::Weighed
     }
 }
 
--- a/crates/wax-replay/src/world.rs
+++ b/crates/wax-replay/src/world.rs
@@ -5,7 +5,7 @@
 use fastrand::Rng;
 use std::collections::HashMap;
 use std::time::Duration;
-use wax_policy::{FirmWeights, KindKey, KindTable, WorkDay};
+use wax_policy::{CustomerWeights, KindKey, KindTable, WorkDay};
 use wax_settings::TaskClass;
 use wax_types::{ResourceVector, TimePoint};
 
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ReplayOptions {
     pub(crate) usage_lag: Duration,
-    pub(crate) weights: FirmWeights,
+    pub(crate) weights: CustomerWeights,
     pub(crate) day: WorkDay,
     pub(crate) domain_hop: Duration,
     pub(crate) until: TimePoint,
@@ -122,7 +122,7 @@
         let mut world = Self {
             options: ReplayOptions {
                 usage_lag: Duration::from_secs(2),
-                weights: FirmWeights::default(),
+                weights: CustomerWeights::default(),
                 day: WorkDay::default(),
                 domain_hop: Duration::from_micros(500),
                 until: at(60_000),
@@ -234,7 +234,7 @@
         let minutes = |count: &u32| Duration::from_secs(u64::from(*count) * 60);
         self.options = ReplayOptions {
             usage_lag: Duration::from_millis(*usage_lag_ms),
-            weights: FirmWeights {
+            weights: CustomerWeights {
                 tail: (*weight_tail).into(),
                 throughput: (*weight_throughput).into(),
                 eviction: (*weight_eviction).into(),
--- a/crates/wax-route/src/request.rs
+++ b/crates/wax-route/src/request.rs
@@ -225,7 +225,7 @@
                 let kind = ErrorKind::Overload(after.max(RETRY_FLOOR));
                 Some(self.refuse(kind, "every upstream is busy past the deadline"))
             }
-            RouteChoice::Nobody => {
+            RouteChoice::NoUpstream => {
                 let kind = ErrorKind::Unavailable(Duration::from_secs(1));
                 Some(self.refuse(kind, "no upstream of the service takes work"))
             }
--- a/crates/wax-settings/src/policy.rs
+++ b/crates/wax-settings/src/policy.rs
@@ -1,14 +1,14 @@
 //! Limits and weights of the pool's decisions.
 
 use serde::Deserialize;
-use wax_policy::{PaceRules, PlaceRules, RuleInfo};
+use wax_policy::{PaceRules, PlacementRules, RuleInfo};
 
 /// The section `policy`; each key is a number in its unit, or `off`.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PolicySettings {
     /// Front, as owner: where tasks start and when they are moved.
-    pub place: PlaceRules,
+    pub place: PlacementRules,
     /// Agent: how fast the tasks that fill may work beside those that serve.
     pub pace: PaceRules,
 }
--- a/crates/wax-sidecar/src/process.rs
+++ b/crates/wax-sidecar/src/process.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wax_http::{ClientConnection, ShutdownSignal};
-use wax_policy::{GateChoice, ReleaseChoice, SlotGate};
+use wax_policy::{DequeueChoice, GateChoice, SlotGate};
 use wax_settings::{DaemonSettings, SettingsHolder, SidecarSettings};
 use wax_trace::{Counter, count};
 use wax_types::{AttemptKey, ProcessClock, ProcessIncarnation};
@@ -231,7 +231,9 @@
                 self.table.borrow_mut().insert(key, state);
             }
             GateChoice::Full(after) => attempt.refuse(NotRunReason::QueueFull, after),
-            GateChoice::Hopeless(after) => attempt.refuse(NotRunReason::DeadlineHopeless, after),
+            GateChoice::CannotMeetDeadline(after) => {
+                attempt.refuse(NotRunReason::DeadlineHopeless, after)
+            }
         }
     }
 
@@ -277,15 +279,15 @@
         loop {
             let choice = self.gate.borrow_mut().next(self.clock.now());
             match choice {
-                ReleaseChoice::Idle => return,
-                ReleaseChoice::Run(key) => {
+                DequeueChoice::Idle => return,
+                DequeueChoice::Run(key) => {
                     let attempt = self.table.borrow_mut().take_queued(key);
                     match attempt {
                         Some(attempt) => self.start(key, attempt.into_running()),
                         None => self.gate.borrow_mut().release_unused(),
                     }
                 }
-                ReleaseChoice::Drop(key) => {
+                DequeueChoice::Drop(key) => {
                     let wait = self.gate.borrow().expected_wait();
                     if let Some(attempt) = self.table.borrow_mut().take_queued(key) {
                         attempt.refuse(NotRunReason::DeadlineHopeless, wait);
--- a/crates/wax-tasks/src/commit_tests.rs
+++ b/crates/wax-tasks/src/commit_tests.rs
@@ -7,13 +7,13 @@
 use crate::term::OwnerTerm;
 use std::time::Duration;
 use wax_platform::WorkerInfo;
-use wax_policy::{LeaseTerms, WorkerContact};
+use wax_policy::{LeaseTimings, WorkerContact};
 use wax_settings::TaskClass;
 use wax_types::{
     JobId, ResourceVector, RowVersion, ShardEpoch, ShardId, TaskEpoch, TaskId, TimePoint, WorkerId,
 };
 
-const TERMS: LeaseTerms = LeaseTerms {
+const TERMS: LeaseTimings = LeaseTimings {
     lease: Duration::from_secs(1),
     call: Duration::from_secs(1),
     margin: Duration::from_secs(1),
--- a/crates/wax-tasks/src/coordinator.rs
+++ b/crates/wax-tasks/src/coordinator.rs
@@ -18,7 +18,7 @@
     CommitOutcome, ObjectClient, RowEntry, TableClient, TableTransaction, WorkerClient,
     WorkerDirectory,
 };
-use wax_policy::{LeaseTerms, PlacePolicy, top_member};
+use wax_policy::{LeaseTimings, PlacementPolicy, top_member};
 use wax_settings::{CoordinatorSettings, SettingsHolder};
 use wax_trace::{Counter, count};
 use wax_types::{ProcessClock, RowVersion, ShardEpoch, ShardId, TimePoint, WaxError};
@@ -119,10 +119,10 @@
         directory: WorkerDirectory,
         members: MemberHandle,
         tree: SettingsHolder,
-        policy: PlacePolicy,
+        policy: PlacementPolicy,
         drains: DomainDrains,
     ) -> Result<Self, WaxError> {
-        let terms = LeaseTerms {
+        let terms = LeaseTimings {
             lease: Duration::from_millis(settings.lease_ms.into()),
             call: WORKER_CALL,
             margin: CLOCK_MARGIN + Duration::from_millis(settings.lease_ms.into()) / 50,
--- a/crates/wax-tasks/src/explain.rs
+++ b/crates/wax-tasks/src/explain.rs
@@ -105,7 +105,7 @@
         .values()
         .filter(|entry| !is_drained(&entry.info.failure_domain))
         .filter_map(|entry| state.table.get(entry.key))
-        .map(wax_policy::WorkerSlot::free)
+        .map(wax_policy::WorkerCapacity::free)
         .max_by_key(|free| (free.accelerators, free.cpu_milli, free.memory_mib))
         .unwrap_or(ResourceVector::ZERO);
     let ahead = state
--- a/crates/wax-tasks/src/placing.rs
+++ b/crates/wax-tasks/src/placing.rs
@@ -9,7 +9,7 @@
 use std::cell::RefCell;
 use std::time::Duration;
 use wax_platform::TaskMark;
-use wax_policy::{FirmWeights, PlaceChoice, PlaceContext, RunningTask};
+use wax_policy::{CustomerWeights, PlacementChoice, PlacementContext, RunningTask};
 use wax_settings::{NodePath, SettingsTree};
 use wax_types::{ResourceVector, TaskId, TimePoint, WorkerId};
 
@@ -151,14 +151,14 @@
         let state = self.shared.state.borrow();
         let demand = state.demand(task)?;
         let avoid = state.avoided(task);
-        let context = PlaceContext {
+        let context = PlacementContext {
             pairs: &state.pairs,
             weights: weights_of(tree, &state.part_of(task)?.row.spec.team),
             avoid: &avoid,
             policy: self.shared.options.policy,
         };
         match scratch.choose(now, demand, context, &mut self.rng) {
-            PlaceChoice::Place(key) => {
+            PlacementChoice::Place(key) => {
                 let worker = state.worker_ids.get(&key)?.clone();
                 let next = state.placed_row(task, &worker)?;
                 let running = RunningTask {
@@ -178,7 +178,7 @@
                     reserve: Some((worker, demand.size)),
                 })
             }
-            PlaceChoice::Evict(key, victims) => {
+            PlacementChoice::Evict(key, victims) => {
                 let worker = state.worker_ids.get(&key)?.clone();
                 drop(state);
                 for victim in victims {
@@ -187,7 +187,7 @@
                 }
                 None
             }
-            PlaceChoice::Wait | PlaceChoice::Impossible => None,
+            PlacementChoice::Wait | PlacementChoice::Impossible => None,
         }
     }
 
@@ -293,9 +293,9 @@
 }
 
 /// What counts for a team, from the settings in force.
-pub(crate) fn weights_of(tree: &SettingsTree, team: &str) -> FirmWeights {
+pub(crate) fn weights_of(tree: &SettingsTree, team: &str) -> CustomerWeights {
     let settings = tree.resolve(&NodePath::team(team));
-    FirmWeights {
+    CustomerWeights {
         tail: settings.weight_tail.into(),
         throughput: settings.weight_throughput.into(),
         eviction: settings.weight_eviction.into(),
--- a/crates/wax-tasks/src/reports.rs
+++ b/crates/wax-tasks/src/reports.rs
@@ -10,7 +10,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 use wax_platform::{RenewReply, TaskMark, TaskReport, TaskRun, UsageReport};
-use wax_policy::{FirmWeights, ReliefChoice, ReliefView, THROTTLED_PERCENT};
+use wax_policy::{CustomerWeights, MitigationChoice, MitigationView, THROTTLED_PERCENT};
 use wax_settings::SettingsTree;
 use wax_trace::{Counter, count, count_many};
 use wax_types::{TaskId, TimePoint, WorkerId};
@@ -96,10 +96,10 @@
             .borrow_mut()
             .choose_relief(now, worker, usage, &tree);
         match choice {
-            ReliefChoice::Keep => {}
-            ReliefChoice::Throttle(task) => self.throttle(worker, task, THROTTLED_PERCENT),
-            ReliefChoice::Restore(task) => self.throttle(worker, task, WHOLE_SIZE),
-            ReliefChoice::Evict(task) => self.stop(worker, task),
+            MitigationChoice::Keep => {}
+            MitigationChoice::Throttle(task) => self.throttle(worker, task, THROTTLED_PERCENT),
+            MitigationChoice::Restore(task) => self.throttle(worker, task, WHOLE_SIZE),
+            MitigationChoice::Evict(task) => self.stop(worker, task),
         }
     }
 
@@ -254,12 +254,12 @@
         worker: &WorkerId,
         usage: &[UsageReport],
         tree: &SettingsTree,
-    ) -> ReliefChoice {
+    ) -> MitigationChoice {
         let Some(entry) = self.workers.get_mut(worker) else {
-            return ReliefChoice::Keep;
+            return MitigationChoice::Keep;
         };
         let Some(slot) = self.table.get(entry.key) else {
-            return ReliefChoice::Keep;
+            return MitigationChoice::Keep;
         };
         let worst = usage
             .iter()
@@ -270,16 +270,16 @@
             })
             .max_by(|(_, a), (_, b)| a.total_cmp(b));
         let Some((victim, excess)) = worst else {
-            return ReliefChoice::Keep;
+            return MitigationChoice::Keep;
         };
         let part = self
             .tasks
             .get(&victim.task)
             .and_then(|task| self.parts.get(&task.part));
-        let weights = part.map_or_else(FirmWeights::default, |part| {
+        let weights = part.map_or_else(CustomerWeights::default, |part| {
             weights_of(tree, &part.row.spec.team)
         });
-        let view = ReliefView {
+        let view = MitigationView {
             slot,
             victim: &victim,
             excess,
--- a/crates/wax-tasks/src/shard.rs
+++ b/crates/wax-tasks/src/shard.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wax_platform::{ObjectClient, TableClient, WorkerClient, WorkerDirectory};
-use wax_policy::{ContactChoice, LeaseTerms, PlacePolicy, WorkerContact};
+use wax_policy::{ContactChoice, LeaseTimings, PlacementPolicy, WorkerContact};
 use wax_settings::SettingsHolder;
 use wax_types::{ProcessClock, TimePoint, WaxError, WorkerId};
 
@@ -25,9 +25,9 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ShardOptions {
     pub(crate) shards: u16,
-    pub(crate) terms: LeaseTerms,
+    pub(crate) terms: LeaseTimings,
     pub(crate) renew: Duration,
-    pub(crate) policy: PlacePolicy,
+    pub(crate) policy: PlacementPolicy,
 }
 
 /// What the tasks of one shard share for one term.
--- a/crates/wax-tasks/src/shard_load.rs
+++ b/crates/wax-tasks/src/shard_load.rs
@@ -10,7 +10,7 @@
 use crate::term::OwnerTerm;
 use std::collections::{HashMap, HashSet};
 use wax_platform::{RowEntry, TableClient, WorkerDirectory, WorkerInfo};
-use wax_policy::{KindKey, LeaseTerms, ReliefState, RunningTask, WorkerContact};
+use wax_policy::{KindKey, LeaseTimings, MitigationState, RunningTask, WorkerContact};
 use wax_settings::TaskClass;
 use wax_trace::{Counter, count};
 use wax_types::{RowVersion, ShardId, TaskId, TimePoint, WaxError, WorkerId, wall_clock_ms};
@@ -20,7 +20,7 @@
     table: &TableClient,
     directory: &WorkerDirectory,
     term: &OwnerTerm,
-    terms: &LeaseTerms,
+    terms: &LeaseTimings,
     shards: u16,
     contacts: &HashMap<WorkerId, WorkerContact>,
 ) -> Result<ShardState, WaxError> {
@@ -61,7 +61,7 @@
     contacts: &HashMap<WorkerId, WorkerContact>,
     worker: &WorkerId,
     term: &OwnerTerm,
-    terms: &LeaseTerms,
+    terms: &LeaseTimings,
 ) -> WorkerContact {
     contacts
         .get(worker)
@@ -119,7 +119,7 @@
         failures: 0,
         quarantined_until: None,
         changed_ms: wall_clock_ms(),
-        relief: ReliefState::default(),
+        relief: MitigationState::default(),
     };
     state.workers.insert(id, entry);
 }
@@ -131,7 +131,7 @@
     alloc: RowEntry<AllocRow>,
     contacts: &HashMap<WorkerId, WorkerContact>,
     term: &OwnerTerm,
-    terms: &LeaseTerms,
+    terms: &LeaseTimings,
 ) {
     if alloc.value.tasks.is_empty() {
         return;
--- a/crates/wax-tasks/src/shard_state.rs
+++ b/crates/wax-tasks/src/shard_state.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 use wax_platform::{TaskMark, UsageReport, WorkerInfo};
 use wax_policy::{
-    KindKey, KindTable, PairTable, ReliefState, RunningTask, SizeTable, TaskDemand, WorkerContact,
-    WorkerKey, WorkerTable,
+    KindKey, KindTable, MitigationState, PairTable, RunningTask, SizeTable, TaskDemand,
+    WorkerContact, WorkerKey, WorkerTable,
 };
 use wax_settings::TaskClass;
 use wax_types::{JobId, ResourceVector, RowVersion, TaskEpoch, TaskId, TimePoint, WorkerId};
@@ -71,7 +71,7 @@
     pub(crate) quarantined_until: Option<TimePoint>,
     /// When the set of its tasks last changed, Unix milliseconds.
     pub(crate) changed_ms: u64,
-    pub(crate) relief: ReliefState,
+    pub(crate) relief: MitigationState,
 }
 
 /// A change of one task, before it is committed.
--- a/crates/wax-wire/src/pool.rs
+++ b/crates/wax-wire/src/pool.rs
@@ -7,7 +7,7 @@
 use prost::{Message, Oneof};
 use std::time::Duration;
 use wax_batch::{BootId, TaskSize};
-use wax_policy::{DrainView, PairPress};
+use wax_policy::{DrainView, PairInterference};
 use wax_types::TimePoint;
 
 /// Heartbeats come at least this often, whatever an owner asks for: its grants reach twice as far.
@@ -519,7 +519,7 @@
 
 impl PressFrame {
     /// Encodes a pair.
-    pub fn new(serving: &str, filling: &str, press: PairPress) -> Self {
+    pub fn new(serving: &str, filling: &str, press: PairInterference) -> Self {
         Self {
             serving: serving.into(),
             filling: filling.into(),
@@ -529,8 +529,8 @@
     }
 
     /// Decodes what is known of the pair.
-    pub fn press(&self) -> PairPress {
-        PairPress {
+    pub fn press(&self) -> PairInterference {
+        PairInterference {
             per_core: f64::from(self.per_core),
             weight: f64::from(self.weight),
         }
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -9,7 +9,7 @@
 use wax_platform::{
     GroupWriter, ObjectClient, StoreHealth, StoreLimits, TableClient, WorkerDirectory,
 };
-use wax_policy::{PlacePolicy, RoutePolicy};
+use wax_policy::{PlacementPolicy, RoutePolicy};
 use wax_route::{EntryProcess, EntryServices};
 use wax_settings::{CoordinatorSettings, DaemonSettings, SettingsHolder};
 use wax_tasks::{CoordinatorHandle, CoordinatorProcess, DomainDrains, JobDesk};
@@ -54,7 +54,7 @@
             directory.clone(),
             members.clone(),
             tree.clone(),
-            PlacePolicy::default(),
+            PlacementPolicy::default(),
             drains.clone(),
         )?),
         None => None,
