--- a/crates/wax-agent/src/pace.rs
+++ b/crates/wax-agent/src/pace.rs
@@ -92,7 +92,7 @@
 
     /// Follows how long the tail has been too long, and whether relief helps.
     fn follow(&mut self, tail: f64, now: TimePoint, rules: &PaceRules) {
-        if tail < rules.near {
+        if tail < rules.overrun_share {
             self.over_since = None;
             self.relief_since = None;
             return;
@@ -102,11 +102,11 @@
             return;
         }
         match self.relief_since {
-            None if now.since(since) >= rules.bear => self.relief_since = Some(now),
-            Some(relief) if now.since(relief) >= rules.relief => {
+            None if now.since(since) >= rules.stop_after => self.relief_since = Some(now),
+            Some(relief) if now.since(relief) >= rules.stop_timeout => {
                 self.relief_since = None;
                 self.over_since = Some(now);
-                self.cleared_until = now + rules.cleared;
+                self.cleared_until = now + rules.stop_exemption;
             }
             _ => {}
         }
@@ -215,7 +215,7 @@
         let has_pairs = self
             .fresh
             .iter()
-            .any(|(.., press)| press.weight >= NEWS_WEIGHT);
+            .any(|(.., press)| press.precision >= NEWS_WEIGHT);
         has_pairs || self.rooms_moved()
     }
 
@@ -270,10 +270,10 @@
         span: Duration,
         rules: &PaceRules,
     ) -> Vec<RunLook<'a>> {
-        let kept = rules.tail_kept.powf(span.as_secs_f64() / FIGURE_SPAN);
+        let kept = rules.tail_retention.powf(span.as_secs_f64() / FIGURE_SPAN);
         let mut looks = Vec::with_capacity(sample.serving.len());
         for run in sample.serving.iter().filter(|run| run.tail > 0.0) {
-            let first = rules.first_idle;
+            let first = rules.initial_idle_tail;
             let idle = self.idle.entry(run.image.clone()).or_insert(first);
             *idle = idle.min(run.tail);
             let shown = self.loads.get(&run.mark).map_or(run.tail, |load| load.tail);
@@ -304,15 +304,15 @@
                 serving,
                 before: LoadSample {
                     cores: &self.cores,
-                    full: before >= FULL_LOAD,
+                    saturated: before >= FULL_LOAD,
                 },
                 after: LoadSample {
                     cores,
-                    full: after >= FULL_LOAD,
+                    saturated: after >= FULL_LOAD,
                 },
-                growth,
+                log_growth: growth,
                 load: after,
-                span,
+                interval: span,
             };
             for (filling, seen) in self.pairs.learn(&change) {
                 self.fresh.merge(serving, &filling, seen);
@@ -328,7 +328,7 @@
         now: TimePoint,
         rules: &PaceRules,
     ) {
-        let own = look.load / (1.0 + self.pairs.press_on(&look.run.image, cores));
+        let own = look.load / (1.0 + self.pairs.interference_on(&look.run.image, cores));
         let known = self
             .loads
             .entry(look.run.mark)
@@ -341,7 +341,11 @@
             // Such a tail only bounds the load from below.
             known.own = known.own.max(own).min(MOST_LOAD);
         } else {
-            let rate = if own > known.own { 1.0 } else { rules.own_rate };
+            let rate = if own > known.own {
+                1.0
+            } else {
+                rules.baseline_fall_rate
+            };
             known.own = (known.own + rate * (own - known.own)).max(LEAST_LOAD);
         }
     }
@@ -362,9 +366,9 @@
                 .idle
                 .get(&run.image)
                 .copied()
-                .unwrap_or(rules.first_idle);
-            let aim = (1.0 - idle / rules.aim).max(LEAST_LOAD);
-            let alarmed = now.since(load.alarmed) <= rules.settle;
+                .unwrap_or(rules.initial_idle_tail);
+            let aim = (1.0 - idle / rules.max_tail_share).max(LEAST_LOAD);
+            let alarmed = now.since(load.alarmed) <= rules.settle_time;
             let room = if alarmed {
                 0.0
             } else {
@@ -374,7 +378,7 @@
                 .filling
                 .iter()
                 .map(|(image, fill)| (image, self.pairs.get(&run.image, image), fill))
-                .filter(|(_, pair, _)| !pair.is_none(rules.no_press))
+                .filter(|(_, pair, _)| !pair.is_negligible(rules.negligible_interference))
                 .map(|(image, pair, fill)| (image, pair.expected(), fill.wanted))
                 .map(|(image, press, wanted)| (image, press, press * wanted))
                 .collect();
@@ -402,7 +406,7 @@
         let relief = self.loads.values().any(|load| load.relief_since.is_some());
         let percent = |share: f64| match relief {
             true => 0,
-            false => ((share * 100.0) as u32).clamp(rules.least, 100),
+            false => ((share * 100.0) as u32).clamp(rules.min_pace_percent, 100),
         };
         self.paces = shares
             .iter()
--- a/crates/wax-agent/src/state.rs
+++ b/crates/wax-agent/src/state.rs
@@ -150,7 +150,7 @@
 impl AgentState {
     /// The rules of pacing as matters stand.
     pub(crate) fn pace_rules_now(&self) -> PaceRules {
-        self.pace_rules.get().strained(self.overload.get())
+        self.pace_rules.get().for_overload(self.overload.get())
     }
 
     pub(crate) fn now(&self) -> TimePoint {
@@ -214,7 +214,7 @@
     /// The guard of drains: whether a start may be sent to this machine's worker now.
     pub(crate) fn may_start(&self, now: TimePoint) -> Result<(), StartRefusal> {
         let view = self.drains.borrow();
-        let most = self.drain_rules.start_age();
+        let most = self.drain_rules.max_age_for_start();
         let verdict = view.verdict(&self.failure_domain, now, most);
         if verdict == DrainVerdict::Open {
             return Ok(());
--- a/crates/wax-agent/tests/pacing.rs
+++ b/crates/wax-agent/tests/pacing.rs
@@ -84,7 +84,7 @@
         "light",
         PairInterference {
             per_core: 0.0,
-            weight: 50.0,
+            precision: 50.0,
         },
     );
     for _ in 0..40 {
@@ -127,7 +127,7 @@
         "sly",
         PairInterference {
             per_core: 0.0,
-            weight: 200.0,
+            precision: 200.0,
         },
     );
     world.look(&sample(0.4, &[("sly", 2.0, 2.0)]));
@@ -138,7 +138,7 @@
             "sly",
             PairInterference {
                 per_core: 0.0,
-                weight: 200.0,
+                precision: 200.0,
             },
         );
         world.look(&sample(1.2, &[("sly", 2.0, 2.0)]));
@@ -157,7 +157,7 @@
             "calm",
             PairInterference {
                 per_core: 0.0,
-                weight: 200.0,
+                precision: 200.0,
             },
         );
         world.look(&sample(1.5, &[("calm", 2.0, 2.0)]));
@@ -175,7 +175,7 @@
     let mut world = World::new();
     let known = PairInterference {
         per_core: 0.15,
-        weight: 2_000.0,
+        precision: 2_000.0,
     };
     world.control.set_pair("red", "heavy", known);
     for _ in 0..6 {
--- a/crates/wax-agent/tests/presses.rs
+++ b/crates/wax-agent/tests/presses.rs
@@ -157,7 +157,7 @@
     let mut control = PaceControl::default();
     let known = wax_policy::PairInterference {
         per_core: 0.2,
-        weight: 300.0,
+        precision: 300.0,
     };
     control.set_pair("red", "heavy", known);
     let before = control.press("red", "heavy");
--- a/crates/wax-batch/src/approvals.rs
+++ b/crates/wax-batch/src/approvals.rs
@@ -83,7 +83,10 @@
         if known.is_some_and(|known| now.since(known.asked) < ASK_PAUSE) {
             return None;
         }
-        let rules = (self.rules.fill_limit(ExpectedFinish::InTime), &self.rules);
+        let rules = (
+            self.rules.best_effort_limit(ExpectedFinish::InTime),
+            &self.rules,
+        );
         let room: Vec<(WorkerKey, &str)> = self
             .workers
             .iter()
--- a/crates/wax-batch/src/book.rs
+++ b/crates/wax-batch/src/book.rs
@@ -243,7 +243,7 @@
     /// Notes how much press an image that serves bears on a worker in all.
     pub fn set_press_room(&mut self, worker: WorkerKey, serving: &str, room: f64) {
         if let Some(life) = self.workers.get_mut(worker) {
-            life.press.set_room(serving, room);
+            life.press.set_headroom(serving, room);
         }
     }
 
--- a/crates/wax-batch/src/fit.rs
+++ b/crates/wax-batch/src/fit.rs
@@ -76,7 +76,8 @@
     fn fill_room_milli(&self, fill_limit: f64, rules: &PlacementRules) -> f64 {
         let lasting = f64::from(self.lasting_milli);
         let batch = f64::from(self.booked.cpu_milli) - lasting;
-        let left = f64::from(self.view.capacity.cpu_milli) - batch - lasting * rules.lasting_use;
+        let left =
+            f64::from(self.view.capacity.cpu_milli) - batch - lasting * rules.long_running_use;
         left * fill_limit - f64::from(self.filling_milli)
     }
 
@@ -89,7 +90,7 @@
     ) -> InterferenceEstimate {
         let cpu_milli = step.size.cpu_milli;
         self.press
-            .choice(pairs, &step.image, cpu_milli, rules.no_press)
+            .estimate(pairs, &step.image, cpu_milli, rules.negligible_interference)
     }
 
     /// Whether one more task of the step would work here at this pace at least.
@@ -134,29 +135,30 @@
     ) -> f64 {
         let capacity = f64::from(self.view.capacity.cpu_milli.max(1));
         let used = f64::from(self.booked.cpu_milli)
-            - f64::from(self.lasting_milli) * (1.0 - rules.lasting_use)
+            - f64::from(self.lasting_milli) * (1.0 - rules.long_running_use)
             + f64::from(self.filling_milli);
         let mut cost = (used + f64::from(step.size.cpu_milli)) / capacity;
         if step.fills {
             let choice = self.press_choice(step, pairs, rules);
-            cost += rules.pace_cost * (1.0 - choice.pace) + rules.press_cost * choice.taken;
+            cost += rules.slow_pace_cost * (1.0 - choice.pace)
+                + rules.interference_cost * choice.headroom_share;
         }
         if step.lasts {
             // Lasting tasks of one image keep together, and fill a worker before they open another:
             // so other workers are left to what presses on the image.
-            cost = 1.0 - cost + rules.stranger_cost * self.strangers(&step.image);
+            cost = 1.0 - cost + rules.other_image_cost * self.strangers(&step.image);
             if self.press.serving().is_empty() {
-                cost += rules.open_cost;
+                cost += rules.first_long_running_cost;
             }
         }
         if rack.is_some() && rack != self.view.rack.as_deref() {
             cost += match step.one_rack {
-                true => rules.split_cost,
-                false => rules.far_cost,
+                true => rules.rack_split_cost,
+                false => rules.other_rack_cost,
             };
         }
         if self.view.cold_ms > 0 {
-            cost += rules.cold_cost;
+            cost += rules.cold_worker_cost;
         }
         cost
     }
--- a/crates/wax-batch/src/moves.rs
+++ b/crates/wax-batch/src/moves.rs
@@ -28,7 +28,7 @@
         }
         stalled.sort_unstable_by_key(|(still, ..)| std::cmp::Reverse(*still));
         // A move takes its stop and its start; what is under way takes room that shows later.
-        stalled.truncate((self.rules.most_moves as usize).saturating_sub(self.moves_under_way()));
+        stalled.truncate((self.rules.max_moves as usize).saturating_sub(self.moves_under_way()));
         for (_, worker, mark, at) in stalled {
             if self.borne_elsewhere(at, worker, now) {
                 self.stop_seat(at, worker, mark, StopReason::Stalled);
@@ -100,7 +100,10 @@
             return false;
         };
         let step = &job.spec.steps[usize::from(at.step.step)];
-        let rules = (self.rules.fill_limit(ExpectedFinish::InTime), &self.rules);
+        let rules = (
+            self.rules.best_effort_limit(ExpectedFinish::InTime),
+            &self.rules,
+        );
         let mut others = self.workers.iter().filter(|(key, _)| *key != worker);
         others.any(|(_, other)| other.has_room(&job.queue.service, step, rules, now))
     }
@@ -117,7 +120,7 @@
         }
         let share = Duration::from_millis(spec.estimate_ms.into()).mul_f64(self.rules.stall_share);
         let still = now.since(seat.moved);
-        (still >= self.rules.stall.max(share)).then_some(still)
+        (still >= self.rules.stall_time.max(share)).then_some(still)
     }
 
     fn borne_elsewhere(&self, at: TaskAt, worker: WorkerKey, now: TimePoint) -> bool {
@@ -130,9 +133,12 @@
             other.has_room(
                 &job.queue.service,
                 step,
-                (self.rules.fill_limit(ExpectedFinish::InTime), &self.rules),
+                (
+                    self.rules.best_effort_limit(ExpectedFinish::InTime),
+                    &self.rules,
+                ),
                 now,
-            ) && other.bears(step, self.rules.careful_pace, &self.pairs, &self.rules)
+            ) && other.bears(step, self.rules.preferred_pace, &self.pairs, &self.rules)
         })
     }
 
--- a/crates/wax-batch/src/patience.rs
+++ b/crates/wax-batch/src/patience.rs
@@ -27,12 +27,12 @@
         now: TimePoint,
     ) -> Self {
         let waited = now.since(step.since);
-        let old = calm || now.since(job.accepted) >= rules.old_age;
-        if old && waited >= rules.starvation && !job.has_placed() {
+        let old = calm || now.since(job.accepted) >= rules.old_job_age;
+        if old && waited >= rules.starvation_wait && !job.has_placed() {
             Self::Starved
-        } else if waited < rules.fill_patience {
+        } else if waited < rules.preferred_pace_wait {
             Self::Careful
-        } else if waited < rules.last_patience {
+        } else if waited < rules.relaxed_pace_wait {
             Self::Late
         } else {
             Self::Any
@@ -42,8 +42,8 @@
     /// The least pace that it takes, 0 to 1.
     pub(crate) fn least_pace(self, rules: &PlacementRules) -> f64 {
         match self {
-            Self::Careful => rules.careful_pace,
-            Self::Late => rules.late_pace,
+            Self::Careful => rules.preferred_pace,
+            Self::Late => rules.relaxed_pace,
             Self::Any | Self::Starved => 0.0,
         }
     }
--- a/crates/wax-batch/src/place.rs
+++ b/crates/wax-batch/src/place.rs
@@ -194,7 +194,7 @@
             step,
             service: &service,
             rank,
-            fill_limit: self.rules.fill_limit(if step.gang {
+            fill_limit: self.rules.best_effort_limit(if step.gang {
                 ExpectedFinish::InTime
             } else {
                 rank.finish
@@ -323,7 +323,7 @@
             let capacity = f64::from(worker.view.capacity.cpu_milli);
             (booked + f64::from(worker.booked.cpu_milli), all + capacity)
         });
-        booked < all * self.rules.calm_use
+        booked < all * self.rules.low_use
     }
 
     /// The rack that a step's tasks would rather be on.
@@ -536,7 +536,7 @@
     ) -> f64 {
         let mut cost = 0.0;
         if task.life.shuns.is_some_and(|(shunned, _)| shunned == key) {
-            cost += self.rules.shun_cost;
+            cost += self.rules.failed_worker_cost;
         }
         if !task.life.blame.is_empty() {
             let crashed = self.crashed.get(&worker.machine).copied();
--- a/crates/wax-batch/src/seats.rs
+++ b/crates/wax-batch/src/seats.rs
@@ -133,11 +133,11 @@
         };
         if let Some(life) = self.workers.get_mut(worker) {
             if step_spec.lasts {
-                life.press.seat_serving(&step_spec.image);
+                life.press.add_serving(&step_spec.image);
             }
             if step_spec.fills {
                 let cpu_milli = step_spec.size.cpu_milli;
-                life.press.seat_filling(&step_spec.image, cpu_milli);
+                life.press.add_best_effort(&step_spec.image, cpu_milli);
             }
         }
         self.book_run(worker, mark, seat);
@@ -167,10 +167,10 @@
         {
             let image = &job.spec.steps[usize::from(at.step.step)].image;
             if seat.lasts {
-                life.press.free_serving(image);
+                life.press.remove_serving(image);
             }
             if seat.filling_milli > 0 {
-                life.press.free_filling(image, seat.filling_milli);
+                life.press.remove_best_effort(image, seat.filling_milli);
             }
         }
         Some(seat)
--- a/crates/wax-batch/tests/places.rs
+++ b/crates/wax-batch/tests/places.rs
@@ -27,14 +27,14 @@
 fn known(press: f64) -> PairInterference {
     PairInterference {
         per_core: press,
-        weight: 100.0,
+        precision: 100.0,
     }
 }
 
 fn sure(press: f64) -> PairInterference {
     PairInterference {
         per_core: press,
-        weight: 100_000.0,
+        precision: 100_000.0,
     }
 }
 
--- a/crates/wax-cli/src/commands/check.rs
+++ b/crates/wax-cli/src/commands/check.rs
@@ -38,7 +38,7 @@
         format!("policy.{section}.{}", info.key),
         info.value.to_string(),
         info.unit.to_owned(),
-        format!("{} to {}", info.least, info.most),
+        format!("{} to {}", info.min, info.max),
         info.off
             .map_or_else(|| "-".to_owned(), |off| off.to_string()),
     ]
--- a/crates/wax-cli/src/commands/submit.rs
+++ b/crates/wax-cli/src/commands/submit.rs
@@ -38,5 +38,5 @@
 
 /// A key of its own for a submission that names none.
 fn draw_key() -> String {
-    wax_types::JobId::draw().to_string()
+    wax_types::JobId::generate().to_string()
 }
--- a/crates/wax-owner/src/dispatch.rs
+++ b/crates/wax-owner/src/dispatch.rs
@@ -86,7 +86,7 @@
 /// Whether what is known of drains is fresh enough to order starts by it: the agents would refuse them.
 fn knows_drains(shared: &PoolShared, tenure: &Tenure, now: TimePoint) -> bool {
     let view = shared.drains.borrow();
-    let is_unsure = !view.is_fresh(now, shared.drain_rules.order_age());
+    let is_unsure = !view.is_fresh(now, shared.drain_rules.max_age_for_order());
     if tenure.drains_unsure.replace(is_unsure) != is_unsure {
         tracing::info!(
             epoch = tenure.epoch,
--- a/crates/wax-owner/src/entries.rs
+++ b/crates/wax-owner/src/entries.rs
@@ -142,7 +142,7 @@
         config_age_ms: shared
             .config_view
             .get()
-            .read_age(now)
+            .own_read_age(now)
             .map(|age| age.as_millis() as u64),
     })];
     if pushes {
--- a/crates/wax-owner/src/fate.rs
+++ b/crates/wax-owner/src/fate.rs
@@ -69,7 +69,7 @@
                 error
             }
         };
-        let wait = backoff.fail(&mut Rng::new());
+        let wait = backoff.next_delay(&mut Rng::new());
         if clock.now() + wait >= deadline {
             return if doubt {
                 TxFate::Unknown(error)
--- a/crates/wax-owner/src/operator_rows.rs
+++ b/crates/wax-owner/src/operator_rows.rs
@@ -101,8 +101,8 @@
         Ok(()) => reads.succeed(),
         Err(error) => {
             reads.fail(&error);
-            shared.note_config(|view| view.note_failed());
-            let pause = shared.config_rules.retry_pause();
+            shared.note_config(|view| view.note_read_failure());
+            let pause = shared.config_rules.retry_delay();
             sleep(pause + pause.mul_f64(fastrand::f64())).await;
         }
     }
@@ -203,7 +203,7 @@
         };
         Some((drained_domain(key)?.into(), drained))
     });
-    shared.note_drains(from, |view| view.change(version, drains, asked));
+    shared.note_drains(from, |view| view.apply_changes(version, drains, asked));
 }
 
 fn take_row(shared: &PoolShared, row: StoredRow, from: &str) {
--- a/crates/wax-owner/src/shared.rs
+++ b/crates/wax-owner/src/shared.rs
@@ -230,7 +230,7 @@
     /// Whether a newer config may have been acknowledged for longer than the bound.
     pub fn may_config_be_old(&self) -> bool {
         let view = self.config_view.get();
-        view.may_be_old(self.now(), &self.config_rules)
+        view.may_be_stale(self.now(), &self.config_rules)
     }
 
     /// Changes how sure this process is of its config.
@@ -245,7 +245,7 @@
     pub fn note_owners_config(&self, version: u64, sent: TimePoint, age: Duration) {
         if version <= self.config_version() {
             let as_of = sent.min(self.now()) - age;
-            self.note_config(|view| view.note_told(as_of));
+            self.note_config(|view| view.note_report(as_of));
         }
     }
 
--- a/crates/wax-owner/tests/config_word.rs
+++ b/crates/wax-owner/tests/config_word.rs
@@ -51,5 +51,5 @@
     front.note_owners_config(7, TimePoint(u64::MAX), Duration::ZERO);
     let view = front.config_view.get();
     let later = front.now() + BOUND * 2;
-    assert!(view.may_be_old(later, &front.config_rules));
+    assert!(view.may_be_stale(later, &front.config_rules));
 }
--- a/crates/wax-owner/tests/drains.rs
+++ b/crates/wax-owner/tests/drains.rs
@@ -222,7 +222,7 @@
                 let changes: Vec<_> = changes
                     .map(|(_, number, drained)| (domain(*number), *drained))
                     .collect();
-                self.owners[owner].change(version as u64, changes, clock(owner, asked));
+                self.owners[owner].apply_changes(version as u64, changes, clock(owner, asked));
             }
             Event::Beat {
                 agent,
@@ -271,7 +271,7 @@
                 let verdict = self.owners[owner].verdict(
                     &domain(agent),
                     clock(owner, now),
-                    RULES.order_age(),
+                    RULES.max_age_for_order(),
                 );
                 if verdict == DrainVerdict::Open {
                     self.push(now + way, Event::Arrive { agent, takes });
@@ -281,7 +281,7 @@
                 let verdict = self.agents[agent].verdict(
                     &domain(agent),
                     clock(OWNERS + agent, now),
-                    RULES.start_age(),
+                    RULES.max_age_for_start(),
                 );
                 if verdict == DrainVerdict::Open {
                     self.push(now + takes, Event::Start(agent));
@@ -390,9 +390,9 @@
     let now = TimePoint::from_millis(1);
     let view = DrainView::default();
     assert_eq!(
-        view.verdict("a", now, rules.start_age()),
+        view.verdict("a", now, rules.max_age_for_start()),
         DrainVerdict::Open
     );
-    let bounded = view.verdict("a", now, RULES.start_age());
+    let bounded = view.verdict("a", now, RULES.max_age_for_start());
     assert_eq!(bounded, DrainVerdict::Unsure, "nothing was read yet");
 }
--- a/crates/wax-owner/tests/press_log.rs
+++ b/crates/wax-owner/tests/press_log.rs
@@ -15,7 +15,7 @@
 fn pair(filling: &str, per_core: f64) -> PressFrame {
     let press = PairInterference {
         per_core,
-        weight: 10.0,
+        precision: 10.0,
     };
     PressFrame::new("serving", filling, press)
 }
--- a/crates/wax-platform/src/store.rs
+++ b/crates/wax-platform/src/store.rs
@@ -103,7 +103,7 @@
     fn admit(&self, step: Step) -> Result<(), WaxError> {
         let now = self.shared.clock.now();
         let mut rng = self.shared.rng.borrow_mut();
-        match self.shared.breaker.borrow_mut().ask(now, &mut rng) {
+        match self.shared.breaker.borrow_mut().check(now, &mut rng) {
             BreakerChoice::Send => Ok(()),
             BreakerChoice::Refuse(after) => {
                 count(Counter::StoreRefused);
@@ -130,7 +130,7 @@
         );
         let now = self.shared.clock.now();
         if !failed {
-            breaker.succeed();
+            breaker.record_success();
             if let Some(since) = was_down {
                 let seconds = now.since(since).as_secs_f64();
                 tracing::info!(seconds, "store answers again");
@@ -138,7 +138,7 @@
             return;
         }
         count(Counter::StoreFailures);
-        if breaker.fail(now, &mut self.shared.rng.borrow_mut()) {
+        if breaker.record_failure(now, &mut self.shared.rng.borrow_mut()) {
             let error = result.as_ref().err().map(ToString::to_string);
             tracing::warn!(error, "store is down");
         }
--- a/crates/wax-platform/src/table.rs
+++ b/crates/wax-platform/src/table.rs
@@ -274,7 +274,7 @@
                     error
                 }
             };
-            let wait = backoff.fail(&mut Rng::new());
+            let wait = backoff.next_delay(&mut Rng::new());
             if self.health.clock().now() + wait >= deadline {
                 return CommitOutcome::Unknown(error);
             }
--- a/crates/wax-policy/benches/decisions.rs
+++ b/crates/wax-policy/benches/decisions.rs
@@ -53,8 +53,8 @@
                     size: ResourceVector::new(1_100, 4_000, 0),
                     urgent,
                     evictable: !urgent,
-                    saved: NOW - Duration::from_secs(rng.u64(1..3_600)),
-                    settled: NOW,
+                    saved_at: NOW - Duration::from_secs(rng.u64(1..3_600)),
+                    protected_until: NOW,
                     due_today: false,
                 },
             );
--- a/crates/wax-policy/src/admission.rs
+++ b/crates/wax-policy/src/admission.rs
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 pub struct TeamTable {
     places: u32,
-    taken: u32,
+    in_flight: u32,
     active_weight: u64,
     teams: SlotMap<TeamKey, TeamFlow>,
     names: HashMap<Box<str>, TeamKey>,
@@ -66,7 +66,7 @@
     pub fn new(places: u32) -> Self {
         Self {
             places,
-            taken: 0,
+            in_flight: 0,
             active_weight: 0,
             teams: SlotMap::with_key(),
             names: HashMap::new(),
@@ -82,8 +82,8 @@
         if flow.in_flight >= limits.in_flight {
             return AdmitChoice::OverQuota(after(hold, flow.in_flight));
         }
-        let lent_out = f64::from(self.taken) >= f64::from(self.places) * LENDING_SHARE;
-        if self.taken >= self.places || (lent_out && flow.in_flight >= share) {
+        let lent_out = f64::from(self.in_flight) >= f64::from(self.places) * LENDING_SHARE;
+        if self.in_flight >= self.places || (lent_out && flow.in_flight >= share) {
             return AdmitChoice::OverShare(after(hold, flow.in_flight));
         }
         self.take_place(key, limits);
@@ -114,20 +114,20 @@
     }
 
     fn take_place(&mut self, key: TeamKey, limits: TeamLimits) {
-        self.taken += 1;
+        self.in_flight += 1;
         let flow = &mut self.teams[key];
         if flow.in_flight == 0 {
             flow.weight = limits.weight;
             self.active_weight += u64::from(limits.weight);
         }
         flow.in_flight += 1;
-        flow.retries.earn(limits.retry_percent);
-        flow.hedges.earn(limits.hedge_percent);
+        flow.retries.deposit(limits.retry_percent);
+        flow.hedges.deposit(limits.hedge_percent);
     }
 
     /// Gives a place back after `held`.
     pub fn release(&mut self, key: TeamKey, held: Duration) {
-        self.taken -= 1;
+        self.in_flight -= 1;
         let flow = &mut self.teams[key];
         flow.in_flight -= 1;
         flow.hold.add(held.as_secs_f64());
@@ -138,17 +138,17 @@
 
     /// Takes a retry from a team's budget.
     pub fn spend_retry(&mut self, key: TeamKey) -> bool {
-        self.teams[key].retries.spend()
+        self.teams[key].retries.try_spend()
     }
 
     /// Takes a hedge from a team's budget.
     pub fn spend_hedge(&mut self, key: TeamKey) -> bool {
-        self.teams[key].hedges.spend()
+        self.teams[key].hedges.try_spend()
     }
 
     /// Places taken.
-    pub fn taken(&self) -> u32 {
-        self.taken
+    pub fn in_flight(&self) -> u32 {
+        self.in_flight
     }
 }
 
--- a/crates/wax-policy/src/backoff.rs
+++ b/crates/wax-policy/src/backoff.rs
@@ -22,7 +22,7 @@
     }
 
     /// Counts a failure and gives the wait before the next try.
-    pub fn fail(&mut self, rng: &mut Rng) -> Duration {
+    pub fn next_delay(&mut self, rng: &mut Rng) -> Duration {
         let doubled = self.floor.saturating_mul(1 << self.failures.min(20));
         let step = doubled.min(self.ceiling);
         self.failures += 1;
@@ -30,7 +30,7 @@
     }
 
     /// Forgets the failures.
-    pub fn succeed(&mut self) {
+    pub fn reset(&mut self) {
         self.failures = 0;
     }
 }
--- a/crates/wax-policy/src/breaker.rs
+++ b/crates/wax-policy/src/breaker.rs
@@ -41,32 +41,32 @@
 
 impl StoreBreaker {
     /// Decides about one call; a probe that is let through pushes the next probe back.
-    pub fn ask(&mut self, now: TimePoint, rng: &mut Rng) -> BreakerChoice {
+    pub fn check(&mut self, now: TimePoint, rng: &mut Rng) -> BreakerChoice {
         if self.down_since.is_none() {
             return BreakerChoice::Send;
         }
         if now < self.next_probe {
             return BreakerChoice::Refuse(self.next_probe.since(now));
         }
-        self.next_probe = now + self.backoff.fail(rng);
+        self.next_probe = now + self.backoff.next_delay(rng);
         BreakerChoice::Send
     }
 
     /// Records that a call was answered.
-    pub fn succeed(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
         self.down_since = None;
-        self.backoff.succeed();
+        self.backoff.reset();
     }
 
     /// Records that a call failed or timed out; says whether the store went down with it.
-    pub fn fail(&mut self, now: TimePoint, rng: &mut Rng) -> bool {
+    pub fn record_failure(&mut self, now: TimePoint, rng: &mut Rng) -> bool {
         self.failures += 1;
         if self.down_since.is_some() || self.failures < FAILURES_TO_OPEN {
             return false;
         }
         self.down_since = Some(now);
-        self.next_probe = now + self.backoff.fail(rng);
+        self.next_probe = now + self.backoff.next_delay(rng);
         true
     }
 
--- a/crates/wax-policy/src/config_view.rs
+++ b/crates/wax-policy/src/config_view.rs
@@ -34,13 +34,15 @@
 impl ConfigRules {
     /// Rules for these bounds.
     pub fn new(bound: Duration, drains: DrainRules) -> Self {
-        let reading = drains.order_age().map_or(bound, |age| bound.min(age));
+        let reading = drains
+            .max_age_for_order()
+            .map_or(bound, |age| bound.min(age));
         Self { bound, reading }
     }
 
     /// The age at which the rows are read again. A reading that fails and the next one fit into the bound
     /// together; a front leaves the owner room for its own reading, a heartbeat and the way.
-    pub fn read_age(&self, reader: ConfigReader) -> Duration {
+    pub fn refresh_age(&self, reader: ConfigReader) -> Duration {
         match reader {
             ConfigReader::Owner => self.reading / 4,
             ConfigReader::Front => self.reading * 3 / 8,
@@ -57,7 +59,7 @@
     }
 
     /// Between a reading that failed and the next one, with as much again at random.
-    pub fn retry_pause(&self) -> Duration {
+    pub fn retry_delay(&self) -> Duration {
         self.reading / 16
     }
 }
@@ -81,12 +83,12 @@
     }
 
     /// The owner knew of nothing newer at `as_of`.
-    pub fn note_told(&mut self, as_of: TimePoint) {
+    pub fn note_report(&mut self, as_of: TimePoint) {
         self.told = self.told.max(Some(as_of));
     }
 
     /// A reading has failed.
-    pub fn note_failed(&mut self) {
+    pub fn note_read_failure(&mut self) {
         self.failures = self.failures.saturating_add(1);
     }
 
@@ -97,12 +99,12 @@
     }
 
     /// The same by this process's own readings: what it may tell others.
-    pub fn read_age(&self, now: TimePoint) -> Option<Duration> {
+    pub fn own_read_age(&self, now: TimePoint) -> Option<Duration> {
         self.read.map(|read| now.since(read))
     }
 
     /// Whether a newer config may have been in the store for longer than the bound.
-    pub fn may_be_old(&self, now: TimePoint, rules: &ConfigRules) -> bool {
+    pub fn may_be_stale(&self, now: TimePoint, rules: &ConfigRules) -> bool {
         self.age(now).is_none_or(|age| age > rules.bound)
     }
 
@@ -114,10 +116,10 @@
         reader: ConfigReader,
     ) -> ReadChoice {
         let age = match reader {
-            ConfigReader::Owner => self.read_age(now),
+            ConfigReader::Owner => self.own_read_age(now),
             ConfigReader::Front => self.age(now),
         };
-        let left = age.map(|age| rules.read_age(reader).saturating_sub(age));
+        let left = age.map(|age| rules.refresh_age(reader).saturating_sub(age));
         match left.filter(|left| !left.is_zero()) {
             Some(left) => ReadChoice::Wait(left),
             None => ReadChoice::Read(rules.read_limit(self.failures)),
--- a/crates/wax-policy/src/contact.rs
+++ b/crates/wax-policy/src/contact.rs
@@ -7,19 +7,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseTimings {
     /// Term of a lease at a worker.
-    pub lease: Duration,
+    pub duration: Duration,
     /// A renewal or start takes effect at the worker at most this long after it was sent.
-    pub call: Duration,
+    pub call_timeout: Duration,
     /// For the difference in the speed of two clocks.
-    pub margin: Duration,
+    pub clock_margin: Duration,
     /// Renewals go on for this long after the last confirmed contact with the store.
-    pub grace: Duration,
+    pub renewal_grace: Duration,
 }
 
 impl LeaseTimings {
     /// After this time without a renewal, a lease has surely lapsed.
-    pub fn lapse(&self) -> Duration {
-        self.lease + self.call + self.margin
+    pub fn expiry_delay(&self) -> Duration {
+        self.duration + self.call_timeout + self.clock_margin
     }
 }
 
@@ -50,7 +50,7 @@
     /// At the takeover of a shard: the owner before may renew until its grace ends.
     pub fn after_takeover(now: TimePoint, terms: &LeaseTimings) -> Self {
         Self {
-            held_until: now + terms.grace + terms.lapse(),
+            held_until: now + terms.renewal_grace + terms.expiry_delay(),
             failures: 0,
             answered: false,
         }
@@ -69,14 +69,14 @@
 
     /// Notes that a renewal is about to be sent.
     pub fn note_renewal(&mut self, now: TimePoint, terms: &LeaseTimings) {
-        self.held_until = self.held_until.max(now + terms.lapse());
+        self.held_until = self.held_until.max(now + terms.expiry_delay());
     }
 
     /// Notes an answer to a call that was sent at `sent`.
     pub fn note_answer(&mut self, sent: TimePoint, terms: &LeaseTimings) {
         if !self.answered {
             // The worker's runs are known now; only our own renewals count from here.
-            self.held_until = sent + terms.lapse();
+            self.held_until = sent + terms.expiry_delay();
         }
         self.answered = true;
         self.failures = 0;
--- a/crates/wax-policy/src/drains.rs
+++ b/crates/wax-policy/src/drains.rs
@@ -21,13 +21,13 @@
 
 impl DrainRules {
     /// The oldest view by which an agent sends a start.
-    pub fn start_age(&self) -> Option<Duration> {
+    pub fn max_age_for_start(&self) -> Option<Duration> {
         self.bound.map(|bound| bound.saturating_sub(START_MARGIN))
     }
 
     /// The oldest view by which an owner orders one.
-    pub fn order_age(&self) -> Option<Duration> {
-        let start = self.start_age();
+    pub fn max_age_for_order(&self) -> Option<Duration> {
+        let start = self.max_age_for_start();
         start.map(|age| age.saturating_sub(ORDER_MARGIN))
     }
 }
@@ -79,7 +79,7 @@
 
     /// Takes what has changed up to `version`, in order: each domain with whether it is drained; says
     /// whether the domains have changed.
-    pub fn change(
+    pub fn apply_changes(
         &mut self,
         version: u64,
         changes: impl IntoIterator<Item = (Box<str>, bool)>,
--- a/crates/wax-policy/src/gate.rs
+++ b/crates/wax-policy/src/gate.rs
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone)]
 pub struct SlotGate<K> {
     slots: usize,
-    used: usize,
+    slots_used: usize,
     queue_limit: usize,
     queue: BTreeMap<(TimePoint, u64), K>,
     arrivals: u64,
@@ -45,7 +45,7 @@
     pub fn new(slots: usize, queue_limit: usize) -> Self {
         Self {
             slots,
-            used: 0,
+            slots_used: 0,
             queue_limit,
             queue: BTreeMap::new(),
             arrivals: 0,
@@ -54,13 +54,13 @@
     }
 
     /// Decides about a request that must be answered by `deadline`.
-    pub fn ask(&mut self, now: TimePoint, deadline: TimePoint, key: K) -> GateChoice {
+    pub fn admit(&mut self, now: TimePoint, deadline: TimePoint, key: K) -> GateChoice {
         let wait = self.expected_wait();
         if now + wait + self.service_floor() > deadline {
             return GateChoice::CannotMeetDeadline(wait);
         }
-        if self.used < self.slots {
-            self.used += 1;
+        if self.slots_used < self.slots {
+            self.slots_used += 1;
             return GateChoice::Run;
         }
         if self.queue.len() >= self.queue_limit {
@@ -74,17 +74,17 @@
     /// Gives a slot back after a request that took `spent` at the upstream.
     pub fn release(&mut self, spent: Duration) {
         self.service.add(spent.as_secs_f64());
-        self.used -= 1;
+        self.slots_used -= 1;
     }
 
     /// Gives a slot back that reached no upstream, so that nothing was learned.
     pub fn release_unused(&mut self) {
-        self.used -= 1;
+        self.slots_used -= 1;
     }
 
     /// Takes a free slot for the next request that waits; call until it is idle.
-    pub fn next(&mut self, now: TimePoint) -> DequeueChoice<K> {
-        if self.used >= self.slots {
+    pub fn dequeue(&mut self, now: TimePoint) -> DequeueChoice<K> {
+        if self.slots_used >= self.slots {
             return DequeueChoice::Idle;
         }
         let Some(((deadline, _), key)) = self.queue.pop_first() else {
@@ -93,7 +93,7 @@
         if now + self.service_floor() > deadline {
             return DequeueChoice::Drop(key);
         }
-        self.used += 1;
+        self.slots_used += 1;
         DequeueChoice::Run(key)
     }
 
@@ -106,7 +106,7 @@
 
     /// The time until a slot is expected to be free for one more request.
     pub fn expected_wait(&self) -> Duration {
-        if self.used < self.slots {
+        if self.slots_used < self.slots {
             return Duration::ZERO;
         }
         let ahead = (self.queue.len() + 1) as f64;
@@ -124,8 +124,8 @@
     }
 
     /// Slots in use.
-    pub fn used(&self) -> usize {
-        self.used
+    pub fn slots_used(&self) -> usize {
+        self.slots_used
     }
 
     /// Requests that wait.
--- a/crates/wax-policy/src/heartbeats.rs
+++ b/crates/wax-policy/src/heartbeats.rs
@@ -30,7 +30,7 @@
     if is_early_candidate(rank) {
         return FRONT_HEARTBEAT_PERIOD;
     }
-    let room = rules.read_age(ConfigReader::Front) - rules.read_age(ConfigReader::Owner);
+    let room = rules.refresh_age(ConfigReader::Front) - rules.refresh_age(ConfigReader::Owner);
     let longest = (room - room / WAY_SHARE).max(FRONT_HEARTBEAT_PERIOD);
     spread_over(fronts, FRONT_RATE).clamp(FRONT_HEARTBEAT_PERIOD, longest)
 }
--- a/crates/wax-policy/src/mitigation.rs
+++ b/crates/wax-policy/src/mitigation.rs
@@ -49,7 +49,7 @@
     /// The worker.
     pub slot: &'a WorkerCapacity,
     /// Its latency-critical task that is slowed most.
-    pub victim: &'a RunningTask,
+    pub affected: &'a RunningTask,
     /// How much longer that task takes than alone; 0.5 is half as long again.
     pub excess: f64,
     /// What is known of pairs of kinds.
@@ -103,7 +103,9 @@
         let may_evict =
             view.excess > limit * EVICT_FACTOR && view.weights.tail > view.weights.eviction;
         match self.noisiest(view, true) {
-            Some(task) if may_evict && task.settled <= now => MitigationChoice::Evict(task.task),
+            Some(task) if may_evict && task.protected_until <= now => {
+                MitigationChoice::Evict(task.task)
+            }
             _ => MitigationChoice::Keep,
         }
     }
@@ -111,9 +113,9 @@
     /// The neighbour that does the victim the most harm, among those throttled or not.
     fn noisiest(&self, view: MitigationView<'_>, throttled: bool) -> Option<RunningTask> {
         let harm = |task: &RunningTask| {
-            let band = view.slot.band();
+            let band = view.slot.load_band();
             view.pairs
-                .estimate(view.victim.kind, task.kind, band)
+                .estimate(view.affected.kind, task.kind, band)
                 .excess
         };
         view.slot
--- a/crates/wax-policy/src/pair_interference.rs
+++ b/crates/wax-policy/src/pair_interference.rs
@@ -38,14 +38,14 @@
     /// By what share the load of the serving image grows for each core that the filling one uses.
     pub per_core: f64,
     /// How certain that is: one over its variance; 0 without an observation.
-    pub weight: f64,
+    pub precision: f64,
 }
 
 impl PairInterference {
     /// The press of a core as far as it is known; never below 0.
     pub fn expected(self) -> f64 {
-        let sum = PRIOR_PRESS * PRIOR_WEIGHT + self.per_core * self.weight;
-        (sum / (PRIOR_WEIGHT + self.weight)).clamp(0.0, MOST_PRESS)
+        let sum = PRIOR_PRESS * PRIOR_WEIGHT + self.per_core * self.precision;
+        (sum / (PRIOR_WEIGHT + self.precision)).clamp(0.0, MOST_PRESS)
     }
 
     /// The spread of what is expected.
@@ -54,30 +54,30 @@
     }
 
     /// Whether it is surely below `bound`.
-    pub fn is_none(self, bound: f64) -> bool {
+    pub fn is_negligible(self, bound: f64) -> bool {
         self.expected() + self.spread() < bound
     }
 
     fn variance(self) -> f64 {
-        1.0 / (PRIOR_WEIGHT + self.weight)
+        1.0 / (PRIOR_WEIGHT + self.precision)
     }
 
     /// Both pieces of knowledge together.
     fn plus(self, other: Self) -> Self {
-        let weight = self.weight + other.weight;
+        let weight = self.precision + other.precision;
         if weight <= 0.0 {
             return self;
         }
-        let sum = self.per_core * self.weight + other.per_core * other.weight;
+        let sum = self.per_core * self.precision + other.per_core * other.precision;
         Self {
             per_core: sum / weight,
-            weight,
+            precision: weight,
         }
     }
 
     fn capped(self) -> Self {
         Self {
-            weight: self.weight.min(MOST_WEIGHT),
+            precision: self.precision.min(MOST_WEIGHT),
             ..self
         }
     }
@@ -92,7 +92,7 @@
     /// Cores in use beside it.
     pub cores: &'a CoresByImage,
     /// Whether the load is too high to be told: it is only known to be at least that.
-    pub full: bool,
+    pub saturated: bool,
 }
 
 /// The change of a serving image's load between two looks at one worker.
@@ -105,11 +105,11 @@
     /// The look now.
     pub after: LoadSample<'a>,
     /// The logarithm of the load now over the load before.
-    pub growth: f64,
+    pub log_growth: f64,
     /// The load now, 0 to 1.
     pub load: f64,
     /// The time between the two looks.
-    pub span: Duration,
+    pub interval: Duration,
 }
 
 /// What is known of all pairs: the image that serves, then the one that fills.
@@ -169,7 +169,7 @@
     }
 
     /// By what share all that fills beside an image raises its load.
-    pub fn press_on(&self, serving: &str, cores: &CoresByImage) -> f64 {
+    pub fn interference_on(&self, serving: &str, cores: &CoresByImage) -> f64 {
         let presses = cores
             .iter()
             .map(|(filling, used)| self.get(serving, filling).expected() * used);
@@ -178,9 +178,9 @@
 
     /// Learns from a change of load; returns what was observed of each pair.
     pub fn learn(&mut self, change: &LoadChange<'_>) -> Vec<(Box<str>, PairInterference)> {
-        let before = 1.0 + self.press_on(change.serving, change.before.cores);
-        let after = 1.0 + self.press_on(change.serving, change.after.cores);
-        let missed = change.growth - (after / before).ln();
+        let before = 1.0 + self.interference_on(change.serving, change.before.cores);
+        let after = 1.0 + self.interference_on(change.serving, change.after.cores);
+        let missed = change.log_growth - (after / before).ln();
         if change.says_nothing(missed) {
             return Vec::new();
         }
@@ -196,7 +196,7 @@
         for (filling, slope) in slopes {
             let known = self.get(change.serving, &filling);
             let seen = known.observe(slope, missed, variance);
-            if seen.weight > LEAST_WEIGHT {
+            if seen.precision > LEAST_WEIGHT {
                 self.merge(change.serving, &filling, seen);
                 observed.push((filling, seen));
             }
@@ -211,16 +211,16 @@
     fn observe(self, slope: f64, missed: f64, variance: f64) -> Self {
         let gain = self.variance() * slope / variance;
         let kept = 1.0 - gain * slope;
-        let weight = (PRIOR_WEIGHT + self.weight) * (1.0 / kept - 1.0);
+        let weight = (PRIOR_WEIGHT + self.precision) * (1.0 / kept - 1.0);
         if weight <= LEAST_WEIGHT {
             return Self::default();
         }
         let mean = self.expected();
         let moved = mean + gain * missed;
-        let whole = PRIOR_WEIGHT + self.weight;
+        let whole = PRIOR_WEIGHT + self.precision;
         Self {
             per_core: (moved * (whole + weight) - mean * whole) / weight,
-            weight,
+            precision: weight,
         }
     }
 }
@@ -228,7 +228,7 @@
 impl LoadChange<'_> {
     /// Whether the miss is one that a load too high to be told explains.
     fn says_nothing(&self, missed: f64) -> bool {
-        match (self.before.full, self.after.full) {
+        match (self.before.saturated, self.after.saturated) {
             (true, true) => true,
             (false, true) => missed < 0.0,
             (true, false) => missed > 0.0,
@@ -250,7 +250,7 @@
 
     /// The variance of what is not told by the presses: drift and the measure itself.
     fn noise(&self) -> f64 {
-        let drift = DRIFT * self.span.as_secs_f64() / DRIFT_PERIOD;
+        let drift = DRIFT * self.interval.as_secs_f64() / DRIFT_PERIOD;
         let measure = MEASURE * MEASURED_LOAD / self.load;
         drift * drift + measure * measure
     }
@@ -278,32 +278,32 @@
     /// The pace that is left to it, 0 to 1.
     pub pace: f64,
     /// The greatest share of a serving image's room that it would take at full pace.
-    pub taken: f64,
+    pub headroom_share: f64,
 }
 
 impl WorkerInterference {
     /// A run of an image that serves is placed here.
-    pub fn seat_serving(&mut self, image: &str) {
+    pub fn add_serving(&mut self, image: &str) {
         *self.serving.entry(image.into()).or_default() += 1;
     }
 
     /// A run of an image that serves has ended.
-    pub fn free_serving(&mut self, image: &str) {
+    pub fn remove_serving(&mut self, image: &str) {
         take_from(&mut self.serving, image, 1);
     }
 
     /// A run of an image that fills is placed here, asking for thousandths of a core.
-    pub fn seat_filling(&mut self, image: &str, cpu_milli: u32) {
+    pub fn add_best_effort(&mut self, image: &str, cpu_milli: u32) {
         *self.filling_milli.entry(image.into()).or_default() += cpu_milli;
     }
 
     /// A run of an image that fills has ended.
-    pub fn free_filling(&mut self, image: &str, cpu_milli: u32) {
+    pub fn remove_best_effort(&mut self, image: &str, cpu_milli: u32) {
         take_from(&mut self.filling_milli, image, cpu_milli);
     }
 
     /// The agent tells how much press an image that serves bears in all.
-    pub fn set_room(&mut self, image: &str, room: f64) {
+    pub fn set_headroom(&mut self, image: &str, room: f64) {
         self.rooms.insert(image.into(), room);
     }
 
@@ -313,7 +313,7 @@
     }
 
     /// How one more filling task of `image` would fare; a press surely below `no_press` is none.
-    pub fn choice(
+    pub fn estimate(
         &self,
         table: &InterferenceTable,
         image: &str,
@@ -322,19 +322,19 @@
     ) -> InterferenceEstimate {
         let mut choice = InterferenceEstimate {
             pace: 1.0,
-            taken: 0.0,
+            headroom_share: 0.0,
         };
         let cores = f64::from(cpu_milli) / 1_000.0;
         for serving in self.serving.keys() {
             let pair = table.get(serving, image);
             let press = pair.expected() * cores;
-            if pair.is_none(no_press) || press <= 0.0 {
+            if pair.is_negligible(no_press) || press <= 0.0 {
                 continue;
             }
             let room = self.rooms.get(serving).copied().unwrap_or(FIRST_ROOM);
             let left = room - self.pressed(table, serving, no_press);
             choice.pace = choice.pace.min((left / press).max(0.0));
-            choice.taken = choice.taken.max(press / room.max(LEAST_ROOM));
+            choice.headroom_share = choice.headroom_share.max(press / room.max(LEAST_ROOM));
         }
         choice
     }
@@ -343,7 +343,7 @@
     fn pressed(&self, table: &InterferenceTable, serving: &str, no_press: f64) -> f64 {
         let presses = self.filling_milli.iter().map(|(filling, cpu_milli)| {
             let pair = table.get(serving, filling);
-            match pair.is_none(no_press) {
+            match pair.is_negligible(no_press) {
                 true => 0.0,
                 false => pair.expected() * f64::from(*cpu_milli) / 1_000.0,
             }
--- a/crates/wax-policy/src/placement.rs
+++ b/crates/wax-policy/src/placement.rs
@@ -90,9 +90,9 @@
     /// Whether it may be evicted for an urgent task.
     pub evictable: bool,
     /// When it started or was last checkpointed: later work would be lost.
-    pub saved: TimePoint,
+    pub saved_at: TimePoint,
     /// It is not evicted again before this time.
-    pub settled: TimePoint,
+    pub protected_until: TimePoint,
     /// Whether an eviction would keep it from ending before evening.
     pub due_today: bool,
 }
@@ -101,7 +101,7 @@
 #[derive(Debug, Clone)]
 pub struct WorkerCapacity {
     capacity: ResourceVector,
-    used: ResourceVector,
+    reserved: ResourceVector,
     open: bool,
     tasks: Vec<RunningTask>,
 }
@@ -156,7 +156,7 @@
 impl WorkerCapacity {
     /// What is not reserved.
     pub fn free(&self) -> ResourceVector {
-        self.capacity.saturating_sub(self.used)
+        self.capacity.saturating_sub(self.reserved)
     }
 
     /// What it has.
@@ -165,8 +165,8 @@
     }
 
     /// What is reserved.
-    pub fn used(&self) -> ResourceVector {
-        self.used
+    pub fn reserved(&self) -> ResourceVector {
+        self.reserved
     }
 
     /// What runs there.
@@ -175,12 +175,12 @@
     }
 
     /// The band of its load.
-    pub fn band(&self) -> LoadBand {
+    pub fn load_band(&self) -> LoadBand {
         LoadBand::of(self.load())
     }
 
     fn load(&self) -> f64 {
-        self.used.dominant_share(self.capacity)
+        self.reserved.dominant_share(self.capacity)
     }
 }
 
@@ -189,7 +189,7 @@
     pub fn add(&mut self, capacity: ResourceVector) -> WorkerKey {
         let key = self.workers.insert(WorkerCapacity {
             capacity,
-            used: ResourceVector::ZERO,
+            reserved: ResourceVector::ZERO,
             open: true,
             tasks: Vec::new(),
         });
@@ -225,9 +225,9 @@
         let Some(slot) = self.workers.get_mut(key) else {
             return false;
         };
-        match slot.used.checked_add(task.size) {
+        match slot.reserved.checked_add(task.size) {
             Some(used) if used.fits_in(slot.capacity) => {
-                slot.used = used;
+                slot.reserved = used;
                 slot.tasks.push(task);
                 true
             }
@@ -240,7 +240,7 @@
         let slot = self.workers.get_mut(key)?;
         let position = slot.tasks.iter().position(|other| other.task == task)?;
         let task = slot.tasks.swap_remove(position);
-        slot.used = slot.used.saturating_sub(task.size);
+        slot.reserved = slot.reserved.saturating_sub(task.size);
         Some(task)
     }
 
@@ -365,7 +365,10 @@
 ///
 /// All tasks spread: a fuller worker is in the worse band for everybody on it.
 fn score(slot: &WorkerCapacity, demand: TaskDemand, context: &PlacementContext<'_>) -> f64 {
-    let used = slot.used.checked_add(demand.size).unwrap_or(slot.used);
+    let used = slot
+        .reserved
+        .checked_add(demand.size)
+        .unwrap_or(slot.reserved);
     let after = used.dominant_share(slot.capacity);
     let total = context.weights.tail + context.weights.throughput;
     let harm = harm(slot, demand, LoadBand::of(after), context);
@@ -446,12 +449,12 @@
     let mut tasks: Vec<&RunningTask> = slot
         .tasks
         .iter()
-        .filter(|task| task.evictable && task.settled <= now)
+        .filter(|task| task.evictable && task.protected_until <= now)
         .collect();
     if weighed {
-        tasks.sort_by_key(|task| (task.due_today, now.since(task.saved), task.task));
+        tasks.sort_by_key(|task| (task.due_today, now.since(task.saved_at), task.task));
     }
-    let mut used = slot.used;
+    let mut used = slot.reserved;
     let mut chosen: Vec<&RunningTask> = Vec::new();
     for task in tasks {
         used = used.saturating_sub(task.size);
@@ -461,7 +464,7 @@
                 spare(&mut chosen, slot.capacity.saturating_sub(used), size);
             }
             return Some(VictimPlan {
-                lost: chosen.iter().map(|task| now.since(task.saved)).sum(),
+                lost: chosen.iter().map(|task| now.since(task.saved_at)).sum(),
                 due_today: chosen.iter().any(|task| task.due_today),
                 victims: chosen.iter().map(|task| task.task).collect(),
             });
--- a/crates/wax-policy/src/retry.rs
+++ b/crates/wax-policy/src/retry.rs
@@ -17,12 +17,12 @@
 
 impl RetryBudget {
     /// Counts a request that earns `percent` of a retry.
-    pub fn earn(&mut self, percent: u32) {
+    pub fn deposit(&mut self, percent: u32) {
         self.saved = (self.saved + f64::from(percent) / 100.0).min(MOST_SAVED);
     }
 
     /// Takes one retry if there is one.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_spend(&mut self) -> bool {
         if self.saved < 1.0 {
             return false;
         }
--- a/crates/wax-policy/src/routing.rs
+++ b/crates/wax-policy/src/routing.rs
@@ -254,17 +254,17 @@
     }
 
     /// How many upstreams of a service are connected.
-    pub fn count(&self, service: &str) -> usize {
+    pub fn upstream_count(&self, service: &str) -> usize {
         self.services.get(service).map_or(0, Vec::len)
     }
 
     /// Whether a service has ever had an upstream here.
-    pub fn knows(&self, service: &str) -> bool {
+    pub fn knows_service(&self, service: &str) -> bool {
         self.services.contains_key(service)
     }
 
     /// Takes what a sidecar said.
-    pub fn report(&mut self, now: TimePoint, key: UpstreamKey, load: UpstreamLoad) {
+    pub fn update_load(&mut self, now: TimePoint, key: UpstreamKey, load: UpstreamLoad) {
         if let Some(view) = self.upstreams.get_mut(key) {
             view.load = load;
             view.sent_since_report = 0;
@@ -273,7 +273,7 @@
     }
 
     /// Counts an attempt that is sent.
-    pub fn begin(&mut self, now: TimePoint, key: UpstreamKey) {
+    pub fn begin_attempt(&mut self, now: TimePoint, key: UpstreamKey) {
         if let Some(view) = self.upstreams.get_mut(key) {
             view.unanswered_since.get_or_insert(now);
             view.in_flight += 1;
@@ -282,7 +282,7 @@
     }
 
     /// Counts an attempt that ended and learns from it.
-    pub fn end(&mut self, now: TimePoint, key: UpstreamKey, end: AttemptEnd) {
+    pub fn end_attempt(&mut self, now: TimePoint, key: UpstreamKey, end: AttemptEnd) {
         let may_eject = self.may_eject(now, key);
         let Some(view) = self.upstreams.get_mut(key) else {
             return;
--- a/crates/wax-policy/src/rules.rs
+++ b/crates/wax-policy/src/rules.rs
@@ -37,9 +37,9 @@
     /// Its value now.
     pub value: f64,
     /// The least value.
-    pub least: f64,
+    pub min: f64,
     /// The greatest value.
-    pub most: f64,
+    pub max: f64,
     /// The value that stands for `off`; `None` for what cannot be switched off.
     pub off: Option<f64>,
 }
@@ -64,17 +64,17 @@
             Self::OutOfBounds(info, value) => write!(
                 formatter,
                 "{}: {value} is out of range, expected {} to {}",
-                info.key, info.least, info.most
+                info.key, info.min, info.max
             ),
             Self::CannotSwitchOff(info) => write!(
                 formatter,
                 "{}: it cannot be off, expected {} to {}",
-                info.key, info.least, info.most
+                info.key, info.min, info.max
             ),
             Self::NotANumber(info) => write!(
                 formatter,
                 "{}: expected a number from {} to {}, or off",
-                info.key, info.least, info.most
+                info.key, info.min, info.max
             ),
         }
     }
@@ -88,13 +88,13 @@
     /// # Errors
     ///
     /// It is out of bounds, or the rule cannot be off.
-    pub fn number(self, word: RuleSetting) -> Result<f64, RuleError> {
+    pub fn resolve(self, word: RuleSetting) -> Result<f64, RuleError> {
         match word {
             RuleSetting::Switch(RuleSwitch::Off) | RuleSetting::Flag(false) => {
                 self.off.ok_or(RuleError::CannotSwitchOff(self))
             }
             RuleSetting::Flag(true) => Err(RuleError::NotANumber(self)),
-            RuleSetting::Number(value) if (self.least..=self.most).contains(&value) => Ok(value),
+            RuleSetting::Number(value) if (self.min..=self.max).contains(&value) => Ok(value),
             RuleSetting::Number(value) => Err(RuleError::OutOfBounds(self, value)),
         }
     }
@@ -172,8 +172,8 @@
                         key: $key,
                         unit: $unit,
                         value: $crate::rules::RuleValue::to_number(self.$field),
-                        least: $least as f64,
-                        most: $most as f64,
+                        min: $least as f64,
+                        max: $most as f64,
                         off: None $(.or(Some($off as f64)))?,
                     }, )*
                 ]
@@ -193,7 +193,7 @@
                 let Some(info) = infos.iter().find(|info| info.key == key) else {
                     return Err($crate::rules::RuleError::UnknownKey(key.into()));
                 };
-                let number = info.number(word)?;
+                let number = info.resolve(word)?;
                 match key {
                     $( $key => self.$field = $crate::rules::RuleValue::from_number(number), )*
                     _ => {}
--- a/crates/wax-policy/src/sizing.rs
+++ b/crates/wax-policy/src/sizing.rs
@@ -48,7 +48,7 @@
     }
 
     /// What to reserve for a task that declares `declared`.
-    pub fn reserve(&self, kind: KindKey, declared: ResourceVector) -> ResourceVector {
+    pub fn corrected_size(&self, kind: KindKey, declared: ResourceVector) -> ResourceVector {
         let Some(shares) = self
             .kinds
             .get(&kind)
--- a/crates/wax-policy/src/workday.rs
+++ b/crates/wax-policy/src/workday.rs
@@ -25,12 +25,12 @@
 
 impl WorkDay {
     /// Whether work goes on around the clock.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_around_the_clock(&self) -> bool {
         self.start.is_zero() && self.end >= DAY
     }
 
     /// The time left until this evening; zero outside working hours.
-    pub fn left(&self, now: TimePoint) -> Duration {
+    pub fn remaining(&self, now: TimePoint) -> Duration {
         let midnight = TimePoint(now.0 - now.0 % DAY.as_micros() as u64);
         let offset = now.since(midnight);
         if offset < self.start {
@@ -41,6 +41,6 @@
 
     /// Whether work of this length still ends before evening.
     pub fn ends_today(&self, now: TimePoint, work: Duration) -> bool {
-        self.is_whole() || work <= self.left(now)
+        self.is_around_the_clock() || work <= self.remaining(now)
     }
 }
--- a/crates/wax-policy/tests/config_view.rs
+++ b/crates/wax-policy/tests/config_view.rs
@@ -59,8 +59,8 @@
                 self.view.note_read(TimePoint::from_millis(begun));
             } else {
                 self.kept_dead = false;
-                self.view.note_failed();
-                let pause = rules().retry_pause();
+                self.view.note_read_failure();
+                let pause = rules().retry_delay();
                 self.busy_until = now + millis(pause.mul_f64(1.0 + jitter));
                 return;
             }
@@ -139,8 +139,8 @@
         for now in 0..20_000_u64 {
             owner.step(now, true, jitter);
             if now % BEAT_MS == 0 && now > 0 {
-                let age = owner.view.read_age(TimePoint::from_millis(now + way));
-                front.view.note_told(TimePoint::from_millis(now) - age.unwrap_or_default());
+                let age = owner.view.own_read_age(TimePoint::from_millis(now + way));
+                front.view.note_report(TimePoint::from_millis(now) - age.unwrap_or_default());
             }
             front.step(now, true, jitter);
         }
@@ -152,19 +152,19 @@
 #[test]
 fn an_older_word_changes_nothing() {
     let mut view = ConfigView::default();
-    view.note_told(TimePoint::from_millis(5_000));
-    view.note_told(TimePoint::from_millis(1_000));
+    view.note_report(TimePoint::from_millis(5_000));
+    view.note_report(TimePoint::from_millis(1_000));
     view.note_read(TimePoint::from_millis(2_000));
     let now = TimePoint::from_millis(6_000);
     assert_eq!(view.age(now), Some(Duration::from_millis(1_000)));
-    assert_eq!(view.read_age(now), Some(Duration::from_millis(4_000)));
+    assert_eq!(view.own_read_age(now), Some(Duration::from_millis(4_000)));
 }
 
 /// Before its first reading a process is sure of nothing.
 #[test]
 fn without_a_reading_a_config_may_be_old() {
     let view = ConfigView::default();
-    assert!(view.may_be_old(TimePoint::from_millis(1), &rules()));
+    assert!(view.may_be_stale(TimePoint::from_millis(1), &rules()));
     let first = view.next_read(TimePoint::from_millis(1), &rules(), ConfigReader::Front);
     assert!(matches!(first, ReadChoice::Read(_)));
 }
@@ -176,6 +176,6 @@
         bound: Some(Duration::from_millis(3_000)),
     };
     let rules = ConfigRules::new(Duration::from_secs(60), drains);
-    let order = drains.order_age().expect("there is a bound");
-    assert!(rules.read_age(ConfigReader::Owner) * 2 < order);
+    let order = drains.max_age_for_order().expect("there is a bound");
+    assert!(rules.refresh_age(ConfigReader::Owner) * 2 < order);
 }
--- a/crates/wax-policy/tests/heartbeats.rs
+++ b/crates/wax-policy/tests/heartbeats.rs
@@ -48,8 +48,8 @@
 fn a_front_hears_of_each_reading_of_the_owner_in_time() {
     for bound_ms in [2_000, 3_000, 5_000, 60_000] {
         let rules = rules(bound_ms);
-        let heard =
-            rules.read_age(ConfigReader::Owner) + front_heartbeat_period(usize::MAX, 100, &rules);
-        assert!(heard < rules.read_age(ConfigReader::Front), "{bound_ms}");
+        let heard = rules.refresh_age(ConfigReader::Owner)
+            + front_heartbeat_period(usize::MAX, 100, &rules);
+        assert!(heard < rules.refresh_age(ConfigReader::Front), "{bound_ms}");
     }
 }
--- a/crates/wax-policy/tests/leases.rs
+++ b/crates/wax-policy/tests/leases.rs
@@ -5,10 +5,10 @@
 use wax_types::TimePoint;
 
 const TERMS: LeaseTimings = LeaseTimings {
-    lease: Duration::from_secs(10),
-    call: Duration::from_secs(1),
-    margin: Duration::from_secs(1),
-    grace: Duration::from_secs(60),
+    duration: Duration::from_secs(10),
+    call_timeout: Duration::from_secs(1),
+    clock_margin: Duration::from_secs(1),
+    renewal_grace: Duration::from_secs(60),
 };
 
 fn at(seconds: u64) -> TimePoint {
--- a/crates/wax-policy/tests/limits.rs
+++ b/crates/wax-policy/tests/limits.rs
@@ -27,13 +27,13 @@
         for (index, (arrives, millis)) in steps.into_iter().enumerate() {
             let now = at(index as u64);
             if arrives {
-                let choice = gate.ask(now, now + Duration::from_millis(millis), index);
+                let choice = gate.admit(now, now + Duration::from_millis(millis), index);
                 running += usize::from(choice == GateChoice::Run);
             } else if running > 0 {
                 gate.release(Duration::from_millis(millis / 100));
                 running -= 1;
                 loop {
-                    match gate.next(now) {
+                    match gate.dequeue(now) {
                         DequeueChoice::Run(_) => running += 1,
                         DequeueChoice::Drop(_) => {}
                         DequeueChoice::Idle => break,
@@ -41,7 +41,7 @@
                 }
             }
             prop_assert!(running <= slots);
-            prop_assert_eq!(running, gate.used());
+            prop_assert_eq!(running, gate.slots_used());
             prop_assert!(gate.queued() <= queue);
         }
     }
@@ -79,7 +79,7 @@
                     let task = TaskId { job: JobId(1), index: index as u32 };
                     let running = RunningTask {
                         task, kind: demand.kind, size: demand.size, urgent,
-                        evictable: !urgent, saved: now, settled: now, due_today: false,
+                        evictable: !urgent, saved_at: now, protected_until: now, due_today: false,
                     };
                     prop_assert!(table.reserve(key, running), "a choice that does not fit");
                 }
@@ -96,7 +96,7 @@
             }
             for key in table.keys() {
                 let slot = table.get(key).expect("known");
-                prop_assert!(slot.used().fits_in(slot.capacity()));
+                prop_assert!(slot.reserved().fits_in(slot.capacity()));
             }
         }
     }
@@ -158,8 +158,8 @@
     let (mut table, keys) = route_table(6);
     for _ in 0..50 {
         for key in &keys {
-            table.begin(at(10), *key);
-            table.end(at(10), *key, AttemptEnd::Failed);
+            table.begin_attempt(at(10), *key);
+            table.end_attempt(at(10), *key, AttemptEnd::Failed);
         }
     }
     let mut rng = Rng::with_seed(1);
@@ -190,7 +190,7 @@
         up: true,
         ..UpstreamLoad::default()
     };
-    table.report(at(10), keys[0], leaving);
+    table.update_load(at(10), keys[0], leaving);
     let mut choose = |table: &mut RouteTable, now: TimePoint| {
         let deadline = now + Duration::from_secs(1);
         table.choose(
@@ -213,19 +213,19 @@
     let (mut table, keys) = route_table(4);
     let mut rng = Rng::with_seed(1);
     for key in &keys {
-        table.begin(at(0), *key);
-        table.end(
+        table.begin_attempt(at(0), *key);
+        table.end_attempt(
             at(10),
             *key,
             AttemptEnd::Answered(Duration::from_millis(10)),
         );
     }
     // The first one, in the own failure domain, has died with a request under way.
-    table.begin(at(20), keys[0]);
+    table.begin_attempt(at(20), keys[0]);
     // The others are busier, but they answer.
     for key in &keys[1..] {
         for _ in 0..4 {
-            table.begin(at(95), *key);
+            table.begin_attempt(at(95), *key);
         }
     }
     for millis in 100..130 {
@@ -243,18 +243,18 @@
         let mut rng = Rng::with_seed(1);
         // The others are busier and slower; the first one refuses at once and so looks idle.
         for key in &keys[1..] {
-            table.begin(at(0), *key);
-            table.end(
+            table.begin_attempt(at(0), *key);
+            table.end_attempt(
                 at(30),
                 *key,
                 AttemptEnd::Answered(Duration::from_millis(30)),
             );
             for _ in 0..4 {
-                table.begin(at(95), *key);
+                table.begin_attempt(at(95), *key);
             }
         }
-        table.begin(at(99), keys[0]);
-        table.end(at(100), keys[0], end);
+        table.begin_attempt(at(99), keys[0]);
+        table.end_attempt(at(100), keys[0], end);
         for millis in 100..130 {
             let deadline = at(5_000);
             let policy = RoutePolicy::Weighed;
@@ -274,7 +274,7 @@
         leaving: false,
         up: true,
     };
-    table.report(at(10), keys[0], busy);
+    table.update_load(at(10), keys[0], busy);
     let mut rng = Rng::with_seed(1);
     let choice = table.choose(
         at(20),
--- a/crates/wax-replay/src/batch.rs
+++ b/crates/wax-replay/src/batch.rs
@@ -140,8 +140,8 @@
                 size: upstream.size,
                 urgent: true,
                 evictable: false,
-                saved: now,
-                settled: now,
+                saved_at: now,
+                protected_until: now,
                 due_today: false,
             };
             table.reserve(keys[upstream.worker], resident);
@@ -208,7 +208,7 @@
                 let record = self.batch.tasks.get(&task.task);
                 (task.kind, record.map_or(1.0, |record| record.throttle))
             });
-        let loaded = slot.band() == LoadBand::Loaded;
+        let loaded = slot.load_band() == LoadBand::Loaded;
         self.world.excess(kind, neighbours, loaded)
     }
 
@@ -300,7 +300,7 @@
         let kind = &self.world.kinds[record.kind];
         let learns = self.world.policy.learns();
         let size = if learns {
-            let learned = self.batch.sizes.reserve(kind.key, kind.declared);
+            let learned = self.batch.sizes.corrected_size(kind.key, kind.declared);
             let fits = |worker: &crate::world::WorkerTruth| learned.fits_in(worker.capacity);
             if self.world.workers.iter().any(fits) {
                 learned
--- a/crates/wax-replay/src/batch/runs.rs
+++ b/crates/wax-replay/src/batch/runs.rs
@@ -12,7 +12,7 @@
         left: Duration,
     ) {
         self.dequeue(task);
-        let due_today = !self.world.options.day.is_whole()
+        let due_today = !self.world.options.day.is_around_the_clock()
             && self.world.options.day.ends_today(now, left)
             && !self.world.options.day.ends_today(now, left * 2);
         let record = self.batch.tasks.get_mut(&task).expect("the task is known");
@@ -24,8 +24,8 @@
             size: demand.size,
             urgent: demand.urgent,
             evictable: !demand.urgent,
-            saved: started,
-            settled: started + safe,
+            saved_at: started,
+            protected_until: started + safe,
             due_today,
         };
         record.stand = TaskStand::Running(worker);
--- a/crates/wax-replay/src/batch/usage.rs
+++ b/crates/wax-replay/src/batch/usage.rs
@@ -12,7 +12,7 @@
             let Some(slot) = self.batch.table.get(self.batch.keys[worker]) else {
                 continue;
             };
-            let band = slot.band();
+            let band = slot.load_band();
             for running in slot.tasks() {
                 let record = self.batch.tasks.get(&running.task);
                 let own = record.map(|_| running.task);
@@ -85,7 +85,7 @@
         let relief = &mut self.batch.records[worker].relief;
         let view = MitigationView {
             slot,
-            victim: &victim,
+            affected: &victim,
             excess,
             pairs: &self.batch.pairs,
             weights,
--- a/crates/wax-replay/src/quick.rs
+++ b/crates/wax-replay/src/quick.rs
@@ -139,8 +139,8 @@
         let state = &mut self.quick.requests[request];
         state.arrived = now;
         state.deadline = deadline;
-        self.quick.retries.earn(RETRY_PERCENT);
-        self.quick.hedges.earn(HEDGE_PERCENT);
+        self.quick.retries.deposit(RETRY_PERCENT);
+        self.quick.hedges.deposit(HEDGE_PERCENT);
         let event = ReplayEvent::DeadlinePasses(request);
         self.world.queue.push(deadline, event);
         if !self.send_attempt(now, request) {
@@ -163,7 +163,7 @@
         let RouteChoice::Send(key) = choice else {
             return false;
         };
-        quick.routes.begin(now, key);
+        quick.routes.begin_attempt(now, key);
         let upstream = quick.index_of(key);
         let attempt = quick.attempts.len();
         quick.attempts.push(AttemptState {
@@ -194,7 +194,7 @@
         if state.ended || state.tried.len() != 1 || state.live.is_empty() {
             return;
         }
-        if self.quick.hedges.spend() && self.send_attempt(now, request) {
+        if self.quick.hedges.try_spend() && self.send_attempt(now, request) {
             self.quick.hedged += 1;
         }
     }
@@ -210,7 +210,7 @@
             return self.answer(now, attempt, AttemptFate::Unreachable);
         }
         let deadline = self.quick.requests[request].deadline;
-        match self.quick.gates[upstream].ask(now, deadline, attempt) {
+        match self.quick.gates[upstream].admit(now, deadline, attempt) {
             GateChoice::Run => self.start_attempt(now, attempt),
             GateChoice::Queue => {}
             GateChoice::Full(_) | GateChoice::CannotMeetDeadline(_) => {
@@ -253,7 +253,7 @@
 
     fn start_waiting(&mut self, now: TimePoint, upstream: usize) {
         loop {
-            match self.quick.gates[upstream].next(now) {
+            match self.quick.gates[upstream].dequeue(now) {
                 DequeueChoice::Idle => return,
                 DequeueChoice::Drop(attempt) => self.answer(now, attempt, AttemptFate::Refused),
                 DequeueChoice::Run(attempt) if self.quick.attempts[attempt].closed => {
@@ -284,7 +284,7 @@
             AttemptFate::Unreachable => AttemptEnd::Failed,
             AttemptFate::Refused | AttemptFate::Open => AttemptEnd::Refused,
         };
-        self.quick.routes.end(now, key, end);
+        self.quick.routes.end_attempt(now, key, end);
         let state = &mut self.quick.requests[request];
         state.live.retain(|live| *live != attempt);
         if state.ended {
@@ -302,7 +302,7 @@
         if !alone {
             return;
         }
-        if !(others && self.quick.retries.spend() && self.send_attempt(now, request)) {
+        if !(others && self.quick.retries.try_spend() && self.send_attempt(now, request)) {
             self.refuse(now, request);
         }
     }
@@ -315,7 +315,9 @@
             state.closed = true;
             let (key, upstream) = (self.quick.keys[state.upstream], state.upstream);
             self.quick.gates[upstream].remove(attempt);
-            self.quick.routes.end(now, key, AttemptEnd::Abandoned);
+            self.quick
+                .routes
+                .end_attempt(now, key, AttemptEnd::Abandoned);
         }
     }
 
@@ -341,7 +343,7 @@
         for attempt in self.quick.requests[request].live.clone() {
             let key = self.quick.keys[self.quick.attempts[attempt].upstream];
             self.quick.attempts[attempt].closed = true;
-            self.quick.routes.end(now, key, AttemptEnd::Failed);
+            self.quick.routes.end_attempt(now, key, AttemptEnd::Failed);
         }
         self.quick.requests[request].live.clear();
         self.miss(now, request);
@@ -351,7 +353,7 @@
         for (upstream, truth) in self.world.upstreams.iter().enumerate() {
             let gate = &self.quick.gates[upstream];
             let load = UpstreamLoad {
-                slots_used: gate.used() as u32,
+                slots_used: gate.slots_used() as u32,
                 queued: gate.queued() as u32,
                 service_time: gate.service_time(),
                 leaving: false,
@@ -360,7 +362,7 @@
             // A sidecar that is down says nothing.
             if !self.world.workers[truth.worker].down {
                 let key = self.quick.keys[upstream];
-                self.quick.routes.report(now, key, load);
+                self.quick.routes.update_load(now, key, load);
             }
         }
     }
--- a/crates/wax-route/src/peer_link.rs
+++ b/crates/wax-route/src/peer_link.rs
@@ -190,7 +190,7 @@
         up: report.upstream_up,
     };
     let now = shared.clock.now();
-    shared.routes.borrow_mut().report(now, peer.key, load);
+    shared.routes.borrow_mut().update_load(now, peer.key, load);
 }
 
 /// A sidecar with a smaller version gets what it lacks.
--- a/crates/wax-route/src/request.rs
+++ b/crates/wax-route/src/request.rs
@@ -87,7 +87,10 @@
         }
         self.ended = true;
         let now = self.shared.clock.now();
-        self.shared.routes.borrow_mut().end(now, self.upstream, end);
+        self.shared
+            .routes
+            .borrow_mut()
+            .end_attempt(now, self.upstream, end);
         self.shared.attempts.close(self.key);
     }
 
@@ -244,7 +247,7 @@
             body_complete: self.parts.body_complete,
             team: self.parts.fields.team.to_string(),
         };
-        self.shared.routes.borrow_mut().begin(now, upstream);
+        self.shared.routes.borrow_mut().begin_attempt(now, upstream);
         self.tried.push(upstream);
         self.live.push(LiveAttempt {
             shared: self.shared.clone(),
@@ -275,7 +278,12 @@
         let may = self.parts.fields.repeat == RepeatClass::Idempotent
             && self.parts.body_complete
             && self.tried.len() == 1
-            && self.shared.routes.borrow().count(&self.parts.service) > 1;
+            && self
+                .shared
+                .routes
+                .borrow()
+                .upstream_count(&self.parts.service)
+                > 1;
         if may {
             let routes = self.shared.routes.borrow();
             self.hedge_at = routes.hedge_time(now, upstream, self.parts.deadline);
@@ -416,7 +424,12 @@
             return FlowStep::Wait;
         }
         let body_left = self.parts.body_complete || self.parts.rest.is_some();
-        let others = self.shared.routes.borrow().count(&self.parts.service) > self.tried.len();
+        let others = self
+            .shared
+            .routes
+            .borrow()
+            .upstream_count(&self.parts.service)
+            > self.tried.len();
         let may_retry = may_retry && body_left && (others || self.maybe_run);
         if may_retry && self.shared.teams.borrow_mut().spend_retry(self.place.team) {
             count(Counter::EntryRetries);
--- a/crates/wax-route/src/status.rs
+++ b/crates/wax-route/src/status.rs
@@ -138,7 +138,7 @@
         drained: shared.drains.names(),
         members,
         shards: shared.coordinator.status(now),
-        requests_in_flight: shared.teams.borrow().taken(),
+        requests_in_flight: shared.teams.borrow().in_flight(),
         counters: counter_values().collect(),
     }
 }
--- a/crates/wax-settings/tests/pages.rs
+++ b/crates/wax-settings/tests/pages.rs
@@ -159,11 +159,11 @@
             .map_or_else(|| "-".to_owned(), |off| off.to_string());
         let row = format!(
             "| `policy.{section}.{key}` | {} | {} to {} | {off} | {} |",
-            info.value, info.least, info.most, info.unit
+            info.value, info.min, info.max, info.unit
         );
         assert!(page.contains(&row), "docs/SETTINGS.md lacks: {row}");
-        assert!((info.least..=info.most).contains(&info.value), "{key}");
-        let over = with_policy(section, &format!("{key}: {}", info.most + 1.0));
+        assert!((info.min..=info.max).contains(&info.value), "{key}");
+        let over = with_policy(section, &format!("{key}: {}", info.max + 1.0));
         let error = DaemonSettings::parse(&over).expect_err(key);
         assert!(error.label.contains(key), "{error}");
         assert!(error.label.contains("out of range"), "{error}");
@@ -175,7 +175,7 @@
                 assert!(
                     found.is_some_and(|(place, found)| *place != section || found.value == off)
                 );
-                assert!((info.least..=info.most).contains(&off), "{key}");
+                assert!((info.min..=info.max).contains(&off), "{key}");
             }
             (None, Err(error)) => assert!(error.label.contains("cannot be off"), "{error}"),
             (off, parsed) => panic!("{key}: {off:?}, {parsed:?}"),
@@ -199,5 +199,5 @@
         .policy
         .pace;
     assert_eq!(pace.period, std::time::Duration::from_millis(300));
-    assert_eq!((pace.aim, pace.least), (0.5, 7));
+    assert_eq!((pace.max_tail_share, pace.min_pace_percent), (0.5, 7));
 }
--- a/crates/wax-sidecar/src/link.rs
+++ b/crates/wax-sidecar/src/link.rs
@@ -33,7 +33,7 @@
     while !shared.is_stopping() {
         match connect(&shared, address).await {
             Ok(()) => {
-                backoff.succeed();
+                backoff.reset();
                 failures = 0;
             }
             Err(error) => {
@@ -44,7 +44,7 @@
         if failures >= TRIES_BEFORE_FORGETTING && shared.forget_entry(address) {
             return;
         }
-        sleep(backoff.fail(&mut rng)).await;
+        sleep(backoff.next_delay(&mut rng)).await;
     }
 }
 
--- a/crates/wax-sidecar/src/process.rs
+++ b/crates/wax-sidecar/src/process.rs
@@ -55,7 +55,7 @@
     pub fn new(daemon: &DaemonSettings, options: SidecarSettings, clock: ProcessClock) -> Self {
         let hello = PeerHello {
             protocol: PeerHello::PROTOCOL,
-            incarnation: ProcessIncarnation::draw().0,
+            incarnation: ProcessIncarnation::generate().0,
             name: daemon.name.to_string(),
             failure_domain: daemon.failure_domain.to_string(),
             service: options.service.to_string(),
@@ -191,7 +191,7 @@
     pub(crate) fn load_report(&self) -> LoadReport {
         let gate = self.gate.borrow();
         LoadReport {
-            slots_used: gate.used() as u32,
+            slots_used: gate.slots_used() as u32,
             queued: gate.queued() as u32,
             service_time_us: gate.service_time().as_micros() as u32,
             leaving: self.leaving.get(),
@@ -223,7 +223,7 @@
         if self.leaving.get() {
             return attempt.refuse(NotRunReason::Leaving, Duration::ZERO);
         }
-        let choice = self.gate.borrow_mut().ask(now, attempt.deadline(), key);
+        let choice = self.gate.borrow_mut().admit(now, attempt.deadline(), key);
         match choice {
             GateChoice::Run => self.start(key, attempt.into_running()),
             GateChoice::Queue => {
@@ -277,7 +277,7 @@
 
     fn start_waiting(self: &Rc<Self>) {
         loop {
-            let choice = self.gate.borrow_mut().next(self.clock.now());
+            let choice = self.gate.borrow_mut().dequeue(self.clock.now());
             match choice {
                 DequeueChoice::Idle => return,
                 DequeueChoice::Run(key) => {
--- a/crates/wax-tasks/src/commit_tests.rs
+++ b/crates/wax-tasks/src/commit_tests.rs
@@ -14,10 +14,10 @@
 };
 
 const TERMS: LeaseTimings = LeaseTimings {
-    lease: Duration::from_secs(1),
-    call: Duration::from_secs(1),
-    margin: Duration::from_secs(1),
-    grace: Duration::from_secs(1),
+    duration: Duration::from_secs(1),
+    call_timeout: Duration::from_secs(1),
+    clock_margin: Duration::from_secs(1),
+    renewal_grace: Duration::from_secs(1),
 };
 const SIZE: ResourceVector = ResourceVector::new(3_000, 100, 0);
 
--- a/crates/wax-tasks/src/coordinator.rs
+++ b/crates/wax-tasks/src/coordinator.rs
@@ -123,10 +123,10 @@
         drains: DomainDrains,
     ) -> Result<Self, WaxError> {
         let terms = LeaseTimings {
-            lease: Duration::from_millis(settings.lease_ms.into()),
-            call: WORKER_CALL,
-            margin: CLOCK_MARGIN + Duration::from_millis(settings.lease_ms.into()) / 50,
-            grace: Duration::from_millis(settings.grace_ms.into()),
+            duration: Duration::from_millis(settings.lease_ms.into()),
+            call_timeout: WORKER_CALL,
+            clock_margin: CLOCK_MARGIN + Duration::from_millis(settings.lease_ms.into()) / 50,
+            renewal_grace: Duration::from_millis(settings.grace_ms.into()),
         };
         let options = ShardOptions {
             shards: settings.shards,
@@ -263,7 +263,7 @@
     fn begin(&mut self, shard: ShardId, epoch: ShardEpoch, version: RowVersion, begun: TimePoint) {
         count(Counter::ShardsGained);
         tracing::info!(%shard, %epoch, "shard gained");
-        let grace = self.options.terms.grace;
+        let grace = self.options.terms.renewal_grace;
         let term = OwnerTerm::new(shard, epoch, version, grace, begun, self.clock.now());
         self.terms.insert(shard, term.clone());
         let shards = self.handle.shards.clone();
--- a/crates/wax-tasks/src/desk.rs
+++ b/crates/wax-tasks/src/desk.rs
@@ -154,7 +154,8 @@
             submitted_ms: wall_clock_ms(),
             cancelled: false,
         };
-        self.insert(team, key, JobId::draw(), &row, deadline).await
+        self.insert(team, key, JobId::generate(), &row, deadline)
+            .await
     }
 
     async fn insert(
--- a/crates/wax-tasks/src/drains.rs
+++ b/crates/wax-tasks/src/drains.rs
@@ -96,7 +96,9 @@
             CommitOutcome::Committed(_) => {
                 // Before the first reading the others are not known: it will bring this one too.
                 if self.are_known() {
-                    self.learn(|view, nth| view.change(nth, [(domain.into(), drained)], now));
+                    self.learn(|view, nth| {
+                        view.apply_changes(nth, [(domain.into(), drained)], now)
+                    });
                 }
                 Ok(())
             }
--- a/crates/wax-tasks/src/placing.rs
+++ b/crates/wax-tasks/src/placing.rs
@@ -167,8 +167,8 @@
                     size: demand.size,
                     urgent: demand.urgent,
                     evictable: false,
-                    saved: now,
-                    settled: now,
+                    saved_at: now,
+                    protected_until: now,
                     due_today: false,
                 };
                 scratch.reserve(key, running).then_some(TaskChange {
--- a/crates/wax-tasks/src/reports.rs
+++ b/crates/wax-tasks/src/reports.rs
@@ -281,7 +281,7 @@
         });
         let view = MitigationView {
             slot,
-            victim: &victim,
+            affected: &victim,
             excess,
             pairs: &self.pairs,
             weights,
--- a/crates/wax-tasks/src/shard_load.rs
+++ b/crates/wax-tasks/src/shard_load.rs
@@ -92,8 +92,8 @@
             size: entry.size,
             urgent,
             evictable: !urgent,
-            saved: now,
-            settled: now,
+            saved_at: now,
+            protected_until: now,
             due_today: false,
         };
         if state.table.reserve(key, running) {
--- a/crates/wax-tasks/src/shard_state.rs
+++ b/crates/wax-tasks/src/shard_state.rs
@@ -210,7 +210,7 @@
     pub(crate) fn demand(&self, task: TaskId) -> Option<TaskDemand> {
         let part = self.part_of(task)?;
         let declared = part.row.spec.size;
-        let learned = self.sizes.reserve(part.kind, declared);
+        let learned = self.sizes.corrected_size(part.kind, declared);
         let fits = |entry: &WorkerEntry| learned.fits_in(entry.info.capacity);
         Some(TaskDemand {
             kind: part.kind,
@@ -277,7 +277,7 @@
             .iter()
             .filter(|task| task.task != report.mark.task);
         let neighbours: Vec<KindKey> = others.map(|task| task.kind).collect();
-        let band = slot.band();
+        let band = slot.load_band();
         let excess = f64::from(report.slowdown_percent) / 100.0 - 1.0;
         self.pairs.learn(kind, &neighbours, band, excess.max(0.0));
     }
@@ -337,8 +337,8 @@
             size,
             urgent: demand.urgent,
             evictable: !demand.urgent,
-            saved: now,
-            settled: now + safe,
+            saved_at: now,
+            protected_until: now + safe,
             due_today: false,
         };
         self.table.reserve(entry.key, running);
--- a/crates/wax-tasks/src/worker_link.rs
+++ b/crates/wax-tasks/src/worker_link.rs
@@ -89,7 +89,7 @@
     });
     RenewRequest {
         owner: shared.term.epoch(),
-        lease_ms: shared.options.terms.lease.as_millis() as u64,
+        lease_ms: shared.options.terms.duration.as_millis() as u64,
         valid_until_ms,
         renew,
         forget,
@@ -105,7 +105,7 @@
     let Some((clock_ms, at)) = clock else {
         return 0;
     };
-    let end = (now + shared.options.terms.call).min(shared.term.expires());
+    let end = (now + shared.options.terms.call_timeout).min(shared.term.expires());
     clock_ms + end.since(at).as_millis() as u64
 }
 
@@ -216,7 +216,7 @@
         kind: spec.kind,
         input: spec.input,
         checkpoint,
-        lease_ms: shared.options.terms.lease.as_millis() as u64,
+        lease_ms: shared.options.terms.duration.as_millis() as u64,
         valid_until_ms: valid_until(shared, entry.clock, now),
     };
     Some((entry.info.address.clone(), request))
--- a/crates/wax-types/src/ids.rs
+++ b/crates/wax-types/src/ids.rs
@@ -57,7 +57,7 @@
 
 impl ProcessIncarnation {
     /// Draws the incarnation of this run; never 0.
-    pub fn draw() -> Self {
+    pub fn generate() -> Self {
         Self(fastrand::u64(1..))
     }
 }
@@ -83,7 +83,7 @@
 
 impl JobId {
     /// Draws a new id.
-    pub fn draw() -> Self {
+    pub fn generate() -> Self {
         Self(fastrand::u128(1..))
     }
 }
--- a/crates/wax-wire/src/pool.rs
+++ b/crates/wax-wire/src/pool.rs
@@ -524,7 +524,7 @@
             serving: serving.into(),
             filling: filling.into(),
             per_core: press.per_core as f32,
-            weight: press.weight as f32,
+            weight: press.precision as f32,
         }
     }
 
@@ -532,7 +532,7 @@
     pub fn press(&self) -> PairInterference {
         PairInterference {
             per_core: f64::from(self.per_core),
-            weight: f64::from(self.weight),
+            precision: f64::from(self.weight),
         }
     }
 }
--- a/crates/wax-wire/tests/pool.rs
+++ b/crates/wax-wire/tests/pool.rs
@@ -166,7 +166,7 @@
     told: PoolBody::Told(JobTold { ask: 1, known: true, outcome: 1, begun: true, pending: 4 }),
     config: PoolBody::Config(ConfigPush { text: b"{}".to_vec() }),
     presses: PoolBody::Presses(PressNews {
-        pairs: vec![PressFrame::new("red", "heavy", PairInterference { per_core: 0.25, weight: 2.0 })],
+        pairs: vec![PressFrame::new("red", "heavy", PairInterference { per_core: 0.25, precision: 2.0 })],
         rooms: vec![RoomFrame { serving: "red".into(), room: 0.5 }],
     }),
     cancelled: PoolBody::Cancelled(JobCancelled { job: 7 }),
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -112,7 +112,7 @@
 ) -> MemberHandle {
     let row = MemberRow {
         name: settings.name.clone(),
-        incarnation: ProcessIncarnation::draw(),
+        incarnation: ProcessIncarnation::generate(),
         beat: 0,
         region: settings.region.clone(),
         failure_domain: settings.failure_domain.clone(),
