--- a/crates/wax-policy/benches/decisions.rs
+++ b/crates/wax-policy/benches/decisions.rs
@@ -131,9 +131,9 @@
         retry_percent: 10,
         hedge_percent: 4,
     };
-    let mut turn = 0;
+    let mut index = 0;
     bencher.bench_local(|| {
-        turn += 1;
-        table.admit(&names[turn % teams], limits)
+        index += 1;
+        table.admit(&names[index % teams], limits)
     });
 }
--- a/crates/wax-policy/src/admission.rs
+++ b/crates/wax-policy/src/admission.rs
@@ -12,11 +12,11 @@
 }
 
 /// Requests over which the time that a team's request is held is remembered.
-const HOLD_MEMORY: f64 = 64.0;
+const DURATION_WINDOW: f64 = 64.0;
 /// Shortest time after which a refused caller is told to come back.
-const RETRY_FLOOR: Duration = Duration::from_millis(20);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
 /// Above this share of all places, a team gets no more than its fair share.
-const LENDING_SHARE: f64 = 0.8;
+const FAIR_SHARE_THRESHOLD: f64 = 0.8;
 
 /// What a team is allowed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -43,10 +43,10 @@
 }
 
 #[derive(Debug)]
-struct TeamFlow {
+struct TeamUsage {
     in_flight: u32,
     weight: u32,
-    hold: DecayedMean,
+    duration: DecayedMean,
     retries: RetryBudget,
     hedges: RetryBudget,
 }
@@ -54,18 +54,18 @@
 /// The requests under way of each team; a decision costs the same for 3 teams and for 330.
 #[derive(Debug)]
 pub struct TeamTable {
-    places: u32,
+    capacity: u32,
     in_flight: u32,
     active_weight: u64,
-    teams: SlotMap<TeamKey, TeamFlow>,
+    teams: SlotMap<TeamKey, TeamUsage>,
     names: HashMap<Box<str>, TeamKey>,
 }
 
 impl TeamTable {
     /// A table with so many places in all.
-    pub fn new(places: u32) -> Self {
+    pub fn new(capacity: u32) -> Self {
         Self {
-            places,
+            capacity,
             in_flight: 0,
             active_weight: 0,
             teams: SlotMap::with_key(),
@@ -75,29 +75,30 @@
 
     /// Decides about a request of a team.
     pub fn admit(&mut self, team: &str, limits: TeamLimits) -> AdmitChoice {
-        let key = self.key_of(team, limits.weight);
-        let share = self.share(key, limits.weight);
-        let flow = &self.teams[key];
-        let hold = Duration::from_secs_f64(flow.hold.value());
-        if flow.in_flight >= limits.in_flight {
-            return AdmitChoice::OverQuota(after(hold, flow.in_flight));
+        let key = self.key_or_insert(team, limits.weight);
+        let share = self.fair_share(key, limits.weight);
+        let usage = &self.teams[key];
+        let duration = Duration::from_secs_f64(usage.duration.value());
+        if usage.in_flight >= limits.in_flight {
+            return AdmitChoice::OverQuota(retry_after(duration, usage.in_flight));
         }
-        let lent_out = f64::from(self.in_flight) >= f64::from(self.places) * LENDING_SHARE;
-        if self.in_flight >= self.places || (lent_out && flow.in_flight >= share) {
-            return AdmitChoice::OverShare(after(hold, flow.in_flight));
+        let is_contended =
+            f64::from(self.in_flight) >= f64::from(self.capacity) * FAIR_SHARE_THRESHOLD;
+        if self.in_flight >= self.capacity || (is_contended && usage.in_flight >= share) {
+            return AdmitChoice::OverShare(retry_after(duration, usage.in_flight));
         }
-        self.take_place(key, limits);
+        self.add_request(key, limits);
         AdmitChoice::Admit(key)
     }
 
-    fn key_of(&mut self, team: &str, weight: u32) -> TeamKey {
+    fn key_or_insert(&mut self, team: &str, weight: u32) -> TeamKey {
         if let Some(key) = self.names.get(team) {
             return *key;
         }
-        let key = self.teams.insert(TeamFlow {
+        let key = self.teams.insert(TeamUsage {
             in_flight: 0,
             weight,
-            hold: DecayedMean::new(HOLD_MEMORY),
+            duration: DecayedMean::new(DURATION_WINDOW),
             retries: RetryBudget::default(),
             hedges: RetryBudget::default(),
         });
@@ -106,33 +107,33 @@
     }
 
     /// A team's fair share of all places among the teams with requests under way.
-    fn share(&self, key: TeamKey, weight: u32) -> u32 {
+    fn fair_share(&self, key: TeamKey, weight: u32) -> u32 {
         let idle = self.teams[key].in_flight == 0;
         let all = self.active_weight + if idle { u64::from(weight) } else { 0 };
-        let share = u64::from(self.places) * u64::from(weight) / all.max(1);
+        let share = u64::from(self.capacity) * u64::from(weight) / all.max(1);
         share.max(1) as u32
     }
 
-    fn take_place(&mut self, key: TeamKey, limits: TeamLimits) {
+    fn add_request(&mut self, key: TeamKey, limits: TeamLimits) {
         self.in_flight += 1;
-        let flow = &mut self.teams[key];
-        if flow.in_flight == 0 {
-            flow.weight = limits.weight;
+        let usage = &mut self.teams[key];
+        if usage.in_flight == 0 {
+            usage.weight = limits.weight;
             self.active_weight += u64::from(limits.weight);
         }
-        flow.in_flight += 1;
-        flow.retries.deposit(limits.retry_percent);
-        flow.hedges.deposit(limits.hedge_percent);
+        usage.in_flight += 1;
+        usage.retries.deposit(limits.retry_percent);
+        usage.hedges.deposit(limits.hedge_percent);
     }
 
     /// Gives a place back after `held`.
-    pub fn release(&mut self, key: TeamKey, held: Duration) {
+    pub fn release(&mut self, key: TeamKey, duration: Duration) {
         self.in_flight -= 1;
-        let flow = &mut self.teams[key];
-        flow.in_flight -= 1;
-        flow.hold.add(held.as_secs_f64());
-        if flow.in_flight == 0 {
-            self.active_weight -= u64::from(flow.weight);
+        let usage = &mut self.teams[key];
+        usage.in_flight -= 1;
+        usage.duration.add(duration.as_secs_f64());
+        if usage.in_flight == 0 {
+            self.active_weight -= u64::from(usage.weight);
         }
     }
 
@@ -153,6 +154,6 @@
 }
 
 /// The mean time until the next of `in_flight` requests ends.
-fn after(hold: Duration, in_flight: u32) -> Duration {
-    (hold / in_flight.max(1)).max(RETRY_FLOOR)
+fn retry_after(duration: Duration, in_flight: u32) -> Duration {
+    (duration / in_flight.max(1)).max(MIN_RETRY_AFTER)
 }
--- a/crates/wax-policy/src/average.rs
+++ b/crates/wax-policy/src/average.rs
@@ -3,16 +3,16 @@
 /// Exponentially decayed mean over about `memory` samples; exact over the first ones.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DecayedMean {
-    memory: f64,
+    window: f64,
     samples: f64,
     mean: f64,
 }
 
 impl DecayedMean {
     /// An empty mean.
-    pub const fn new(memory: f64) -> Self {
+    pub const fn new(window: f64) -> Self {
         Self {
-            memory,
+            window,
             samples: 0.0,
             mean: 0.0,
         }
@@ -20,7 +20,7 @@
 
     /// Adds a sample.
     pub fn add(&mut self, sample: f64) {
-        self.samples = (self.samples + 1.0).min(self.memory);
+        self.samples = (self.samples + 1.0).min(self.window);
         self.mean += (sample - self.mean) / self.samples;
     }
 
--- a/crates/wax-policy/src/config_view.rs
+++ b/crates/wax-policy/src/config_view.rs
@@ -10,7 +10,7 @@
     /// A change is in force so long after the store has acknowledged it.
     pub bound: Duration,
     /// What readings keep to: `bound`, or the shortest span for which an owner may go by its drains.
-    reading: Duration,
+    read_bound: Duration,
 }
 
 /// Who reads.
@@ -34,33 +34,33 @@
 impl ConfigRules {
     /// Rules for these bounds.
     pub fn new(bound: Duration, drains: DrainRules) -> Self {
-        let reading = drains
+        let read_bound = drains
             .max_age_for_order()
             .map_or(bound, |age| bound.min(age));
-        Self { bound, reading }
+        Self { bound, read_bound }
     }
 
     /// The age at which the rows are read again. A reading that fails and the next one fit into the bound
     /// together; a front leaves the owner room for its own reading, a heartbeat and the way.
     pub fn refresh_age(&self, reader: ConfigReader) -> Duration {
         match reader {
-            ConfigReader::Owner => self.reading / 4,
-            ConfigReader::Front => self.reading * 3 / 8,
+            ConfigReader::Owner => self.read_bound / 4,
+            ConfigReader::Front => self.read_bound * 3 / 8,
         }
     }
 
     /// Longest time for a reading. One that follows a failure has twice as long: a store that is slow
     /// would answer none otherwise.
-    fn read_limit(&self, failures: u32) -> Duration {
+    fn read_timeout(&self, failures: u32) -> Duration {
         match failures {
-            0 => self.reading / 4,
-            _ => self.reading / 2,
+            0 => self.read_bound / 4,
+            _ => self.read_bound / 2,
         }
     }
 
     /// Between a reading that failed and the next one, with as much again at random.
     pub fn retry_delay(&self) -> Duration {
-        self.reading / 16
+        self.read_bound / 16
     }
 }
 
@@ -68,9 +68,9 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ConfigView {
     /// By the store's own word.
-    read: Option<TimePoint>,
+    last_read: Option<TimePoint>,
     /// By the owner's word.
-    told: Option<TimePoint>,
+    last_report: Option<TimePoint>,
     /// Readings in a row that failed.
     failures: u32,
 }
@@ -78,13 +78,13 @@
 impl ConfigView {
     /// The store was asked at `as_of`, and what it answered is in force.
     pub fn note_read(&mut self, as_of: TimePoint) {
-        self.read = self.read.max(Some(as_of));
+        self.last_read = self.last_read.max(Some(as_of));
         self.failures = 0;
     }
 
     /// The owner knew of nothing newer at `as_of`.
     pub fn note_report(&mut self, as_of: TimePoint) {
-        self.told = self.told.max(Some(as_of));
+        self.last_report = self.last_report.max(Some(as_of));
     }
 
     /// A reading has failed.
@@ -94,13 +94,13 @@
 
     /// For how long a newer config may have gone unseen; `None` before the first reading.
     pub fn age(&self, now: TimePoint) -> Option<Duration> {
-        let heard = self.read.max(self.told);
-        heard.map(|heard| now.since(heard))
+        let newest = self.last_read.max(self.last_report);
+        newest.map(|newest| now.since(newest))
     }
 
     /// The same by this process's own readings: what it may tell others.
     pub fn own_read_age(&self, now: TimePoint) -> Option<Duration> {
-        self.read.map(|read| now.since(read))
+        self.last_read.map(|read| now.since(read))
     }
 
     /// Whether a newer config may have been in the store for longer than the bound.
@@ -122,7 +122,7 @@
         let left = age.map(|age| rules.refresh_age(reader).saturating_sub(age));
         match left.filter(|left| !left.is_zero()) {
             Some(left) => ReadChoice::Wait(left),
-            None => ReadChoice::Read(rules.read_limit(self.failures)),
+            None => ReadChoice::Read(rules.read_timeout(self.failures)),
         }
     }
 }
--- a/crates/wax-policy/src/contact.rs
+++ b/crates/wax-policy/src/contact.rs
@@ -35,32 +35,32 @@
 }
 
 /// Failed renewals in a row after which no further lease is risked.
-const FAILURES_TO_DOUBT: u32 = 3;
+const MAX_FAILED_CALLS: u32 = 3;
 
 /// The contact with one worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WorkerContact {
     /// No renewal that was sent before can hold a lease after this time.
-    held_until: TimePoint,
-    failures: u32,
+    leases_until: TimePoint,
+    failed_calls: u32,
     answered: bool,
 }
 
 impl WorkerContact {
     /// At the takeover of a shard: the owner before may renew until its grace ends.
-    pub fn after_takeover(now: TimePoint, terms: &LeaseTimings) -> Self {
+    pub fn after_takeover(now: TimePoint, timings: &LeaseTimings) -> Self {
         Self {
-            held_until: now + terms.renewal_grace + terms.expiry_delay(),
-            failures: 0,
+            leases_until: now + timings.renewal_grace + timings.expiry_delay(),
+            failed_calls: 0,
             answered: false,
         }
     }
 
     /// Decides what to send.
     pub fn decide(&self, now: TimePoint) -> ContactChoice {
-        if self.failures < FAILURES_TO_DOUBT {
+        if self.failed_calls < MAX_FAILED_CALLS {
             ContactChoice::Renew
-        } else if now < self.held_until {
+        } else if now < self.leases_until {
             ContactChoice::Probe
         } else {
             ContactChoice::Lapsed
@@ -68,23 +68,23 @@
     }
 
     /// Notes that a renewal is about to be sent.
-    pub fn note_renewal(&mut self, now: TimePoint, terms: &LeaseTimings) {
-        self.held_until = self.held_until.max(now + terms.expiry_delay());
+    pub fn note_renewal(&mut self, now: TimePoint, timings: &LeaseTimings) {
+        self.leases_until = self.leases_until.max(now + timings.expiry_delay());
     }
 
     /// Notes an answer to a call that was sent at `sent`.
-    pub fn note_answer(&mut self, sent: TimePoint, terms: &LeaseTimings) {
+    pub fn note_answer(&mut self, sent: TimePoint, timings: &LeaseTimings) {
         if !self.answered {
             // The worker's runs are known now; only our own renewals count from here.
-            self.held_until = sent + terms.expiry_delay();
+            self.leases_until = sent + timings.expiry_delay();
         }
         self.answered = true;
-        self.failures = 0;
+        self.failed_calls = 0;
     }
 
     /// Notes that a call failed.
     pub fn note_failure(&mut self) {
-        self.failures += 1;
+        self.failed_calls += 1;
     }
 
     /// Whether the worker has answered since the takeover.
@@ -94,6 +94,6 @@
 
     /// Whether it answered the last call.
     pub fn is_reachable(&self) -> bool {
-        self.answered && self.failures == 0
+        self.answered && self.failed_calls == 0
     }
 }
--- a/crates/wax-policy/src/drains.rs
+++ b/crates/wax-policy/src/drains.rs
@@ -101,18 +101,18 @@
     }
 
     /// Whether it is no older than `most`; without a bound any view will do, and none.
-    pub fn is_fresh(&self, now: TimePoint, most: Option<Duration>) -> bool {
-        let Some(most) = most else {
+    pub fn is_fresh(&self, now: TimePoint, max_age: Option<Duration>) -> bool {
+        let Some(max_age) = max_age else {
             return true;
         };
-        self.age(now).is_some_and(|age| age < most)
+        self.age(now).is_some_and(|age| age < max_age)
     }
 
     /// Whether a start may be sent to a failure domain by a view no older than `most`.
-    pub fn verdict(&self, domain: &str, now: TimePoint, most: Option<Duration>) -> DrainVerdict {
+    pub fn verdict(&self, domain: &str, now: TimePoint, max_age: Option<Duration>) -> DrainVerdict {
         if self.domains.contains(domain) {
             DrainVerdict::Drained
-        } else if self.is_fresh(now, most) {
+        } else if self.is_fresh(now, max_age) {
             DrainVerdict::Open
         } else {
             DrainVerdict::Unsure
--- a/crates/wax-policy/src/gate.rs
+++ b/crates/wax-policy/src/gate.rs
@@ -36,8 +36,8 @@
     slots_used: usize,
     queue_limit: usize,
     queue: BTreeMap<(TimePoint, u64), K>,
-    arrivals: u64,
-    service: DecayedMean,
+    next_sequence: u64,
+    mean_service_s: DecayedMean,
 }
 
 impl<K: Copy + PartialEq> SlotGate<K> {
@@ -48,15 +48,15 @@
             slots_used: 0,
             queue_limit,
             queue: BTreeMap::new(),
-            arrivals: 0,
-            service: DecayedMean::new(SERVICE_MEMORY),
+            next_sequence: 0,
+            mean_service_s: DecayedMean::new(SERVICE_TIME_WINDOW),
         }
     }
 
     /// Decides about a request that must be answered by `deadline`.
     pub fn admit(&mut self, now: TimePoint, deadline: TimePoint, key: K) -> GateChoice {
         let wait = self.expected_wait();
-        if now + wait + self.service_floor() > deadline {
+        if now + wait + self.min_service_time() > deadline {
             return GateChoice::CannotMeetDeadline(wait);
         }
         if self.slots_used < self.slots {
@@ -66,14 +66,14 @@
         if self.queue.len() >= self.queue_limit {
             return GateChoice::Full(wait);
         }
-        self.arrivals += 1;
-        self.queue.insert((deadline, self.arrivals), key);
+        self.next_sequence += 1;
+        self.queue.insert((deadline, self.next_sequence), key);
         GateChoice::Queue
     }
 
     /// Gives a slot back after a request that took `spent` at the upstream.
-    pub fn release(&mut self, spent: Duration) {
-        self.service.add(spent.as_secs_f64());
+    pub fn release(&mut self, service_time: Duration) {
+        self.mean_service_s.add(service_time.as_secs_f64());
         self.slots_used -= 1;
     }
 
@@ -90,7 +90,7 @@
         let Some(((deadline, _), key)) = self.queue.pop_first() else {
             return DequeueChoice::Idle;
         };
-        if now + self.service_floor() > deadline {
+        if now + self.min_service_time() > deadline {
             return DequeueChoice::Drop(key);
         }
         self.slots_used += 1;
@@ -110,17 +110,17 @@
             return Duration::ZERO;
         }
         let ahead = (self.queue.len() + 1) as f64;
-        Duration::from_secs_f64(self.service.value() * ahead / self.slots as f64)
+        Duration::from_secs_f64(self.mean_service_s.value() * ahead / self.slots as f64)
     }
 
     /// Half of the mean: a request is hopeless only where even a quick one would be late.
-    fn service_floor(&self) -> Duration {
-        Duration::from_secs_f64(self.service.value() * 0.5)
+    fn min_service_time(&self) -> Duration {
+        Duration::from_secs_f64(self.mean_service_s.value() * 0.5)
     }
 
     /// Decayed mean of the time at the upstream.
     pub fn service_time(&self) -> Duration {
-        Duration::from_secs_f64(self.service.value())
+        Duration::from_secs_f64(self.mean_service_s.value())
     }
 
     /// Slots in use.
@@ -135,4 +135,4 @@
 }
 
 /// Requests over which the mean of the service time forgets.
-const SERVICE_MEMORY: f64 = 64.0;
+const SERVICE_TIME_WINDOW: f64 = 64.0;
--- a/crates/wax-policy/src/interference.rs
+++ b/crates/wax-policy/src/interference.rs
@@ -10,7 +10,7 @@
 /// At this share of its processors in use, a worker counts as loaded.
 const LOADED_SHARE: f64 = 0.6;
 /// Samples over which an estimate forgets.
-const MEMORY: f64 = 40.0;
+const SAMPLE_WINDOW: f64 = 40.0;
 /// Excess expected of a pair of which nothing is known.
 const PRIOR_EXCESS: f64 = 0.08;
 /// Spread of that expectation.
@@ -60,7 +60,7 @@
     }
 
     fn learn(&mut self, error: f64) {
-        self.samples = (self.samples + 1.0).min(MEMORY);
+        self.samples = (self.samples + 1.0).min(SAMPLE_WINDOW);
         self.excess = (self.excess + error / self.samples.max(2.0)).max(0.0);
     }
 }
@@ -73,23 +73,29 @@
 
 impl PairTable {
     /// What `neighbour` does to `victim`.
-    pub fn estimate(&self, victim: KindKey, neighbour: KindKey, band: LoadBand) -> PairEstimate {
-        let key = (victim, neighbour, band);
+    pub fn estimate(&self, affected: KindKey, neighbour: KindKey, band: LoadBand) -> PairEstimate {
+        let key = (affected, neighbour, band);
         self.pairs.get(&key).copied().unwrap_or_default()
     }
 
     /// Learns from one report: the victim took `1 + excess` times as long beside `neighbours`.
-    pub fn learn(&mut self, victim: KindKey, neighbours: &[KindKey], band: LoadBand, excess: f64) {
+    pub fn learn(
+        &mut self,
+        affected: KindKey,
+        neighbours: &[KindKey],
+        band: LoadBand,
+        excess: f64,
+    ) {
         if neighbours.is_empty() {
             return;
         }
         let expected: f64 = neighbours
             .iter()
-            .map(|neighbour| self.estimate(victim, *neighbour, band).excess)
+            .map(|neighbour| self.estimate(affected, *neighbour, band).excess)
             .sum();
         let share = (excess - expected) / neighbours.len() as f64;
         for neighbour in neighbours {
-            let key = (victim, *neighbour, band);
+            let key = (affected, *neighbour, band);
             self.pairs.entry(key).or_default().learn(share);
         }
     }
--- a/crates/wax-policy/src/kinds.rs
+++ b/crates/wax-policy/src/kinds.rs
@@ -13,7 +13,7 @@
 }
 
 /// Beyond this many, further kinds share the last key.
-const MOST_KINDS: usize = 4_096;
+const MAX_KINDS: usize = 4_096;
 
 impl KindTable {
     /// The key of a kind; a new one if the name is new.
@@ -21,7 +21,7 @@
         if let Some(key) = self.names.get(name) {
             return *key;
         }
-        let key = KindKey(self.names.len().min(MOST_KINDS - 1) as u16);
+        let key = KindKey(self.names.len().min(MAX_KINDS - 1) as u16);
         self.names.insert(name.into(), key);
         key
     }
--- a/crates/wax-policy/src/mitigation.rs
+++ b/crates/wax-policy/src/mitigation.rs
@@ -9,8 +9,8 @@
 /// and throughput weigh the same.
 const THROTTLE_EXCESS: f64 = 0.6;
 /// Bounds on that slowdown for other weights.
-const LEAST_EXCESS: f64 = 0.25;
-const MOST_EXCESS: f64 = 2.0;
+const MIN_THROTTLE_EXCESS: f64 = 0.25;
+const MAX_THROTTLE_EXCESS: f64 = 2.0;
 /// Above so many times that slowdown, with a throttled neighbour, the neighbour is evicted.
 const EVICT_FACTOR: f64 = 5.0;
 /// Below this share of it, a throttled neighbour is restored.
@@ -18,15 +18,15 @@
 /// Share of its size that a throttled task may use, in percent.
 pub const THROTTLED_PERCENT: u8 = 50;
 /// Between two steps on one worker.
-const STEP_PAUSE: Duration = Duration::from_secs(3);
+const MIN_ACTION_INTERVAL: Duration = Duration::from_secs(3);
 /// A throttled task is restored after a calm of this length.
-const CALM_SPAN: Duration = Duration::from_secs(6);
+const CALM_PERIOD: Duration = Duration::from_secs(6);
 
 /// What is remembered of one worker between two looks.
 #[derive(Debug, Clone, Default)]
 pub struct MitigationState {
     throttled: Vec<TaskId>,
-    last_step: TimePoint,
+    last_action: TimePoint,
     calm_since: Option<TimePoint>,
 }
 
@@ -47,7 +47,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct MitigationView<'a> {
     /// The worker.
-    pub slot: &'a WorkerCapacity,
+    pub worker: &'a WorkerCapacity,
     /// Its latency-critical task that is slowed most.
     pub affected: &'a RunningTask,
     /// How much longer that task takes than alone; 0.5 is half as long again.
@@ -61,29 +61,29 @@
 impl MitigationState {
     /// Decides about one worker.
     pub fn decide(&mut self, now: TimePoint, view: MitigationView<'_>) -> MitigationChoice {
-        let runs = |task: &TaskId| {
-            view.slot
+        let is_running = |task: &TaskId| {
+            view.worker
                 .tasks()
                 .iter()
                 .any(|running| running.task == *task)
         };
-        self.throttled.retain(runs);
-        self.note_calm(now, view);
-        if now.since(self.last_step) < STEP_PAUSE {
+        self.throttled.retain(is_running);
+        self.update_calm(now, view);
+        if now.since(self.last_action) < MIN_ACTION_INTERVAL {
             return MitigationChoice::Keep;
         }
-        let choice = match self.relieve(now, view) {
+        let choice = match self.mitigate(now, view) {
             MitigationChoice::Keep => self.restore(now),
             choice => choice,
         };
         if choice != MitigationChoice::Keep {
-            self.last_step = now;
+            self.last_action = now;
         }
         choice
     }
 
-    fn note_calm(&mut self, now: TimePoint, view: MitigationView<'_>) {
-        if view.excess >= threshold(view.weights) * RESTORE_SHARE {
+    fn update_calm(&mut self, now: TimePoint, view: MitigationView<'_>) {
+        if view.excess >= throttle_threshold(view.weights) * RESTORE_SHARE {
             self.calm_since = None;
         } else if self.calm_since.is_none() {
             self.calm_since = Some(now);
@@ -91,18 +91,18 @@
     }
 
     /// Throttles the noisiest neighbour; evicts one only where all are throttled.
-    fn relieve(&mut self, now: TimePoint, view: MitigationView<'_>) -> MitigationChoice {
-        let limit = threshold(view.weights);
+    fn mitigate(&mut self, now: TimePoint, view: MitigationView<'_>) -> MitigationChoice {
+        let limit = throttle_threshold(view.weights);
         if view.excess <= limit {
             return MitigationChoice::Keep;
         }
-        if let Some(task) = self.noisiest(view, false) {
+        if let Some(task) = self.strongest_interferer(view, false) {
             self.throttled.push(task.task);
             return MitigationChoice::Throttle(task.task);
         }
         let may_evict =
             view.excess > limit * EVICT_FACTOR && view.weights.tail > view.weights.eviction;
-        match self.noisiest(view, true) {
+        match self.strongest_interferer(view, true) {
             Some(task) if may_evict && task.protected_until <= now => {
                 MitigationChoice::Evict(task.task)
             }
@@ -111,14 +111,18 @@
     }
 
     /// The neighbour that does the victim the most harm, among those throttled or not.
-    fn noisiest(&self, view: MitigationView<'_>, throttled: bool) -> Option<RunningTask> {
+    fn strongest_interferer(
+        &self,
+        view: MitigationView<'_>,
+        throttled: bool,
+    ) -> Option<RunningTask> {
         let harm = |task: &RunningTask| {
-            let band = view.slot.load_band();
+            let band = view.worker.load_band();
             view.pairs
                 .estimate(view.affected.kind, task.kind, band)
                 .excess
         };
-        view.slot
+        view.worker
             .tasks()
             .iter()
             .filter(|task| task.evictable)
@@ -131,7 +135,7 @@
     fn restore(&mut self, now: TimePoint) -> MitigationChoice {
         let calm = self
             .calm_since
-            .is_some_and(|since| now.since(since) >= CALM_SPAN);
+            .is_some_and(|since| now.since(since) >= CALM_PERIOD);
         match self.throttled.pop_if(|_| calm) {
             Some(task) => {
                 self.calm_since = Some(now);
@@ -144,7 +148,7 @@
 
 /// The slowdown from which on neighbours are throttled: the more tail latency weighs against
 /// throughput, the lower.
-fn threshold(weights: CustomerWeights) -> f64 {
+fn throttle_threshold(weights: CustomerWeights) -> f64 {
     let ratio = weights.throughput.max(1.0) / weights.tail.max(1.0);
-    (THROTTLE_EXCESS * ratio.sqrt()).clamp(LEAST_EXCESS, MOST_EXCESS)
+    (THROTTLE_EXCESS * ratio.sqrt()).clamp(MIN_THROTTLE_EXCESS, MAX_THROTTLE_EXCESS)
 }
--- a/crates/wax-policy/src/pair_interference.rs
+++ b/crates/wax-policy/src/pair_interference.rs
@@ -11,26 +11,26 @@
 
 /// What a core presses before anything is known: by the users' trace some four of nine images
 /// press on none, the others by 0.05 to 0.2.
-const PRIOR_PRESS: f64 = 0.08;
+const PRIOR_PER_CORE: f64 = 0.08;
 /// Certainty of that, as one over its variance: a spread of 0.12.
-const PRIOR_WEIGHT: f64 = 70.0;
+const PRIOR_PRECISION: f64 = 70.0;
 /// Observations beyond this certainty (a spread of 0.02) count no more, so that what changes is
 /// followed.
-const MOST_WEIGHT: f64 = 2_500.0;
+const MAX_PRECISION: f64 = 2_500.0;
 /// The greatest press of a core that is believed.
-const MOST_PRESS: f64 = 2.0;
+const MAX_PER_CORE: f64 = 2.0;
 /// By how much the logarithm of an own load drifts in half a second.
-const DRIFT: f64 = 0.10;
+const LOAD_DRIFT: f64 = 0.10;
 /// Spread of the logarithm of a load that is measured at [`MEASURED_LOAD`]; lower loads show worse.
-const MEASURE: f64 = 0.08;
+const MEASUREMENT_SPREAD: f64 = 0.08;
 /// See [`MEASURE`].
-const MEASURED_LOAD: f64 = 0.3;
+const REFERENCE_LOAD: f64 = 0.3;
 /// The period of the drift, seconds.
-const DRIFT_PERIOD: f64 = 0.5;
+const DRIFT_PERIOD_S: f64 = 0.5;
 /// An observation that misses by more than this many spreads counts as missing by this many.
-const MOST_SPREADS: f64 = 2.5;
+const MAX_DEVIATIONS: f64 = 2.5;
 /// Less certainty than this is not worth noting.
-const LEAST_WEIGHT: f64 = 1e-6;
+const MIN_PRECISION: f64 = 1e-6;
 
 /// What is known of a pair of images by observation.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
@@ -44,8 +44,8 @@
 impl PairInterference {
     /// The press of a core as far as it is known; never below 0.
     pub fn expected(self) -> f64 {
-        let sum = PRIOR_PRESS * PRIOR_WEIGHT + self.per_core * self.precision;
-        (sum / (PRIOR_WEIGHT + self.precision)).clamp(0.0, MOST_PRESS)
+        let sum = PRIOR_PER_CORE * PRIOR_PRECISION + self.per_core * self.precision;
+        (sum / (PRIOR_PRECISION + self.precision)).clamp(0.0, MAX_PER_CORE)
     }
 
     /// The spread of what is expected.
@@ -59,25 +59,25 @@
     }
 
     fn variance(self) -> f64 {
-        1.0 / (PRIOR_WEIGHT + self.precision)
+        1.0 / (PRIOR_PRECISION + self.precision)
     }
 
     /// Both pieces of knowledge together.
-    fn plus(self, other: Self) -> Self {
-        let weight = self.precision + other.precision;
-        if weight <= 0.0 {
+    fn combined_with(self, other: Self) -> Self {
+        let precision = self.precision + other.precision;
+        if precision <= 0.0 {
             return self;
         }
         let sum = self.per_core * self.precision + other.per_core * other.precision;
         Self {
-            per_core: sum / weight,
-            precision: weight,
+            per_core: sum / precision,
+            precision,
         }
     }
 
     fn capped(self) -> Self {
         Self {
-            precision: self.precision.min(MOST_WEIGHT),
+            precision: self.precision.min(MAX_PRECISION),
             ..self
         }
     }
@@ -121,9 +121,9 @@
 
 impl InterferenceTable {
     /// What is known of a pair.
-    pub fn get(&self, serving: &str, filling: &str) -> PairInterference {
-        let on_serving = self.pairs.get(serving);
-        let known = on_serving.and_then(|pairs| pairs.get(filling));
+    pub fn get(&self, serving: &str, best_effort: &str) -> PairInterference {
+        let of_serving = self.pairs.get(serving);
+        let known = of_serving.and_then(|pairs| pairs.get(best_effort));
         known.copied().unwrap_or_default()
     }
 
@@ -131,22 +131,22 @@
     pub fn merge(
         &mut self,
         serving: &str,
-        filling: &str,
+        best_effort: &str,
         other: PairInterference,
     ) -> PairInterference {
-        let known = self.entry(serving, filling);
-        *known = known.plus(other).capped();
+        let known = self.entry(serving, best_effort);
+        *known = known.combined_with(other).capped();
         *known
     }
 
     /// Sets what is known of a pair.
-    pub fn set(&mut self, serving: &str, filling: &str, press: PairInterference) {
-        *self.entry(serving, filling) = press;
+    pub fn set(&mut self, serving: &str, best_effort: &str, interference: PairInterference) {
+        *self.entry(serving, best_effort) = interference;
     }
 
-    fn entry(&mut self, serving: &str, filling: &str) -> &mut PairInterference {
-        let on_serving = self.pairs.entry(serving.into()).or_default();
-        on_serving.entry(filling.into()).or_default()
+    fn entry(&mut self, serving: &str, best_effort: &str) -> &mut PairInterference {
+        let of_serving = self.pairs.entry(serving.into()).or_default();
+        of_serving.entry(best_effort.into()).or_default()
     }
 
     /// How many pairs are known.
@@ -164,41 +164,43 @@
         let images = self.pairs.iter();
         images.flat_map(|(serving, pairs)| {
             let pairs = pairs.iter();
-            pairs.map(|(filling, press)| (&**serving, &**filling, *press))
+            pairs.map(|(best_effort, interference)| (&**serving, &**best_effort, *interference))
         })
     }
 
     /// By what share all that fills beside an image raises its load.
     pub fn interference_on(&self, serving: &str, cores: &CoresByImage) -> f64 {
-        let presses = cores
+        let increases = cores
             .iter()
-            .map(|(filling, used)| self.get(serving, filling).expected() * used);
-        presses.sum()
+            .map(|(best_effort, used)| self.get(serving, best_effort).expected() * used);
+        increases.sum()
     }
 
     /// Learns from a change of load; returns what was observed of each pair.
     pub fn learn(&mut self, change: &LoadChange<'_>) -> Vec<(Box<str>, PairInterference)> {
         let before = 1.0 + self.interference_on(change.serving, change.before.cores);
         let after = 1.0 + self.interference_on(change.serving, change.after.cores);
-        let missed = change.log_growth - (after / before).ln();
-        if change.says_nothing(missed) {
+        let residual = change.log_growth - (after / before).ln();
+        if change.is_uninformative(residual) {
             return Vec::new();
         }
-        let slopes = change.slopes(before, after);
-        let spread: f64 = slopes
+        let sensitivities = change.sensitivities(before, after);
+        let spread: f64 = sensitivities
             .iter()
-            .map(|(filling, slope)| slope * slope * self.get(change.serving, filling).variance())
+            .map(|(best_effort, sensitivity)| {
+                sensitivity * sensitivity * self.get(change.serving, best_effort).variance()
+            })
             .sum();
         let variance = spread + change.noise();
-        let most = MOST_SPREADS * variance.sqrt();
-        let missed = missed.clamp(-most, most);
+        let max_residual = MAX_DEVIATIONS * variance.sqrt();
+        let residual = residual.clamp(-max_residual, max_residual);
         let mut observed = Vec::new();
-        for (filling, slope) in slopes {
-            let known = self.get(change.serving, &filling);
-            let seen = known.observe(slope, missed, variance);
-            if seen.precision > LEAST_WEIGHT {
-                self.merge(change.serving, &filling, seen);
-                observed.push((filling, seen));
+        for (best_effort, sensitivity) in sensitivities {
+            let known = self.get(change.serving, &best_effort);
+            let seen = known.observe(sensitivity, residual, variance);
+            if seen.precision > MIN_PRECISION {
+                self.merge(change.serving, &best_effort, seen);
+                observed.push((best_effort, seen));
             }
         }
         observed
@@ -208,58 +210,58 @@
 impl PairInterference {
     /// What an observation that missed by `missed` adds to what is known, if it answers with
     /// `slope` to the press of this pair.
-    fn observe(self, slope: f64, missed: f64, variance: f64) -> Self {
-        let gain = self.variance() * slope / variance;
-        let kept = 1.0 - gain * slope;
-        let weight = (PRIOR_WEIGHT + self.precision) * (1.0 / kept - 1.0);
-        if weight <= LEAST_WEIGHT {
+    fn observe(self, sensitivity: f64, residual: f64, variance: f64) -> Self {
+        let gain = self.variance() * sensitivity / variance;
+        let remaining = 1.0 - gain * sensitivity;
+        let precision = (PRIOR_PRECISION + self.precision) * (1.0 / remaining - 1.0);
+        if precision <= MIN_PRECISION {
             return Self::default();
         }
         let mean = self.expected();
-        let moved = mean + gain * missed;
-        let whole = PRIOR_WEIGHT + self.precision;
+        let updated = mean + gain * residual;
+        let prior = PRIOR_PRECISION + self.precision;
         Self {
-            per_core: (moved * (whole + weight) - mean * whole) / weight,
-            precision: weight,
+            per_core: (updated * (prior + precision) - mean * prior) / precision,
+            precision,
         }
     }
 }
 
 impl LoadChange<'_> {
     /// Whether the miss is one that a load too high to be told explains.
-    fn says_nothing(&self, missed: f64) -> bool {
+    fn is_uninformative(&self, residual: f64) -> bool {
         match (self.before.saturated, self.after.saturated) {
             (true, true) => true,
-            (false, true) => missed < 0.0,
-            (true, false) => missed > 0.0,
+            (false, true) => residual < 0.0,
+            (true, false) => residual > 0.0,
             (false, false) => false,
         }
     }
 
     /// How the logarithm of the ratio answers to the press of each image.
-    fn slopes(&self, before: f64, after: f64) -> BTreeMap<Box<str>, f64> {
-        let mut slopes = BTreeMap::new();
-        for (filling, used) in self.after.cores {
-            *slopes.entry(filling.clone()).or_insert(0.0) += used / after;
+    fn sensitivities(&self, before: f64, after: f64) -> BTreeMap<Box<str>, f64> {
+        let mut sensitivities = BTreeMap::new();
+        for (best_effort, used) in self.after.cores {
+            *sensitivities.entry(best_effort.clone()).or_insert(0.0) += used / after;
         }
-        for (filling, used) in self.before.cores {
-            *slopes.entry(filling.clone()).or_insert(0.0) -= used / before;
+        for (best_effort, used) in self.before.cores {
+            *sensitivities.entry(best_effort.clone()).or_insert(0.0) -= used / before;
         }
-        slopes
+        sensitivities
     }
 
     /// The variance of what is not told by the presses: drift and the measure itself.
     fn noise(&self) -> f64 {
-        let drift = DRIFT * self.interval.as_secs_f64() / DRIFT_PERIOD;
-        let measure = MEASURE * MEASURED_LOAD / self.load;
-        drift * drift + measure * measure
+        let drift = LOAD_DRIFT * self.interval.as_secs_f64() / DRIFT_PERIOD_S;
+        let measurement = MEASUREMENT_SPREAD * REFERENCE_LOAD / self.load;
+        drift * drift + measurement * measurement
     }
 }
 
 /// Before an agent has told of it, an image that serves is taken to bear this much press.
-const FIRST_ROOM: f64 = 0.5;
+const INITIAL_HEADROOM: f64 = 0.5;
 /// A room below this is reckoned as this when shares of it are compared.
-const LEAST_ROOM: f64 = 0.05;
+const MIN_HEADROOM: f64 = 0.05;
 
 /// What serves and what fills on one worker, and how much press it bears.
 ///
@@ -268,8 +270,8 @@
 #[derive(Debug, Clone, Default)]
 pub struct WorkerInterference {
     serving: BTreeMap<Box<str>, u32>,
-    filling_milli: BTreeMap<Box<str>, u32>,
-    rooms: BTreeMap<Box<str>, f64>,
+    best_effort_milli: BTreeMap<Box<str>, u32>,
+    headroom: BTreeMap<Box<str>, f64>,
 }
 
 /// How one more filling task would fare on a worker, and at whose cost.
@@ -289,22 +291,22 @@
 
     /// A run of an image that serves has ended.
     pub fn remove_serving(&mut self, image: &str) {
-        take_from(&mut self.serving, image, 1);
+        subtract_from(&mut self.serving, image, 1);
     }
 
     /// A run of an image that fills is placed here, asking for thousandths of a core.
     pub fn add_best_effort(&mut self, image: &str, cpu_milli: u32) {
-        *self.filling_milli.entry(image.into()).or_default() += cpu_milli;
+        *self.best_effort_milli.entry(image.into()).or_default() += cpu_milli;
     }
 
     /// A run of an image that fills has ended.
     pub fn remove_best_effort(&mut self, image: &str, cpu_milli: u32) {
-        take_from(&mut self.filling_milli, image, cpu_milli);
+        subtract_from(&mut self.best_effort_milli, image, cpu_milli);
     }
 
     /// The agent tells how much press an image that serves bears in all.
-    pub fn set_headroom(&mut self, image: &str, room: f64) {
-        self.rooms.insert(image.into(), room);
+    pub fn set_headroom(&mut self, image: &str, image_headroom: f64) {
+        self.headroom.insert(image.into(), image_headroom);
     }
 
     /// Runs that serve, by image.
@@ -318,42 +320,56 @@
         table: &InterferenceTable,
         image: &str,
         cpu_milli: u32,
-        no_press: f64,
+        negligible: f64,
     ) -> InterferenceEstimate {
-        let mut choice = InterferenceEstimate {
+        let mut estimate = InterferenceEstimate {
             pace: 1.0,
             headroom_share: 0.0,
         };
         let cores = f64::from(cpu_milli) / 1_000.0;
         for serving in self.serving.keys() {
             let pair = table.get(serving, image);
-            let press = pair.expected() * cores;
-            if pair.is_negligible(no_press) || press <= 0.0 {
+            let interference = pair.expected() * cores;
+            if pair.is_negligible(negligible) || interference <= 0.0 {
                 continue;
             }
-            let room = self.rooms.get(serving).copied().unwrap_or(FIRST_ROOM);
-            let left = room - self.pressed(table, serving, no_press);
-            choice.pace = choice.pace.min((left / press).max(0.0));
-            choice.headroom_share = choice.headroom_share.max(press / room.max(LEAST_ROOM));
+            let image_headroom = self
+                .headroom
+                .get(serving)
+                .copied()
+                .unwrap_or(INITIAL_HEADROOM);
+            let left = image_headroom - self.reserved_interference(table, serving, negligible);
+            estimate.pace = estimate.pace.min((left / interference).max(0.0));
+            estimate.headroom_share = estimate
+                .headroom_share
+                .max(interference / image_headroom.max(MIN_HEADROOM));
         }
-        choice
+        estimate
     }
 
     /// The press on an image of all that is placed here, at full pace.
-    fn pressed(&self, table: &InterferenceTable, serving: &str, no_press: f64) -> f64 {
-        let presses = self.filling_milli.iter().map(|(filling, cpu_milli)| {
-            let pair = table.get(serving, filling);
-            match pair.is_negligible(no_press) {
-                true => 0.0,
-                false => pair.expected() * f64::from(*cpu_milli) / 1_000.0,
-            }
-        });
-        presses.sum()
+    fn reserved_interference(
+        &self,
+        table: &InterferenceTable,
+        serving: &str,
+        negligible: f64,
+    ) -> f64 {
+        let increases = self
+            .best_effort_milli
+            .iter()
+            .map(|(best_effort, cpu_milli)| {
+                let pair = table.get(serving, best_effort);
+                match pair.is_negligible(negligible) {
+                    true => 0.0,
+                    false => pair.expected() * f64::from(*cpu_milli) / 1_000.0,
+                }
+            });
+        increases.sum()
     }
 }
 
 /// Takes an amount from a count; a count of nothing is dropped.
-fn take_from(counts: &mut BTreeMap<Box<str>, u32>, image: &str, amount: u32) {
+fn subtract_from(counts: &mut BTreeMap<Box<str>, u32>, image: &str, amount: u32) {
     if let Some(count) = counts.get_mut(image) {
         *count = count.saturating_sub(amount);
         if *count == 0 {
--- a/crates/wax-policy/src/placement.rs
+++ b/crates/wax-policy/src/placement.rs
@@ -14,7 +14,7 @@
 }
 
 /// Workers that are scored for one task at most, so that the cost does not grow with their number.
-const SCORED_WORKERS: usize = 24;
+const MAX_SCORED_WORKERS: usize = 24;
 /// How much a full worker counts against a task that takes twice as long.
 const FIT_WEIGHT: f64 = 0.15;
 /// Slowdown of a latency-critical task beyond which more of it matters little.
@@ -22,7 +22,7 @@
 /// Workers that keep room for an urgent task, so that it need not evict; each costs batch work.
 const HEADROOM_WORKERS: usize = 1;
 /// Workers on which evictions are weighed for one task at most.
-const WEIGHED_WORKERS: usize = 64;
+const MAX_EVICTION_CANDIDATES: usize = 64;
 
 /// How a worker is chosen; all but the first are baselines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -148,7 +148,7 @@
 pub struct WorkerTable {
     workers: SlotMap<WorkerKey, WorkerCapacity>,
     order: Vec<WorkerKey>,
-    turn: usize,
+    next_start: usize,
     /// The largest of the latest urgent tasks: room for it is kept free somewhere.
     urgent_size: Option<ResourceVector>,
 }
@@ -205,8 +205,8 @@
 
     /// Whether new tasks may be placed on a worker.
     pub fn set_open(&mut self, key: WorkerKey, open: bool) {
-        if let Some(slot) = self.workers.get_mut(key) {
-            slot.open = open;
+        if let Some(worker) = self.workers.get_mut(key) {
+            worker.open = open;
         }
     }
 
@@ -222,13 +222,13 @@
 
     /// Reserves room; says whether it fitted. Nothing is reserved beyond the capacity.
     pub fn reserve(&mut self, key: WorkerKey, task: RunningTask) -> bool {
-        let Some(slot) = self.workers.get_mut(key) else {
+        let Some(worker) = self.workers.get_mut(key) else {
             return false;
         };
-        match slot.reserved.checked_add(task.size) {
-            Some(used) if used.fits_in(slot.capacity) => {
-                slot.reserved = used;
-                slot.tasks.push(task);
+        match worker.reserved.checked_add(task.size) {
+            Some(reserved) if reserved.fits_in(worker.capacity) => {
+                worker.reserved = reserved;
+                worker.tasks.push(task);
                 true
             }
             _ => false,
@@ -237,10 +237,10 @@
 
     /// Gives the room of a task back.
     pub fn release(&mut self, key: WorkerKey, task: TaskId) -> Option<RunningTask> {
-        let slot = self.workers.get_mut(key)?;
-        let position = slot.tasks.iter().position(|other| other.task == task)?;
-        let task = slot.tasks.swap_remove(position);
-        slot.reserved = slot.reserved.saturating_sub(task.size);
+        let worker = self.workers.get_mut(key)?;
+        let position = worker.tasks.iter().position(|other| other.task == task)?;
+        let task = worker.tasks.swap_remove(position);
+        worker.reserved = worker.reserved.saturating_sub(task.size);
         Some(task)
     }
 
@@ -255,10 +255,10 @@
         let count = self.order.len().max(1);
         let start = match context.policy {
             PlacementPolicy::FirstFit | PlacementPolicy::LeastLoaded => 0,
-            PlacementPolicy::RoundRobin => self.turn % count,
+            PlacementPolicy::RoundRobin => self.next_start % count,
             PlacementPolicy::Random | PlacementPolicy::Weighed => rng.usize(..count),
         };
-        self.turn = self.turn.wrapping_add(1);
+        self.next_start = self.next_start.wrapping_add(1);
         if demand.urgent
             && self
                 .urgent_size
@@ -266,45 +266,51 @@
         {
             self.urgent_size = Some(demand.size);
         }
-        let headroom = self.headroom(demand, context.policy);
-        let mut fitting = self
-            .fitting(start, demand, context.avoid)
-            .filter(|(_, slot)| headroom.is_none_or(|size| keeps_room(slot, demand, size)));
+        let required_headroom = self.required_headroom(demand, context.policy);
+        let mut workers_that_fit =
+            self.workers_that_fit(start, demand, context.avoid)
+                .filter(|(_, worker)| {
+                    required_headroom.is_none_or(|size| keeps_headroom(worker, demand, size))
+                });
         let chosen = match context.policy {
             PlacementPolicy::Random | PlacementPolicy::RoundRobin | PlacementPolicy::FirstFit => {
-                fitting.next().map(|(key, _)| key)
+                workers_that_fit.next().map(|(key, _)| key)
             }
-            PlacementPolicy::LeastLoaded => fitting
+            PlacementPolicy::LeastLoaded => workers_that_fit
                 .min_by(|(_, a), (_, b)| a.load().total_cmp(&b.load()))
                 .map(|(key, _)| key),
-            PlacementPolicy::Weighed => fitting
-                .take(SCORED_WORKERS)
-                .map(|(key, slot)| (key, score(slot, demand, &context)))
+            PlacementPolicy::Weighed => workers_that_fit
+                .take(MAX_SCORED_WORKERS)
+                .map(|(key, worker)| (key, score(worker, demand, &context)))
                 .min_by(|(_, a), (_, b)| a.total_cmp(b))
                 .map(|(key, _)| key),
         };
         match chosen {
             Some(key) => PlacementChoice::Place(key),
-            None => self.choose_victims(now, start, demand, context.policy),
+            None => self.choose_eviction(now, start, demand, context.policy),
         }
     }
 
     /// The size for which a batch task must leave room, where few workers have it.
-    fn headroom(&self, demand: TaskDemand, policy: PlacementPolicy) -> Option<ResourceVector> {
+    fn required_headroom(
+        &self,
+        demand: TaskDemand,
+        policy: PlacementPolicy,
+    ) -> Option<ResourceVector> {
         let size = self.urgent_size?;
         if demand.urgent || policy != PlacementPolicy::Weighed {
             return None;
         }
-        let roomy = self
+        let with_headroom = self
             .workers
             .values()
-            .filter(|slot| slot.open && size.fits_in(slot.free()))
+            .filter(|worker| worker.open && size.fits_in(worker.free()))
             .take(HEADROOM_WORKERS + 1)
             .count();
-        (roomy <= HEADROOM_WORKERS).then_some(size)
+        (with_headroom <= HEADROOM_WORKERS).then_some(size)
     }
 
-    fn from(&self, start: usize) -> impl Iterator<Item = (WorkerKey, &WorkerCapacity)> {
+    fn workers_from(&self, start: usize) -> impl Iterator<Item = (WorkerKey, &WorkerCapacity)> {
         let (before, after) = self.order.split_at(start.min(self.order.len()));
         after
             .iter()
@@ -312,27 +318,27 @@
             .map(|key| (*key, &self.workers[*key]))
     }
 
-    fn fitting<'a>(
+    fn workers_that_fit<'a>(
         &'a self,
         start: usize,
         demand: TaskDemand,
         avoid: &'a [WorkerKey],
     ) -> impl Iterator<Item = (WorkerKey, &'a WorkerCapacity)> + 'a {
-        self.from(start).filter(move |(key, slot)| {
-            slot.open && demand.size.fits_in(slot.free()) && !avoid.contains(key)
+        self.workers_from(start).filter(move |(key, worker)| {
+            worker.open && demand.size.fits_in(worker.free()) && !avoid.contains(key)
         })
     }
 
     /// For an urgent task: the worker where eviction loses the least work.
-    fn choose_victims(
+    fn choose_eviction(
         &self,
         now: TimePoint,
         start: usize,
         demand: TaskDemand,
         policy: PlacementPolicy,
     ) -> PlacementChoice {
-        let possible = |slot: &WorkerCapacity| demand.size.fits_in(slot.capacity);
-        if !self.workers.values().any(possible) {
+        let can_ever_fit = |worker: &WorkerCapacity| demand.size.fits_in(worker.capacity);
+        if !self.workers.values().any(can_ever_fit) {
             return PlacementChoice::Impossible;
         }
         if !demand.urgent {
@@ -340,12 +346,14 @@
         }
         let weighed = policy == PlacementPolicy::Weighed;
         let mut plans = self
-            .from(start)
-            .filter(|(_, slot)| slot.open && possible(slot))
-            .filter_map(|(key, slot)| Some((key, victims_on(slot, now, demand.size, weighed)?)))
-            .take(WEIGHED_WORKERS);
+            .workers_from(start)
+            .filter(|(_, worker)| worker.open && can_ever_fit(worker))
+            .filter_map(|(key, worker)| {
+                Some((key, plan_eviction(worker, now, demand.size, weighed)?))
+            })
+            .take(MAX_EVICTION_CANDIDATES);
         let plan = if weighed {
-            plans.min_by_key(|(_, plan)| (plan.due_today, plan.lost, plan.victims.len()))
+            plans.min_by_key(|(_, plan)| (plan.due_today, plan.lost_work, plan.victims.len()))
         } else {
             plans.next()
         };
@@ -356,23 +364,23 @@
 }
 
 /// Whether a worker has no room for `size` anyway, or has it also beside the new task.
-fn keeps_room(slot: &WorkerCapacity, demand: TaskDemand, size: ResourceVector) -> bool {
-    let free = slot.free();
+fn keeps_headroom(worker: &WorkerCapacity, demand: TaskDemand, size: ResourceVector) -> bool {
+    let free = worker.free();
     !size.fits_in(free) || size.fits_in(free.saturating_sub(demand.size))
 }
 
 /// Lower is better: how full the worker becomes, and the harm that the neighbours do.
 ///
 /// All tasks spread: a fuller worker is in the worse band for everybody on it.
-fn score(slot: &WorkerCapacity, demand: TaskDemand, context: &PlacementContext<'_>) -> f64 {
-    let used = slot
+fn score(worker: &WorkerCapacity, demand: TaskDemand, context: &PlacementContext<'_>) -> f64 {
+    let reserved = worker
         .reserved
         .checked_add(demand.size)
-        .unwrap_or(slot.reserved);
-    let after = used.dominant_share(slot.capacity);
+        .unwrap_or(worker.reserved);
+    let after = reserved.dominant_share(worker.capacity);
     let total = context.weights.tail + context.weights.throughput;
-    let harm = harm(slot, demand, LoadBand::of(after), context);
-    after * FIT_WEIGHT + harm / total.max(1.0)
+    let interference_cost = interference_cost(worker, demand, LoadBand::of(after), context);
+    after * FIT_WEIGHT + interference_cost / total.max(1.0)
 }
 
 /// The cost of a slowdown of a latency-critical task, between 0 and 1.
@@ -386,44 +394,44 @@
 ///
 /// Where the victim is latency-critical the estimate is raised by its spread; where it is batch it
 /// is lowered, so that unknown pairs get tried.
-fn expected(
+fn expected_slowdown(
     pairs: &PairTable,
-    (victim, urgent): (KindKey, bool),
+    (affected, urgent): (KindKey, bool),
     neighbour: KindKey,
     band: LoadBand,
 ) -> f64 {
-    let estimate = pairs.estimate(victim, neighbour, band);
+    let estimate = pairs.estimate(affected, neighbour, band);
     let margin = if urgent { 1.0 } else { -0.5 };
     (estimate.excess + margin * estimate.spread()).max(0.0)
 }
 
 /// Expected slowdown of the neighbours by the task and of the task by them, weighed.
-fn harm(
-    slot: &WorkerCapacity,
+fn interference_cost(
+    worker: &WorkerCapacity,
     demand: TaskDemand,
     band: LoadBand,
     context: &PlacementContext<'_>,
 ) -> f64 {
     let weights = context.weights;
     let mut cost = 0.0;
-    for task in &slot.tasks {
-        let victim = (task.kind, task.urgent);
-        let added = expected(context.pairs, victim, demand.kind, band);
+    for task in &worker.tasks {
+        let affected = (task.kind, task.urgent);
+        let added = expected_slowdown(context.pairs, affected, demand.kind, band);
         cost += if task.urgent {
-            let others = slot.tasks.iter().filter(|other| other.task != task.task);
+            let others = worker.tasks.iter().filter(|other| other.task != task.task);
             let before: f64 = others
-                .map(|other| expected(context.pairs, victim, other.kind, band))
+                .map(|other| expected_slowdown(context.pairs, affected, other.kind, band))
                 .sum();
             weights.tail * (saturate(before + added) - saturate(before))
         } else {
             weights.throughput * added
         };
     }
-    let victim = (demand.kind, demand.urgent);
-    let suffered: f64 = slot
+    let affected = (demand.kind, demand.urgent);
+    let suffered: f64 = worker
         .tasks
         .iter()
-        .map(|task| expected(context.pairs, victim, task.kind, band))
+        .map(|task| expected_slowdown(context.pairs, affected, task.kind, band))
         .sum();
     cost + if demand.urgent {
         weights.tail * saturate(suffered)
@@ -433,20 +441,20 @@
 }
 
 /// What an eviction on one worker costs.
-struct VictimPlan {
+struct EvictionPlan {
     victims: Vec<TaskId>,
-    lost: Duration,
+    lost_work: Duration,
     due_today: bool,
 }
 
 /// The evictable tasks until the size fits: least work lost first, or in the order of arrival.
-fn victims_on(
-    slot: &WorkerCapacity,
+fn plan_eviction(
+    worker: &WorkerCapacity,
     now: TimePoint,
     size: ResourceVector,
     weighed: bool,
-) -> Option<VictimPlan> {
-    let mut tasks: Vec<&RunningTask> = slot
+) -> Option<EvictionPlan> {
+    let mut tasks: Vec<&RunningTask> = worker
         .tasks
         .iter()
         .filter(|task| task.evictable && task.protected_until <= now)
@@ -454,17 +462,17 @@
     if weighed {
         tasks.sort_by_key(|task| (task.due_today, now.since(task.saved_at), task.task));
     }
-    let mut used = slot.reserved;
+    let mut reserved = worker.reserved;
     let mut chosen: Vec<&RunningTask> = Vec::new();
     for task in tasks {
-        used = used.saturating_sub(task.size);
+        reserved = reserved.saturating_sub(task.size);
         chosen.push(task);
-        if size.fits_in(slot.capacity.saturating_sub(used)) {
+        if size.fits_in(worker.capacity.saturating_sub(reserved)) {
             if weighed {
-                spare(&mut chosen, slot.capacity.saturating_sub(used), size);
+                drop_unneeded_victims(&mut chosen, worker.capacity.saturating_sub(reserved), size);
             }
-            return Some(VictimPlan {
-                lost: chosen.iter().map(|task| now.since(task.saved_at)).sum(),
+            return Some(EvictionPlan {
+                lost_work: chosen.iter().map(|task| now.since(task.saved_at)).sum(),
                 due_today: chosen.iter().any(|task| task.due_today),
                 victims: chosen.iter().map(|task| task.task).collect(),
             });
@@ -474,13 +482,17 @@
 }
 
 /// Takes back victims that are not needed once later, larger ones were added.
-fn spare(chosen: &mut Vec<&RunningTask>, mut room: ResourceVector, size: ResourceVector) {
+fn drop_unneeded_victims(
+    chosen: &mut Vec<&RunningTask>,
+    mut free: ResourceVector,
+    size: ResourceVector,
+) {
     let mut index = 0;
     while index < chosen.len() {
-        let without = room.saturating_sub(chosen[index].size);
-        let enough = size.fits_in(without) && chosen[index].size.fits_in(room);
+        let without = free.saturating_sub(chosen[index].size);
+        let enough = size.fits_in(without) && chosen[index].size.fits_in(free);
         if enough {
-            room = without;
+            free = without;
             chosen.remove(index);
         } else {
             index += 1;
--- a/crates/wax-policy/src/routing.rs
+++ b/crates/wax-policy/src/routing.rs
@@ -14,31 +14,31 @@
 }
 
 /// Requests over which an upstream's latency is remembered.
-const LATENCY_MEMORY: f64 = 32.0;
+const LATENCY_WINDOW: f64 = 32.0;
 /// Expected time of a request before anything was measured.
 const LATENCY_PRIOR: Duration = Duration::from_millis(5);
 /// What crossing to another failure domain costs; the brief's one-way latency is 0.5 to 1 ms.
 const DOMAIN_PENALTY: Duration = Duration::from_millis(2);
 /// A sidecar that has said nothing for this long gets nothing; it speaks every second.
-const SILENCE_LIMIT: Duration = Duration::from_secs(3);
+const REPORT_TIMEOUT: Duration = Duration::from_secs(3);
 /// For how long others are preferred to an upstream that refused or failed.
-const REFUSAL_SPAN: Duration = Duration::from_millis(200);
+const REFUSAL_PENALTY_TIME: Duration = Duration::from_millis(200);
 /// An upstream that answers nothing for so many usual times is overdue.
 const OVERDUE_FACTOR: f64 = 2.5;
-const OVERDUE_FLOOR: Duration = Duration::from_millis(40);
+const MIN_OVERDUE: Duration = Duration::from_millis(40);
 /// How much worse an upstream counts that is shunned.
-const OVERDUE_PENALTY: f64 = 20.0;
+const AVOID_FACTOR: f64 = 20.0;
 /// An answer that takes this many times as long as usual is slow.
-const SLOW_FACTOR: f64 = 2.0;
+const HEDGE_FACTOR: f64 = 2.0;
 /// A second attempt must be sent this many usual times before the deadline.
-const IN_TIME_FACTOR: f64 = 1.4;
+const HEDGE_MARGIN_FACTOR: f64 = 1.4;
 /// A newcomer's expected time counts this much more at first, falling to 1.
-const NEWCOMER_FACTOR: f64 = 3.0;
-const NEWCOMER_SPAN: Duration = Duration::from_secs(5);
+const WARMUP_FACTOR: f64 = 3.0;
+const WARMUP_TIME: Duration = Duration::from_secs(5);
 /// Consecutive failures after which an upstream is ejected.
 const FAILURES_TO_EJECT: u32 = 5;
-const EJECT_FLOOR: Duration = Duration::from_secs(1);
-const EJECT_CEILING: Duration = Duration::from_secs(30);
+const MIN_EJECTION: Duration = Duration::from_secs(1);
+const MAX_EJECTION: Duration = Duration::from_secs(30);
 
 /// How an upstream is chosen; all but the first are baselines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -93,15 +93,15 @@
     in_flight: u32,
     sent_since_report: u32,
     latency: DecayedMean,
-    heard: TimePoint,
-    joined: TimePoint,
+    last_report: TimePoint,
+    connected_at: TimePoint,
     failures: u32,
     ejections: u32,
     ejected_until: TimePoint,
     /// Since when requests are under way without any answer.
     unanswered_since: Option<TimePoint>,
     /// It refused a request; until this time others are preferred.
-    refusing_until: TimePoint,
+    avoid_until: TimePoint,
 }
 
 /// What to do with a request.
@@ -133,7 +133,7 @@
 pub struct RouteTable {
     upstreams: SlotMap<UpstreamKey, UpstreamView>,
     services: HashMap<Box<str>, Vec<UpstreamKey>>,
-    turn: usize,
+    next_start: usize,
 }
 
 impl UpstreamView {
@@ -149,19 +149,19 @@
             },
             in_flight: 0,
             sent_since_report: 0,
-            latency: DecayedMean::new(LATENCY_MEMORY),
-            heard: now,
-            joined: now,
+            latency: DecayedMean::new(LATENCY_WINDOW),
+            last_report: now,
+            connected_at: now,
             failures: 0,
             ejections: 0,
             ejected_until: TimePoint::default(),
             unanswered_since: None,
-            refusing_until: TimePoint::default(),
+            avoid_until: TimePoint::default(),
         }
     }
 
-    fn takes_work(&self, now: TimePoint) -> bool {
-        !self.load.leaving && self.load.up && now.since(self.heard) < SILENCE_LIMIT
+    fn accepts_requests(&self, now: TimePoint) -> bool {
+        !self.load.leaving && self.load.up && now.since(self.last_report) < REPORT_TIMEOUT
     }
 
     fn is_ejected(&self, now: TimePoint) -> bool {
@@ -174,14 +174,14 @@
     fn is_overdue(&self, now: TimePoint) -> bool {
         let limit = self.service_time().mul_f64(OVERDUE_FACTOR) + self.wait();
         self.unanswered_since
-            .is_some_and(|since| now.since(since) > limit.max(OVERDUE_FLOOR))
+            .is_some_and(|since| now.since(since) > limit.max(MIN_OVERDUE))
     }
 
     /// Whether others are preferred: it refuses, or it answers nothing.
     ///
     /// What refuses at once looks idle and fast, and would draw ever more requests.
-    fn is_shunned(&self, now: TimePoint) -> bool {
-        now < self.refusing_until || self.is_overdue(now)
+    fn is_avoided(&self, now: TimePoint) -> bool {
+        now < self.avoid_until || self.is_overdue(now)
     }
 
     /// Requests under way there, as far as known.
@@ -217,8 +217,8 @@
 
     /// Expected time to the answer.
     fn score(&self, now: TimePoint) -> Duration {
-        let age = now.since(self.joined).as_secs_f64() / NEWCOMER_SPAN.as_secs_f64();
-        let factor = (NEWCOMER_FACTOR - (NEWCOMER_FACTOR - 1.0) * age).max(1.0);
+        let age = now.since(self.connected_at).as_secs_f64() / WARMUP_TIME.as_secs_f64();
+        let factor = (WARMUP_FACTOR - (WARMUP_FACTOR - 1.0) * age).max(1.0);
         let busy = f64::from(self.depth()) / f64::from(self.slots);
         let time = self.service_time().mul_f64(1.0 + 0.25 * busy.min(1.0)) + self.wait();
         let penalty = if self.local {
@@ -226,8 +226,8 @@
         } else {
             DOMAIN_PENALTY
         };
-        let overdue = if self.is_shunned(now) {
-            OVERDUE_PENALTY
+        let overdue = if self.is_avoided(now) {
+            AVOID_FACTOR
         } else {
             1.0
         };
@@ -268,7 +268,7 @@
         if let Some(view) = self.upstreams.get_mut(key) {
             view.load = load;
             view.sent_since_report = 0;
-            view.heard = now;
+            view.last_report = now;
         }
     }
 
@@ -283,16 +283,16 @@
 
     /// Counts an attempt that ended and learns from it.
     pub fn end_attempt(&mut self, now: TimePoint, key: UpstreamKey, end: AttemptEnd) {
-        let may_eject = self.may_eject(now, key);
+        let can_eject = self.can_eject(now, key);
         let Some(view) = self.upstreams.get_mut(key) else {
             return;
         };
         view.in_flight = view.in_flight.saturating_sub(1);
         view.sent_since_report = view.sent_since_report.saturating_sub(1);
-        let heard = matches!(end, AttemptEnd::Answered(_) | AttemptEnd::Refused);
+        let answered = matches!(end, AttemptEnd::Answered(_) | AttemptEnd::Refused);
         if view.in_flight == 0 {
             view.unanswered_since = None;
-        } else if heard {
+        } else if answered {
             view.unanswered_since = Some(now);
         }
         match end {
@@ -302,22 +302,22 @@
                 view.ejections = 0;
             }
             AttemptEnd::Failed => {
-                view.refusing_until = now + REFUSAL_SPAN;
+                view.avoid_until = now + REFUSAL_PENALTY_TIME;
                 view.failures += 1;
-                if view.failures >= FAILURES_TO_EJECT && may_eject {
-                    let span = EJECT_FLOOR * (1 << view.ejections.min(5));
-                    view.ejected_until = now + span.min(EJECT_CEILING);
+                if view.failures >= FAILURES_TO_EJECT && can_eject {
+                    let span = MIN_EJECTION * (1 << view.ejections.min(5));
+                    view.ejected_until = now + span.min(MAX_EJECTION);
                     view.ejections += 1;
                     view.failures = 0;
                 }
             }
-            AttemptEnd::Refused => view.refusing_until = now + REFUSAL_SPAN,
+            AttemptEnd::Refused => view.avoid_until = now + REFUSAL_PENALTY_TIME,
             AttemptEnd::Abandoned => {}
         }
     }
 
     /// At most half of a service's upstreams are ejected at once.
-    fn may_eject(&self, now: TimePoint, key: UpstreamKey) -> bool {
+    fn can_eject(&self, now: TimePoint, key: UpstreamKey) -> bool {
         let Some(keys) = self
             .upstreams
             .get(key)
@@ -349,14 +349,14 @@
         };
         let start = rng.usize(..keys.len().max(1));
         let chosen = match policy {
-            RoutePolicy::Weighed => self.weigh(now, keys, tried, start),
+            RoutePolicy::Weighed => self.choose_weighed(now, keys, tried, start),
             RoutePolicy::Random => self.first_from(now, keys, tried, start),
             RoutePolicy::RoundRobin => {
-                self.first_from(now, keys, tried, self.turn % keys.len().max(1))
+                self.first_from(now, keys, tried, self.next_start % keys.len().max(1))
             }
-            RoutePolicy::LeastLoaded => self.least(now, keys, tried),
+            RoutePolicy::LeastLoaded => self.least_loaded(now, keys, tried),
         };
-        self.turn = self.turn.wrapping_add(1);
+        self.next_start = self.next_start.wrapping_add(1);
         let Some(key) = chosen else {
             return RouteChoice::NoUpstream;
         };
@@ -386,12 +386,12 @@
             .take(keys.len())
             .copied()
             .filter(move |key| !tried.contains(key));
-        let again = keys.iter().copied().filter(move |key| tried.contains(key));
+        let retried = keys.iter().copied().filter(move |key| tried.contains(key));
         let healthy = move |key: &UpstreamKey| {
             let view = &self.upstreams[*key];
-            view.takes_work(now) && !view.is_ejected(now)
+            view.accepts_requests(now) && !view.is_ejected(now)
         };
-        fresh.chain(again).filter(healthy)
+        fresh.chain(retried).filter(healthy)
     }
 
     fn first_from(
@@ -404,7 +404,7 @@
         self.candidates(now, keys, tried, start).next()
     }
 
-    fn least(
+    fn least_loaded(
         &self,
         now: TimePoint,
         keys: &[UpstreamKey],
@@ -415,7 +415,7 @@
     }
 
     /// The better of two local ones if it need not wait; else the better of those and two others.
-    fn weigh(
+    fn choose_weighed(
         &self,
         now: TimePoint,
         keys: &[UpstreamKey],
@@ -431,7 +431,7 @@
             .min_by_key(score);
         if let Some(key) = local
             && self.upstreams[key].wait() == Duration::ZERO
-            && !self.upstreams[key].is_shunned(now)
+            && !self.upstreams[key].is_avoided(now)
             && !tried.contains(&key)
         {
             return Some(key);
@@ -453,8 +453,8 @@
     ) -> Option<TimePoint> {
         let view = self.upstreams.get(key)?;
         let usual = view.service_time() + view.wait();
-        let slow = now + usual.mul_f64(SLOW_FACTOR);
-        let latest = deadline - view.service_time().mul_f64(IN_TIME_FACTOR);
+        let slow = now + usual.mul_f64(HEDGE_FACTOR);
+        let latest = deadline - view.service_time().mul_f64(HEDGE_MARGIN_FACTOR);
         let at = slow.min(latest);
         (at > now + usual).then_some(at)
     }
--- a/crates/wax-policy/src/rules.rs
+++ b/crates/wax-policy/src/rules.rs
@@ -88,8 +88,8 @@
     /// # Errors
     ///
     /// It is out of bounds, or the rule cannot be off.
-    pub fn resolve(self, word: RuleSetting) -> Result<f64, RuleError> {
-        match word {
+    pub fn resolve(self, setting: RuleSetting) -> Result<f64, RuleError> {
+        match setting {
             RuleSetting::Switch(RuleSwitch::Off) | RuleSetting::Flag(false) => {
                 self.off.ok_or(RuleError::CannotSwitchOff(self))
             }
@@ -146,7 +146,7 @@
         $name:ident {
             $(
                 $(#[$doc:meta])*
-                $field:ident: $kind:ty = ($key:literal, $unit:literal, $default:literal, $least:literal to $most:literal $(, off $off:literal)?),
+                $field:ident: $kind:ty = ($key:literal, $unit:literal, $default:literal, $min:literal to $max:literal $(, off $off:literal)?),
             )*
         }
     ) => {
@@ -172,8 +172,8 @@
                         key: $key,
                         unit: $unit,
                         value: $crate::rules::RuleValue::to_number(self.$field),
-                        min: $least as f64,
-                        max: $most as f64,
+                        min: $min as f64,
+                        max: $max as f64,
                         off: None $(.or(Some($off as f64)))?,
                     }, )*
                 ]
@@ -187,13 +187,13 @@
             pub fn set(
                 &mut self,
                 key: &str,
-                word: $crate::rules::RuleSetting,
+                setting: $crate::rules::RuleSetting,
             ) -> Result<(), $crate::rules::RuleError> {
                 let infos = self.infos();
                 let Some(info) = infos.iter().find(|info| info.key == key) else {
                     return Err($crate::rules::RuleError::UnknownKey(key.into()));
                 };
-                let number = info.resolve(word)?;
+                let number = info.resolve(setting)?;
                 match key {
                     $( $key => self.$field = $crate::rules::RuleValue::from_number(number), )*
                     _ => {}
@@ -204,11 +204,11 @@
 
         impl<'de> serde::Deserialize<'de> for $name {
             fn deserialize<D: serde::Deserializer<'de>>(source: D) -> Result<Self, D::Error> {
-                let words: std::collections::BTreeMap<String, $crate::rules::RuleSetting> =
+                let settings: std::collections::BTreeMap<String, $crate::rules::RuleSetting> =
                     serde::Deserialize::deserialize(source)?;
                 let mut rules = Self::default();
-                for (key, word) in words {
-                    rules.set(&key, word).map_err(serde::de::Error::custom)?;
+                for (key, setting) in settings {
+                    rules.set(&key, setting).map_err(serde::de::Error::custom)?;
                 }
                 Ok(rules)
             }
--- a/crates/wax-policy/src/sizing.rs
+++ b/crates/wax-policy/src/sizing.rs
@@ -5,16 +5,16 @@
 use wax_types::ResourceVector;
 
 /// Reports of a kind before its declared size is corrected.
-const LEAST_SAMPLES: usize = 12;
+const MIN_SAMPLES: usize = 12;
 /// Latest reports that count.
-const MEMORY: usize = 64;
+const SAMPLE_WINDOW: usize = 64;
 /// The quantile of what was used that is reserved.
 const QUANTILE: f64 = 0.95;
 /// Reserved above the quantile.
 const HEADROOM: f64 = 1.1;
 /// The correction stays between these shares of what was declared.
-const LEAST_SHARE: f64 = 0.25;
-const MOST_SHARE: f64 = 2.0;
+const MIN_SHARE: f64 = 0.25;
+const MAX_SHARE: f64 = 2.0;
 
 #[derive(Debug, Clone, Default)]
 struct UsedShares {
@@ -37,14 +37,14 @@
         let share = |used: u32, declared: u32| used as f32 / declared.max(1) as f32;
         let cpu = share(used.cpu_milli, declared.cpu_milli);
         let memory = share(used.memory_mib, declared.memory_mib);
-        if shares.cpu.len() < MEMORY {
+        if shares.cpu.len() < SAMPLE_WINDOW {
             shares.cpu.push(cpu);
             shares.memory.push(memory);
         } else {
             shares.cpu[shares.next] = cpu;
             shares.memory[shares.next] = memory;
         }
-        shares.next = (shares.next + 1) % MEMORY;
+        shares.next = (shares.next + 1) % SAMPLE_WINDOW;
     }
 
     /// What to reserve for a task that declares `declared`.
@@ -52,7 +52,7 @@
         let Some(shares) = self
             .kinds
             .get(&kind)
-            .filter(|shares| shares.cpu.len() >= LEAST_SAMPLES)
+            .filter(|shares| shares.cpu.len() >= MIN_SAMPLES)
         else {
             return declared;
         };
@@ -69,6 +69,6 @@
     sorted.sort_by(f32::total_cmp);
     let rank = ((sorted.len() - 1) as f64 * QUANTILE).round() as usize;
     let share = f64::from(sorted[rank]) * HEADROOM;
-    let share = share.clamp(LEAST_SHARE, MOST_SHARE);
+    let share = share.clamp(MIN_SHARE, MAX_SHARE);
     (f64::from(declared) * share).ceil() as u32
 }
--- a/crates/wax-policy/tests/config_view.rs
+++ b/crates/wax-policy/tests/config_view.rs
@@ -13,13 +13,13 @@
 /// An answer of the store.
 const ANSWER_MS: u64 = 10;
 /// A front's heartbeats to the owner.
-const BEAT_MS: u64 = 200;
+const HEARTBEAT_MS: u64 = 200;
 
 fn rules() -> ConfigRules {
     ConfigRules::new(Duration::from_millis(BOUND_MS), DrainRules::default())
 }
 
-fn millis(span: Duration) -> u64 {
+fn ceil_ms(span: Duration) -> u64 {
     span.as_micros().div_ceil(1_000) as u64
 }
 
@@ -31,8 +31,8 @@
     busy_until: u64,
     reading: Option<(u64, bool)>,
     /// Whether connections that are kept are dead: the first reading after the cut finds out.
-    kept_dead: bool,
-    readings: u32,
+    is_connection_dead: bool,
+    read_count: u32,
 }
 
 impl Reader {
@@ -44,43 +44,43 @@
             reader,
             busy_until: 0,
             reading: None,
-            kept_dead: false,
-            readings: 0,
+            is_connection_dead: false,
+            read_count: 0,
         }
     }
 
     /// One millisecond; `served` says whether the store answers new calls, `jitter` is 0 to 1.
-    fn step(&mut self, now: u64, served: bool, jitter: f64) {
+    fn step(&mut self, now: u64, store_answers: bool, jitter: f64) {
         if now < self.busy_until {
             return;
         }
-        if let Some((begun, answered)) = self.reading.take() {
+        if let Some((started, answered)) = self.reading.take() {
             if answered {
-                self.view.note_read(TimePoint::from_millis(begun));
+                self.view.note_read(TimePoint::from_millis(started));
             } else {
-                self.kept_dead = false;
+                self.is_connection_dead = false;
                 self.view.note_read_failure();
                 let pause = rules().retry_delay();
-                self.busy_until = now + millis(pause.mul_f64(1.0 + jitter));
+                self.busy_until = now + ceil_ms(pause.mul_f64(1.0 + jitter));
                 return;
             }
         }
-        let at = TimePoint::from_millis(now);
-        match self.view.next_read(at, &rules(), self.reader) {
-            ReadChoice::Wait(left) => self.busy_until = now + millis(left).min(BEAT_MS),
+        let time = TimePoint::from_millis(now);
+        match self.view.next_read(time, &rules(), self.reader) {
+            ReadChoice::Wait(wait) => self.busy_until = now + ceil_ms(wait).min(HEARTBEAT_MS),
             ReadChoice::Read(limit) => {
-                self.readings += 1;
-                let answered = served && !self.kept_dead;
-                let takes = if answered { ANSWER_MS } else { millis(limit) };
+                self.read_count += 1;
+                let answered = store_answers && !self.is_connection_dead;
+                let duration = if answered { ANSWER_MS } else { ceil_ms(limit) };
                 self.reading = Some((now, answered));
-                self.busy_until = now + takes;
+                self.busy_until = now + duration;
             }
         }
     }
 
     fn age(&self, now: u64) -> u64 {
         let age = self.view.age(TimePoint::from_millis(now));
-        millis(age.unwrap_or(Duration::MAX))
+        ceil_ms(age.unwrap_or(Duration::MAX))
     }
 }
 
@@ -89,18 +89,18 @@
 
     /// Open connections go silent at some moments, and new ones work at once.
     #[test]
-    fn silent_connections_keep_a_change_no_longer_than_the_bound(
+    fn config_age_stays_within_bound_when_connections_go_silent(
         cuts in prop::collection::vec(3_500_u64..9_000, 1..4),
-        owns in any::<bool>(),
+        is_owner in any::<bool>(),
         jitter in 0.0..1.0_f64,
     ) {
-        let role = if owns { ConfigReader::Owner } else { ConfigReader::Front };
-        let mut reader = Reader::new(role);
+        let reader_kind = if is_owner { ConfigReader::Owner } else { ConfigReader::Front };
+        let mut reader = Reader::new(reader_kind);
         let mut next = 0;
         let cuts: Vec<u64> = cuts.iter().map(|gap| { next += gap; next }).collect();
         for now in 0..next + 8_000 {
             if cuts.contains(&now) {
-                reader.kept_dead = true;
+                reader.is_connection_dead = true;
                 // A reading under way is lost with its connection.
                 if let Some(reading) = reader.reading.as_mut() {
                     reading.1 = false;
@@ -114,18 +114,18 @@
 
     /// The store is silent for a while: once machines count as in touch again, nobody goes by an old config.
     #[test]
-    fn a_silent_store_is_made_up_for_before_the_bound_holds_again(
-        begins in 3_000_u64..6_000,
-        lasts in 1_u64..12_000,
-        owns in any::<bool>(),
+    fn config_is_fresh_again_within_contact_time_after_a_store_outage(
+        outage_start in 3_000_u64..6_000,
+        outage_ms in 1_u64..12_000,
+        is_owner in any::<bool>(),
         jitter in 0.0..1.0_f64,
     ) {
-        let role = if owns { ConfigReader::Owner } else { ConfigReader::Front };
-        let mut reader = Reader::new(role);
-        let ends = begins + lasts;
-        for now in 0..ends + 8_000 {
-            reader.step(now, !(begins..ends).contains(&now), jitter);
-            if now < begins || now >= ends + CONTACT_MS {
+        let reader_kind = if is_owner { ConfigReader::Owner } else { ConfigReader::Front };
+        let mut reader = Reader::new(reader_kind);
+        let outage_end = outage_start + outage_ms;
+        for now in 0..outage_end + 8_000 {
+            reader.step(now, !(outage_start..outage_end).contains(&now), jitter);
+            if now < outage_start || now >= outage_end + CONTACT_MS {
                 prop_assert!(reader.age(now) <= BOUND_MS, "{} ms old at {now}", reader.age(now));
             }
         }
@@ -133,24 +133,24 @@
 
     /// A front that an owner tells in time reads nothing by itself.
     #[test]
-    fn a_front_that_is_told_reads_nothing(way in 0_u64..40, jitter in 0.0..1.0_f64) {
+    fn front_with_timely_reports_reads_nothing(delay_ms in 0_u64..40, jitter in 0.0..1.0_f64) {
         let mut owner = Reader::new(ConfigReader::Owner);
         let mut front = Reader::new(ConfigReader::Front);
         for now in 0..20_000_u64 {
             owner.step(now, true, jitter);
-            if now % BEAT_MS == 0 && now > 0 {
-                let age = owner.view.own_read_age(TimePoint::from_millis(now + way));
+            if now % HEARTBEAT_MS == 0 && now > 0 {
+                let age = owner.view.own_read_age(TimePoint::from_millis(now + delay_ms));
                 front.view.note_report(TimePoint::from_millis(now) - age.unwrap_or_default());
             }
             front.step(now, true, jitter);
         }
-        prop_assert_eq!(front.readings, 0);
+        prop_assert_eq!(front.read_count, 0);
     }
 }
 
 /// What an owner says of long ago, or says late, makes nobody surer.
 #[test]
-fn an_older_word_changes_nothing() {
+fn older_reports_do_not_refresh_the_view() {
     let mut view = ConfigView::default();
     view.note_report(TimePoint::from_millis(5_000));
     view.note_report(TimePoint::from_millis(1_000));
@@ -162,7 +162,7 @@
 
 /// Before its first reading a process is sure of nothing.
 #[test]
-fn without_a_reading_a_config_may_be_old() {
+fn config_may_be_stale_before_the_first_read() {
     let view = ConfigView::default();
     assert!(view.may_be_stale(TimePoint::from_millis(1), &rules()));
     let first = view.next_read(TimePoint::from_millis(1), &rules(), ConfigReader::Front);
@@ -171,7 +171,7 @@
 
 /// An owner reads often enough for the drains that it orders starts by.
 #[test]
-fn readings_keep_to_the_shorter_bound() {
+fn owner_read_interval_respects_the_drain_bound() {
     let drains = DrainRules {
         bound: Some(Duration::from_millis(3_000)),
     };
--- a/crates/wax-policy/tests/heartbeats.rs
+++ b/crates/wax-policy/tests/heartbeats.rs
@@ -24,32 +24,35 @@
 }
 
 agent_cases! {
-    one_agent_beats_at_the_usual_period: 1 => 400;
-    agents_of_a_pool_of_hundreds_do_too: 300 => 400;
-    agents_of_a_larger_pool_beat_more_seldom: 600 => 750;
-    agents_never_beat_too_seldom_for_their_grants: 100_000 => 1_000;
+    single_agent_uses_the_base_period: 1 => 400;
+    hundreds_of_agents_use_the_base_period: 300 => 400;
+    larger_pools_use_a_longer_period: 600 => 750;
+    period_is_capped_for_huge_pools: 100_000 => 1_000;
 }
 
 #[test]
-fn two_heartbeats_may_be_lost_within_a_grant() {
+fn two_heartbeats_can_be_lost_within_a_grant() {
     assert!(agent_heartbeat_period(usize::MAX) * 2 < GRANT);
 }
 
 /// Whatever the number of fronts, those that go first at a takeover watch closely.
 #[test]
-fn the_fronts_that_go_first_beat_at_the_usual_period() {
-    let usual = front_heartbeat_period(1, 0, &rules(5_000));
-    assert_eq!(front_heartbeat_period(2_000, 7, &rules(5_000)), usual);
-    assert!(front_heartbeat_period(2_000, 8, &rules(5_000)) > usual);
+fn early_candidates_keep_the_base_period() {
+    let base_period = front_heartbeat_period(1, 0, &rules(5_000));
+    assert_eq!(front_heartbeat_period(2_000, 7, &rules(5_000)), base_period);
+    assert!(front_heartbeat_period(2_000, 8, &rules(5_000)) > base_period);
 }
 
 /// A front that hears too late of the owner's readings would read the operator's rows itself.
 #[test]
-fn a_front_hears_of_each_reading_of_the_owner_in_time() {
+fn front_learns_of_each_owner_read_before_reading_itself() {
     for bound_ms in [2_000, 3_000, 5_000, 60_000] {
         let rules = rules(bound_ms);
-        let heard = rules.refresh_age(ConfigReader::Owner)
+        let report_age = rules.refresh_age(ConfigReader::Owner)
             + front_heartbeat_period(usize::MAX, 100, &rules);
-        assert!(heard < rules.refresh_age(ConfigReader::Front), "{bound_ms}");
+        assert!(
+            report_age < rules.refresh_age(ConfigReader::Front),
+            "{bound_ms}"
+        );
     }
 }
--- a/crates/wax-policy/tests/limits.rs
+++ b/crates/wax-policy/tests/limits.rs
@@ -17,7 +17,7 @@
 
 proptest! {
     #[test]
-    fn a_gate_never_runs_more_than_its_slots(
+    fn gate_never_exceeds_its_slots(
         slots in 1_usize..9,
         queue in 0_usize..20,
         steps in prop::collection::vec((any::<bool>(), 1_u64..2_000), 1..200),
@@ -47,7 +47,7 @@
     }
 
     #[test]
-    fn no_policy_reserves_more_than_a_worker_has(
+    fn no_policy_reserves_more_than_worker_capacity(
         policy in prop::sample::select(vec![
             PlacementPolicy::Weighed, PlacementPolicy::Random, PlacementPolicy::RoundRobin,
             PlacementPolicy::LeastLoaded, PlacementPolicy::FirstFit,
@@ -86,17 +86,17 @@
                 PlacementChoice::Evict(key, victims) => {
                     prop_assert!(urgent, "a batch task evicts");
                     for victim in victims {
-                        let gone = table.release(key, victim).expect("it runs there");
-                        prop_assert!(!gone.urgent, "an urgent task is evicted");
+                        let evicted = table.release(key, victim).expect("it runs there");
+                        prop_assert!(!evicted.urgent, "an urgent task is evicted");
                     }
-                    let slot = table.get(key).expect("known");
-                    prop_assert!(demand.size.fits_in(slot.free()), "not enough was evicted");
+                    let worker = table.get(key).expect("known");
+                    prop_assert!(demand.size.fits_in(worker.free()), "not enough was evicted");
                 }
                 PlacementChoice::Wait | PlacementChoice::Impossible => {}
             }
             for key in table.keys() {
-                let slot = table.get(key).expect("known");
-                prop_assert!(slot.reserved().fits_in(slot.capacity()));
+                let worker = table.get(key).expect("known");
+                prop_assert!(worker.reserved().fits_in(worker.capacity()));
             }
         }
     }
@@ -110,7 +110,7 @@
 };
 
 #[test]
-fn a_busy_team_leaves_the_others_their_share() {
+fn busy_team_leaves_others_their_fair_share() {
     let mut table = TeamTable::new(100);
     let greedy = (0..100)
         .filter(|_| matches!(table.admit("greedy", LIMITS), AdmitChoice::Admit(_)))
@@ -118,17 +118,17 @@
     assert_eq!(greedy, 100, "what nobody uses is lent");
     let mut table = TeamTable::new(100);
     let mut admitted = [0, 0];
-    for turn in 0..200 {
-        let name = ["one", "two"][turn % 2];
+    for index in 0..200 {
+        let name = ["one", "two"][index % 2];
         if let AdmitChoice::Admit(_) = table.admit(name, LIMITS) {
-            admitted[turn % 2] += 1;
+            admitted[index % 2] += 1;
         }
     }
     assert_eq!(admitted, [50, 50]);
 }
 
 #[test]
-fn a_quota_is_kept_and_tells_when_to_come_back() {
+fn quota_is_enforced_and_gives_a_retry_delay() {
     let mut table = TeamTable::new(100);
     let limits = TeamLimits {
         in_flight: 2,
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_wave_of_failures_ejects_at_most_half() {
+fn failures_eject_at_most_half_of_the_upstreams() {
     let (mut table, keys) = route_table(6);
     for _ in 0..50 {
         for key in &keys {
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn a_leaving_or_silent_upstream_gets_nothing() {
+fn leaving_or_silent_upstream_gets_no_requests() {
     let (mut table, keys) = route_table(2);
     let mut rng = Rng::with_seed(1);
     let leaving = UpstreamLoad {
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn an_upstream_that_answers_nothing_gets_nothing_more() {
+fn unresponsive_upstream_gets_no_further_requests() {
     let (mut table, keys) = route_table(4);
     let mut rng = Rng::with_seed(1);
     for key in &keys {
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn an_upstream_that_refuses_at_once_draws_no_more_requests() {
+fn upstream_that_refuses_fast_attracts_no_requests() {
     for end in [AttemptEnd::Refused, AttemptEnd::Failed] {
         let (mut table, keys) = route_table(4);
         let mut rng = Rng::with_seed(1);
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn a_hopeless_request_is_refused_with_a_time() {
+fn request_that_cannot_meet_its_deadline_gets_a_retry_delay() {
     let (mut table, keys) = route_table(1);
     let busy = UpstreamLoad {
         slots_used: 8,
--- a/crates/wax-policy/tests/pace_rules.rs
+++ b/crates/wax-policy/tests/pace_rules.rs
@@ -3,7 +3,7 @@
 use wax_policy::PaceRules;
 
 #[test]
-fn the_aim_moves_with_the_share_of_late_jobs() {
+fn max_tail_share_scales_with_the_share_of_late_jobs() {
     let rules = PaceRules::default();
     assert_eq!(rules.for_overload(0.0).max_tail_share, rules.max_tail_share);
     assert!((rules.for_overload(1.0).max_tail_share - rules.max_tail_share_overload).abs() < 1e-9);
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_share_that_is_no_share_changes_nothing_beyond_the_bounds() {
+fn overload_share_is_clamped_to_0_and_1() {
     let rules = PaceRules::default();
     assert_eq!(
         rules.for_overload(-3.0).max_tail_share,
--- a/crates/wax-replay/src/batch/usage.rs
+++ b/crates/wax-replay/src/batch/usage.rs
@@ -84,7 +84,7 @@
         let weights = self.world.options.weights;
         let relief = &mut self.batch.records[worker].relief;
         let view = MitigationView {
-            slot,
+            worker: slot,
             affected: &victim,
             excess,
             pairs: &self.batch.pairs,
--- a/crates/wax-tasks/src/reports.rs
+++ b/crates/wax-tasks/src/reports.rs
@@ -280,7 +280,7 @@
             weights_of(tree, &part.row.spec.team)
         });
         let view = MitigationView {
-            slot,
+            worker: slot,
             affected: &victim,
             excess,
             pairs: &self.pairs,
--- a/crates/wax-types/src/resources.rs
+++ b/crates/wax-types/src/resources.rs
@@ -50,19 +50,19 @@
     }
 
     /// Whether every component is at most that of `room`.
-    pub fn fits_in(self, room: Self) -> bool {
-        self.cpu_milli <= room.cpu_milli
-            && self.memory_mib <= room.memory_mib
-            && self.accelerators <= room.accelerators
+    pub fn fits_in(self, limit: Self) -> bool {
+        self.cpu_milli <= limit.cpu_milli
+            && self.memory_mib <= limit.memory_mib
+            && self.accelerators <= limit.accelerators
     }
 
     /// The name of the first component that exceeds that of `room`.
-    pub fn first_excess(self, room: Self) -> Option<&'static str> {
-        if self.cpu_milli > room.cpu_milli {
+    pub fn first_excess(self, limit: Self) -> Option<&'static str> {
+        if self.cpu_milli > limit.cpu_milli {
             Some("cpu_milli")
-        } else if self.memory_mib > room.memory_mib {
+        } else if self.memory_mib > limit.memory_mib {
             Some("memory_mib")
-        } else if self.accelerators > room.accelerators {
+        } else if self.accelerators > limit.accelerators {
             Some("accelerators")
         } else {
             None
--- a/crates/wax-types/src/time.rs
+++ b/crates/wax-types/src/time.rs
@@ -23,16 +23,16 @@
 impl Add<Duration> for TimePoint {
     type Output = Self;
 
-    fn add(self, span: Duration) -> Self {
-        Self(self.0.saturating_add(span.as_micros() as u64))
+    fn add(self, duration: Duration) -> Self {
+        Self(self.0.saturating_add(duration.as_micros() as u64))
     }
 }
 
 impl Sub<Duration> for TimePoint {
     type Output = Self;
 
-    fn sub(self, span: Duration) -> Self {
-        Self(self.0.saturating_sub(span.as_micros() as u64))
+    fn sub(self, duration: Duration) -> Self {
+        Self(self.0.saturating_sub(duration.as_micros() as u64))
     }
 }
 
@@ -48,18 +48,18 @@
     /// Starts the clock a day after zero, so that subtraction has room.
     pub fn start() -> Self {
         Self {
-            origin: since_boot(),
+            origin: time_since_boot(),
         }
     }
 
     /// The present time.
     pub fn now(&self) -> TimePoint {
-        let elapsed = since_boot().saturating_sub(self.origin);
+        let elapsed = time_since_boot().saturating_sub(self.origin);
         TimePoint::default() + Duration::from_secs(86_400) + elapsed
     }
 }
 
-fn since_boot() -> Duration {
+fn time_since_boot() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
@@ -70,5 +70,5 @@
 pub fn wall_clock_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .map_or(0, |span| span.as_millis() as u64)
+        .map_or(0, |duration| duration.as_millis() as u64)
 }
