--- a/crates/wax-policy/benches/decisions.rs
+++ b/crates/wax-policy/benches/decisions.rs
@@ -33,9 +33,9 @@
         .collect();
     let mut pairs = PairTable::default();
     for _ in 0..20_000 {
-        let (victim, neighbour) = (kinds[rng.usize(..KINDS)], kinds[rng.usize(..KINDS)]);
+        let (affected, neighbour) = (kinds[rng.usize(..KINDS)], kinds[rng.usize(..KINDS)]);
         let band = wax_policy::LoadBand::of(rng.f64());
-        pairs.learn(victim, &[neighbour], band, rng.f64());
+        pairs.learn(affected, &[neighbour], band, rng.f64());
     }
     let mut table = WorkerTable::default();
     for worker in 0..workers {
--- a/crates/wax-policy/src/mitigation.rs
+++ b/crates/wax-policy/src/mitigation.rs
@@ -116,7 +116,7 @@
         view: MitigationView<'_>,
         throttled: bool,
     ) -> Option<RunningTask> {
-        let harm = |task: &RunningTask| {
+        let interference = |task: &RunningTask| {
             let band = view.worker.load_band();
             view.pairs
                 .estimate(view.affected.kind, task.kind, band)
@@ -127,7 +127,7 @@
             .iter()
             .filter(|task| task.evictable)
             .filter(|task| self.throttled.contains(&task.task) == throttled)
-            .max_by(|a, b| harm(a).total_cmp(&harm(b)))
+            .max_by(|a, b| interference(a).total_cmp(&interference(b)))
             .copied()
     }
 
