--- a/crates/wax-policy/benches/decisions.rs
+++ b/crates/wax-policy/benches/decisions.rs
@@ -1,4 +1,5 @@
-//! The cost of single decisions at the size to design for, and as a slope around it.
+//! Cost of single scheduling decisions at the target scale, and above and below it to show how the
+//! cost grows.
 
 use divan::Bencher;
 use fastrand::Rng;
@@ -9,9 +10,9 @@
 };
 use wax_types::{JobId, ResourceVector, TaskId, TimePoint};
 
-/// 20,500 running tasks on 750 workers.
+/// Target scale: 20,500 running tasks on 750 workers.
 const TASKS_PER_WORKER: usize = 27;
-/// Kinds of tasks of 330 teams.
+/// Number of task kinds at the target scale of 330 teams.
 const KINDS: usize = 660;
 const NOW: TimePoint = TimePoint::from_millis(100_000_000);
 
--- a/crates/wax-policy/src/admission.rs
+++ b/crates/wax-policy/src/admission.rs
@@ -1,4 +1,5 @@
-//! Admits quick requests by team: a quota, and fair shares where all want more than there is.
+//! Admits quick requests per team by a quota, and by fair shares while the capacity is nearly used
+//! up.
 
 use crate::average::DecayedMean;
 use crate::retry::RetryBudget;
@@ -7,38 +8,40 @@
 use std::time::Duration;
 
 new_key_type! {
-    /// Names a team in a [`TeamTable`].
+    /// Key of a team in a [`TeamTable`].
     pub struct TeamKey;
 }
 
-/// Requests over which the time that a team's request is held is remembered.
+/// Number of requests after which a sample has little weight in the mean duration of a team's
+/// requests.
 const DURATION_WINDOW: f64 = 64.0;
-/// Shortest time after which a refused caller is told to come back.
+/// Shortest delay after which a refused caller is told to retry.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
-/// Above this share of all places, a team gets no more than its fair share.
+/// Share of the capacity in use above which a team gets no more than its fair share.
 const FAIR_SHARE_THRESHOLD: f64 = 0.8;
 
-/// What a team is allowed.
+/// Limits and weight of one team.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TeamLimits {
-    /// Requests under way at once.
+    /// Maximum number of requests in flight.
     pub in_flight: u32,
-    /// Its share where all want more than there is.
+    /// Weight of the team when the capacity is divided into fair shares.
     pub weight: u32,
-    /// Retries in percent of its requests.
+    /// Retries that are allowed, in percent of the team's requests.
     pub retry_percent: u32,
-    /// Hedges in percent of its requests.
+    /// Hedged requests that are allowed, in percent of the team's requests.
     pub hedge_percent: u32,
 }
 
-/// What to do with a request.
+/// Whether a request is admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmitChoice {
-    /// A place is taken for it.
+    /// The request is admitted and counts as in flight.
     Admit(TeamKey),
-    /// The team has used its quota; a place is expected after this time.
+    /// The team has reached its quota; a request of the team is expected to end after this time.
     OverQuota(Duration),
-    /// All places are taken and the team has its fair share.
+    /// The capacity is used up or nearly so, and the team has its fair share; a request of the team
+    /// is expected to end after this time.
     OverShare(Duration),
 }
 
@@ -51,7 +54,7 @@
     hedges: RetryBudget,
 }
 
-/// The requests under way of each team; a decision costs the same for 3 teams and for 330.
+/// Requests in flight of each team. The cost of a decision does not depend on the number of teams.
 #[derive(Debug)]
 pub struct TeamTable {
     capacity: u32,
@@ -62,7 +65,7 @@
 }
 
 impl TeamTable {
-    /// A table with so many places in all.
+    /// Creates a table that admits at most `capacity` requests at a time over all teams.
     pub fn new(capacity: u32) -> Self {
         Self {
             capacity,
@@ -73,7 +76,7 @@
         }
     }
 
-    /// Decides about a request of a team.
+    /// Decides whether a request of `team` is admitted, and counts it as in flight if so.
     pub fn admit(&mut self, team: &str, limits: TeamLimits) -> AdmitChoice {
         let key = self.key_or_insert(team, limits.weight);
         let share = self.fair_share(key, limits.weight);
@@ -106,7 +109,8 @@
         key
     }
 
-    /// A team's fair share of all places among the teams with requests under way.
+    /// Returns the fair share of `key`: the capacity divided by weight among the teams that have
+    /// requests in flight.
     fn fair_share(&self, key: TeamKey, weight: u32) -> u32 {
         let idle = self.teams[key].in_flight == 0;
         let all = self.active_weight + if idle { u64::from(weight) } else { 0 };
@@ -126,7 +130,7 @@
         usage.hedges.deposit(limits.hedge_percent);
     }
 
-    /// Gives a place back after `held`.
+    /// Ends a request that was in flight for `duration`.
     pub fn release(&mut self, key: TeamKey, duration: Duration) {
         self.in_flight -= 1;
         let usage = &mut self.teams[key];
@@ -137,23 +141,24 @@
         }
     }
 
-    /// Takes a retry from a team's budget.
+    /// Takes a retry from the team's budget; returns whether the budget allowed it.
     pub fn spend_retry(&mut self, key: TeamKey) -> bool {
         self.teams[key].retries.try_spend()
     }
 
-    /// Takes a hedge from a team's budget.
+    /// Takes a hedged request from the team's budget; returns whether the budget allowed it.
     pub fn spend_hedge(&mut self, key: TeamKey) -> bool {
         self.teams[key].hedges.try_spend()
     }
 
-    /// Places taken.
+    /// Returns the number of requests in flight over all teams.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 }
 
-/// The mean time until the next of `in_flight` requests ends.
+/// Returns the mean time until the next of `in_flight` requests ends, but at least
+/// [`MIN_RETRY_AFTER`].
 fn retry_after(duration: Duration, in_flight: u32) -> Duration {
     (duration / in_flight.max(1)).max(MIN_RETRY_AFTER)
 }
--- a/crates/wax-policy/src/average.rs
+++ b/crates/wax-policy/src/average.rs
@@ -1,6 +1,7 @@
-//! A mean that forgets.
+//! Exponentially decayed mean.
 
-/// Exponentially decayed mean over about `memory` samples; exact over the first ones.
+/// Mean that weighs each new sample by one over the number of samples, at most `window`: exact over
+/// the first `window` samples, exponentially decayed after that.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DecayedMean {
     window: f64,
@@ -9,7 +10,7 @@
 }
 
 impl DecayedMean {
-    /// An empty mean.
+    /// Creates a mean without samples.
     pub const fn new(window: f64) -> Self {
         Self {
             window,
@@ -18,18 +19,18 @@
         }
     }
 
-    /// Adds a sample.
+    /// Adds a sample to the mean.
     pub fn add(&mut self, sample: f64) {
         self.samples = (self.samples + 1.0).min(self.window);
         self.mean += (sample - self.mean) / self.samples;
     }
 
-    /// The mean; 0 before the first sample.
+    /// Returns the mean; 0 before the first sample.
     pub fn value(&self) -> f64 {
         self.mean
     }
 
-    /// How many samples count, at most the memory.
+    /// Returns the number of samples that the mean stands for, at most the window.
     pub fn samples(&self) -> f64 {
         self.samples
     }
--- a/crates/wax-policy/src/backoff.rs
+++ b/crates/wax-policy/src/backoff.rs
@@ -1,9 +1,10 @@
-//! Exponential backoff with full jitter.
+//! Exponential backoff with jitter.
 
 use fastrand::Rng;
 use std::time::Duration;
 
-/// Doubles from `floor` to `ceiling`; each wait is drawn between half of the step and the step.
+/// Delays that double from `floor` to `ceiling`. Each delay is chosen at random between half of the
+/// current step and the whole step.
 #[derive(Debug, Clone, Copy)]
 pub struct BackoffPlan {
     floor: Duration,
@@ -12,7 +13,7 @@
 }
 
 impl BackoffPlan {
-    /// Starts with no failure.
+    /// Creates a backoff without failures.
     pub const fn new(floor: Duration, ceiling: Duration) -> Self {
         Self {
             floor,
@@ -21,7 +22,7 @@
         }
     }
 
-    /// Counts a failure and gives the wait before the next try.
+    /// Counts a failure and returns the delay before the next attempt.
     pub fn next_delay(&mut self, rng: &mut Rng) -> Duration {
         let doubled = self.floor.saturating_mul(1 << self.failures.min(20));
         let step = doubled.min(self.ceiling);
@@ -29,7 +30,7 @@
         step.mul_f64(0.5 + 0.5 * rng.f64())
     }
 
-    /// Forgets the failures.
+    /// Resets the number of failures to 0 after a success.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
--- a/crates/wax-policy/src/breaker.rs
+++ b/crates/wax-policy/src/breaker.rs
@@ -1,4 +1,4 @@
-//! Decides whether a call to the store is sent while the store may be down.
+//! Circuit breaker for calls to the store.
 
 use crate::backoff::BackoffPlan;
 use fastrand::Rng;
@@ -10,16 +10,17 @@
 const PROBE_FLOOR: Duration = Duration::from_millis(100);
 const PROBE_CEILING: Duration = Duration::from_secs(2);
 
-/// What to do with a call.
+/// Whether a call to the store is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BreakerChoice {
-    /// Send it.
+    /// Send the call.
     Send,
-    /// Refuse it; the next probe is due after this time.
+    /// Refuse the call; the next probe is due after this time.
     Refuse(Duration),
 }
 
-/// Opens after consecutive failures; then lets one probe through at a time, with backoff.
+/// Circuit breaker that opens after consecutive failures. While it is open, it
+/// lets single calls through as probes, with exponential backoff between them.
 #[derive(Debug, Clone)]
 pub struct StoreBreaker {
     failures: u32,
@@ -40,7 +41,7 @@
 }
 
 impl StoreBreaker {
-    /// Decides about one call; a probe that is let through pushes the next probe back.
+    /// Decides whether a call is sent. A call that is sent as a probe delays the next probe.
     pub fn check(&mut self, now: TimePoint, rng: &mut Rng) -> BreakerChoice {
         if self.down_since.is_none() {
             return BreakerChoice::Send;
@@ -52,14 +53,14 @@
         BreakerChoice::Send
     }
 
-    /// Records that a call was answered.
+    /// Records that a call was answered, which closes the breaker.
     pub fn record_success(&mut self) {
         self.failures = 0;
         self.down_since = None;
         self.backoff.reset();
     }
 
-    /// Records that a call failed or timed out; says whether the store went down with it.
+    /// Records that a call failed or timed out; returns whether this failure opened the breaker.
     pub fn record_failure(&mut self, now: TimePoint, rng: &mut Rng) -> bool {
         self.failures += 1;
         if self.down_since.is_some() || self.failures < FAILURES_TO_OPEN {
@@ -70,7 +71,7 @@
         true
     }
 
-    /// Since when the store has been down.
+    /// Returns the time since which the store counts as down; `None` while it is up.
     pub fn down_since(&self) -> Option<TimePoint> {
         self.down_since
     }
--- a/crates/wax-policy/src/config_view.rs
+++ b/crates/wax-policy/src/config_view.rs
@@ -1,38 +1,41 @@
-//! How sure a process is that its config is the newest, and when it reads the operator's rows again.
+//! Tracks how old a process's knowledge of the config may be, and decides when it reads the
+//! operator's rows again.
 
 use crate::drains::DrainRules;
 use std::time::Duration;
 use wax_types::TimePoint;
 
-/// By when a change of the config is in force everywhere, and what follows from it.
+/// Time limit for applying config changes, and the read intervals and timeouts that follow from it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConfigRules {
-    /// A change is in force so long after the store has acknowledged it.
+    /// Time after the store's acknowledgement of a config change by which the change must be in
+    /// force in every process.
     pub bound: Duration,
-    /// What readings keep to: `bound`, or the shortest span for which an owner may go by its drains.
+    /// Time within which a read must have succeeded: `bound`, or the maximum age of a drain view
+    /// for which the owner orders starts, whichever is shorter.
     read_bound: Duration,
 }
 
-/// Who reads.
+/// Role of the process that reads the operator's rows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConfigReader {
-    /// The owner: others go by what it has read.
+    /// The owner, which reports the age of its last read to the fronts.
     Owner,
-    /// A front: it reads only what no owner has told it in time.
+    /// A front, which reads the rows only if the owner has not reported a recent read in time.
     Front,
 }
 
-/// Whether the operator's rows are to be read now.
+/// Whether the operator's rows are read now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadChoice {
-    /// Not before this time has passed.
+    /// Read again after this time.
     Wait(Duration),
-    /// Now; the reading is given up after this time.
+    /// Read now, with this timeout.
     Read(Duration),
 }
 
 impl ConfigRules {
-    /// Rules for these bounds.
+    /// Creates rules for a config bound and the rules of drains.
     pub fn new(bound: Duration, drains: DrainRules) -> Self {
         let read_bound = drains
             .max_age_for_order()
@@ -40,8 +43,9 @@
         Self { bound, read_bound }
     }
 
-    /// The age at which the rows are read again. A reading that fails and the next one fit into the bound
-    /// together; a front leaves the owner room for its own reading, a heartbeat and the way.
+    /// Returns the age of the config view at which the rows are read again. It leaves time for a
+    /// failed read and a second attempt within the bound. A front waits longer than the owner, so
+    /// that the owner's read, a heartbeat and its transit fit in between.
     pub fn refresh_age(&self, reader: ConfigReader) -> Duration {
         match reader {
             ConfigReader::Owner => self.read_bound / 4,
@@ -49,8 +53,8 @@
         }
     }
 
-    /// Longest time for a reading. One that follows a failure has twice as long: a store that is slow
-    /// would answer none otherwise.
+    /// Timeout for one read, twice as long after a failure: with the short timeout, a slow store
+    /// would never answer in time.
     fn read_timeout(&self, failures: u32) -> Duration {
         match failures {
             0 => self.read_bound / 4,
@@ -58,57 +62,60 @@
         }
     }
 
-    /// Between a reading that failed and the next one, with as much again at random.
+    /// Delay between a failed read and the next one; the caller adds up to the same time again at
+    /// random.
     pub fn retry_delay(&self) -> Duration {
         self.read_bound / 16
     }
 }
 
-/// Up to when the config in force is known to be the newest.
+/// Times up to which the config in force is known to be the newest.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ConfigView {
-    /// By the store's own word.
+    /// Start of the last successful read from the store by this process.
     last_read: Option<TimePoint>,
-    /// By the owner's word.
+    /// Time at which the owner last knew of no newer config.
     last_report: Option<TimePoint>,
-    /// Readings in a row that failed.
+    /// Number of consecutive failed reads.
     failures: u32,
 }
 
 impl ConfigView {
-    /// The store was asked at `as_of`, and what it answered is in force.
+    /// Records a successful read that started at `as_of` and whose result is in force.
     pub fn note_read(&mut self, as_of: TimePoint) {
         self.last_read = self.last_read.max(Some(as_of));
         self.failures = 0;
     }
 
-    /// The owner knew of nothing newer at `as_of`.
+    /// Records a report by the owner that it knew of no newer config at `as_of`.
     pub fn note_report(&mut self, as_of: TimePoint) {
         self.last_report = self.last_report.max(Some(as_of));
     }
 
-    /// A reading has failed.
+    /// Records a failed read.
     pub fn note_read_failure(&mut self) {
         self.failures = self.failures.saturating_add(1);
     }
 
-    /// For how long a newer config may have gone unseen; `None` before the first reading.
+    /// Returns the longest time for which a newer config may exist without being known here; `None`
+    /// before the first read or report.
     pub fn age(&self, now: TimePoint) -> Option<Duration> {
         let newest = self.last_read.max(self.last_report);
         newest.map(|newest| now.since(newest))
     }
 
-    /// The same by this process's own readings: what it may tell others.
+    /// Returns the age of this process's own last read, which is the age that it may report to
+    /// others; `None` before the first read.
     pub fn own_read_age(&self, now: TimePoint) -> Option<Duration> {
         self.last_read.map(|read| now.since(read))
     }
 
-    /// Whether a newer config may have been in the store for longer than the bound.
+    /// Returns whether a newer config may have been in the store for longer than the bound.
     pub fn may_be_stale(&self, now: TimePoint, rules: &ConfigRules) -> bool {
         self.age(now).is_none_or(|age| age > rules.bound)
     }
 
-    /// Whether the operator's rows are to be read now.
+    /// Decides whether the operator's rows are read now.
     pub fn next_read(
         &self,
         now: TimePoint,
--- a/crates/wax-policy/src/contact.rs
+++ b/crates/wax-policy/src/contact.rs
@@ -1,53 +1,57 @@
-//! What an owner knows of a worker's leases, by the owner's own clock.
+//! Tracks, by the owner's own clock, until when a worker's leases may be valid, and whether the
+//! owner may renew them.
 
 use std::time::Duration;
 use wax_types::TimePoint;
 
-/// Terms that bound how long a lease may outlive its last renewal.
+/// Durations that determine how long a lease may be valid after its last renewal was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseTimings {
-    /// Term of a lease at a worker.
+    /// Duration of a lease at the worker.
     pub duration: Duration,
-    /// A renewal or start takes effect at the worker at most this long after it was sent.
+    /// Time after which a renewal or start that has been sent can no longer take effect at the
+    /// worker.
     pub call_timeout: Duration,
-    /// For the difference in the speed of two clocks.
+    /// Allowance for clocks that run at different speeds.
     pub clock_margin: Duration,
-    /// Renewals go on for this long after the last confirmed contact with the store.
+    /// Time for which an owner continues to send renewals after its last confirmed contact with the
+    /// store.
     pub renewal_grace: Duration,
 }
 
 impl LeaseTimings {
-    /// After this time without a renewal, a lease has surely lapsed.
+    /// Returns the time after the last renewal at which a lease is known to have expired.
     pub fn expiry_delay(&self) -> Duration {
         self.duration + self.call_timeout + self.clock_margin
     }
 }
 
-/// What to do about a worker now.
+/// Call that the owner makes to a worker now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ContactChoice {
-    /// Renew the leases of its tasks.
+    /// Renew the leases of the worker's tasks.
     Renew,
-    /// Ask without renewing, so that the leases run out while it does not answer.
+    /// Call the worker without renewing, so that its leases expire if it does not answer.
     Probe,
-    /// Every lease there has surely lapsed.
+    /// All leases on the worker are known to have expired.
     Lapsed,
 }
 
-/// Failed renewals in a row after which no further lease is risked.
+/// Consecutive failed calls after which the owner sends no renewals until the worker answers.
 const MAX_FAILED_CALLS: u32 = 3;
 
-/// The contact with one worker.
+/// State of the contact with one worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WorkerContact {
-    /// No renewal that was sent before can hold a lease after this time.
+    /// Time after which no renewal sent so far can keep a lease valid.
     leases_until: TimePoint,
     failed_calls: u32,
     answered: bool,
 }
 
 impl WorkerContact {
-    /// At the takeover of a shard: the owner before may renew until its grace ends.
+    /// Creates the state at the takeover of a shard. The former owner may have sent renewals until
+    /// its grace ended.
     pub fn after_takeover(now: TimePoint, timings: &LeaseTimings) -> Self {
         Self {
             leases_until: now + timings.renewal_grace + timings.expiry_delay(),
@@ -56,7 +60,7 @@
         }
     }
 
-    /// Decides what to send.
+    /// Decides which call to make now.
     pub fn decide(&self, now: TimePoint) -> ContactChoice {
         if self.failed_calls < MAX_FAILED_CALLS {
             ContactChoice::Renew
@@ -67,32 +71,33 @@
         }
     }
 
-    /// Notes that a renewal is about to be sent.
+    /// Records that a renewal is about to be sent.
     pub fn note_renewal(&mut self, now: TimePoint, timings: &LeaseTimings) {
         self.leases_until = self.leases_until.max(now + timings.expiry_delay());
     }
 
-    /// Notes an answer to a call that was sent at `sent`.
+    /// Records an answer to a call that was sent at `sent`.
     pub fn note_answer(&mut self, sent: TimePoint, timings: &LeaseTimings) {
         if !self.answered {
-            // The worker's runs are known now; only our own renewals count from here.
+            // The first answer tells which runs the worker has and fences the former owner, so only
+            // renewals by this owner count from here on.
             self.leases_until = sent + timings.expiry_delay();
         }
         self.answered = true;
         self.failed_calls = 0;
     }
 
-    /// Notes that a call failed.
+    /// Records a failed call.
     pub fn note_failure(&mut self) {
         self.failed_calls += 1;
     }
 
-    /// Whether the worker has answered since the takeover.
+    /// Returns whether the worker has answered since the takeover.
     pub fn has_answered(&self) -> bool {
         self.answered
     }
 
-    /// Whether it answered the last call.
+    /// Returns whether the worker answered the last call.
     pub fn is_reachable(&self) -> bool {
         self.answered && self.failed_calls == 0
     }
--- a/crates/wax-policy/src/drains.rs
+++ b/crates/wax-policy/src/drains.rs
@@ -1,51 +1,54 @@
-//! Failure domains to which nothing new is sent, as the operator asked, and how sure of it a process is.
+//! Failure domains that the operator has drained, and how recent a process's knowledge of them is.
+//! Nothing new is started in a drained domain.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 use wax_types::TimePoint;
 
-/// Between an agent's look at its view and the start at the worker lie at most 700 ms until the start is
-/// given up, and what two clocks differ by.
+/// Time from an agent's check of its view to the start at the worker: at most 700 ms, after which
+/// the start is given up, plus the difference between two clocks.
 const START_MARGIN: Duration = Duration::from_millis(800);
-/// An owner stops so much sooner: an order that its agent would refuse is not worth sending, and an
-/// agent's view is older than the owner's by up to a heartbeat and its way.
+/// An owner stops ordering starts this much earlier than agents stop sending them: agents would
+/// refuse later orders, since an agent's view is older than the owner's by up to one heartbeat and
+/// its transit time.
 const ORDER_MARGIN: Duration = Duration::from_millis(600);
 
-/// How old a view of drains may be for a start to be sent by it.
+/// Limits on the age of a drain view by which starts are sent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct DrainRules {
-    /// Nothing starts in a failure domain so long after its drain was acknowledged; `None` where the
-    /// platform asks for no bound.
+    /// Time after the acknowledgement of a drain from which nothing starts in the failure domain;
+    /// `None` if the platform requires no bound.
     pub bound: Option<Duration>,
 }
 
 impl DrainRules {
-    /// The oldest view by which an agent sends a start.
+    /// Returns the maximum age of the view by which an agent sends a start; `None` without a bound.
     pub fn max_age_for_start(&self) -> Option<Duration> {
         self.bound.map(|bound| bound.saturating_sub(START_MARGIN))
     }
 
-    /// The oldest view by which an owner orders one.
+    /// Returns the maximum age of the view by which an owner orders a start; `None` without a
+    /// bound.
     pub fn max_age_for_order(&self) -> Option<Duration> {
         let start = self.max_age_for_start();
         start.map(|age| age.saturating_sub(ORDER_MARGIN))
     }
 }
 
-/// Whether a start may be sent to a failure domain now.
+/// Whether a task may be started in a failure domain now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DrainVerdict {
-    /// It takes starts.
+    /// The domain is not drained.
     Open,
-    /// It is drained.
+    /// The domain is drained.
     Drained,
-    /// It may have been drained since the last reading, for too long.
+    /// The view is too old: the domain may have been drained since it was read.
     Unsure,
 }
 
-/// The drained failure domains as the store had them at one version.
+/// Drained failure domains at one version of the store.
 ///
-/// A version never goes back: what an owner of the past or a slower way says later changes nothing.
+/// The version never decreases: late reports from a former owner or over a slower path are ignored.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct DrainView {
     version: u64,
@@ -54,18 +57,19 @@
 }
 
 impl DrainView {
-    /// The drained failure domains.
+    /// Returns the drained failure domains.
     pub fn domains(&self) -> &BTreeSet<Box<str>> {
         &self.domains
     }
 
-    /// The store's version that it stands for.
+    /// Returns the version of the store that the view reflects.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Takes all that are drained at `version` of the store, read no sooner than `as_of`; says whether
-    /// the domains have changed.
+    /// Replaces the view by all domains that are drained at `version` of the store, read at `as_of`
+    /// or later. Ignores versions older than the view. Returns whether the set of domains has
+    /// changed.
     pub fn replace(&mut self, version: u64, domains: BTreeSet<Box<str>>, as_of: TimePoint) -> bool {
         if version < self.version {
             return false;
@@ -77,8 +81,8 @@
         changed
     }
 
-    /// Takes what has changed up to `version`, in order: each domain with whether it is drained; says
-    /// whether the domains have changed.
+    /// Applies the changes up to `version` in order; each is a domain and whether it is drained.
+    /// Returns whether the set of domains has changed.
     pub fn apply_changes(
         &mut self,
         version: u64,
@@ -95,12 +99,14 @@
         self.replace(version, domains, as_of)
     }
 
-    /// For how long a drain may have gone unseen; `None` before the first reading.
+    /// Returns the longest time for which a drain may exist without being in the view; `None`
+    /// before the first read.
     pub fn age(&self, now: TimePoint) -> Option<Duration> {
         self.as_of.map(|as_of| now.since(as_of))
     }
 
-    /// Whether it is no older than `most`; without a bound any view will do, and none.
+    /// Returns whether the view is younger than `max_age`. Without a maximum, every view is fresh,
+    /// even one that was never read.
     pub fn is_fresh(&self, now: TimePoint, max_age: Option<Duration>) -> bool {
         let Some(max_age) = max_age else {
             return true;
@@ -108,7 +114,7 @@
         self.age(now).is_some_and(|age| age < max_age)
     }
 
-    /// Whether a start may be sent to a failure domain by a view no older than `most`.
+    /// Decides whether a task may be started in `domain` by a view younger than `max_age`.
     pub fn verdict(&self, domain: &str, now: TimePoint, max_age: Option<Duration>) -> DrainVerdict {
         if self.domains.contains(domain) {
             DrainVerdict::Drained
--- a/crates/wax-policy/src/gate.rs
+++ b/crates/wax-policy/src/gate.rs
@@ -1,35 +1,36 @@
-//! The slots of one upstream and the short queue before them, earliest deadline first.
+//! Slots of one upstream and the short queue of requests that wait for them, ordered by deadline
+//! (earliest first).
 
 use crate::average::DecayedMean;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wax_types::TimePoint;
 
-/// What to do with a request that arrives.
+/// Decision about a request that arrives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GateChoice {
-    /// Run it now; a slot is taken.
+    /// A slot is taken; run the request now.
     Run,
-    /// It waits in the queue.
+    /// The request waits in the queue.
     Queue,
-    /// The queue is full; a slot is expected after this time.
+    /// The queue is full; a slot is expected to be free after this time.
     Full(Duration),
-    /// Its deadline cannot be met; a slot is expected after this time.
+    /// The deadline cannot be met; a slot is expected to be free after this time.
     CannotMeetDeadline(Duration),
 }
 
-/// What a released slot does next.
+/// Next request to run in a free slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DequeueChoice<K> {
-    /// Run this one; the slot stays taken.
+    /// Run this request; its slot is taken.
     Run(K),
-    /// This one's deadline can no longer be met; ask again.
+    /// This request can no longer meet its deadline and has left the queue; call `dequeue` again.
     Drop(K),
-    /// Nothing waits; the slot is free.
+    /// No request waits or no slot is free.
     Idle,
 }
 
-/// Counts slots exactly and orders those that wait.
+/// Counts the slots in use and queues the requests that wait.
 #[derive(Debug, Clone)]
 pub struct SlotGate<K> {
     slots: usize,
@@ -41,7 +42,8 @@
 }
 
 impl<K: Copy + PartialEq> SlotGate<K> {
-    /// An idle upstream of `slots` slots and at most `queue_limit` waiting requests.
+    /// Creates a gate for an idle upstream with `slots` slots and a queue of at most `queue_limit`
+    /// requests.
     pub fn new(slots: usize, queue_limit: usize) -> Self {
         Self {
             slots,
@@ -53,7 +55,7 @@
         }
     }
 
-    /// Decides about a request that must be answered by `deadline`.
+    /// Decides whether a request that must be answered by `deadline` runs, waits or is refused.
     pub fn admit(&mut self, now: TimePoint, deadline: TimePoint, key: K) -> GateChoice {
         let wait = self.expected_wait();
         if now + wait + self.min_service_time() > deadline {
@@ -71,18 +73,20 @@
         GateChoice::Queue
     }
 
-    /// Gives a slot back after a request that took `spent` at the upstream.
+    /// Frees the slot of a request that took `service_time` at the upstream.
     pub fn release(&mut self, service_time: Duration) {
         self.mean_service_s.add(service_time.as_secs_f64());
         self.slots_used -= 1;
     }
 
-    /// Gives a slot back that reached no upstream, so that nothing was learned.
+    /// Frees the slot of a request that did not reach the upstream and therefore gives no sample of
+    /// the service time.
     pub fn release_unused(&mut self) {
         self.slots_used -= 1;
     }
 
-    /// Takes a free slot for the next request that waits; call until it is idle.
+    /// Assigns a free slot to the next request in the queue. Callers repeat the call until it
+    /// returns [`DequeueChoice::Idle`].
     pub fn dequeue(&mut self, now: TimePoint) -> DequeueChoice<K> {
         if self.slots_used >= self.slots {
             return DequeueChoice::Idle;
@@ -97,14 +101,14 @@
         DequeueChoice::Run(key)
     }
 
-    /// Takes a request out of the queue; says whether it was there.
+    /// Removes a request from the queue; returns whether it was queued.
     pub fn remove(&mut self, key: K) -> bool {
         let before = self.queue.len();
         self.queue.retain(|_, waiting| *waiting != key);
         self.queue.len() < before
     }
 
-    /// The time until a slot is expected to be free for one more request.
+    /// Returns the time until a slot is expected to be free for one more request.
     pub fn expected_wait(&self) -> Duration {
         if self.slots_used < self.slots {
             return Duration::ZERO;
@@ -113,26 +117,27 @@
         Duration::from_secs_f64(self.mean_service_s.value() * ahead / self.slots as f64)
     }
 
-    /// Half of the mean: a request is hopeless only where even a quick one would be late.
+    /// Returns half of the mean service time: a request is refused only if even a fast one would
+    /// miss the deadline.
     fn min_service_time(&self) -> Duration {
         Duration::from_secs_f64(self.mean_service_s.value() * 0.5)
     }
 
-    /// Decayed mean of the time at the upstream.
+    /// Returns the decayed mean of the time that requests take at the upstream.
     pub fn service_time(&self) -> Duration {
         Duration::from_secs_f64(self.mean_service_s.value())
     }
 
-    /// Slots in use.
+    /// Returns the number of slots in use.
     pub fn slots_used(&self) -> usize {
         self.slots_used
     }
 
-    /// Requests that wait.
+    /// Returns the number of requests in the queue.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 }
 
-/// Requests over which the mean of the service time forgets.
+/// Number of requests after which a sample has little weight in the mean service time.
 const SERVICE_TIME_WINDOW: f64 = 64.0;
--- a/crates/wax-policy/src/heartbeats.rs
+++ b/crates/wax-policy/src/heartbeats.rs
@@ -1,32 +1,39 @@
-//! How often an owner asks for heartbeats: the larger its pool, the fewer from each.
+//! Intervals of the heartbeats that agents and fronts send to the owner. The larger the pool, the
+//! longer the interval of each process.
 
 use crate::config_view::{ConfigReader, ConfigRules};
 use std::time::Duration;
 
-/// Agents send heartbeats no more often than this.
+/// Shortest interval between two heartbeats of an agent.
 pub const AGENT_HEARTBEAT_PERIOD: Duration = Duration::from_millis(400);
-/// Nor more seldom: two in a row may be lost before what one has granted ends.
+/// Longest interval between two heartbeats of an agent, so that two heartbeats in a row may be lost
+/// before the grant from the last answer ends.
 const MAX_AGENT_HEARTBEAT_PERIOD: Duration = Duration::from_millis(1_000);
-/// Heartbeats of agents that an owner takes in a second, while the periods allow it.
+/// Total rate of agent heartbeats that an owner aims for; the limits on the interval take
+/// precedence.
 const AGENT_HEARTBEATS_PER_S: u32 = 800;
-/// Fronts send heartbeats no more often than this.
+/// Shortest interval between two heartbeats of a front.
 pub const FRONT_HEARTBEAT_PERIOD: Duration = Duration::from_millis(200);
-/// Heartbeats of fronts that an owner takes in a second, while the periods allow it.
+/// Total rate of front heartbeats that an owner aims for; the limits on the interval take
+/// precedence.
 const FRONT_HEARTBEATS_PER_S: u32 = 200;
-/// The fronts that go first at a takeover watch the owner as closely as they can.
+/// Number of fronts that are first in line to take over; they use the shortest interval, to notice
+/// a lost owner early.
 const EARLY_CANDIDATES: u32 = 8;
-/// A heartbeat takes its way, and may be held up.
+/// One part in this many of the time left for a heartbeat is reserved for its transit and delays.
 const TRANSIT_DIVISOR: u32 = 5;
 
-/// The pause between two heartbeats of each of so many agents.
+/// Returns the interval between two heartbeats of each of `agents` agents.
 pub fn agent_heartbeat_period(agents: usize) -> Duration {
     period_at_rate(agents, AGENT_HEARTBEATS_PER_S)
         .clamp(AGENT_HEARTBEAT_PERIOD, MAX_AGENT_HEARTBEAT_PERIOD)
 }
 
-/// The pause between two heartbeats of one of so many fronts, which has this rank at the next takeover.
+/// Returns the interval between two heartbeats of a front that has this rank at the next takeover,
+/// in a pool of `fronts` fronts.
 ///
-/// A front goes by the owner's readings of the config as long as it hears of each in time.
+/// The interval is short enough that the front learns of each config read by the owner before it
+/// would have to read the config itself.
 pub fn front_heartbeat_period(fronts: usize, rank: u32, rules: &ConfigRules) -> Duration {
     if is_early_candidate(rank) {
         return FRONT_HEARTBEAT_PERIOD;
@@ -36,7 +43,7 @@
     period_at_rate(fronts, FRONT_HEARTBEATS_PER_S).clamp(FRONT_HEARTBEAT_PERIOD, max_period)
 }
 
-/// Whether a front of this rank is among those that go first at the next takeover.
+/// Returns whether a front of this rank is among the first that try to take over.
 pub fn is_early_candidate(rank: u32) -> bool {
     rank < EARLY_CANDIDATES
 }
--- a/crates/wax-policy/src/interference.rs
+++ b/crates/wax-policy/src/interference.rs
@@ -1,32 +1,33 @@
-//! Learns how much one kind of task slows another down, per pair and band of load.
+//! Learns how much one kind of task slows down another, per pair of kinds and band of worker load.
 //!
-//! The only evidence is late usage: how much slower a task ran than alone, beside which kinds. A
-//! report names all neighbours at once, so what was observed beyond the sum of the estimates is
-//! shared among them, as in a least-mean-squares filter.
+//! The only evidence is usage reports, which arrive late: how much slower a task ran than alone,
+//! and which kinds ran on the same worker. A report names all neighbours at once, so the difference
+//! between the observed slowdown and the sum of the estimates is divided among them, as in a
+//! least-mean-squares filter.
 
 use crate::kinds::KindKey;
 use std::collections::HashMap;
 
-/// At this share of its processors in use, a worker counts as loaded.
+/// Share of a worker's processors in use from which the worker counts as loaded.
 const LOADED_SHARE: f64 = 0.6;
-/// Samples over which an estimate forgets.
+/// Number of samples after which a sample has little weight in an estimate.
 const SAMPLE_WINDOW: f64 = 40.0;
-/// Excess expected of a pair of which nothing is known.
+/// Excess assumed for a pair without samples.
 const PRIOR_EXCESS: f64 = 0.08;
-/// Spread of that expectation.
+/// Standard deviation of [`PRIOR_EXCESS`].
 const PRIOR_SPREAD: f64 = 0.25;
 
-/// Whether a worker is loaded.
+/// Band of a worker's load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum LoadBand {
-    /// Less than [`LOADED_SHARE`] in use.
+    /// Less than `LOADED_SHARE` of the processors in use.
     Light,
-    /// At least that.
+    /// At least `LOADED_SHARE` of the processors in use.
     Loaded,
 }
 
 impl LoadBand {
-    /// The band of a share of processors in use.
+    /// Returns the band for a share of processors in use, 0 to 1.
     pub fn of(share: f64) -> Self {
         if share < LOADED_SHARE {
             Self::Light
@@ -36,10 +37,11 @@
     }
 }
 
-/// What is known of one pair in one band.
+/// Estimate for one pair of kinds in one load band.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PairEstimate {
-    /// How much longer the victim takes beside one neighbour; 0.5 is half as long again.
+    /// Slowdown of the affected task by one neighbour: 0.5 means that it takes 50 % longer than
+    /// alone.
     pub excess: f64,
     samples: f64,
 }
@@ -54,7 +56,7 @@
 }
 
 impl PairEstimate {
-    /// How far the true excess may be from the estimate.
+    /// Returns the standard deviation of the estimate.
     pub fn spread(&self) -> f64 {
         PRIOR_SPREAD / (1.0 + self.samples).sqrt()
     }
@@ -65,20 +67,22 @@
     }
 }
 
-/// The estimates of all pairs that were seen.
+/// Estimates of all pairs of kinds that have run on the same worker.
 #[derive(Debug, Clone, Default)]
 pub struct PairTable {
     pairs: HashMap<(KindKey, KindKey, LoadBand), PairEstimate>,
 }
 
 impl PairTable {
-    /// What `neighbour` does to `victim`.
+    /// Returns the estimate of how much `neighbour` slows down `affected`; the prior if the pair
+    /// has no samples.
     pub fn estimate(&self, affected: KindKey, neighbour: KindKey, band: LoadBand) -> PairEstimate {
         let key = (affected, neighbour, band);
         self.pairs.get(&key).copied().unwrap_or_default()
     }
 
-    /// Learns from one report: the victim took `1 + excess` times as long beside `neighbours`.
+    /// Learns from one report, in which the affected task took `1 + excess` times as long on a
+    /// worker with `neighbours` as alone.
     pub fn learn(
         &mut self,
         affected: KindKey,
@@ -100,12 +104,12 @@
         }
     }
 
-    /// How many pairs are known.
+    /// Returns the number of pairs with samples, counted once per load band.
     pub fn len(&self) -> usize {
         self.pairs.len()
     }
 
-    /// Whether nothing was learned yet.
+    /// Returns whether no pair has samples.
     pub fn is_empty(&self) -> bool {
         self.pairs.is_empty()
     }
--- a/crates/wax-policy/src/kinds.rs
+++ b/crates/wax-policy/src/kinds.rs
@@ -1,22 +1,22 @@
-//! Kinds of tasks, numbered densely so that what is learned of pairs fits in small tables.
+//! Kinds of tasks, numbered from 0 so that tables of pairs of kinds stay small.
 
 use std::collections::HashMap;
 
-/// Names a kind in a [`KindTable`].
+/// Key of a kind in a [`KindTable`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub struct KindKey(pub(crate) u16);
 
-/// The kinds known to one owner.
+/// Kinds of tasks known to one owner.
 #[derive(Debug, Clone, Default)]
 pub struct KindTable {
     names: HashMap<Box<str>, KindKey>,
 }
 
-/// Beyond this many, further kinds share the last key.
+/// Maximum number of distinct keys; further kinds share the last one.
 const MAX_KINDS: usize = 4_096;
 
 impl KindTable {
-    /// The key of a kind; a new one if the name is new.
+    /// Returns the key of a kind, and assigns one to a new name.
     pub fn key(&mut self, name: &str) -> KindKey {
         if let Some(key) = self.names.get(name) {
             return *key;
@@ -26,12 +26,12 @@
         key
     }
 
-    /// How many names are known.
+    /// Returns the number of known names.
     pub fn len(&self) -> usize {
         self.names.len()
     }
 
-    /// Whether no name is known.
+    /// Returns whether no name is known.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
--- a/crates/wax-policy/src/lib.rs
+++ b/crates/wax-policy/src/lib.rs
@@ -1,4 +1,5 @@
-//! Decisions as plain functions and small state; the present time is always an argument.
+//! Scheduling and routing decisions as functions and small state machines without I/O. The present
+//! time is always an argument.
 
 mod admission;
 mod average;
--- a/crates/wax-policy/src/mitigation.rs
+++ b/crates/wax-policy/src/mitigation.rs
@@ -1,28 +1,29 @@
-//! Relieves latency-critical tasks of noisy neighbours: throttle first, evict last.
+//! Decides when to throttle or evict tasks that slow down a latency-critical task on the same
+//! worker. Throttling comes first, eviction last.
 
 use crate::interference::PairTable;
 use crate::placement::{CustomerWeights, RunningTask, WorkerCapacity};
 use std::time::Duration;
 use wax_types::{TaskId, TimePoint};
 
-/// Above this slowdown of a latency-critical task, a neighbour is throttled, where tail latency
-/// and throughput weigh the same.
+/// Slowdown of a latency-critical task above which a neighbour is throttled, if tail latency and
+/// throughput have equal weights.
 const THROTTLE_EXCESS: f64 = 0.6;
-/// Bounds on that slowdown for other weights.
+/// Lower and upper bound of the throttling threshold for other weights.
 const MIN_THROTTLE_EXCESS: f64 = 0.25;
 const MAX_THROTTLE_EXCESS: f64 = 2.0;
-/// Above so many times that slowdown, with a throttled neighbour, the neighbour is evicted.
+/// Multiple of the throttling threshold above which a throttled neighbour is evicted.
 const EVICT_FACTOR: f64 = 5.0;
-/// Below this share of it, a throttled neighbour is restored.
+/// Share of the throttling threshold below which the worker counts as calm.
 const RESTORE_SHARE: f64 = 0.5;
-/// Share of its size that a throttled task may use, in percent.
+/// Percentage of its size that a throttled task may use.
 pub const THROTTLED_PERCENT: u8 = 50;
-/// Between two steps on one worker.
+/// Minimum time between two actions on one worker.
 const MIN_ACTION_INTERVAL: Duration = Duration::from_secs(3);
-/// A throttled task is restored after a calm of this length.
+/// Time for which a worker must be calm before a throttled task is restored.
 const CALM_PERIOD: Duration = Duration::from_secs(6);
 
-/// What is remembered of one worker between two looks.
+/// State of one worker between two decisions.
 #[derive(Debug, Clone, Default)]
 pub struct MitigationState {
     throttled: Vec<TaskId>,
@@ -30,36 +31,36 @@
     calm_since: Option<TimePoint>,
 }
 
-/// What to do on a worker now.
+/// Action on a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MitigationChoice {
-    /// Nothing.
+    /// Do nothing.
     Keep,
-    /// Let a task use only [`THROTTLED_PERCENT`] of its size.
+    /// Limit a task to [`THROTTLED_PERCENT`] of its size.
     Throttle(TaskId),
-    /// Let a task use its whole size again.
+    /// Let a throttled task use its whole size again.
     Restore(TaskId),
     /// Evict a task.
     Evict(TaskId),
 }
 
-/// One worker with a slowed latency-critical task, as the latest usage shows it.
+/// Worker with a latency-critical task that is slowed down, as the latest usage report shows it.
 #[derive(Debug, Clone, Copy)]
 pub struct MitigationView<'a> {
-    /// The worker.
+    /// Worker on which the task runs.
     pub worker: &'a WorkerCapacity,
-    /// Its latency-critical task that is slowed most.
+    /// Latency-critical task that is slowed down most.
     pub affected: &'a RunningTask,
-    /// How much longer that task takes than alone; 0.5 is half as long again.
+    /// Slowdown of the affected task: 0.5 means that it takes 50 % longer than alone.
     pub excess: f64,
-    /// What is known of pairs of kinds.
+    /// Estimated interference of all pairs of kinds.
     pub pairs: &'a PairTable,
-    /// What counts for the firm.
+    /// Customer's weights of tail latency, throughput and evictions.
     pub weights: CustomerWeights,
 }
 
 impl MitigationState {
-    /// Decides about one worker.
+    /// Decides which action to take on the worker now.
     pub fn decide(&mut self, now: TimePoint, view: MitigationView<'_>) -> MitigationChoice {
         let is_running = |task: &TaskId| {
             view.worker
@@ -90,7 +91,8 @@
         }
     }
 
-    /// Throttles the noisiest neighbour; evicts one only where all are throttled.
+    /// Throttles the neighbour that interferes most. Evicts one only if all of them are throttled
+    /// already.
     fn mitigate(&mut self, now: TimePoint, view: MitigationView<'_>) -> MitigationChoice {
         let limit = throttle_threshold(view.weights);
         if view.excess <= limit {
@@ -110,7 +112,8 @@
         }
     }
 
-    /// The neighbour that does the victim the most harm, among those throttled or not.
+    /// Returns the evictable task that slows down the affected task most, among those that are
+    /// throttled or those that are not.
     fn strongest_interferer(
         &self,
         view: MitigationView<'_>,
@@ -131,7 +134,7 @@
             .copied()
     }
 
-    /// Restores the task that was throttled last, once the worker was calm for long enough.
+    /// Restores the task that was throttled last if the worker has been calm for [`CALM_PERIOD`].
     fn restore(&mut self, now: TimePoint) -> MitigationChoice {
         let calm = self
             .calm_since
@@ -146,8 +149,8 @@
     }
 }
 
-/// The slowdown from which on neighbours are throttled: the more tail latency weighs against
-/// throughput, the lower.
+/// Returns the slowdown above which neighbours are throttled. The more weight tail latency has
+/// relative to throughput, the lower the threshold.
 fn throttle_threshold(weights: CustomerWeights) -> f64 {
     let ratio = weights.throughput.max(1.0) / weights.tail.max(1.0);
     (THROTTLE_EXCESS * ratio.sqrt()).clamp(MIN_THROTTLE_EXCESS, MAX_THROTTLE_EXCESS)
--- a/crates/wax-policy/src/pair_interference.rs
+++ b/crates/wax-policy/src/pair_interference.rs
@@ -1,59 +1,63 @@
-//! How much tasks of one image press on tasks of another, learned from changes of their load.
+//! Learns how much best-effort tasks of one image slow down serving tasks of another image, from
+//! changes of the serving tasks' load.
 //!
-//! A serving task's load is its own load times one plus the press: for each filling image the cores
-//! in use, times what a core of that image presses. The own load drifts slowly, while starts, ends
-//! and changes of pace change the cores at once. So the ratio of two loads half a second apart tells
-//! of the press alone, but for the drift, which is known in size. Each ratio is one step of a Kalman
+//! The load of a serving task is modelled as its baseline load times one plus the interference. The
+//! interference is the sum over all best-effort images of the cores in use times the interference
+//! per core of that image. The baseline load drifts slowly, while starts, ends and changes of pace
+//! change the cores in use at once. The ratio of two loads half a second apart therefore depends on
+//! the interference alone, except for a drift of known size. Each ratio is one step of a Kalman
 //! filter that keeps a mean and a variance for each pair of images.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// What a core presses before anything is known: by the users' trace some four of nine images
-/// press on none, the others by 0.05 to 0.2.
+/// Interference per core assumed for a pair without observations. In the users' trace about four of
+/// nine images cause none and the others 0.05 to 0.2.
 const PRIOR_PER_CORE: f64 = 0.08;
-/// Certainty of that, as one over its variance: a spread of 0.12.
+/// Precision (one over the variance) of [`PRIOR_PER_CORE`]; the standard deviation is 0.12.
 const PRIOR_PRECISION: f64 = 70.0;
-/// Observations beyond this certainty (a spread of 0.02) count no more, so that what changes is
-/// followed.
+/// Upper bound on the precision of the observations (a standard deviation of 0.02), so that the
+/// estimate follows later changes.
 const MAX_PRECISION: f64 = 2_500.0;
-/// The greatest press of a core that is believed.
+/// Upper bound on the estimated interference per core.
 const MAX_PER_CORE: f64 = 2.0;
-/// By how much the logarithm of an own load drifts in half a second.
+/// Standard deviation of the change of the logarithm of a baseline load within [`DRIFT_PERIOD_S`].
 const LOAD_DRIFT: f64 = 0.10;
-/// Spread of the logarithm of a load that is measured at [`MEASURED_LOAD`]; lower loads show worse.
+/// Standard deviation of the logarithm of a measured load at [`REFERENCE_LOAD`]; it grows as the
+/// load falls.
 const MEASUREMENT_SPREAD: f64 = 0.08;
-/// See [`MEASURE`].
+/// Load to which [`MEASUREMENT_SPREAD`] refers.
 const REFERENCE_LOAD: f64 = 0.3;
-/// The period of the drift, seconds.
+/// Period to which [`LOAD_DRIFT`] refers, in seconds.
 const DRIFT_PERIOD_S: f64 = 0.5;
-/// An observation that misses by more than this many spreads counts as missing by this many.
+/// Residuals of more standard deviations than this are clamped.
 const MAX_DEVIATIONS: f64 = 2.5;
-/// Less certainty than this is not worth noting.
+/// Observations of a lower precision than this are ignored.
 const MIN_PRECISION: f64 = 1e-6;
 
-/// What is known of a pair of images by observation.
+/// Observed interference of one best-effort image with one serving image.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct PairInterference {
-    /// By what share the load of the serving image grows for each core that the filling one uses.
+    /// Share by which the load of the serving image grows per core that the best-effort image uses.
     pub per_core: f64,
-    /// How certain that is: one over its variance; 0 without an observation.
+    /// Precision of `per_core`, as one over its variance; 0 without observations.
     pub precision: f64,
 }
 
 impl PairInterference {
-    /// The press of a core as far as it is known; never below 0.
+    /// Returns the estimated interference per core: the observations combined with the prior, 0 or
+    /// more.
     pub fn expected(self) -> f64 {
         let sum = PRIOR_PER_CORE * PRIOR_PRECISION + self.per_core * self.precision;
         (sum / (PRIOR_PRECISION + self.precision)).clamp(0.0, MAX_PER_CORE)
     }
 
-    /// The spread of what is expected.
+    /// Returns the standard deviation of the estimate.
     pub fn spread(self) -> f64 {
         self.variance().sqrt()
     }
 
-    /// Whether it is surely below `bound`.
+    /// Returns whether the estimate plus one standard deviation is below `bound`.
     pub fn is_negligible(self, bound: f64) -> bool {
         self.expected() + self.spread() < bound
     }
@@ -62,7 +66,7 @@
         1.0 / (PRIOR_PRECISION + self.precision)
     }
 
-    /// Both pieces of knowledge together.
+    /// Combines two sets of observations, weighted by their precision.
     fn combined_with(self, other: Self) -> Self {
         let precision = self.precision + other.precision;
         if precision <= 0.0 {
@@ -83,51 +87,52 @@
     }
 }
 
-/// Cores in use by each filling image.
+/// Cores in use by each best-effort image on a worker.
 pub type CoresByImage = BTreeMap<Box<str>, f64>;
 
-/// What one look shows of an image that serves on a worker.
+/// Sample of the load of a serving image on a worker.
 #[derive(Debug, Clone, Copy)]
 pub struct LoadSample<'a> {
-    /// Cores in use beside it.
+    /// Cores in use by best-effort images on the worker.
     pub cores: &'a CoresByImage,
-    /// Whether the load is too high to be told: it is only known to be at least that.
+    /// Whether the load is too high to be determined: the measured value is only a lower bound.
     pub saturated: bool,
 }
 
-/// The change of a serving image's load between two looks at one worker.
+/// Change of a serving image's load between two samples of one worker.
 #[derive(Debug, Clone, Copy)]
 pub struct LoadChange<'a> {
-    /// The image that serves.
+    /// Serving image.
     pub serving: &'a str,
-    /// The look before.
+    /// Earlier sample.
     pub before: LoadSample<'a>,
-    /// The look now.
+    /// Later sample.
     pub after: LoadSample<'a>,
-    /// The logarithm of the load now over the load before.
+    /// Logarithm of the ratio of the later load to the earlier one.
     pub log_growth: f64,
-    /// The load now, 0 to 1.
+    /// Load at the later sample, 0 to 1.
     pub load: f64,
-    /// The time between the two looks.
+    /// Time between the two samples.
     pub interval: Duration,
 }
 
-/// What is known of all pairs: the image that serves, then the one that fills.
+/// Observed interference of all pairs, by serving image and then best-effort image.
 #[derive(Debug, Clone, Default)]
 pub struct InterferenceTable {
-    /// A look-up, of which each placement makes some hundreds, copies no name.
+    /// The maps are nested so that lookups copy no names; each placement makes some hundreds of
+    /// them.
     pairs: HashMap<Box<str>, HashMap<Box<str>, PairInterference>>,
 }
 
 impl InterferenceTable {
-    /// What is known of a pair.
+    /// Returns the observed interference of a pair; without observations a precision of 0.
     pub fn get(&self, serving: &str, best_effort: &str) -> PairInterference {
         let of_serving = self.pairs.get(serving);
         let known = of_serving.and_then(|pairs| pairs.get(best_effort));
         known.copied().unwrap_or_default()
     }
 
-    /// Adds observations of a pair; says what is known now.
+    /// Adds observations of a pair and returns all that is known of it.
     pub fn merge(
         &mut self,
         serving: &str,
@@ -139,7 +144,7 @@
         *known
     }
 
-    /// Sets what is known of a pair.
+    /// Replaces the observations of a pair.
     pub fn set(&mut self, serving: &str, best_effort: &str, interference: PairInterference) {
         *self.entry(serving, best_effort) = interference;
     }
@@ -149,17 +154,17 @@
         of_serving.entry(best_effort.into()).or_default()
     }
 
-    /// How many pairs are known.
+    /// Returns the number of pairs in the table.
     pub fn len(&self) -> usize {
         self.pairs.values().map(HashMap::len).sum()
     }
 
-    /// Whether no pair is known.
+    /// Returns whether the table has no pairs.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// All pairs.
+    /// Returns all pairs as serving image, best-effort image and interference.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str, PairInterference)> {
         let images = self.pairs.iter();
         images.flat_map(|(serving, pairs)| {
@@ -168,7 +173,8 @@
         })
     }
 
-    /// By what share all that fills beside an image raises its load.
+    /// Returns the share by which best-effort tasks with these cores in use raise the load of a
+    /// serving image.
     pub fn interference_on(&self, serving: &str, cores: &CoresByImage) -> f64 {
         let increases = cores
             .iter()
@@ -176,7 +182,7 @@
         increases.sum()
     }
 
-    /// Learns from a change of load; returns what was observed of each pair.
+    /// Learns from a change of load; returns the new observation of each pair.
     pub fn learn(&mut self, change: &LoadChange<'_>) -> Vec<(Box<str>, PairInterference)> {
         let before = 1.0 + self.interference_on(change.serving, change.before.cores);
         let after = 1.0 + self.interference_on(change.serving, change.after.cores);
@@ -208,8 +214,9 @@
 }
 
 impl PairInterference {
-    /// What an observation that missed by `missed` adds to what is known, if it answers with
-    /// `slope` to the press of this pair.
+    /// Returns the observation that a residual adds to this pair, where `sensitivity` is the
+    /// derivative of the logarithm of the load ratio with respect to the pair's interference per
+    /// core, and `variance` the total variance of the residual.
     fn observe(self, sensitivity: f64, residual: f64, variance: f64) -> Self {
         let gain = self.variance() * sensitivity / variance;
         let remaining = 1.0 - gain * sensitivity;
@@ -228,7 +235,8 @@
 }
 
 impl LoadChange<'_> {
-    /// Whether the miss is one that a load too high to be told explains.
+    /// Returns whether the residual may come only from a saturated load, whose value is a lower
+    /// bound.
     fn is_uninformative(&self, residual: f64) -> bool {
         match (self.before.saturated, self.after.saturated) {
             (true, true) => true,
@@ -238,7 +246,8 @@
         }
     }
 
-    /// How the logarithm of the ratio answers to the press of each image.
+    /// Returns the derivative of the logarithm of the load ratio with respect to the interference
+    /// per core of each image.
     fn sensitivities(&self, before: f64, after: f64) -> BTreeMap<Box<str>, f64> {
         let mut sensitivities = BTreeMap::new();
         for (best_effort, used) in self.after.cores {
@@ -250,7 +259,8 @@
         sensitivities
     }
 
-    /// The variance of what is not told by the presses: drift and the measure itself.
+    /// Returns the variance that interference does not explain: the drift of the baseline load and
+    /// the measurement error.
     fn noise(&self) -> f64 {
         let drift = LOAD_DRIFT * self.interval.as_secs_f64() / DRIFT_PERIOD_S;
         let measurement = MEASUREMENT_SPREAD * REFERENCE_LOAD / self.load;
@@ -258,15 +268,16 @@
     }
 }
 
-/// Before an agent has told of it, an image that serves is taken to bear this much press.
+/// Headroom assumed for a serving image until the agent has reported one.
 const INITIAL_HEADROOM: f64 = 0.5;
-/// A room below this is reckoned as this when shares of it are compared.
+/// Lower bound on a headroom when shares of it are computed.
 const MIN_HEADROOM: f64 = 0.05;
 
-/// What serves and what fills on one worker, and how much press it bears.
+/// Serving and best-effort runs on one worker, and the headroom of its serving images.
 ///
-/// The room of an image is told by the worker's agent without regard to what fills beside it; what
-/// was placed is counted here. So a placement that the agent has yet to see is not forgotten.
+/// The agent reports the headroom of an image without regard to the best-effort tasks on the
+/// worker. The owner subtracts those that it has placed, so that placements which the agent has not
+/// yet observed count as well.
 #[derive(Debug, Clone, Default)]
 pub struct WorkerInterference {
     serving: BTreeMap<Box<str>, u32>,
@@ -274,47 +285,49 @@
     headroom: BTreeMap<Box<str>, f64>,
 }
 
-/// How one more filling task would fare on a worker, and at whose cost.
+/// Predicted effect of placing one more best-effort task on a worker.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct InterferenceEstimate {
-    /// The pace that is left to it, 0 to 1.
+    /// Pace that the task could run at, 0 to 1.
     pub pace: f64,
-    /// The greatest share of a serving image's room that it would take at full pace.
+    /// Largest share of a serving image's headroom that the task would take at full pace.
     pub headroom_share: f64,
 }
 
 impl WorkerInterference {
-    /// A run of an image that serves is placed here.
+    /// Counts a run of a serving image that is placed on the worker.
     pub fn add_serving(&mut self, image: &str) {
         *self.serving.entry(image.into()).or_default() += 1;
     }
 
-    /// A run of an image that serves has ended.
+    /// Removes a run of a serving image that has ended.
     pub fn remove_serving(&mut self, image: &str) {
         subtract_from(&mut self.serving, image, 1);
     }
 
-    /// A run of an image that fills is placed here, asking for thousandths of a core.
+    /// Counts a run of a best-effort image that is placed on the worker and requests `cpu_milli`
+    /// thousandths of a core.
     pub fn add_best_effort(&mut self, image: &str, cpu_milli: u32) {
         *self.best_effort_milli.entry(image.into()).or_default() += cpu_milli;
     }
 
-    /// A run of an image that fills has ended.
+    /// Removes a run of a best-effort image that has ended.
     pub fn remove_best_effort(&mut self, image: &str, cpu_milli: u32) {
         subtract_from(&mut self.best_effort_milli, image, cpu_milli);
     }
 
-    /// The agent tells how much press an image that serves bears in all.
+    /// Sets the total interference that a serving image tolerates, as the agent reports it.
     pub fn set_headroom(&mut self, image: &str, image_headroom: f64) {
         self.headroom.insert(image.into(), image_headroom);
     }
 
-    /// Runs that serve, by image.
+    /// Returns the number of runs of each serving image.
     pub fn serving(&self) -> &BTreeMap<Box<str>, u32> {
         &self.serving
     }
 
-    /// How one more filling task of `image` would fare; a press surely below `no_press` is none.
+    /// Predicts the effect of one more best-effort task of `image`. A pair whose
+    /// interference is negligible, with `negligible` as the bound, counts as 0.
     pub fn estimate(
         &self,
         table: &InterferenceTable,
@@ -347,7 +360,8 @@
         estimate
     }
 
-    /// The press on an image of all that is placed here, at full pace.
+    /// Returns the interference with a serving image by all best-effort runs placed on the worker,
+    /// at full pace.
     fn reserved_interference(
         &self,
         table: &InterferenceTable,
@@ -368,7 +382,7 @@
     }
 }
 
-/// Takes an amount from a count; a count of nothing is dropped.
+/// Subtracts an amount from the count of an image, and removes the image if the count becomes 0.
 fn subtract_from(counts: &mut BTreeMap<Box<str>, u32>, image: &str, amount: u32) {
     if let Some(count) = counts.get_mut(image) {
         *count = count.saturating_sub(amount);
--- a/crates/wax-policy/src/placement.rs
+++ b/crates/wax-policy/src/placement.rs
@@ -1,4 +1,4 @@
-//! Chooses the worker for a task, and the tasks that make room for an urgent one.
+//! Chooses the worker for a task, and the tasks to evict for an urgent one.
 
 use crate::interference::{LoadBand, PairTable};
 use crate::kinds::KindKey;
@@ -9,34 +9,37 @@
 use wax_types::{ResourceVector, TaskId, TimePoint};
 
 new_key_type! {
-    /// Names a worker in a [`WorkerTable`].
+    /// Key of a worker in a [`WorkerTable`].
     pub struct WorkerKey;
 }
 
-/// Workers that are scored for one task at most, so that the cost does not grow with their number.
+/// Maximum number of workers that are scored for one task, so that the cost of a decision does not
+/// grow with the number of workers.
 const MAX_SCORED_WORKERS: usize = 24;
-/// How much a full worker counts against a task that takes twice as long.
+/// Weight of a worker's utilization in its score, where a task that takes twice as long as alone
+/// counts as 1.
 const FIT_WEIGHT: f64 = 0.15;
-/// Slowdown of a latency-critical task beyond which more of it matters little.
+/// Slowdown of a latency-critical task above which a further slowdown adds little to its cost.
 const SATURATION: f64 = 0.5;
-/// Workers that keep room for an urgent task, so that it need not evict; each costs batch work.
+/// Number of workers on which batch tasks must leave free capacity for an urgent task, so that it
+/// does not need to evict. Each further worker would reduce batch throughput.
 const HEADROOM_WORKERS: usize = 1;
-/// Workers on which evictions are weighed for one task at most.
+/// Maximum number of workers on which evictions are compared for one task.
 const MAX_EVICTION_CANDIDATES: usize = 64;
 
-/// How a worker is chosen; all but the first are baselines.
+/// Policy by which a worker is chosen. All but `Weighed` are baselines for comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum PlacementPolicy {
-    /// By a score of fit and of the harm that neighbours do to each other.
+    /// The best score of utilization and interference between neighbours.
     #[default]
     Weighed,
-    /// Any that fits.
+    /// A random worker on which the task fits.
     Random,
-    /// Each in turn that fits.
+    /// The workers in turn, skipping those on which the task does not fit.
     RoundRobin,
-    /// The one with the most room.
+    /// The worker with the lowest share of its capacity reserved.
     LeastLoaded,
-    /// The first that fits.
+    /// The first worker on which the task fits.
     FirstFit,
 }
 
@@ -55,14 +58,14 @@
     }
 }
 
-/// What counts for a firm; only the proportions matter.
+/// Customer's weights of the objectives; only their ratios matter.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CustomerWeights {
-    /// Tail latency of what is latency-critical.
+    /// Weight of the tail latency of latency-critical tasks.
     pub tail: f64,
-    /// Batch throughput.
+    /// Weight of batch throughput.
     pub throughput: f64,
-    /// Evictions.
+    /// Weight of avoiding evictions.
     pub eviction: f64,
 }
 
@@ -76,28 +79,28 @@
     }
 }
 
-/// A task that runs on a worker, as far as decisions need it.
+/// Task that runs on a worker, with what placement and eviction depend on.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RunningTask {
-    /// The task.
+    /// Id of the task.
     pub task: TaskId,
-    /// Its kind.
+    /// Kind of the task, by which interference is estimated.
     pub kind: KindKey,
-    /// What is reserved for it.
+    /// Resources reserved for the task.
     pub size: ResourceVector,
-    /// Whether it is latency-critical.
+    /// Whether the task is latency-critical.
     pub urgent: bool,
-    /// Whether it may be evicted for an urgent task.
+    /// Whether the task may be evicted for an urgent one.
     pub evictable: bool,
-    /// When it started or was last checkpointed: later work would be lost.
+    /// Time of the start or of the last checkpoint; an eviction loses the work done since then.
     pub saved_at: TimePoint,
-    /// It is not evicted again before this time.
+    /// Time before which the task is not evicted.
     pub protected_until: TimePoint,
-    /// Whether an eviction would keep it from ending before evening.
+    /// Whether an eviction would keep the task from ending before the end of the working day.
     pub due_today: bool,
 }
 
-/// A worker as far as decisions need it.
+/// Capacity, reservations and tasks of one worker.
 #[derive(Debug, Clone)]
 pub struct WorkerCapacity {
     capacity: ResourceVector,
@@ -106,75 +109,76 @@
     tasks: Vec<RunningTask>,
 }
 
-/// What a task needs.
+/// Requirements of a task that is to be placed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TaskDemand {
-    /// Its kind.
+    /// Kind of the task, by which interference is estimated.
     pub kind: KindKey,
-    /// What is reserved for it.
+    /// Resources to reserve for the task.
     pub size: ResourceVector,
-    /// Whether it may evict batch tasks.
+    /// Whether the task is latency-critical and may evict batch tasks.
     pub urgent: bool,
 }
 
-/// What a choice looks at besides the workers.
+/// Input of a placement decision besides the workers and the task.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementContext<'a> {
-    /// What is known of pairs of kinds.
+    /// Estimated interference of all pairs of kinds.
     pub pairs: &'a PairTable,
-    /// What counts for the firm.
+    /// Customer's weights of the objectives.
     pub weights: CustomerWeights,
-    /// Workers on which the task failed.
+    /// Workers on which the task has failed and which are not chosen.
     pub avoid: &'a [WorkerKey],
-    /// How to choose.
+    /// Policy by which the worker is chosen.
     pub policy: PlacementPolicy,
 }
 
-/// What to do with a task that waits.
+/// Result of a placement decision.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PlacementChoice {
-    /// Place it on this worker.
+    /// Place the task on this worker.
     Place(WorkerKey),
-    /// Evict these tasks of the worker; then there is room.
+    /// Evict these tasks from the worker; the task fits on it afterwards.
     Evict(WorkerKey, Vec<TaskId>),
-    /// Nothing fits now.
+    /// The task fits nowhere at present.
     Wait,
-    /// It is larger than every worker.
+    /// The task is larger than every worker.
     Impossible,
 }
 
-/// The workers of one shard.
+/// Workers of one shard.
 #[derive(Debug, Clone, Default)]
 pub struct WorkerTable {
     workers: SlotMap<WorkerKey, WorkerCapacity>,
     order: Vec<WorkerKey>,
     next_start: usize,
-    /// The largest of the latest urgent tasks: room for it is kept free somewhere.
+    /// Free capacity that batch tasks must leave on some worker: the size of the last urgent task
+    /// that did not fit in the value before.
     urgent_size: Option<ResourceVector>,
 }
 
 impl WorkerCapacity {
-    /// What is not reserved.
+    /// Returns the capacity that is not reserved.
     pub fn free(&self) -> ResourceVector {
         self.capacity.saturating_sub(self.reserved)
     }
 
-    /// What it has.
+    /// Returns the total capacity.
     pub fn capacity(&self) -> ResourceVector {
         self.capacity
     }
 
-    /// What is reserved.
+    /// Returns the capacity that is reserved for the tasks.
     pub fn reserved(&self) -> ResourceVector {
         self.reserved
     }
 
-    /// What runs there.
+    /// Returns the tasks on the worker.
     pub fn tasks(&self) -> &[RunningTask] {
         &self.tasks
     }
 
-    /// The band of its load.
+    /// Returns the load band by the share of capacity that is reserved.
     pub fn load_band(&self) -> LoadBand {
         LoadBand::of(self.load())
     }
@@ -185,7 +189,7 @@
 }
 
 impl WorkerTable {
-    /// Adds an idle worker.
+    /// Adds a worker without tasks that accepts new ones.
     pub fn add(&mut self, capacity: ResourceVector) -> WorkerKey {
         let key = self.workers.insert(WorkerCapacity {
             capacity,
@@ -197,30 +201,31 @@
         key
     }
 
-    /// Removes a worker.
+    /// Removes a worker and its reservations.
     pub fn remove(&mut self, key: WorkerKey) {
         self.workers.remove(key);
         self.order.retain(|other| *other != key);
     }
 
-    /// Whether new tasks may be placed on a worker.
+    /// Sets whether new tasks may be placed on a worker.
     pub fn set_open(&mut self, key: WorkerKey, open: bool) {
         if let Some(worker) = self.workers.get_mut(key) {
             worker.open = open;
         }
     }
 
-    /// The worker.
+    /// Returns the worker, if the table has it.
     pub fn get(&self, key: WorkerKey) -> Option<&WorkerCapacity> {
         self.workers.get(key)
     }
 
-    /// All workers.
+    /// Returns the keys of all workers.
     pub fn keys(&self) -> impl Iterator<Item = WorkerKey> + '_ {
         self.workers.keys()
     }
 
-    /// Reserves room; says whether it fitted. Nothing is reserved beyond the capacity.
+    /// Reserves capacity for a task; returns false if the worker is unknown or the task does not
+    /// fit.
     pub fn reserve(&mut self, key: WorkerKey, task: RunningTask) -> bool {
         let Some(worker) = self.workers.get_mut(key) else {
             return false;
@@ -235,7 +240,7 @@
         }
     }
 
-    /// Gives the room of a task back.
+    /// Releases the reservation of a task; `None` if the worker does not have it.
     pub fn release(&mut self, key: WorkerKey, task: TaskId) -> Option<RunningTask> {
         let worker = self.workers.get_mut(key)?;
         let position = worker.tasks.iter().position(|other| other.task == task)?;
@@ -244,7 +249,7 @@
         Some(task)
     }
 
-    /// Chooses for one task.
+    /// Chooses a worker for one task.
     pub fn choose(
         &mut self,
         now: TimePoint,
@@ -291,7 +296,8 @@
         }
     }
 
-    /// The size for which a batch task must leave room, where few workers have it.
+    /// Returns the capacity that a batch task must leave free on a worker that has it; `None` if
+    /// more than [`HEADROOM_WORKERS`] workers have it or the task need not leave any.
     fn required_headroom(
         &self,
         demand: TaskDemand,
@@ -329,7 +335,7 @@
         })
     }
 
-    /// For an urgent task: the worker where eviction loses the least work.
+    /// Chooses the worker on which an eviction for an urgent task loses the least work.
     fn choose_eviction(
         &self,
         now: TimePoint,
@@ -363,15 +369,18 @@
     }
 }
 
-/// Whether a worker has no room for `size` anyway, or has it also beside the new task.
+/// Returns whether `size` would still fit on the worker next to the new task, or does not fit even
+/// now.
 fn keeps_headroom(worker: &WorkerCapacity, demand: TaskDemand, size: ResourceVector) -> bool {
     let free = worker.free();
     !size.fits_in(free) || size.fits_in(free.saturating_sub(demand.size))
 }
 
-/// Lower is better: how full the worker becomes, and the harm that the neighbours do.
+/// Returns the cost of placing the task on the worker, lower is better: the utilization afterwards
+/// and the interference between neighbours.
 ///
-/// All tasks spread: a fuller worker is in the worse band for everybody on it.
+/// Utilization counts for all tasks, so that they spread over the workers: on a worker in the
+/// higher load band every task suffers more interference.
 fn score(worker: &WorkerCapacity, demand: TaskDemand, context: &PlacementContext<'_>) -> f64 {
     let reserved = worker
         .reserved
@@ -383,17 +392,18 @@
     after * FIT_WEIGHT + interference_cost / total.max(1.0)
 }
 
-/// The cost of a slowdown of a latency-critical task, between 0 and 1.
+/// Returns the cost of a slowdown of a latency-critical task, 0 to 1.
 ///
-/// It saturates: requests are routed elsewhere by then, so noise is better kept in one place.
+/// The cost saturates because requests are routed to other workers once a task is slow, so that a
+/// further slowdown does little harm. Interfering tasks are therefore better kept on one worker.
 fn saturate(excess: f64) -> f64 {
     1.0 - libm::exp(-excess / SATURATION)
 }
 
-/// Expected slowdown of one victim by one neighbour.
+/// Returns the expected slowdown of one affected task by one neighbour.
 ///
-/// Where the victim is latency-critical the estimate is raised by its spread; where it is batch it
-/// is lowered, so that unknown pairs get tried.
+/// For a latency-critical task, one standard deviation is added to the estimate. For a batch task,
+/// half of one is subtracted, so that pairs without samples get tried.
 fn expected_slowdown(
     pairs: &PairTable,
     (affected, urgent): (KindKey, bool),
@@ -405,7 +415,8 @@
     (estimate.excess + margin * estimate.spread()).max(0.0)
 }
 
-/// Expected slowdown of the neighbours by the task and of the task by them, weighed.
+/// Returns the weighted cost of the slowdown of the neighbours by the task and of the task by its
+/// neighbours.
 fn interference_cost(
     worker: &WorkerCapacity,
     demand: TaskDemand,
@@ -440,14 +451,16 @@
     }
 }
 
-/// What an eviction on one worker costs.
+/// Tasks to evict from one worker, and the cost.
 struct EvictionPlan {
     victims: Vec<TaskId>,
     lost_work: Duration,
     due_today: bool,
 }
 
-/// The evictable tasks until the size fits: least work lost first, or in the order of arrival.
+/// Chooses evictable tasks until `size` fits; `None` if it does not fit even without all of them.
+/// With `weighed`, tasks that lose the least work come first, otherwise the order of arrival
+/// decides.
 fn plan_eviction(
     worker: &WorkerCapacity,
     now: TimePoint,
@@ -481,7 +494,7 @@
     None
 }
 
-/// Takes back victims that are not needed once later, larger ones were added.
+/// Removes tasks from `chosen` that need not be evicted because larger ones were added after them.
 fn drop_unneeded_victims(
     chosen: &mut Vec<&RunningTask>,
     mut free: ResourceVector,
--- a/crates/wax-policy/src/rendezvous.rs
+++ b/crates/wax-policy/src/rendezvous.rs
@@ -1,13 +1,13 @@
-//! Rendezvous hashing: a member that leaves moves only what it held.
+//! Rendezvous hashing: when a member leaves, only the keys that it held move to other members.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The rank of `member` for `key`; the highest rank wins.
+/// Returns the rank of `member` for `key`; the highest rank wins.
 pub fn rank_score(key: u64, member: &str) -> u64 {
     xxh3_64_with_seed(member.as_bytes(), key)
 }
 
-/// The member with the highest rank for `key`.
+/// Returns the member with the highest rank for `key`; `None` without members.
 pub fn top_member<'a>(key: u64, members: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     members
         .into_iter()
--- a/crates/wax-policy/src/retry.rs
+++ b/crates/wax-policy/src/retry.rs
@@ -1,12 +1,12 @@
-//! A budget of retries in proportion to the requests.
+//! Retry budget: limits retries to a share of the requests.
 
-/// Each request earns a share of a retry; saved retries are bounded.
+/// Budget to which each request adds a share of a retry, up to a maximum.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryBudget {
     tokens: f64,
 }
 
-/// Retries that a quiet team may make in a row.
+/// Maximum number of saved retries, which a team may make in a row.
 const MAX_TOKENS: f64 = 10.0;
 
 impl Default for RetryBudget {
@@ -16,12 +16,12 @@
 }
 
 impl RetryBudget {
-    /// Counts a request that earns `percent` of a retry.
+    /// Adds `percent` hundredths of a retry for one request.
     pub fn deposit(&mut self, percent: u32) {
         self.tokens = (self.tokens + f64::from(percent) / 100.0).min(MAX_TOKENS);
     }
 
-    /// Takes one retry if there is one.
+    /// Takes one retry from the budget; returns whether there was one.
     pub fn try_spend(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
--- a/crates/wax-policy/src/routing.rs
+++ b/crates/wax-policy/src/routing.rs
@@ -9,30 +9,33 @@
 use wax_types::TimePoint;
 
 new_key_type! {
-    /// Names an upstream in a [`RouteTable`].
+    /// Key of an upstream in a [`RouteTable`].
     pub struct UpstreamKey;
 }
 
-/// Requests over which an upstream's latency is remembered.
+/// Number of requests after which a sample has little weight in the mean latency of an upstream.
 const LATENCY_WINDOW: f64 = 32.0;
-/// Expected time of a request before anything was measured.
+/// Expected latency of an upstream before any sample.
 const LATENCY_PRIOR: Duration = Duration::from_millis(5);
-/// What crossing to another failure domain costs; the brief's one-way latency is 0.5 to 1 ms.
+/// Cost of crossing to another failure domain, where the one-way latency is 0.5 to 1 ms.
 const DOMAIN_PENALTY: Duration = Duration::from_millis(2);
-/// A sidecar that has said nothing for this long gets nothing; it speaks every second.
+/// Time without a report from its sidecar after which an upstream gets no requests. Sidecars report
+/// every second.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(3);
-/// For how long others are preferred to an upstream that refused or failed.
+/// Time for which other upstreams are preferred after an upstream refused a request or failed.
 const REFUSAL_PENALTY_TIME: Duration = Duration::from_millis(200);
-/// An upstream that answers nothing for so many usual times is overdue.
+/// Multiple of its service time after which an upstream that answers nothing is overdue.
 const OVERDUE_FACTOR: f64 = 2.5;
 const MIN_OVERDUE: Duration = Duration::from_millis(40);
-/// How much worse an upstream counts that is shunned.
+/// Factor on the expected time of an upstream that is to be avoided.
 const AVOID_FACTOR: f64 = 20.0;
-/// An answer that takes this many times as long as usual is slow.
+/// Multiple of the expected time after which an answer counts as slow and a hedged request is sent.
 const HEDGE_FACTOR: f64 = 2.0;
-/// A second attempt must be sent this many usual times before the deadline.
+/// Multiple of the service time that must be left before the deadline when a hedged request is
+/// sent.
 const HEDGE_MARGIN_FACTOR: f64 = 1.4;
-/// A newcomer's expected time counts this much more at first, falling to 1.
+/// Factor on the expected time of an upstream that has just connected; it falls to 1 over
+/// [`WARMUP_TIME`].
 const WARMUP_FACTOR: f64 = 3.0;
 const WARMUP_TIME: Duration = Duration::from_secs(5);
 /// Consecutive failures after which an upstream is ejected.
@@ -40,17 +43,18 @@
 const MIN_EJECTION: Duration = Duration::from_secs(1);
 const MAX_EJECTION: Duration = Duration::from_secs(30);
 
-/// How an upstream is chosen; all but the first are baselines.
+/// Policy by which an upstream is chosen. All but `Weighed` are baselines for comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum RoutePolicy {
-    /// The better of two by expected time, own failure domain first until it would have to wait.
+    /// The better of two random upstreams by expected time. Upstreams in the own failure domain
+    /// come first unless the request would have to wait there.
     #[default]
     Weighed,
-    /// Any.
+    /// A random upstream.
     Random,
-    /// Each in turn.
+    /// The upstreams in turn.
     RoundRobin,
-    /// The one with the fewest requests under way.
+    /// The upstream with the fewest requests in flight.
     LeastLoaded,
 }
 
@@ -68,22 +72,22 @@
     }
 }
 
-/// What a sidecar last said.
+/// Load of an upstream as its sidecar last reported it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct UpstreamLoad {
-    /// Slots in use.
+    /// Number of slots in use.
     pub slots_used: u32,
-    /// Requests that wait for a slot.
+    /// Number of requests that wait for a slot.
     pub queued: u32,
-    /// Mean time at the upstream.
+    /// Mean time that requests take at the upstream.
     pub service_time: Duration,
-    /// Whether it takes no new work.
+    /// Whether the upstream is leaving and accepts no new requests.
     pub leaving: bool,
-    /// Whether the sidecar reaches it.
+    /// Whether the sidecar can reach the upstream.
     pub up: bool,
 }
 
-/// One upstream as this entry sees it.
+/// State of one upstream as this entry knows it.
 #[derive(Debug, Clone)]
 pub struct UpstreamView {
     service: Box<str>,
@@ -98,37 +102,39 @@
     failures: u32,
     ejections: u32,
     ejected_until: TimePoint,
-    /// Since when requests are under way without any answer.
+    /// Time since which requests have been in flight without any answer.
     unanswered_since: Option<TimePoint>,
-    /// It refused a request; until this time others are preferred.
+    /// Time before which other upstreams are preferred because this one refused a request or
+    /// failed.
     avoid_until: TimePoint,
 }
 
-/// What to do with a request.
+/// Decision about a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteChoice {
-    /// Send it to this upstream.
+    /// Send the request to this upstream.
     Send(UpstreamKey),
-    /// Every upstream that was weighed would be late; a slot is expected after this time.
+    /// The deadline cannot be met, even by the best of the upstreams that were compared; a slot is
+    /// expected to be free after this time.
     Late(Duration),
-    /// No upstream of the service takes work.
+    /// No upstream of the service accepts requests.
     NoUpstream,
 }
 
-/// How an attempt ended, for what is learned from it.
+/// Outcome of an attempt, from which the table learns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The answer's head came after this time.
+    /// The response headers arrived after this time.
     Answered(Duration),
-    /// It was refused; says nothing about health.
+    /// The upstream refused the request, which says nothing about its health.
     Refused,
-    /// It was lost, timed out, or the upstream could not be reached.
+    /// The attempt was lost or timed out, or the upstream could not be reached.
     Failed,
-    /// It was given up for another reason, such as a hedge that lost.
+    /// The attempt was cancelled for another reason, such as a hedged request that was not needed.
     Abandoned,
 }
 
-/// All upstreams that an entry knows.
+/// All upstreams that an entry knows, by service.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     upstreams: SlotMap<UpstreamKey, UpstreamView>,
@@ -137,7 +143,8 @@
 }
 
 impl UpstreamView {
-    /// A new upstream; `local` if it is in the entry's failure domain.
+    /// Creates an upstream without requests; `local` tells whether it is in the entry's failure
+    /// domain.
     pub fn new(service: &str, local: bool, slots: u32, now: TimePoint) -> Self {
         Self {
             service: service.into(),
@@ -168,23 +175,26 @@
         now < self.ejected_until
     }
 
-    /// Whether it has answered nothing for much longer than one request takes.
+    /// Returns whether the upstream has answered nothing for much longer than a request takes.
     ///
-    /// A machine that is gone looks idle to everybody but those who wait for it.
+    /// A VM that has failed looks idle to every client except those that wait for its answers.
     fn is_overdue(&self, now: TimePoint) -> bool {
         let limit = self.service_time().mul_f64(OVERDUE_FACTOR) + self.wait();
         self.unanswered_since
             .is_some_and(|since| now.since(since) > limit.max(MIN_OVERDUE))
     }
 
-    /// Whether others are preferred: it refuses, or it answers nothing.
+    /// Returns whether other upstreams are preferred because this one refuses requests or answers
+    /// none.
     ///
-    /// What refuses at once looks idle and fast, and would draw ever more requests.
+    /// An upstream that refuses requests at once looks idle and fast, and would otherwise attract
+    /// more and more of them.
     fn is_avoided(&self, now: TimePoint) -> bool {
         now < self.avoid_until || self.is_overdue(now)
     }
 
-    /// Requests under way there, as far as known.
+    /// Returns the number of requests at the upstream: the reported load plus the requests sent
+    /// since, but at least the requests in flight from here.
     fn depth(&self) -> u32 {
         let reported = self.load.slots_used + self.load.queued + self.sent_since_report;
         reported.max(self.in_flight)
@@ -200,7 +210,7 @@
         }
     }
 
-    /// Expected time for a slot to be free.
+    /// Returns the expected time until a slot is free.
     fn wait(&self) -> Duration {
         let depth = self.depth();
         if depth < self.slots {
@@ -215,7 +225,8 @@
         service.mul_f64(rounds)
     }
 
-    /// Expected time to the answer.
+    /// Returns the expected time to the answer, with penalties for a new, avoided or remote
+    /// upstream.
     fn score(&self, now: TimePoint) -> Duration {
         let age = now.since(self.connected_at).as_secs_f64() / WARMUP_TIME.as_secs_f64();
         let factor = (WARMUP_FACTOR - (WARMUP_FACTOR - 1.0) * age).max(1.0);
@@ -244,7 +255,7 @@
         key
     }
 
-    /// Removes an upstream whose connection ended.
+    /// Removes an upstream whose connection has ended.
     pub fn remove(&mut self, key: UpstreamKey) {
         if let Some(view) = self.upstreams.remove(key)
             && let Some(keys) = self.services.get_mut(&view.service)
@@ -253,17 +264,17 @@
         }
     }
 
-    /// How many upstreams of a service are connected.
+    /// Returns the number of connected upstreams of a service.
     pub fn upstream_count(&self, service: &str) -> usize {
         self.services.get(service).map_or(0, Vec::len)
     }
 
-    /// Whether a service has ever had an upstream here.
+    /// Returns whether the service has ever had an upstream in this table.
     pub fn knows_service(&self, service: &str) -> bool {
         self.services.contains_key(service)
     }
 
-    /// Takes what a sidecar said.
+    /// Records a load report from the sidecar of an upstream.
     pub fn update_load(&mut self, now: TimePoint, key: UpstreamKey, load: UpstreamLoad) {
         if let Some(view) = self.upstreams.get_mut(key) {
             view.load = load;
@@ -272,7 +283,7 @@
         }
     }
 
-    /// Counts an attempt that is sent.
+    /// Counts an attempt that is sent to an upstream.
     pub fn begin_attempt(&mut self, now: TimePoint, key: UpstreamKey) {
         if let Some(view) = self.upstreams.get_mut(key) {
             view.unanswered_since.get_or_insert(now);
@@ -281,7 +292,7 @@
         }
     }
 
-    /// Counts an attempt that ended and learns from it.
+    /// Counts an attempt as ended and learns from its outcome.
     pub fn end_attempt(&mut self, now: TimePoint, key: UpstreamKey, end: AttemptEnd) {
         let can_eject = self.can_eject(now, key);
         let Some(view) = self.upstreams.get_mut(key) else {
@@ -316,7 +327,8 @@
         }
     }
 
-    /// At most half of a service's upstreams are ejected at once.
+    /// Returns whether one more upstream of the service may be ejected: at most half of them are
+    /// ejected at a time.
     fn can_eject(&self, now: TimePoint, key: UpstreamKey) -> bool {
         let Some(keys) = self
             .upstreams
@@ -334,7 +346,7 @@
 
     /// Chooses an upstream for a request that must be answered by `deadline`.
     ///
-    /// `tried` are not chosen again while there are others.
+    /// Upstreams in `tried` are chosen again only if there are no others.
     pub fn choose(
         &mut self,
         now: TimePoint,
@@ -371,7 +383,8 @@
         RouteChoice::Send(key)
     }
 
-    /// The upstreams that may be chosen, from `start` on, those tried last.
+    /// Returns the upstreams that accept requests and are not ejected, from index `start` on, with
+    /// those in `tried` last.
     fn candidates<'a>(
         &'a self,
         now: TimePoint,
@@ -414,7 +427,8 @@
             .min_by_key(|key| (tried.contains(key), self.upstreams[*key].depth()))
     }
 
-    /// The better of two local ones if it need not wait; else the better of those and two others.
+    /// Returns the better of two local upstreams if it has a free slot, is not to be avoided and
+    /// was not tried before. Otherwise returns the best of these two and two remote ones.
     fn choose_weighed(
         &self,
         now: TimePoint,
@@ -444,7 +458,9 @@
         local.into_iter().chain(remote).min_by_key(score)
     }
 
-    /// When a second attempt is worth sending: the answer is slow, and another can still be in time.
+    /// Returns the time at which a hedged request is worth sending: the first answer is slow by
+    /// then, and a second one can still arrive before the deadline. `None` if there is no such
+    /// time.
     pub fn hedge_time(
         &self,
         now: TimePoint,
--- a/crates/wax-policy/src/rules.rs
+++ b/crates/wax-policy/src/rules.rs
@@ -1,59 +1,60 @@
-//! Rules of decisions: named numbers with a unit, a default and bounds, as the settings give them.
+//! Rules of decisions: named numbers with a unit, a default and bounds that operators can change in
+//! the settings.
 //!
-//! A set of rules is declared once, by the macro [`rule_set`]: its fields, what the settings call
-//! them, their defaults, bounds, and the value that switches the mechanism off.
+//! A set of rules is declared by the macro [`rule_set`], which lists each rule's field, its key in
+//! the settings, its default and bounds, and the value that switches the mechanism off.
 
 use serde::Deserialize;
 use std::fmt;
 use std::time::Duration;
 
-/// What the settings say of one rule.
+/// Value of one rule as the settings give it.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(untagged)]
 pub enum RuleSetting {
-    /// A value in the rule's unit.
+    /// Number in the rule's unit.
     Number(f64),
-    /// The mechanism is switched off.
+    /// The word `off`, which switches the mechanism off.
     Switch(RuleSwitch),
-    /// YAML reads `off` without quotes as `false`.
+    /// Boolean, because YAML reads `off` without quotes as `false`.
     Flag(bool),
 }
 
-/// A word in place of a number.
+/// Word that may stand in place of a number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RuleSwitch {
-    /// Off.
+    /// The mechanism is switched off.
     Off,
 }
 
-/// One rule of a set.
+/// Description and present value of one rule.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RuleInfo {
-    /// Its key in the settings.
+    /// Key of the rule in the settings.
     pub key: &'static str,
-    /// The unit of its value.
+    /// Unit of the value.
     pub unit: &'static str,
-    /// Its value now.
+    /// Present value.
     pub value: f64,
-    /// The least value.
+    /// Smallest value that is accepted.
     pub min: f64,
-    /// The greatest value.
+    /// Largest value that is accepted.
     pub max: f64,
-    /// The value that stands for `off`; `None` for what cannot be switched off.
+    /// Value that `off` stands for; `None` if the rule cannot be switched off.
     pub off: Option<f64>,
 }
 
-/// A value that cannot be taken.
+/// Reason why a setting is rejected.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RuleError {
-    /// The set has no such rule.
+    /// The set has no rule of this key.
     UnknownKey(Box<str>),
-    /// The value is out of its bounds.
+    /// The value is out of the rule's bounds.
     OutOfBounds(RuleInfo, f64),
     /// The rule cannot be switched off.
     CannotSwitchOff(RuleInfo),
-    /// The rule takes a number or `off`, and has neither.
+    /// The setting is neither a number nor `off`.
     NotANumber(RuleInfo),
 }
 
@@ -83,11 +84,11 @@
 impl std::error::Error for RuleError {}
 
 impl RuleInfo {
-    /// The number that a word stands for.
+    /// Returns the number that a setting stands for.
     ///
     /// # Errors
     ///
-    /// It is out of bounds, or the rule cannot be off.
+    /// Fails if the value is out of bounds or not a number, or if the rule cannot be switched off.
     pub fn resolve(self, setting: RuleSetting) -> Result<f64, RuleError> {
         match setting {
             RuleSetting::Switch(RuleSwitch::Off) | RuleSetting::Flag(false) => {
@@ -100,11 +101,11 @@
     }
 }
 
-/// A type that a rule's value may have.
+/// Type that the value of a rule may have.
 pub trait RuleValue: Copy {
-    /// From a number that keeps the rule's bounds.
+    /// Converts a number within the rule's bounds, in the rule's unit.
     fn from_number(number: f64) -> Self;
-    /// As the settings give it.
+    /// Returns the value as a number in the rule's unit.
     fn to_number(self) -> f64;
 }
 
@@ -128,7 +129,7 @@
     }
 }
 
-/// In milliseconds.
+/// The unit is milliseconds.
 impl RuleValue for Duration {
     fn from_number(number: f64) -> Self {
         Self::from_micros((number * 1_000.0) as u64)
@@ -139,7 +140,7 @@
     }
 }
 
-/// Declares a set of rules.
+/// Declares a struct of rules with defaults, and its conversion from settings.
 macro_rules! rule_set {
     (
         $(#[$meta:meta])*
@@ -165,7 +166,7 @@
         }
 
         impl $name {
-            /// All rules with their values.
+            /// Returns all rules with their present values.
             pub fn infos(&self) -> Vec<$crate::rules::RuleInfo> {
                 vec![
                     $( $crate::rules::RuleInfo {
@@ -183,7 +184,7 @@
             ///
             /// # Errors
             ///
-            /// There is no such rule, or it does not take the word.
+            /// Fails if there is no such rule or it does not accept the setting.
             pub fn set(
                 &mut self,
                 key: &str,
--- a/crates/wax-policy/src/sizing.rs
+++ b/crates/wax-policy/src/sizing.rs
@@ -1,37 +1,38 @@
-//! Corrects declared sizes by what tasks of a kind truly used.
+//! Corrects the declared sizes of tasks by the usage measured for their kind.
 
 use crate::kinds::KindKey;
 use std::collections::HashMap;
 use wax_types::ResourceVector;
 
-/// Reports of a kind before its declared size is corrected.
+/// Number of samples of a kind from which its declared size is corrected.
 const MIN_SAMPLES: usize = 12;
-/// Latest reports that count.
+/// Number of latest samples that count.
 const SAMPLE_WINDOW: usize = 64;
-/// The quantile of what was used that is reserved.
+/// Quantile of the measured usage that is reserved.
 const QUANTILE: f64 = 0.95;
-/// Reserved above the quantile.
+/// Factor on the quantile, as a margin.
 const HEADROOM: f64 = 1.1;
-/// The correction stays between these shares of what was declared.
+/// Lower and upper bound of the corrected size, as shares of the declared one.
 const MIN_SHARE: f64 = 0.25;
 const MAX_SHARE: f64 = 2.0;
 
 #[derive(Debug, Clone, Default)]
 struct UsedShares {
-    /// Used by declared processors, latest last.
+    /// Peak usage divided by the declared processors, in a ring buffer whose next position to write
+    /// is `next`.
     cpu: Vec<f32>,
     memory: Vec<f32>,
     next: usize,
 }
 
-/// What tasks of each kind used, as shares of what was declared.
+/// Peak usage of the tasks of each kind, as shares of their declared sizes.
 #[derive(Debug, Clone, Default)]
 pub struct SizeTable {
     kinds: HashMap<KindKey, UsedShares>,
 }
 
 impl SizeTable {
-    /// Takes what one run used at most during an interval.
+    /// Records the peak usage of one run during an interval.
     pub fn learn(&mut self, kind: KindKey, declared: ResourceVector, used: ResourceVector) {
         let shares = self.kinds.entry(kind).or_default();
         let share = |used: u32, declared: u32| used as f32 / declared.max(1) as f32;
@@ -47,7 +48,7 @@
         shares.next = (shares.next + 1) % SAMPLE_WINDOW;
     }
 
-    /// What to reserve for a task that declares `declared`.
+    /// Returns the size to reserve for a task of this kind that declares `declared`.
     pub fn corrected_size(&self, kind: KindKey, declared: ResourceVector) -> ResourceVector {
         let Some(shares) = self
             .kinds
--- a/crates/wax-policy/tests/config_view.rs
+++ b/crates/wax-policy/tests/config_view.rs
@@ -1,18 +1,18 @@
-//! No process goes by an old config for longer than the bound, whatever has gone silent: over cuts of what
-//! tells of changes, readings that fail, owners that are silent too.
+//! A process must not use an outdated config for longer than the bound. The tests simulate
+//! connections that go silent, reads that fail, and owners that do not report.
 
 use proptest::prelude::*;
 use std::time::Duration;
 use wax_policy::{ConfigReader, ConfigRules, ConfigView, DrainRules, ReadChoice};
 use wax_types::TimePoint;
 
-/// The users' `configApplyMs` on their smallest sites.
+/// `configApplyMs` of the users' smallest sites.
 const BOUND_MS: u64 = 2_000;
-/// Machines are held to the bound so long after a fault is over: the users' `contactMs` there.
+/// Time after the end of a fault from which the bound applies again: `contactMs` of the same sites.
 const CONTACT_MS: u64 = 3_000;
-/// An answer of the store.
+/// Time that the store takes to answer.
 const ANSWER_MS: u64 = 10;
-/// A front's heartbeats to the owner.
+/// Interval between a front's heartbeats to the owner.
 const HEARTBEAT_MS: u64 = 200;
 
 fn rules() -> ConfigRules {
@@ -23,14 +23,16 @@
     span.as_micros().div_ceil(1_000) as u64
 }
 
-/// One process that reads by itself and, if `beats` is set, is told by an owner that read at each heartbeat.
+/// Simulated process that reads the operator's rows when its view asks for it.
 struct Reader {
     view: ConfigView,
     reader: ConfigReader,
-    /// Until when it waits or reads, and whether a reading ends then and when it was begun.
+    /// Time until which the process waits or reads.
     busy_until: u64,
+    /// Start of the read in progress, and whether the store will answer it.
     reading: Option<(u64, bool)>,
-    /// Whether connections that are kept are dead: the first reading after the cut finds out.
+    /// Whether the open connection is silent; the first read after the cut fails and a new
+    /// connection is opened.
     is_connection_dead: bool,
     read_count: u32,
 }
@@ -49,7 +51,8 @@
         }
     }
 
-    /// One millisecond; `served` says whether the store answers new calls, `jitter` is 0 to 1.
+    /// Simulates one millisecond. `store_answers` tells whether the store answers new calls,
+    /// `jitter` is 0 to 1.
     fn step(&mut self, now: u64, store_answers: bool, jitter: f64) {
         if now < self.busy_until {
             return;
@@ -87,7 +90,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(512))]
 
-    /// Open connections go silent at some moments, and new ones work at once.
+    /// Open connections go silent at random times while new connections work at once. A read that
+    /// hangs on a silent connection must time out early enough for a second read within the bound.
     #[test]
     fn config_age_stays_within_bound_when_connections_go_silent(
         cuts in prop::collection::vec(3_500_u64..9_000, 1..4),
@@ -101,18 +105,19 @@
         for now in 0..next + 8_000 {
             if cuts.contains(&now) {
                 reader.is_connection_dead = true;
-                // A reading under way is lost with its connection.
+                // A read in progress is lost with its connection.
                 if let Some(reading) = reader.reading.as_mut() {
                     reading.1 = false;
                     reader.busy_until = reading.0 + BOUND_MS / 4;
                 }
             }
             reader.step(now, true, jitter);
-            prop_assert!(reader.age(now) <= BOUND_MS, "{} ms old at {now}", reader.age(now));
+            prop_assert!(reader.age(now) <= BOUND_MS, "config is {} ms old at {now} ms", reader.age(now));
         }
     }
 
-    /// The store is silent for a while: once machines count as in touch again, nobody goes by an old config.
+    /// The store does not answer for some time. The config must be fresh again as soon as the
+    /// contact time after the outage has passed.
     #[test]
     fn config_is_fresh_again_within_contact_time_after_a_store_outage(
         outage_start in 3_000_u64..6_000,
@@ -126,12 +131,12 @@
         for now in 0..outage_end + 8_000 {
             reader.step(now, !(outage_start..outage_end).contains(&now), jitter);
             if now < outage_start || now >= outage_end + CONTACT_MS {
-                prop_assert!(reader.age(now) <= BOUND_MS, "{} ms old at {now}", reader.age(now));
+                prop_assert!(reader.age(now) <= BOUND_MS, "config is {} ms old at {now} ms", reader.age(now));
             }
         }
     }
 
-    /// A front that an owner tells in time reads nothing by itself.
+    /// A front whose owner reports its reads in time must not read the store itself.
     #[test]
     fn front_with_timely_reports_reads_nothing(delay_ms in 0_u64..40, jitter in 0.0..1.0_f64) {
         let mut owner = Reader::new(ConfigReader::Owner);
@@ -148,7 +153,7 @@
     }
 }
 
-/// What an owner says of long ago, or says late, makes nobody surer.
+/// Reports of an earlier time, and reports that arrive late, must not make the config look fresher.
 #[test]
 fn older_reports_do_not_refresh_the_view() {
     let mut view = ConfigView::default();
@@ -160,7 +165,7 @@
     assert_eq!(view.own_read_age(now), Some(Duration::from_millis(4_000)));
 }
 
-/// Before its first reading a process is sure of nothing.
+/// Before its first read, a process must assume that its config is stale.
 #[test]
 fn config_may_be_stale_before_the_first_read() {
     let view = ConfigView::default();
@@ -169,13 +174,15 @@
     assert!(matches!(first, ReadChoice::Read(_)));
 }
 
-/// An owner reads often enough for the drains that it orders starts by.
+/// An owner must read often enough for the drain view by which it orders starts.
 #[test]
 fn owner_read_interval_respects_the_drain_bound() {
     let drains = DrainRules {
         bound: Some(Duration::from_millis(3_000)),
     };
     let rules = ConfigRules::new(Duration::from_secs(60), drains);
-    let order = drains.max_age_for_order().expect("there is a bound");
+    let order = drains
+        .max_age_for_order()
+        .expect("the drain rules have a bound");
     assert!(rules.refresh_age(ConfigReader::Owner) * 2 < order);
 }
--- a/crates/wax-policy/tests/heartbeats.rs
+++ b/crates/wax-policy/tests/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats grow no faster than a pool of the size to design for allows.
+//! The interval of heartbeats must grow with the pool, so that the owner's load stays bounded.
 
 use std::time::Duration;
 use wax_policy::{
@@ -35,7 +35,7 @@
     assert!(agent_heartbeat_period(usize::MAX) * 2 < GRANT);
 }
 
-/// Whatever the number of fronts, those that go first at a takeover watch closely.
+/// Early candidates must notice a lost owner early, however many fronts there are.
 #[test]
 fn early_candidates_keep_the_base_period() {
     let base_period = front_heartbeat_period(1, 0, &rules(5_000));
@@ -43,7 +43,8 @@
     assert!(front_heartbeat_period(2_000, 8, &rules(5_000)) > base_period);
 }
 
-/// A front that hears too late of the owner's readings would read the operator's rows itself.
+/// A front that learns too late of the owner's reads would read the operator's rows itself, and the
+/// store's load would grow with the number of fronts.
 #[test]
 fn front_learns_of_each_owner_read_before_reading_itself() {
     for bound_ms in [2_000, 3_000, 5_000, 60_000] {
--- a/crates/wax-policy/tests/leases.rs
+++ b/crates/wax-policy/tests/leases.rs
@@ -1,4 +1,6 @@
-//! When an owner may take a worker's leases for lapsed.
+//! An owner may treat a worker's leases as expired only when no renewal by it or by the former
+//! owner can still be in effect. Otherwise a task could be started on another worker while its first
+//! run is still alive.
 
 use std::time::Duration;
 use wax_policy::{ContactChoice, LeaseTimings, WorkerContact};
@@ -22,6 +24,7 @@
     contact
 }
 
+/// Leases expire a lease duration, a call timeout and a clock margin after the last renewal.
 #[test]
 fn silent_worker_is_probed_until_its_last_lease_has_expired() {
     let mut contact = WorkerContact::after_takeover(at(0), &TIMINGS);
@@ -33,6 +36,7 @@
     assert_eq!(contact.decide(at(112)), ContactChoice::Lapsed);
 }
 
+/// The former owner may have renewed leases until its grace ended, after the takeover.
 #[test]
 fn takeover_waits_for_the_renewal_grace_of_the_former_owner() {
     let contact = after_three_failed_calls(WorkerContact::after_takeover(at(100), &TIMINGS));
@@ -40,6 +44,8 @@
     assert_eq!(contact.decide(at(172)), ContactChoice::Lapsed);
 }
 
+/// A worker that has answered this owner rejects the former one, so the former owner's grace no
+/// longer matters.
 #[test]
 fn answer_of_a_worker_excludes_renewals_by_the_former_owner() {
     let mut contact = WorkerContact::after_takeover(at(100), &TIMINGS);
@@ -49,6 +55,7 @@
     assert_eq!(contact.decide(at(113)), ContactChoice::Lapsed);
 }
 
+/// Renewals whose answer is lost could extend leases on a worker that cannot be reached.
 #[test]
 fn no_renewal_is_sent_after_repeated_failures() {
     let mut contact = WorkerContact::after_takeover(at(0), &TIMINGS);
--- a/crates/wax-policy/tests/limits.rs
+++ b/crates/wax-policy/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Bounds that hold whatever comes: slots, places, capacity, ejections.
+//! Limits that must hold for any input: slots, quotas, capacity and ejections.
 
 use fastrand::Rng;
 use proptest::prelude::*;
@@ -81,21 +81,21 @@
                         task, kind: demand.kind, size: demand.size, urgent,
                         evictable: !urgent, saved_at: now, protected_until: now, due_today: false,
                     };
-                    prop_assert!(table.reserve(key, running), "a choice that does not fit");
+                    prop_assert!(table.reserve(key, running), "the chosen worker must have enough free capacity");
                 }
                 PlacementChoice::Evict(key, victims) => {
-                    prop_assert!(urgent, "a batch task evicts");
+                    prop_assert!(urgent, "only urgent tasks may evict");
                     for victim in victims {
-                        let evicted = table.release(key, victim).expect("it runs there");
-                        prop_assert!(!evicted.urgent, "an urgent task is evicted");
+                        let evicted = table.release(key, victim).expect("the victim runs on the worker");
+                        prop_assert!(!evicted.urgent, "an urgent task must not be evicted");
                     }
-                    let worker = table.get(key).expect("known");
-                    prop_assert!(demand.size.fits_in(worker.free()), "not enough was evicted");
+                    let worker = table.get(key).expect("the worker is in the table");
+                    prop_assert!(demand.size.fits_in(worker.free()), "the evictions must free enough capacity");
                 }
                 PlacementChoice::Wait | PlacementChoice::Impossible => {}
             }
             for key in table.keys() {
-                let worker = table.get(key).expect("known");
+                let worker = table.get(key).expect("the worker is in the table");
                 prop_assert!(worker.reserved().fits_in(worker.capacity()));
             }
         }
@@ -109,13 +109,14 @@
     hedge_percent: 0,
 };
 
+/// A team may use idle capacity, but two teams that send more than there is get equal shares.
 #[test]
 fn busy_team_leaves_others_their_fair_share() {
     let mut table = TeamTable::new(100);
     let greedy = (0..100)
         .filter(|_| matches!(table.admit("greedy", LIMITS), AdmitChoice::Admit(_)))
         .count();
-    assert_eq!(greedy, 100, "what nobody uses is lent");
+    assert_eq!(greedy, 100, "a single team may use the whole capacity");
     let mut table = TeamTable::new(100);
     let mut admitted = [0, 0];
     for index in 0..200 {
@@ -135,7 +136,7 @@
         ..LIMITS
     };
     let AdmitChoice::Admit(key) = table.admit("team", limits) else {
-        panic!("the first is admitted");
+        panic!("the first request must be admitted");
     };
     assert!(matches!(table.admit("team", limits), AdmitChoice::Admit(_)));
     assert!(
@@ -153,6 +154,8 @@
     (table, keys)
 }
 
+/// If many upstreams fail at once, the cause is more likely shared. Ejecting all of them would leave
+/// the service without any upstream.
 #[test]
 fn failures_eject_at_most_half_of_the_upstreams() {
     let (mut table, keys) = route_table(6);
@@ -208,6 +211,8 @@
     assert_eq!(choose(&mut table, at(60_000)), RouteChoice::NoUpstream);
 }
 
+/// An upstream that fails with few requests in flight looks less loaded than the others, and would
+/// get the most requests if only the load counted.
 #[test]
 fn unresponsive_upstream_gets_no_further_requests() {
     let (mut table, keys) = route_table(4);
@@ -220,9 +225,9 @@
             AttemptEnd::Answered(Duration::from_millis(10)),
         );
     }
-    // The first one, in the own failure domain, has died with a request under way.
+    // The first upstream, in the own failure domain, fails with a request in flight.
     table.begin_attempt(at(20), keys[0]);
-    // The others are busier, but they answer.
+    // The other upstreams are busier, but they answer.
     for key in &keys[1..] {
         for _ in 0..4 {
             table.begin_attempt(at(95), *key);
@@ -236,12 +241,15 @@
     }
 }
 
+/// Refusals and connection failures come faster than answers. If only the load counted, an upstream
+/// that refuses every request would get the most requests.
 #[test]
 fn upstream_that_refuses_fast_attracts_no_requests() {
     for end in [AttemptEnd::Refused, AttemptEnd::Failed] {
         let (mut table, keys) = route_table(4);
         let mut rng = Rng::with_seed(1);
-        // The others are busier and slower; the first one refuses at once and so looks idle.
+        // The other upstreams are busier and slower. The first one refuses at once and therefore
+        // looks idle.
         for key in &keys[1..] {
             table.begin_attempt(at(0), *key);
             table.end_attempt(
--- a/crates/wax-policy/tests/pace_rules.rs
+++ b/crates/wax-policy/tests/pace_rules.rs
@@ -1,4 +1,5 @@
-//! The margin of serving tasks goes to what fills only where that waits in vain.
+//! The margin kept for serving tasks may go to best-effort tasks only as far as their jobs are
+//! late.
 
 use wax_policy::PaceRules;
 
--- a/crates/wax-types/src/error.rs
+++ b/crates/wax-types/src/error.rs
@@ -1,9 +1,10 @@
-//! The one error type: what failed, at which step, with which peer, and what to do.
+//! Error type that all crates share: what failed, at which step, with which peer, and what to do
+//! about it.
 
 use std::fmt;
 use std::time::Duration;
 
-/// The step at which an error arose.
+/// Step at which an error occurred.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display)]
 pub enum Step {
     /// reading settings
@@ -53,16 +54,16 @@
 /// What a caller may conclude about the execution of its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// It was executed and the answer is its own.
+    /// The request was executed and the response is its own.
     Ran,
-    /// It was not executed and never will be under this attempt.
+    /// The request was not executed and never will be under this attempt.
     NotRun,
-    /// It may have been executed.
+    /// The request may have been executed.
     Unknown,
 }
 
 impl RunOutcome {
-    /// The value of the `waxwing-outcome` header.
+    /// Returns the value of the `waxwing-outcome` header.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Ran => "ran",
@@ -72,44 +73,44 @@
     }
 }
 
-/// What kind of failure it is, and so what the receiver can do.
+/// Kind of a failure, which determines what the receiver can do.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ErrorKind {
-    /// The input is wrong; trying again unchanged will fail again.
+    /// The input is wrong; the same request will fail again.
     Invalid,
-    /// The named thing does not exist.
+    /// The named object does not exist.
     NotFound,
-    /// Somebody else changed it first.
+    /// Another client changed the object first.
     Conflict,
-    /// A limit is reached; try again after this time.
+    /// A limit has been reached; retry after this time.
     Overload(Duration),
-    /// The peer cannot be reached or is not ready; try again after this time.
+    /// The peer cannot be reached or is not ready; retry after this time.
     Unavailable(Duration),
-    /// The time allowed has passed.
+    /// The call did not finish within its timeout.
     Timeout,
     /// The peer broke the protocol.
     Protocol,
-    /// The request was sent and its effect is not known.
+    /// The request was sent and its effect is unknown.
     Ambiguous,
 }
 
-/// An error with its step, its peer and a remedy.
+/// Error with the step at which it occurred, the peer and advice for the reader.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WaxError {
-    /// What kind of failure it is.
+    /// Kind of the failure.
     pub kind: ErrorKind,
-    /// The step at which it arose.
+    /// Step at which the error occurred.
     pub step: Step,
-    /// The peer, file or key that the step concerned.
+    /// Peer, file or key that the step concerned.
     pub peer: Box<str>,
-    /// What was found.
+    /// Description of what was found.
     pub label: Box<str>,
-    /// What to do about it; may be empty.
+    /// Advice on what to do; may be empty.
     pub help: Box<str>,
 }
 
 impl WaxError {
-    /// Builds an error without a remedy.
+    /// Creates an error without advice.
     pub fn new(
         kind: ErrorKind,
         step: Step,
@@ -125,13 +126,13 @@
         }
     }
 
-    /// Adds a remedy.
+    /// Adds advice on what to do.
     pub fn with_help(mut self, help: impl Into<Box<str>>) -> Self {
         self.help = help.into();
         self
     }
 
-    /// When to try again, if the kind says so.
+    /// Returns the delay before a retry, if the kind of the error gives one.
     pub fn retry_after(&self) -> Option<Duration> {
         match self.kind {
             ErrorKind::Overload(after) | ErrorKind::Unavailable(after) => Some(after),
--- a/crates/wax-types/src/lib.rs
+++ b/crates/wax-types/src/lib.rs
@@ -1,4 +1,4 @@
-//! Keys, sizes, times and errors that every other crate shares.
+//! Ids, resource sizes, time points and errors that all other crates share.
 
 mod error;
 mod ids;
--- a/crates/wax-types/src/resources.rs
+++ b/crates/wax-types/src/resources.rs
@@ -1,9 +1,9 @@
-//! Processors, memory and accelerators.
+//! Amounts of processors, memory and accelerators.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// An amount of each resource that a worker has or a task is given.
+/// Amount of each resource that a worker has or that is reserved for a task.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Hash, Default, Serialize, Deserialize, PartialOrd, Ord,
 )]
@@ -11,18 +11,18 @@
 pub struct ResourceVector {
     /// Thousandths of a processor core.
     pub cpu_milli: u32,
-    /// Mebibytes of memory.
+    /// Memory in mebibytes.
     pub memory_mib: u32,
-    /// Whole accelerators.
+    /// Number of whole accelerators.
     #[serde(default)]
     pub accelerators: u32,
 }
 
 impl ResourceVector {
-    /// Nothing of any resource.
+    /// Zero of every resource.
     pub const ZERO: Self = Self::new(0, 0, 0);
 
-    /// Builds a vector from thousandths of a core, mebibytes and accelerators.
+    /// Creates a vector from thousandths of a core, mebibytes and accelerators.
     pub const fn new(cpu_milli: u32, memory_mib: u32, accelerators: u32) -> Self {
         Self {
             cpu_milli,
@@ -40,7 +40,7 @@
         })
     }
 
-    /// Subtracts, stopping at zero in each component.
+    /// Subtracts `other`; a component that would become negative is zero.
     pub fn saturating_sub(self, other: Self) -> Self {
         Self {
             cpu_milli: self.cpu_milli.saturating_sub(other.cpu_milli),
@@ -49,14 +49,14 @@
         }
     }
 
-    /// Whether every component is at most that of `room`.
+    /// Returns whether every component is at most that of `limit`.
     pub fn fits_in(self, limit: Self) -> bool {
         self.cpu_milli <= limit.cpu_milli
             && self.memory_mib <= limit.memory_mib
             && self.accelerators <= limit.accelerators
     }
 
-    /// The name of the first component that exceeds that of `room`.
+    /// Returns the name of the first component that exceeds that of `limit`.
     pub fn first_excess(self, limit: Self) -> Option<&'static str> {
         if self.cpu_milli > limit.cpu_milli {
             Some("cpu_milli")
@@ -69,7 +69,8 @@
         }
     }
 
-    /// The largest share, 0 to 1, that any component takes of `capacity`.
+    /// Returns the largest share of `capacity` that any component takes: 1 if a component equals
+    /// its capacity, infinite if a component is needed and the capacity has none.
     pub fn dominant_share(self, capacity: Self) -> f64 {
         let share = |part: u32, whole: u32| match (part, whole) {
             (0, _) => 0.0,
--- a/crates/wax-types/src/time.rs
+++ b/crates/wax-types/src/time.rs
@@ -1,20 +1,20 @@
-//! The monotonic time that decisions are given as an argument.
+//! Monotonic time points, which decisions take as an argument, and the clocks that they come from.
 
 use rustix::time::{ClockId, clock_gettime};
 use std::ops::{Add, Sub};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Microseconds on the monotonic clock of one process, or on a replay's clock.
+/// Microseconds on the monotonic clock of one process or on the virtual clock of a replay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct TimePoint(pub u64);
 
 impl TimePoint {
-    /// Builds a time point from milliseconds.
+    /// Creates a time point from milliseconds.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// The time from `earlier` to this point; zero if `earlier` is later.
+    /// Returns the time from `earlier` to this point; zero if `earlier` is later.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -36,23 +36,24 @@
     }
 }
 
-/// Reads the machine's clock since its boot, which also counts while the machine is suspended.
+/// Clock since the VM's boot that also counts while the VM is suspended.
 ///
-/// Leases and terms are judged by it: after a suspension they are seen to have lapsed.
+/// Leases and ownership terms use it, so that they are seen to have expired after a suspension.
 #[derive(Debug, Clone, Copy)]
 pub struct ProcessClock {
     origin: Duration,
 }
 
 impl ProcessClock {
-    /// Starts the clock a day after zero, so that subtraction has room.
+    /// Starts the clock at one day, so that durations can be subtracted from early time points
+    /// without reaching zero.
     pub fn start() -> Self {
         Self {
             origin: time_since_boot(),
         }
     }
 
-    /// The present time.
+    /// Returns the present time.
     pub fn now(&self) -> TimePoint {
         let elapsed = time_since_boot().saturating_sub(self.origin);
         TimePoint::default() + Duration::from_secs(86_400) + elapsed
@@ -64,9 +65,9 @@
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
 
-/// Milliseconds since the Unix epoch, for records that people read.
+/// Returns milliseconds since the Unix epoch, for records that people read.
 ///
-/// No decision about safety uses it.
+/// Decisions about safety must not use it, because the wall clock may jump.
 pub fn wall_clock_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
