--- a/crates/wax-policy/tests/limits.rs
+++ b/crates/wax-policy/tests/limits.rs
@@ -154,8 +154,7 @@
     (table, keys)
 }
 
-/// If many upstreams fail at once, the cause is more likely shared. Ejecting all of them would leave
-/// the service without any upstream.
+/// Ejecting every upstream that fails would leave a service without any when all of them fail.
 #[test]
 fn failures_eject_at_most_half_of_the_upstreams() {
     let (mut table, keys) = route_table(6);
