--- a/crates/wax-agent/src/pace.rs
+++ b/crates/wax-agent/src/pace.rs
@@ -3,13 +3,15 @@
 //! A serving task is taken as a queue: with the load `u` its tail is its tail without load divided
 //! by `1 - u`. Tasks that fill slow its work, so that `u` is its own load times one plus the
 //! press: for each filling image the cores in use, times what a core of that image presses
-//! (`wax_policy::PressTable`). The own load is what the last looks leave after the press. The pace
+//! (`wax_policy::InterferenceTable`). The own load is what the last looks leave after the press. The pace
 //! of an image is what keeps every predicted load below the aim.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 use wax_batch::RunMark;
-use wax_policy::{CoreUse, LoadChange, LoadLook, PaceRules, PairPress, PressTable};
+use wax_policy::{
+    CoresByImage, InterferenceTable, LoadChange, LoadSample, PaceRules, PairInterference,
+};
 use wax_types::TimePoint;
 
 /// One serving run as the worker shows it.
@@ -42,7 +44,7 @@
 }
 
 impl PaceSample {
-    fn cores_used(&self) -> CoreUse {
+    fn cores_used(&self) -> CoresByImage {
         let fills = self.filling.iter();
         fills
             .map(|(image, fill)| (image.clone(), fill.used))
@@ -90,7 +92,7 @@
 
     /// Follows how long the tail has been too long, and whether relief helps.
     fn follow(&mut self, tail: f64, now: TimePoint, rules: &PaceRules) {
-        if tail < rules.near {
+        if tail < rules.overrun_share {
             self.over_since = None;
             self.relief_since = None;
             return;
@@ -100,11 +102,11 @@
             return;
         }
         match self.relief_since {
-            None if now.since(since) >= rules.bear => self.relief_since = Some(now),
-            Some(relief) if now.since(relief) >= rules.relief => {
+            None if now.since(since) >= rules.stop_after => self.relief_since = Some(now),
+            Some(relief) if now.since(relief) >= rules.stop_timeout => {
                 self.relief_since = None;
                 self.over_since = Some(now);
-                self.cleared_until = now + rules.cleared;
+                self.cleared_until = now + rules.stop_exemption;
             }
             _ => {}
         }
@@ -140,7 +142,7 @@
 /// The paces of all images that fill on one worker.
 #[derive(Debug, Clone, Default)]
 pub struct PaceControl {
-    pairs: PressTable,
+    pairs: InterferenceTable,
     loads: HashMap<RunMark, ServingLoad>,
     /// The least tail of each serving image, as a share of its target.
     idle: HashMap<Box<str>, f64>,
@@ -150,9 +152,9 @@
     changes: Vec<PaceChange>,
     looked: TimePoint,
     /// Cores in use by what fills, by the last look.
-    cores: CoreUse,
+    cores: CoresByImage,
     /// What was observed of pairs since they were last told.
-    fresh: PressTable,
+    fresh: InterferenceTable,
     /// How much press each serving image bears in all, by the last look, and as last told.
     rooms: BTreeMap<Box<str>, f64>,
     rooms_told: BTreeMap<Box<str>, f64>,
@@ -204,7 +206,7 @@
     }
 
     /// Takes what the owner has gathered of a pair.
-    pub fn set_pair(&mut self, serving: &str, filling: &str, press: PairPress) {
+    pub fn set_pair(&mut self, serving: &str, filling: &str, press: PairInterference) {
         self.pairs.set(serving, filling, press);
     }
 
@@ -213,7 +215,7 @@
         let has_pairs = self
             .fresh
             .iter()
-            .any(|(.., press)| press.weight >= NEWS_WEIGHT);
+            .any(|(.., press)| press.precision >= NEWS_WEIGHT);
         has_pairs || self.rooms_moved()
     }
 
@@ -230,7 +232,7 @@
     }
 
     /// What was observed of pairs since the last call.
-    pub fn take_fresh(&mut self) -> Vec<(Box<str>, Box<str>, PairPress)> {
+    pub fn take_fresh(&mut self) -> Vec<(Box<str>, Box<str>, PairInterference)> {
         self.rooms_told.clone_from(&self.rooms);
         let fresh = std::mem::take(&mut self.fresh);
         let pairs = fresh
@@ -268,10 +270,10 @@
         span: Duration,
         rules: &PaceRules,
     ) -> Vec<RunLook<'a>> {
-        let kept = rules.tail_kept.powf(span.as_secs_f64() / FIGURE_SPAN);
+        let kept = rules.tail_retention.powf(span.as_secs_f64() / FIGURE_SPAN);
         let mut looks = Vec::with_capacity(sample.serving.len());
         for run in sample.serving.iter().filter(|run| run.tail > 0.0) {
-            let first = rules.first_idle;
+            let first = rules.initial_idle_tail;
             let idle = self.idle.entry(run.image.clone()).or_insert(first);
             *idle = idle.min(run.tail);
             let shown = self.loads.get(&run.mark).map_or(run.tail, |load| load.tail);
@@ -285,7 +287,7 @@
     /// Learns what presses on each image from the change since the last look. Runs of one image
     /// bear the same press, so that the middle one speaks for all: one that is slow by itself
     /// blames nobody.
-    fn learn(&mut self, looks: &[RunLook<'_>], cores: &CoreUse, span: Duration) {
+    fn learn(&mut self, looks: &[RunLook<'_>], cores: &CoresByImage, span: Duration) {
         let mut changes: BTreeMap<&str, Vec<(f64, f64, f64)>> = BTreeMap::new();
         for look in looks {
             let known = self.loads.get(&look.run.mark);
@@ -300,17 +302,17 @@
             let (growth, before, after) = runs[runs.len() / 2];
             let change = LoadChange {
                 serving,
-                before: LoadLook {
+                before: LoadSample {
                     cores: &self.cores,
-                    full: before >= FULL_LOAD,
+                    saturated: before >= FULL_LOAD,
                 },
-                after: LoadLook {
+                after: LoadSample {
                     cores,
-                    full: after >= FULL_LOAD,
+                    saturated: after >= FULL_LOAD,
                 },
-                growth,
+                log_growth: growth,
                 load: after,
-                span,
+                interval: span,
             };
             for (filling, seen) in self.pairs.learn(&change) {
                 self.fresh.merge(serving, &filling, seen);
@@ -319,8 +321,14 @@
     }
 
     /// Takes the load of one run.
-    fn follow(&mut self, look: &RunLook<'_>, cores: &CoreUse, now: TimePoint, rules: &PaceRules) {
-        let own = look.load / (1.0 + self.pairs.press_on(&look.run.image, cores));
+    fn follow(
+        &mut self,
+        look: &RunLook<'_>,
+        cores: &CoresByImage,
+        now: TimePoint,
+        rules: &PaceRules,
+    ) {
+        let own = look.load / (1.0 + self.pairs.interference_on(&look.run.image, cores));
         let known = self
             .loads
             .entry(look.run.mark)
@@ -333,7 +341,11 @@
             // Such a tail only bounds the load from below.
             known.own = known.own.max(own).min(MOST_LOAD);
         } else {
-            let rate = if own > known.own { 1.0 } else { rules.own_rate };
+            let rate = if own > known.own {
+                1.0
+            } else {
+                rules.baseline_fall_rate
+            };
             known.own = (known.own + rate * (own - known.own)).max(LEAST_LOAD);
         }
     }
@@ -354,9 +366,9 @@
                 .idle
                 .get(&run.image)
                 .copied()
-                .unwrap_or(rules.first_idle);
-            let aim = (1.0 - idle / rules.aim).max(LEAST_LOAD);
-            let alarmed = now.since(load.alarmed) <= rules.settle;
+                .unwrap_or(rules.initial_idle_tail);
+            let aim = (1.0 - idle / rules.max_tail_share).max(LEAST_LOAD);
+            let alarmed = now.since(load.alarmed) <= rules.settle_time;
             let room = if alarmed {
                 0.0
             } else {
@@ -366,7 +378,7 @@
                 .filling
                 .iter()
                 .map(|(image, fill)| (image, self.pairs.get(&run.image, image), fill))
-                .filter(|(_, pair, _)| !pair.is_none(rules.no_press))
+                .filter(|(_, pair, _)| !pair.is_negligible(rules.negligible_interference))
                 .map(|(image, pair, fill)| (image, pair.expected(), fill.wanted))
                 .map(|(image, press, wanted)| (image, press, press * wanted))
                 .collect();
@@ -394,7 +406,7 @@
         let relief = self.loads.values().any(|load| load.relief_since.is_some());
         let percent = |share: f64| match relief {
             true => 0,
-            false => ((share * 100.0) as u32).clamp(rules.least, 100),
+            false => ((share * 100.0) as u32).clamp(rules.min_pace_percent, 100),
         };
         self.paces = shares
             .iter()
--- a/crates/wax-agent/tests/pacing.rs
+++ b/crates/wax-agent/tests/pacing.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use wax_agent::{FillingSample, PaceControl, PaceSample, ServingSample};
 use wax_batch::{JobName, RunMark, TaskName};
-use wax_policy::{PaceRules, PairPress};
+use wax_policy::{PaceRules, PairInterference};
 use wax_types::TimePoint;
 
 fn mark() -> RunMark {
@@ -82,9 +82,9 @@
     world.control.set_pair(
         "red",
         "light",
-        PairPress {
+        PairInterference {
             per_core: 0.0,
-            weight: 50.0,
+            precision: 50.0,
         },
     );
     for _ in 0..40 {
@@ -125,9 +125,9 @@
     world.control.set_pair(
         "red",
         "sly",
-        PairPress {
+        PairInterference {
             per_core: 0.0,
-            weight: 200.0,
+            precision: 200.0,
         },
     );
     world.look(&sample(0.4, &[("sly", 2.0, 2.0)]));
@@ -136,9 +136,9 @@
         world.control.set_pair(
             "red",
             "sly",
-            PairPress {
+            PairInterference {
                 per_core: 0.0,
-                weight: 200.0,
+                precision: 200.0,
             },
         );
         world.look(&sample(1.2, &[("sly", 2.0, 2.0)]));
@@ -155,9 +155,9 @@
         world.control.set_pair(
             "red",
             "calm",
-            PairPress {
+            PairInterference {
                 per_core: 0.0,
-                weight: 200.0,
+                precision: 200.0,
             },
         );
         world.look(&sample(1.5, &[("calm", 2.0, 2.0)]));
@@ -173,9 +173,9 @@
 #[test]
 fn a_tail_that_fades_is_not_taken_for_a_load() {
     let mut world = World::new();
-    let known = PairPress {
+    let known = PairInterference {
         per_core: 0.15,
-        weight: 2_000.0,
+        precision: 2_000.0,
     };
     world.control.set_pair("red", "heavy", known);
     for _ in 0..6 {
--- a/crates/wax-agent/tests/presses.rs
+++ b/crates/wax-agent/tests/presses.rs
@@ -155,9 +155,9 @@
 fn a_worker_that_stands_still_teaches_nothing() {
     let rules = PaceRules::default();
     let mut control = PaceControl::default();
-    let known = wax_policy::PairPress {
+    let known = wax_policy::PairInterference {
         per_core: 0.2,
-        weight: 300.0,
+        precision: 300.0,
     };
     control.set_pair("red", "heavy", known);
     let before = control.press("red", "heavy");
--- a/crates/wax-batch/src/fit.rs
+++ b/crates/wax-batch/src/fit.rs
@@ -4,7 +4,7 @@
 use crate::spec::{StepSpec, TaskSize};
 use crate::why::WaitReason;
 use crate::worker::WorkerState;
-use wax_policy::{PlaceRules, PressChoice, PressTable};
+use wax_policy::{InterferenceEstimate, InterferenceTable, PlacementRules};
 use wax_types::TimePoint;
 
 impl WorkerLife {
@@ -47,7 +47,7 @@
         &self,
         service: &str,
         step: &StepSpec,
-        (fill_limit, rules): (f64, &PlaceRules),
+        (fill_limit, rules): (f64, &PlacementRules),
         now: TimePoint,
     ) -> bool {
         self.obstacle(service, step, (fill_limit, rules), now)
@@ -59,7 +59,7 @@
         &self,
         service: &str,
         step: &StepSpec,
-        (fill_limit, rules): (f64, &PlaceRules),
+        (fill_limit, rules): (f64, &PlacementRules),
         now: TimePoint,
     ) -> Option<WaitReason> {
         if let Some(refusal) = self.refusal(service, step, now) {
@@ -73,10 +73,11 @@
     }
 
     /// Thousandths of a core that are left to tasks that fill.
-    fn fill_room_milli(&self, fill_limit: f64, rules: &PlaceRules) -> f64 {
+    fn fill_room_milli(&self, fill_limit: f64, rules: &PlacementRules) -> f64 {
         let lasting = f64::from(self.lasting_milli);
         let batch = f64::from(self.booked.cpu_milli) - lasting;
-        let left = f64::from(self.view.capacity.cpu_milli) - batch - lasting * rules.lasting_use;
+        let left =
+            f64::from(self.view.capacity.cpu_milli) - batch - lasting * rules.long_running_use;
         left * fill_limit - f64::from(self.filling_milli)
     }
 
@@ -84,12 +85,12 @@
     pub(crate) fn press_choice(
         &self,
         step: &StepSpec,
-        pairs: &PressTable,
-        rules: &PlaceRules,
-    ) -> PressChoice {
+        pairs: &InterferenceTable,
+        rules: &PlacementRules,
+    ) -> InterferenceEstimate {
         let cpu_milli = step.size.cpu_milli;
         self.press
-            .choice(pairs, &step.image, cpu_milli, rules.no_press)
+            .estimate(pairs, &step.image, cpu_milli, rules.negligible_interference)
     }
 
     /// Whether one more task of the step would work here at this pace at least.
@@ -97,14 +98,19 @@
         &self,
         step: &StepSpec,
         least_pace: f64,
-        pairs: &PressTable,
-        rules: &PlaceRules,
+        pairs: &InterferenceTable,
+        rules: &PlacementRules,
     ) -> bool {
         !step.fills || self.press_choice(step, pairs, rules).pace >= least_pace
     }
 
     /// The pace that one more task of the step would be left here, 0 to 1.
-    pub(crate) fn pace_for(&self, step: &StepSpec, pairs: &PressTable, rules: &PlaceRules) -> f64 {
+    pub(crate) fn pace_for(
+        &self,
+        step: &StepSpec,
+        pairs: &InterferenceTable,
+        rules: &PlacementRules,
+    ) -> f64 {
         match step.fills {
             true => self.press_choice(step, pairs, rules).pace,
             false => 1.0,
@@ -124,34 +130,35 @@
         &self,
         step: &StepSpec,
         rack: Option<&str>,
-        pairs: &PressTable,
-        rules: &PlaceRules,
+        pairs: &InterferenceTable,
+        rules: &PlacementRules,
     ) -> f64 {
         let capacity = f64::from(self.view.capacity.cpu_milli.max(1));
         let used = f64::from(self.booked.cpu_milli)
-            - f64::from(self.lasting_milli) * (1.0 - rules.lasting_use)
+            - f64::from(self.lasting_milli) * (1.0 - rules.long_running_use)
             + f64::from(self.filling_milli);
         let mut cost = (used + f64::from(step.size.cpu_milli)) / capacity;
         if step.fills {
             let choice = self.press_choice(step, pairs, rules);
-            cost += rules.pace_cost * (1.0 - choice.pace) + rules.press_cost * choice.taken;
+            cost += rules.slow_pace_cost * (1.0 - choice.pace)
+                + rules.interference_cost * choice.headroom_share;
         }
         if step.lasts {
             // Lasting tasks of one image keep together, and fill a worker before they open another:
             // so other workers are left to what presses on the image.
-            cost = 1.0 - cost + rules.stranger_cost * self.strangers(&step.image);
+            cost = 1.0 - cost + rules.other_image_cost * self.strangers(&step.image);
             if self.press.serving().is_empty() {
-                cost += rules.open_cost;
+                cost += rules.first_long_running_cost;
             }
         }
         if rack.is_some() && rack != self.view.rack.as_deref() {
             cost += match step.one_rack {
-                true => rules.split_cost,
-                false => rules.far_cost,
+                true => rules.rack_split_cost,
+                false => rules.other_rack_cost,
             };
         }
         if self.view.cold_ms > 0 {
-            cost += rules.cold_cost;
+            cost += rules.cold_worker_cost;
         }
         cost
     }
--- a/crates/wax-policy/benches/decisions.rs
+++ b/crates/wax-policy/benches/decisions.rs
@@ -1,17 +1,18 @@
-//! The cost of single decisions at the size to design for, and as a slope around it.
+//! Cost of single scheduling decisions at the target scale, and above and below it to show how the
+//! cost grows.
 
 use divan::Bencher;
 use fastrand::Rng;
 use std::time::Duration;
 use wax_policy::{
-    FirmWeights, KindTable, PairTable, PlaceContext, PlacePolicy, RoutePolicy, RouteTable,
-    RunningTask, TaskDemand, TeamLimits, TeamTable, UpstreamView, WorkerTable,
+    CustomerWeights, KindTable, PairTable, PlacementContext, PlacementPolicy, RoutePolicy,
+    RouteTable, RunningTask, TaskDemand, TeamLimits, TeamTable, UpstreamView, WorkerTable,
 };
 use wax_types::{JobId, ResourceVector, TaskId, TimePoint};
 
-/// 20,500 running tasks on 750 workers.
+/// Target scale: 20,500 running tasks on 750 workers.
 const TASKS_PER_WORKER: usize = 27;
-/// Kinds of tasks of 330 teams.
+/// Number of task kinds at the target scale of 330 teams.
 const KINDS: usize = 660;
 const NOW: TimePoint = TimePoint::from_millis(100_000_000);
 
@@ -33,9 +34,9 @@
         .collect();
     let mut pairs = PairTable::default();
     for _ in 0..20_000 {
-        let (victim, neighbour) = (kinds[rng.usize(..KINDS)], kinds[rng.usize(..KINDS)]);
+        let (affected, neighbour) = (kinds[rng.usize(..KINDS)], kinds[rng.usize(..KINDS)]);
         let band = wax_policy::LoadBand::of(rng.f64());
-        pairs.learn(victim, &[neighbour], band, rng.f64());
+        pairs.learn(affected, &[neighbour], band, rng.f64());
     }
     let mut table = WorkerTable::default();
     for worker in 0..workers {
@@ -53,8 +54,8 @@
                     size: ResourceVector::new(1_100, 4_000, 0),
                     urgent,
                     evictable: !urgent,
-                    saved: NOW - Duration::from_secs(rng.u64(1..3_600)),
-                    settled: NOW,
+                    saved_at: NOW - Duration::from_secs(rng.u64(1..3_600)),
+                    protected_until: NOW,
                     due_today: false,
                 },
             );
@@ -76,11 +77,11 @@
             size,
             urgent,
         };
-        let context = PlaceContext {
+        let context = PlacementContext {
             pairs: &setup.pairs,
-            weights: FirmWeights::default(),
+            weights: CustomerWeights::default(),
             avoid: &[],
-            policy: PlacePolicy::Weighed,
+            policy: PlacementPolicy::Weighed,
         };
         setup.table.choose(NOW, demand, context, &mut rng)
     });
@@ -131,9 +132,9 @@
         retry_percent: 10,
         hedge_percent: 4,
     };
-    let mut turn = 0;
+    let mut index = 0;
     bencher.bench_local(|| {
-        turn += 1;
-        table.admit(&names[turn % teams], limits)
+        index += 1;
+        table.admit(&names[index % teams], limits)
     });
 }
--- a/crates/wax-policy/src/admission.rs
+++ b/crates/wax-policy/src/admission.rs
@@ -1,4 +1,5 @@
-//! Admits quick requests by team: a quota, and fair shares where all want more than there is.
+//! Admits quick requests per team by a quota, and by fair shares while the capacity is nearly used
+//! up.
 
 use crate::average::DecayedMean;
 use crate::retry::RetryBudget;
@@ -7,97 +8,100 @@
 use std::time::Duration;
 
 new_key_type! {
-    /// Names a team in a [`TeamTable`].
+    /// Key of a team in a [`TeamTable`].
     pub struct TeamKey;
 }
 
-/// Requests over which the time that a team's request is held is remembered.
-const HOLD_MEMORY: f64 = 64.0;
-/// Shortest time after which a refused caller is told to come back.
-const RETRY_FLOOR: Duration = Duration::from_millis(20);
-/// Above this share of all places, a team gets no more than its fair share.
-const LENDING_SHARE: f64 = 0.8;
+/// Number of requests after which a sample has little weight in the mean duration of a team's
+/// requests.
+const DURATION_WINDOW: f64 = 64.0;
+/// Shortest delay after which a refused caller is told to retry.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
+/// Share of the capacity in use above which a team gets no more than its fair share.
+const FAIR_SHARE_THRESHOLD: f64 = 0.8;
 
-/// What a team is allowed.
+/// Limits and weight of one team.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TeamLimits {
-    /// Requests under way at once.
+    /// Maximum number of requests in flight.
     pub in_flight: u32,
-    /// Its share where all want more than there is.
+    /// Weight of the team when the capacity is divided into fair shares.
     pub weight: u32,
-    /// Retries in percent of its requests.
+    /// Retries that are allowed, in percent of the team's requests.
     pub retry_percent: u32,
-    /// Hedges in percent of its requests.
+    /// Hedged requests that are allowed, in percent of the team's requests.
     pub hedge_percent: u32,
 }
 
-/// What to do with a request.
+/// Whether a request is admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmitChoice {
-    /// A place is taken for it.
+    /// The request is admitted and counts as in flight.
     Admit(TeamKey),
-    /// The team has used its quota; a place is expected after this time.
+    /// The team has reached its quota; a request of the team is expected to end after this time.
     OverQuota(Duration),
-    /// All places are taken and the team has its fair share.
+    /// The capacity is used up or nearly so, and the team has its fair share; a request of the team
+    /// is expected to end after this time.
     OverShare(Duration),
 }
 
 #[derive(Debug)]
-struct TeamFlow {
+struct TeamUsage {
     in_flight: u32,
     weight: u32,
-    hold: DecayedMean,
+    duration: DecayedMean,
     retries: RetryBudget,
     hedges: RetryBudget,
 }
 
-/// The requests under way of each team; a decision costs the same for 3 teams and for 330.
+/// Requests in flight of each team. The cost of a decision does not depend on the number of teams.
 #[derive(Debug)]
 pub struct TeamTable {
-    places: u32,
-    taken: u32,
+    capacity: u32,
+    in_flight: u32,
     active_weight: u64,
-    teams: SlotMap<TeamKey, TeamFlow>,
+    teams: SlotMap<TeamKey, TeamUsage>,
     names: HashMap<Box<str>, TeamKey>,
 }
 
 impl TeamTable {
-    /// A table with so many places in all.
-    pub fn new(places: u32) -> Self {
+    /// Creates a table that admits at most `capacity` requests at a time over all teams.
+    pub fn new(capacity: u32) -> Self {
         Self {
-            places,
-            taken: 0,
+            capacity,
+            in_flight: 0,
             active_weight: 0,
             teams: SlotMap::with_key(),
             names: HashMap::new(),
         }
     }
 
-    /// Decides about a request of a team.
+    /// Decides whether a request of `team` is admitted, and counts it as in flight if so.
     pub fn admit(&mut self, team: &str, limits: TeamLimits) -> AdmitChoice {
-        let key = self.key_of(team, limits.weight);
-        let share = self.share(key, limits.weight);
-        let flow = &self.teams[key];
-        let hold = Duration::from_secs_f64(flow.hold.value());
-        if flow.in_flight >= limits.in_flight {
-            return AdmitChoice::OverQuota(after(hold, flow.in_flight));
+        let key = self.key_or_insert(team, limits.weight);
+        let share = self.fair_share(key, limits.weight);
+        let usage = &self.teams[key];
+        let duration = Duration::from_secs_f64(usage.duration.value());
+        if usage.in_flight >= limits.in_flight {
+            return AdmitChoice::OverQuota(retry_after(duration, usage.in_flight));
         }
-        let lent_out = f64::from(self.taken) >= f64::from(self.places) * LENDING_SHARE;
-        if self.taken >= self.places || (lent_out && flow.in_flight >= share) {
-            return AdmitChoice::OverShare(after(hold, flow.in_flight));
+        let is_contended =
+            f64::from(self.in_flight) >= f64::from(self.capacity) * FAIR_SHARE_THRESHOLD;
+        if self.in_flight >= self.capacity || (is_contended && usage.in_flight >= share) {
+            return AdmitChoice::OverShare(retry_after(duration, usage.in_flight));
         }
-        self.take_place(key, limits);
+        self.add_request(key, limits);
         AdmitChoice::Admit(key)
     }
 
-    fn key_of(&mut self, team: &str, weight: u32) -> TeamKey {
+    fn key_or_insert(&mut self, team: &str, weight: u32) -> TeamKey {
         if let Some(key) = self.names.get(team) {
             return *key;
         }
-        let key = self.teams.insert(TeamFlow {
+        let key = self.teams.insert(TeamUsage {
             in_flight: 0,
             weight,
-            hold: DecayedMean::new(HOLD_MEMORY),
+            duration: DecayedMean::new(DURATION_WINDOW),
             retries: RetryBudget::default(),
             hedges: RetryBudget::default(),
         });
@@ -105,54 +109,56 @@
         key
     }
 
-    /// A team's fair share of all places among the teams with requests under way.
-    fn share(&self, key: TeamKey, weight: u32) -> u32 {
+    /// Returns the fair share of `key`: the capacity divided by weight among the teams that have
+    /// requests in flight.
+    fn fair_share(&self, key: TeamKey, weight: u32) -> u32 {
         let idle = self.teams[key].in_flight == 0;
         let all = self.active_weight + if idle { u64::from(weight) } else { 0 };
-        let share = u64::from(self.places) * u64::from(weight) / all.max(1);
+        let share = u64::from(self.capacity) * u64::from(weight) / all.max(1);
         share.max(1) as u32
     }
 
-    fn take_place(&mut self, key: TeamKey, limits: TeamLimits) {
-        self.taken += 1;
-        let flow = &mut self.teams[key];
-        if flow.in_flight == 0 {
-            flow.weight = limits.weight;
+    fn add_request(&mut self, key: TeamKey, limits: TeamLimits) {
+        self.in_flight += 1;
+        let usage = &mut self.teams[key];
+        if usage.in_flight == 0 {
+            usage.weight = limits.weight;
             self.active_weight += u64::from(limits.weight);
         }
-        flow.in_flight += 1;
-        flow.retries.earn(limits.retry_percent);
-        flow.hedges.earn(limits.hedge_percent);
+        usage.in_flight += 1;
+        usage.retries.deposit(limits.retry_percent);
+        usage.hedges.deposit(limits.hedge_percent);
     }
 
-    /// Gives a place back after `held`.
-    pub fn release(&mut self, key: TeamKey, held: Duration) {
-        self.taken -= 1;
-        let flow = &mut self.teams[key];
-        flow.in_flight -= 1;
-        flow.hold.add(held.as_secs_f64());
-        if flow.in_flight == 0 {
-            self.active_weight -= u64::from(flow.weight);
+    /// Ends a request that was in flight for `duration`.
+    pub fn release(&mut self, key: TeamKey, duration: Duration) {
+        self.in_flight -= 1;
+        let usage = &mut self.teams[key];
+        usage.in_flight -= 1;
+        usage.duration.add(duration.as_secs_f64());
+        if usage.in_flight == 0 {
+            self.active_weight -= u64::from(usage.weight);
         }
     }
 
-    /// Takes a retry from a team's budget.
+    /// Takes a retry from the team's budget; returns whether the budget allowed it.
     pub fn spend_retry(&mut self, key: TeamKey) -> bool {
-        self.teams[key].retries.spend()
+        self.teams[key].retries.try_spend()
     }
 
-    /// Takes a hedge from a team's budget.
+    /// Takes a hedged request from the team's budget; returns whether the budget allowed it.
     pub fn spend_hedge(&mut self, key: TeamKey) -> bool {
-        self.teams[key].hedges.spend()
+        self.teams[key].hedges.try_spend()
     }
 
-    /// Places taken.
-    pub fn taken(&self) -> u32 {
-        self.taken
+    /// Returns the number of requests in flight over all teams.
+    pub fn in_flight(&self) -> u32 {
+        self.in_flight
     }
 }
 
-/// The mean time until the next of `in_flight` requests ends.
-fn after(hold: Duration, in_flight: u32) -> Duration {
-    (hold / in_flight.max(1)).max(RETRY_FLOOR)
+/// Returns the mean time until the next of `in_flight` requests ends, but at least
+/// [`MIN_RETRY_AFTER`].
+fn retry_after(duration: Duration, in_flight: u32) -> Duration {
+    (duration / in_flight.max(1)).max(MIN_RETRY_AFTER)
 }
--- a/crates/wax-policy/src/placement.rs
+++ b/crates/wax-policy/src/placement.rs
@@ -1,4 +1,4 @@
-//! Chooses the worker for a task, and the tasks that make room for an urgent one.
+//! Chooses the worker for a task, and the tasks to evict for an urgent one.
 
 use crate::interference::{LoadBand, PairTable};
 use crate::kinds::KindKey;
@@ -9,38 +9,41 @@
 use wax_types::{ResourceVector, TaskId, TimePoint};
 
 new_key_type! {
-    /// Names a worker in a [`WorkerTable`].
+    /// Key of a worker in a [`WorkerTable`].
     pub struct WorkerKey;
 }
 
-/// Workers that are scored for one task at most, so that the cost does not grow with their number.
-const SCORED_WORKERS: usize = 24;
-/// How much a full worker counts against a task that takes twice as long.
+/// Maximum number of workers that are scored for one task, so that the cost of a decision does not
+/// grow with the number of workers.
+const MAX_SCORED_WORKERS: usize = 24;
+/// Weight of a worker's utilization in its score, where a task that takes twice as long as alone
+/// counts as 1.
 const FIT_WEIGHT: f64 = 0.15;
-/// Slowdown of a latency-critical task beyond which more of it matters little.
+/// Slowdown of a latency-critical task above which a further slowdown adds little to its cost.
 const SATURATION: f64 = 0.5;
-/// Workers that keep room for an urgent task, so that it need not evict; each costs batch work.
+/// Number of workers on which batch tasks must leave free capacity for an urgent task, so that it
+/// does not need to evict. Each further worker would reduce batch throughput.
 const HEADROOM_WORKERS: usize = 1;
-/// Workers on which evictions are weighed for one task at most.
-const WEIGHED_WORKERS: usize = 64;
+/// Maximum number of workers on which evictions are compared for one task.
+const MAX_EVICTION_CANDIDATES: usize = 64;
 
-/// How a worker is chosen; all but the first are baselines.
+/// Policy by which a worker is chosen. All but `Weighed` are baselines for comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum PlacePolicy {
-    /// By a score of fit and of the harm that neighbours do to each other.
+pub enum PlacementPolicy {
+    /// The best score of utilization and interference between neighbours.
     #[default]
     Weighed,
-    /// Any that fits.
+    /// A random worker on which the task fits.
     Random,
-    /// Each in turn that fits.
+    /// The workers in turn, skipping those on which the task does not fit.
     RoundRobin,
-    /// The one with the most room.
+    /// The worker with the lowest share of its capacity reserved.
     LeastLoaded,
-    /// The first that fits.
+    /// The first worker on which the task fits.
     FirstFit,
 }
 
-impl FromStr for PlacePolicy {
+impl FromStr for PlacementPolicy {
     type Err = ();
 
     fn from_str(text: &str) -> Result<Self, ()> {
@@ -55,18 +58,18 @@
     }
 }
 
-/// What counts for a firm; only the proportions matter.
+/// Customer's weights of the objectives; only their ratios matter.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct FirmWeights {
-    /// Tail latency of what is latency-critical.
+pub struct CustomerWeights {
+    /// Weight of the tail latency of latency-critical tasks.
     pub tail: f64,
-    /// Batch throughput.
+    /// Weight of batch throughput.
     pub throughput: f64,
-    /// Evictions.
+    /// Weight of avoiding evictions.
     pub eviction: f64,
 }
 
-impl Default for FirmWeights {
+impl Default for CustomerWeights {
     fn default() -> Self {
         Self {
             tail: 50.0,
@@ -76,120 +79,121 @@
     }
 }
 
-/// A task that runs on a worker, as far as decisions need it.
+/// Task that runs on a worker, with what placement and eviction depend on.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RunningTask {
-    /// The task.
+    /// Id of the task.
     pub task: TaskId,
-    /// Its kind.
+    /// Kind of the task, by which interference is estimated.
     pub kind: KindKey,
-    /// What is reserved for it.
+    /// Resources reserved for the task.
     pub size: ResourceVector,
-    /// Whether it is latency-critical.
+    /// Whether the task is latency-critical.
     pub urgent: bool,
-    /// Whether it may be evicted for an urgent task.
+    /// Whether the task may be evicted for an urgent one.
     pub evictable: bool,
-    /// When it started or was last checkpointed: later work would be lost.
-    pub saved: TimePoint,
-    /// It is not evicted again before this time.
-    pub settled: TimePoint,
-    /// Whether an eviction would keep it from ending before evening.
+    /// Time of the start or of the last checkpoint; an eviction loses the work done since then.
+    pub saved_at: TimePoint,
+    /// Time before which the task is not evicted.
+    pub protected_until: TimePoint,
+    /// Whether an eviction would keep the task from ending before the end of the working day.
     pub due_today: bool,
 }
 
-/// A worker as far as decisions need it.
+/// Capacity, reservations and tasks of one worker.
 #[derive(Debug, Clone)]
-pub struct WorkerSlot {
+pub struct WorkerCapacity {
     capacity: ResourceVector,
-    used: ResourceVector,
+    reserved: ResourceVector,
     open: bool,
     tasks: Vec<RunningTask>,
 }
 
-/// What a task needs.
+/// Requirements of a task that is to be placed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TaskDemand {
-    /// Its kind.
+    /// Kind of the task, by which interference is estimated.
     pub kind: KindKey,
-    /// What is reserved for it.
+    /// Resources to reserve for the task.
     pub size: ResourceVector,
-    /// Whether it may evict batch tasks.
+    /// Whether the task is latency-critical and may evict batch tasks.
     pub urgent: bool,
 }
 
-/// What a choice looks at besides the workers.
+/// Input of a placement decision besides the workers and the task.
 #[derive(Debug, Clone, Copy)]
-pub struct PlaceContext<'a> {
-    /// What is known of pairs of kinds.
+pub struct PlacementContext<'a> {
+    /// Estimated interference of all pairs of kinds.
     pub pairs: &'a PairTable,
-    /// What counts for the firm.
-    pub weights: FirmWeights,
-    /// Workers on which the task failed.
+    /// Customer's weights of the objectives.
+    pub weights: CustomerWeights,
+    /// Workers on which the task has failed and which are not chosen.
     pub avoid: &'a [WorkerKey],
-    /// How to choose.
-    pub policy: PlacePolicy,
+    /// Policy by which the worker is chosen.
+    pub policy: PlacementPolicy,
 }
 
-/// What to do with a task that waits.
+/// Result of a placement decision.
 #[derive(Debug, Clone, PartialEq)]
-pub enum PlaceChoice {
-    /// Place it on this worker.
+pub enum PlacementChoice {
+    /// Place the task on this worker.
     Place(WorkerKey),
-    /// Evict these tasks of the worker; then there is room.
+    /// Evict these tasks from the worker; the task fits on it afterwards.
     Evict(WorkerKey, Vec<TaskId>),
-    /// Nothing fits now.
+    /// The task fits nowhere at present.
     Wait,
-    /// It is larger than every worker.
+    /// The task is larger than every worker.
     Impossible,
 }
 
-/// The workers of one shard.
+/// Workers of one shard.
 #[derive(Debug, Clone, Default)]
 pub struct WorkerTable {
-    workers: SlotMap<WorkerKey, WorkerSlot>,
+    workers: SlotMap<WorkerKey, WorkerCapacity>,
     order: Vec<WorkerKey>,
-    turn: usize,
-    /// The largest of the latest urgent tasks: room for it is kept free somewhere.
+    next_start: usize,
+    /// Free capacity that batch tasks must leave on some worker: the size of the last urgent task
+    /// that did not fit in the value before.
     urgent_size: Option<ResourceVector>,
 }
 
-impl WorkerSlot {
-    /// What is not reserved.
+impl WorkerCapacity {
+    /// Returns the capacity that is not reserved.
     pub fn free(&self) -> ResourceVector {
-        self.capacity.saturating_sub(self.used)
+        self.capacity.saturating_sub(self.reserved)
     }
 
-    /// What it has.
+    /// Returns the total capacity.
     pub fn capacity(&self) -> ResourceVector {
         self.capacity
     }
 
-    /// What is reserved.
-    pub fn used(&self) -> ResourceVector {
-        self.used
+    /// Returns the capacity that is reserved for the tasks.
+    pub fn reserved(&self) -> ResourceVector {
+        self.reserved
     }
 
-    /// What runs there.
+    /// Returns the tasks on the worker.
     pub fn tasks(&self) -> &[RunningTask] {
         &self.tasks
     }
 
-    /// The band of its load.
-    pub fn band(&self) -> LoadBand {
+    /// Returns the load band by the share of capacity that is reserved.
+    pub fn load_band(&self) -> LoadBand {
         LoadBand::of(self.load())
     }
 
     fn load(&self) -> f64 {
-        self.used.dominant_share(self.capacity)
+        self.reserved.dominant_share(self.capacity)
     }
 }
 
 impl WorkerTable {
-    /// Adds an idle worker.
+    /// Adds a worker without tasks that accepts new ones.
     pub fn add(&mut self, capacity: ResourceVector) -> WorkerKey {
-        let key = self.workers.insert(WorkerSlot {
+        let key = self.workers.insert(WorkerCapacity {
             capacity,
-            used: ResourceVector::ZERO,
+            reserved: ResourceVector::ZERO,
             open: true,
             tasks: Vec::new(),
         });
@@ -197,68 +201,69 @@
         key
     }
 
-    /// Removes a worker.
+    /// Removes a worker and its reservations.
     pub fn remove(&mut self, key: WorkerKey) {
         self.workers.remove(key);
         self.order.retain(|other| *other != key);
     }
 
-    /// Whether new tasks may be placed on a worker.
+    /// Sets whether new tasks may be placed on a worker.
     pub fn set_open(&mut self, key: WorkerKey, open: bool) {
-        if let Some(slot) = self.workers.get_mut(key) {
-            slot.open = open;
+        if let Some(worker) = self.workers.get_mut(key) {
+            worker.open = open;
         }
     }
 
-    /// The worker.
-    pub fn get(&self, key: WorkerKey) -> Option<&WorkerSlot> {
+    /// Returns the worker, if the table has it.
+    pub fn get(&self, key: WorkerKey) -> Option<&WorkerCapacity> {
         self.workers.get(key)
     }
 
-    /// All workers.
+    /// Returns the keys of all workers.
     pub fn keys(&self) -> impl Iterator<Item = WorkerKey> + '_ {
         self.workers.keys()
     }
 
-    /// Reserves room; says whether it fitted. Nothing is reserved beyond the capacity.
+    /// Reserves capacity for a task; returns false if the worker is unknown or the task does not
+    /// fit.
     pub fn reserve(&mut self, key: WorkerKey, task: RunningTask) -> bool {
-        let Some(slot) = self.workers.get_mut(key) else {
+        let Some(worker) = self.workers.get_mut(key) else {
             return false;
         };
-        match slot.used.checked_add(task.size) {
-            Some(used) if used.fits_in(slot.capacity) => {
-                slot.used = used;
-                slot.tasks.push(task);
+        match worker.reserved.checked_add(task.size) {
+            Some(reserved) if reserved.fits_in(worker.capacity) => {
+                worker.reserved = reserved;
+                worker.tasks.push(task);
                 true
             }
             _ => false,
         }
     }
 
-    /// Gives the room of a task back.
+    /// Releases the reservation of a task; `None` if the worker does not have it.
     pub fn release(&mut self, key: WorkerKey, task: TaskId) -> Option<RunningTask> {
-        let slot = self.workers.get_mut(key)?;
-        let position = slot.tasks.iter().position(|other| other.task == task)?;
-        let task = slot.tasks.swap_remove(position);
-        slot.used = slot.used.saturating_sub(task.size);
+        let worker = self.workers.get_mut(key)?;
+        let position = worker.tasks.iter().position(|other| other.task == task)?;
+        let task = worker.tasks.swap_remove(position);
+        worker.reserved = worker.reserved.saturating_sub(task.size);
         Some(task)
     }
 
-    /// Chooses for one task.
+    /// Chooses a worker for one task.
     pub fn choose(
         &mut self,
         now: TimePoint,
         demand: TaskDemand,
-        context: PlaceContext<'_>,
+        context: PlacementContext<'_>,
         rng: &mut Rng,
-    ) -> PlaceChoice {
+    ) -> PlacementChoice {
         let count = self.order.len().max(1);
         let start = match context.policy {
-            PlacePolicy::FirstFit | PlacePolicy::LeastLoaded => 0,
-            PlacePolicy::RoundRobin => self.turn % count,
-            PlacePolicy::Random | PlacePolicy::Weighed => rng.usize(..count),
+            PlacementPolicy::FirstFit | PlacementPolicy::LeastLoaded => 0,
+            PlacementPolicy::RoundRobin => self.next_start % count,
+            PlacementPolicy::Random | PlacementPolicy::Weighed => rng.usize(..count),
         };
-        self.turn = self.turn.wrapping_add(1);
+        self.next_start = self.next_start.wrapping_add(1);
         if demand.urgent
             && self
                 .urgent_size
@@ -266,45 +271,52 @@
         {
             self.urgent_size = Some(demand.size);
         }
-        let headroom = self.headroom(demand, context.policy);
-        let mut fitting = self
-            .fitting(start, demand, context.avoid)
-            .filter(|(_, slot)| headroom.is_none_or(|size| keeps_room(slot, demand, size)));
+        let required_headroom = self.required_headroom(demand, context.policy);
+        let mut workers_that_fit =
+            self.workers_that_fit(start, demand, context.avoid)
+                .filter(|(_, worker)| {
+                    required_headroom.is_none_or(|size| keeps_headroom(worker, demand, size))
+                });
         let chosen = match context.policy {
-            PlacePolicy::Random | PlacePolicy::RoundRobin | PlacePolicy::FirstFit => {
-                fitting.next().map(|(key, _)| key)
+            PlacementPolicy::Random | PlacementPolicy::RoundRobin | PlacementPolicy::FirstFit => {
+                workers_that_fit.next().map(|(key, _)| key)
             }
-            PlacePolicy::LeastLoaded => fitting
+            PlacementPolicy::LeastLoaded => workers_that_fit
                 .min_by(|(_, a), (_, b)| a.load().total_cmp(&b.load()))
                 .map(|(key, _)| key),
-            PlacePolicy::Weighed => fitting
-                .take(SCORED_WORKERS)
-                .map(|(key, slot)| (key, score(slot, demand, &context)))
+            PlacementPolicy::Weighed => workers_that_fit
+                .take(MAX_SCORED_WORKERS)
+                .map(|(key, worker)| (key, score(worker, demand, &context)))
                 .min_by(|(_, a), (_, b)| a.total_cmp(b))
                 .map(|(key, _)| key),
         };
         match chosen {
-            Some(key) => PlaceChoice::Place(key),
-            None => self.choose_victims(now, start, demand, context.policy),
+            Some(key) => PlacementChoice::Place(key),
+            None => self.choose_eviction(now, start, demand, context.policy),
         }
     }
 
-    /// The size for which a batch task must leave room, where few workers have it.
-    fn headroom(&self, demand: TaskDemand, policy: PlacePolicy) -> Option<ResourceVector> {
+    /// Returns the capacity that a batch task must leave free on a worker that has it; `None` if
+    /// more than [`HEADROOM_WORKERS`] workers have it or the task need not leave any.
+    fn required_headroom(
+        &self,
+        demand: TaskDemand,
+        policy: PlacementPolicy,
+    ) -> Option<ResourceVector> {
         let size = self.urgent_size?;
-        if demand.urgent || policy != PlacePolicy::Weighed {
+        if demand.urgent || policy != PlacementPolicy::Weighed {
             return None;
         }
-        let roomy = self
+        let with_headroom = self
             .workers
             .values()
-            .filter(|slot| slot.open && size.fits_in(slot.free()))
+            .filter(|worker| worker.open && size.fits_in(worker.free()))
             .take(HEADROOM_WORKERS + 1)
             .count();
-        (roomy <= HEADROOM_WORKERS).then_some(size)
+        (with_headroom <= HEADROOM_WORKERS).then_some(size)
     }
 
-    fn from(&self, start: usize) -> impl Iterator<Item = (WorkerKey, &WorkerSlot)> {
+    fn workers_from(&self, start: usize) -> impl Iterator<Item = (WorkerKey, &WorkerCapacity)> {
         let (before, after) = self.order.split_at(start.min(self.order.len()));
         after
             .iter()
@@ -312,110 +324,125 @@
             .map(|key| (*key, &self.workers[*key]))
     }
 
-    fn fitting<'a>(
+    fn workers_that_fit<'a>(
         &'a self,
         start: usize,
         demand: TaskDemand,
         avoid: &'a [WorkerKey],
-    ) -> impl Iterator<Item = (WorkerKey, &'a WorkerSlot)> + 'a {
-        self.from(start).filter(move |(key, slot)| {
-            slot.open && demand.size.fits_in(slot.free()) && !avoid.contains(key)
+    ) -> impl Iterator<Item = (WorkerKey, &'a WorkerCapacity)> + 'a {
+        self.workers_from(start).filter(move |(key, worker)| {
+            worker.open && demand.size.fits_in(worker.free()) && !avoid.contains(key)
         })
     }
 
-    /// For an urgent task: the worker where eviction loses the least work.
-    fn choose_victims(
+    /// Chooses the worker on which an eviction for an urgent task loses the least work.
+    fn choose_eviction(
         &self,
         now: TimePoint,
         start: usize,
         demand: TaskDemand,
-        policy: PlacePolicy,
-    ) -> PlaceChoice {
-        let possible = |slot: &WorkerSlot| demand.size.fits_in(slot.capacity);
-        if !self.workers.values().any(possible) {
-            return PlaceChoice::Impossible;
+        policy: PlacementPolicy,
+    ) -> PlacementChoice {
+        let can_ever_fit = |worker: &WorkerCapacity| demand.size.fits_in(worker.capacity);
+        if !self.workers.values().any(can_ever_fit) {
+            return PlacementChoice::Impossible;
         }
         if !demand.urgent {
-            return PlaceChoice::Wait;
+            return PlacementChoice::Wait;
         }
-        let weighed = policy == PlacePolicy::Weighed;
+        let weighed = policy == PlacementPolicy::Weighed;
         let mut plans = self
-            .from(start)
-            .filter(|(_, slot)| slot.open && possible(slot))
-            .filter_map(|(key, slot)| Some((key, victims_on(slot, now, demand.size, weighed)?)))
-            .take(WEIGHED_WORKERS);
+            .workers_from(start)
+            .filter(|(_, worker)| worker.open && can_ever_fit(worker))
+            .filter_map(|(key, worker)| {
+                Some((key, plan_eviction(worker, now, demand.size, weighed)?))
+            })
+            .take(MAX_EVICTION_CANDIDATES);
         let plan = if weighed {
-            plans.min_by_key(|(_, plan)| (plan.due_today, plan.lost, plan.victims.len()))
+            plans.min_by_key(|(_, plan)| (plan.due_today, plan.lost_work, plan.victims.len()))
         } else {
             plans.next()
         };
-        plan.map_or(PlaceChoice::Wait, |(key, plan)| {
-            PlaceChoice::Evict(key, plan.victims)
+        plan.map_or(PlacementChoice::Wait, |(key, plan)| {
+            PlacementChoice::Evict(key, plan.victims)
         })
     }
 }
 
-/// Whether a worker has no room for `size` anyway, or has it also beside the new task.
-fn keeps_room(slot: &WorkerSlot, demand: TaskDemand, size: ResourceVector) -> bool {
-    let free = slot.free();
+/// Returns whether `size` would still fit on the worker next to the new task, or does not fit even
+/// now.
+fn keeps_headroom(worker: &WorkerCapacity, demand: TaskDemand, size: ResourceVector) -> bool {
+    let free = worker.free();
     !size.fits_in(free) || size.fits_in(free.saturating_sub(demand.size))
 }
 
-/// Lower is better: how full the worker becomes, and the harm that the neighbours do.
+/// Returns the cost of placing the task on the worker, lower is better: the utilization afterwards
+/// and the interference between neighbours.
 ///
-/// All tasks spread: a fuller worker is in the worse band for everybody on it.
-fn score(slot: &WorkerSlot, demand: TaskDemand, context: &PlaceContext<'_>) -> f64 {
-    let used = slot.used.checked_add(demand.size).unwrap_or(slot.used);
-    let after = used.dominant_share(slot.capacity);
+/// Utilization counts for all tasks, so that they spread over the workers: on a worker in the
+/// higher load band every task suffers more interference.
+fn score(worker: &WorkerCapacity, demand: TaskDemand, context: &PlacementContext<'_>) -> f64 {
+    let reserved = worker
+        .reserved
+        .checked_add(demand.size)
+        .unwrap_or(worker.reserved);
+    let after = reserved.dominant_share(worker.capacity);
     let total = context.weights.tail + context.weights.throughput;
-    let harm = harm(slot, demand, LoadBand::of(after), context);
-    after * FIT_WEIGHT + harm / total.max(1.0)
+    let interference_cost = interference_cost(worker, demand, LoadBand::of(after), context);
+    after * FIT_WEIGHT + interference_cost / total.max(1.0)
 }
 
-/// The cost of a slowdown of a latency-critical task, between 0 and 1.
+/// Returns the cost of a slowdown of a latency-critical task, 0 to 1.
 ///
-/// It saturates: requests are routed elsewhere by then, so noise is better kept in one place.
+/// The cost saturates because requests are routed to other workers once a task is slow, so that a
+/// further slowdown does little harm. Interfering tasks are therefore better kept on one worker.
 fn saturate(excess: f64) -> f64 {
     1.0 - libm::exp(-excess / SATURATION)
 }
 
-/// Expected slowdown of one victim by one neighbour.
+/// Returns the expected slowdown of one affected task by one neighbour.
 ///
-/// Where the victim is latency-critical the estimate is raised by its spread; where it is batch it
-/// is lowered, so that unknown pairs get tried.
-fn expected(
+/// For a latency-critical task, one standard deviation is added to the estimate. For a batch task,
+/// half of one is subtracted, so that pairs without samples get tried.
+fn expected_slowdown(
     pairs: &PairTable,
-    (victim, urgent): (KindKey, bool),
+    (affected, urgent): (KindKey, bool),
     neighbour: KindKey,
     band: LoadBand,
 ) -> f64 {
-    let estimate = pairs.estimate(victim, neighbour, band);
+    let estimate = pairs.estimate(affected, neighbour, band);
     let margin = if urgent { 1.0 } else { -0.5 };
     (estimate.excess + margin * estimate.spread()).max(0.0)
 }
 
-/// Expected slowdown of the neighbours by the task and of the task by them, weighed.
-fn harm(slot: &WorkerSlot, demand: TaskDemand, band: LoadBand, context: &PlaceContext<'_>) -> f64 {
+/// Returns the weighted cost of the slowdown of the neighbours by the task and of the task by its
+/// neighbours.
+fn interference_cost(
+    worker: &WorkerCapacity,
+    demand: TaskDemand,
+    band: LoadBand,
+    context: &PlacementContext<'_>,
+) -> f64 {
     let weights = context.weights;
     let mut cost = 0.0;
-    for task in &slot.tasks {
-        let victim = (task.kind, task.urgent);
-        let added = expected(context.pairs, victim, demand.kind, band);
+    for task in &worker.tasks {
+        let affected = (task.kind, task.urgent);
+        let added = expected_slowdown(context.pairs, affected, demand.kind, band);
         cost += if task.urgent {
-            let others = slot.tasks.iter().filter(|other| other.task != task.task);
+            let others = worker.tasks.iter().filter(|other| other.task != task.task);
             let before: f64 = others
-                .map(|other| expected(context.pairs, victim, other.kind, band))
+                .map(|other| expected_slowdown(context.pairs, affected, other.kind, band))
                 .sum();
             weights.tail * (saturate(before + added) - saturate(before))
         } else {
             weights.throughput * added
         };
     }
-    let victim = (demand.kind, demand.urgent);
-    let suffered: f64 = slot
+    let affected = (demand.kind, demand.urgent);
+    let suffered: f64 = worker
         .tasks
         .iter()
-        .map(|task| expected(context.pairs, victim, task.kind, band))
+        .map(|task| expected_slowdown(context.pairs, affected, task.kind, band))
         .sum();
     cost + if demand.urgent {
         weights.tail * saturate(suffered)
@@ -424,39 +451,41 @@
     }
 }
 
-/// What an eviction on one worker costs.
-struct VictimPlan {
+/// Tasks to evict from one worker, and the cost.
+struct EvictionPlan {
     victims: Vec<TaskId>,
-    lost: Duration,
+    lost_work: Duration,
     due_today: bool,
 }
 
-/// The evictable tasks until the size fits: least work lost first, or in the order of arrival.
-fn victims_on(
-    slot: &WorkerSlot,
+/// Chooses evictable tasks until `size` fits; `None` if it does not fit even without all of them.
+/// With `weighed`, tasks that lose the least work come first, otherwise the order of arrival
+/// decides.
+fn plan_eviction(
+    worker: &WorkerCapacity,
     now: TimePoint,
     size: ResourceVector,
     weighed: bool,
-) -> Option<VictimPlan> {
-    let mut tasks: Vec<&RunningTask> = slot
+) -> Option<EvictionPlan> {
+    let mut tasks: Vec<&RunningTask> = worker
         .tasks
         .iter()
-        .filter(|task| task.evictable && task.settled <= now)
+        .filter(|task| task.evictable && task.protected_until <= now)
         .collect();
     if weighed {
-        tasks.sort_by_key(|task| (task.due_today, now.since(task.saved), task.task));
+        tasks.sort_by_key(|task| (task.due_today, now.since(task.saved_at), task.task));
     }
-    let mut used = slot.used;
+    let mut reserved = worker.reserved;
     let mut chosen: Vec<&RunningTask> = Vec::new();
     for task in tasks {
-        used = used.saturating_sub(task.size);
+        reserved = reserved.saturating_sub(task.size);
         chosen.push(task);
-        if size.fits_in(slot.capacity.saturating_sub(used)) {
+        if size.fits_in(worker.capacity.saturating_sub(reserved)) {
             if weighed {
-                spare(&mut chosen, slot.capacity.saturating_sub(used), size);
+                drop_unneeded_victims(&mut chosen, worker.capacity.saturating_sub(reserved), size);
             }
-            return Some(VictimPlan {
-                lost: chosen.iter().map(|task| now.since(task.saved)).sum(),
+            return Some(EvictionPlan {
+                lost_work: chosen.iter().map(|task| now.since(task.saved_at)).sum(),
                 due_today: chosen.iter().any(|task| task.due_today),
                 victims: chosen.iter().map(|task| task.task).collect(),
             });
@@ -465,14 +494,18 @@
     None
 }
 
-/// Takes back victims that are not needed once later, larger ones were added.
-fn spare(chosen: &mut Vec<&RunningTask>, mut room: ResourceVector, size: ResourceVector) {
+/// Removes tasks from `chosen` that need not be evicted because larger ones were added after them.
+fn drop_unneeded_victims(
+    chosen: &mut Vec<&RunningTask>,
+    mut free: ResourceVector,
+    size: ResourceVector,
+) {
     let mut index = 0;
     while index < chosen.len() {
-        let without = room.saturating_sub(chosen[index].size);
-        let enough = size.fits_in(without) && chosen[index].size.fits_in(room);
+        let without = free.saturating_sub(chosen[index].size);
+        let enough = size.fits_in(without) && chosen[index].size.fits_in(free);
         if enough {
-            room = without;
+            free = without;
             chosen.remove(index);
         } else {
             index += 1;
--- a/crates/wax-policy/src/routing.rs
+++ b/crates/wax-policy/src/routing.rs
@@ -9,48 +9,52 @@
 use wax_types::TimePoint;
 
 new_key_type! {
-    /// Names an upstream in a [`RouteTable`].
+    /// Key of an upstream in a [`RouteTable`].
     pub struct UpstreamKey;
 }
 
-/// Requests over which an upstream's latency is remembered.
-const LATENCY_MEMORY: f64 = 32.0;
-/// Expected time of a request before anything was measured.
+/// Number of requests after which a sample has little weight in the mean latency of an upstream.
+const LATENCY_WINDOW: f64 = 32.0;
+/// Expected latency of an upstream before any sample.
 const LATENCY_PRIOR: Duration = Duration::from_millis(5);
-/// What crossing to another failure domain costs; the brief's one-way latency is 0.5 to 1 ms.
+/// Cost of crossing to another failure domain, where the one-way latency is 0.5 to 1 ms.
 const DOMAIN_PENALTY: Duration = Duration::from_millis(2);
-/// A sidecar that has said nothing for this long gets nothing; it speaks every second.
-const SILENCE_LIMIT: Duration = Duration::from_secs(3);
-/// For how long others are preferred to an upstream that refused or failed.
-const REFUSAL_SPAN: Duration = Duration::from_millis(200);
-/// An upstream that answers nothing for so many usual times is overdue.
+/// Time without a report from its sidecar after which an upstream gets no requests. Sidecars report
+/// every second.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time for which other upstreams are preferred after an upstream refused a request or failed.
+const REFUSAL_PENALTY_TIME: Duration = Duration::from_millis(200);
+/// Multiple of its service time after which an upstream that answers nothing is overdue.
 const OVERDUE_FACTOR: f64 = 2.5;
-const OVERDUE_FLOOR: Duration = Duration::from_millis(40);
-/// How much worse an upstream counts that is shunned.
-const OVERDUE_PENALTY: f64 = 20.0;
-/// An answer that takes this many times as long as usual is slow.
-const SLOW_FACTOR: f64 = 2.0;
-/// A second attempt must be sent this many usual times before the deadline.
-const IN_TIME_FACTOR: f64 = 1.4;
-/// A newcomer's expected time counts this much more at first, falling to 1.
-const NEWCOMER_FACTOR: f64 = 3.0;
-const NEWCOMER_SPAN: Duration = Duration::from_secs(5);
+const MIN_OVERDUE: Duration = Duration::from_millis(40);
+/// Factor on the expected time of an upstream that is to be avoided.
+const AVOID_FACTOR: f64 = 20.0;
+/// Multiple of the expected time after which an answer counts as slow and a hedged request is sent.
+const HEDGE_FACTOR: f64 = 2.0;
+/// Multiple of the service time that must be left before the deadline when a hedged request is
+/// sent.
+const HEDGE_MARGIN_FACTOR: f64 = 1.4;
+/// Factor on the expected time of an upstream that has just connected; it falls to 1 over
+/// [`WARMUP_TIME`].
+const WARMUP_FACTOR: f64 = 3.0;
+const WARMUP_TIME: Duration = Duration::from_secs(5);
 /// Consecutive failures after which an upstream is ejected.
 const FAILURES_TO_EJECT: u32 = 5;
-const EJECT_FLOOR: Duration = Duration::from_secs(1);
-const EJECT_CEILING: Duration = Duration::from_secs(30);
+const MIN_EJECTION: Duration = Duration::from_secs(1);
+const MAX_EJECTION: Duration = Duration::from_secs(30);
 
-/// How an upstream is chosen; all but the first are baselines.
+/// Policy by which an upstream is chosen. All but `Weighed` are baselines for comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum RoutePolicy {
-    /// The better of two by expected time, own failure domain first until it would have to wait.
+    /// The better of two random upstreams by expected time. Upstreams in the own failure domain
+    /// come first unless the request would have to wait there.
     #[default]
     Weighed,
-    /// Any.
+    /// A random upstream.
     Random,
-    /// Each in turn.
+    /// The upstreams in turn.
     RoundRobin,
-    /// The one with the fewest requests under way.
+    /// The upstream with the fewest requests in flight.
     LeastLoaded,
 }
 
@@ -68,22 +72,22 @@
     }
 }
 
-/// What a sidecar last said.
+/// Load of an upstream as its sidecar last reported it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct UpstreamLoad {
-    /// Slots in use.
+    /// Number of slots in use.
     pub slots_used: u32,
-    /// Requests that wait for a slot.
+    /// Number of requests that wait for a slot.
     pub queued: u32,
-    /// Mean time at the upstream.
+    /// Mean time that requests take at the upstream.
     pub service_time: Duration,
-    /// Whether it takes no new work.
+    /// Whether the upstream is leaving and accepts no new requests.
     pub leaving: bool,
-    /// Whether the sidecar reaches it.
+    /// Whether the sidecar can reach the upstream.
     pub up: bool,
 }
 
-/// One upstream as this entry sees it.
+/// State of one upstream as this entry knows it.
 #[derive(Debug, Clone)]
 pub struct UpstreamView {
     service: Box<str>,
@@ -93,51 +97,54 @@
     in_flight: u32,
     sent_since_report: u32,
     latency: DecayedMean,
-    heard: TimePoint,
-    joined: TimePoint,
+    last_report: TimePoint,
+    connected_at: TimePoint,
     failures: u32,
     ejections: u32,
     ejected_until: TimePoint,
-    /// Since when requests are under way without any answer.
+    /// Time since which requests have been in flight without any answer.
     unanswered_since: Option<TimePoint>,
-    /// It refused a request; until this time others are preferred.
-    refusing_until: TimePoint,
+    /// Time before which other upstreams are preferred because this one refused a request or
+    /// failed.
+    avoid_until: TimePoint,
 }
 
-/// What to do with a request.
+/// Decision about a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteChoice {
-    /// Send it to this upstream.
+    /// Send the request to this upstream.
     Send(UpstreamKey),
-    /// Every upstream that was weighed would be late; a slot is expected after this time.
+    /// The deadline cannot be met, even by the best of the upstreams that were compared; a slot is
+    /// expected to be free after this time.
     Late(Duration),
-    /// No upstream of the service takes work.
-    Nobody,
+    /// No upstream of the service accepts requests.
+    NoUpstream,
 }
 
-/// How an attempt ended, for what is learned from it.
+/// Outcome of an attempt, from which the table learns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The answer's head came after this time.
+    /// The response headers arrived after this time.
     Answered(Duration),
-    /// It was refused; says nothing about health.
+    /// The upstream refused the request, which says nothing about its health.
     Refused,
-    /// It was lost, timed out, or the upstream could not be reached.
+    /// The attempt was lost or timed out, or the upstream could not be reached.
     Failed,
-    /// It was given up for another reason, such as a hedge that lost.
+    /// The attempt was cancelled for another reason, such as a hedged request that was not needed.
     Abandoned,
 }
 
-/// All upstreams that an entry knows.
+/// All upstreams that an entry knows, by service.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     upstreams: SlotMap<UpstreamKey, UpstreamView>,
     services: HashMap<Box<str>, Vec<UpstreamKey>>,
-    turn: usize,
+    next_start: usize,
 }
 
 impl UpstreamView {
-    /// A new upstream; `local` if it is in the entry's failure domain.
+    /// Creates an upstream without requests; `local` tells whether it is in the entry's failure
+    /// domain.
     pub fn new(service: &str, local: bool, slots: u32, now: TimePoint) -> Self {
         Self {
             service: service.into(),
@@ -149,42 +156,45 @@
             },
             in_flight: 0,
             sent_since_report: 0,
-            latency: DecayedMean::new(LATENCY_MEMORY),
-            heard: now,
-            joined: now,
+            latency: DecayedMean::new(LATENCY_WINDOW),
+            last_report: now,
+            connected_at: now,
             failures: 0,
             ejections: 0,
             ejected_until: TimePoint::default(),
             unanswered_since: None,
-            refusing_until: TimePoint::default(),
+            avoid_until: TimePoint::default(),
         }
     }
 
-    fn takes_work(&self, now: TimePoint) -> bool {
-        !self.load.leaving && self.load.up && now.since(self.heard) < SILENCE_LIMIT
+    fn accepts_requests(&self, now: TimePoint) -> bool {
+        !self.load.leaving && self.load.up && now.since(self.last_report) < REPORT_TIMEOUT
     }
 
     fn is_ejected(&self, now: TimePoint) -> bool {
         now < self.ejected_until
     }
 
-    /// Whether it has answered nothing for much longer than one request takes.
+    /// Returns whether the upstream has answered nothing for much longer than a request takes.
     ///
-    /// A machine that is gone looks idle to everybody but those who wait for it.
+    /// A VM that has failed looks idle to every client except those that wait for its answers.
     fn is_overdue(&self, now: TimePoint) -> bool {
         let limit = self.service_time().mul_f64(OVERDUE_FACTOR) + self.wait();
         self.unanswered_since
-            .is_some_and(|since| now.since(since) > limit.max(OVERDUE_FLOOR))
+            .is_some_and(|since| now.since(since) > limit.max(MIN_OVERDUE))
     }
 
-    /// Whether others are preferred: it refuses, or it answers nothing.
+    /// Returns whether other upstreams are preferred because this one refuses requests or answers
+    /// none.
     ///
-    /// What refuses at once looks idle and fast, and would draw ever more requests.
-    fn is_shunned(&self, now: TimePoint) -> bool {
-        now < self.refusing_until || self.is_overdue(now)
+    /// An upstream that refuses requests at once looks idle and fast, and would otherwise attract
+    /// more and more of them.
+    fn is_avoided(&self, now: TimePoint) -> bool {
+        now < self.avoid_until || self.is_overdue(now)
     }
 
-    /// Requests under way there, as far as known.
+    /// Returns the number of requests at the upstream: the reported load plus the requests sent
+    /// since, but at least the requests in flight from here.
     fn depth(&self) -> u32 {
         let reported = self.load.slots_used + self.load.queued + self.sent_since_report;
         reported.max(self.in_flight)
@@ -200,7 +210,7 @@
         }
     }
 
-    /// Expected time for a slot to be free.
+    /// Returns the expected time until a slot is free.
     fn wait(&self) -> Duration {
         let depth = self.depth();
         if depth < self.slots {
@@ -215,10 +225,11 @@
         service.mul_f64(rounds)
     }
 
-    /// Expected time to the answer.
+    /// Returns the expected time to the answer, with penalties for a new, avoided or remote
+    /// upstream.
     fn score(&self, now: TimePoint) -> Duration {
-        let age = now.since(self.joined).as_secs_f64() / NEWCOMER_SPAN.as_secs_f64();
-        let factor = (NEWCOMER_FACTOR - (NEWCOMER_FACTOR - 1.0) * age).max(1.0);
+        let age = now.since(self.connected_at).as_secs_f64() / WARMUP_TIME.as_secs_f64();
+        let factor = (WARMUP_FACTOR - (WARMUP_FACTOR - 1.0) * age).max(1.0);
         let busy = f64::from(self.depth()) / f64::from(self.slots);
         let time = self.service_time().mul_f64(1.0 + 0.25 * busy.min(1.0)) + self.wait();
         let penalty = if self.local {
@@ -226,8 +237,8 @@
         } else {
             DOMAIN_PENALTY
         };
-        let overdue = if self.is_shunned(now) {
-            OVERDUE_PENALTY
+        let overdue = if self.is_avoided(now) {
+            AVOID_FACTOR
         } else {
             1.0
         };
@@ -244,7 +255,7 @@
         key
     }
 
-    /// Removes an upstream whose connection ended.
+    /// Removes an upstream whose connection has ended.
     pub fn remove(&mut self, key: UpstreamKey) {
         if let Some(view) = self.upstreams.remove(key)
             && let Some(keys) = self.services.get_mut(&view.service)
@@ -253,27 +264,27 @@
         }
     }
 
-    /// How many upstreams of a service are connected.
-    pub fn count(&self, service: &str) -> usize {
+    /// Returns the number of connected upstreams of a service.
+    pub fn upstream_count(&self, service: &str) -> usize {
         self.services.get(service).map_or(0, Vec::len)
     }
 
-    /// Whether a service has ever had an upstream here.
-    pub fn knows(&self, service: &str) -> bool {
+    /// Returns whether the service has ever had an upstream in this table.
+    pub fn knows_service(&self, service: &str) -> bool {
         self.services.contains_key(service)
     }
 
-    /// Takes what a sidecar said.
-    pub fn report(&mut self, now: TimePoint, key: UpstreamKey, load: UpstreamLoad) {
+    /// Records a load report from the sidecar of an upstream.
+    pub fn update_load(&mut self, now: TimePoint, key: UpstreamKey, load: UpstreamLoad) {
         if let Some(view) = self.upstreams.get_mut(key) {
             view.load = load;
             view.sent_since_report = 0;
-            view.heard = now;
+            view.last_report = now;
         }
     }
 
-    /// Counts an attempt that is sent.
-    pub fn begin(&mut self, now: TimePoint, key: UpstreamKey) {
+    /// Counts an attempt that is sent to an upstream.
+    pub fn begin_attempt(&mut self, now: TimePoint, key: UpstreamKey) {
         if let Some(view) = self.upstreams.get_mut(key) {
             view.unanswered_since.get_or_insert(now);
             view.in_flight += 1;
@@ -281,18 +292,18 @@
         }
     }
 
-    /// Counts an attempt that ended and learns from it.
-    pub fn end(&mut self, now: TimePoint, key: UpstreamKey, end: AttemptEnd) {
-        let may_eject = self.may_eject(now, key);
+    /// Counts an attempt as ended and learns from its outcome.
+    pub fn end_attempt(&mut self, now: TimePoint, key: UpstreamKey, end: AttemptEnd) {
+        let can_eject = self.can_eject(now, key);
         let Some(view) = self.upstreams.get_mut(key) else {
             return;
         };
         view.in_flight = view.in_flight.saturating_sub(1);
         view.sent_since_report = view.sent_since_report.saturating_sub(1);
-        let heard = matches!(end, AttemptEnd::Answered(_) | AttemptEnd::Refused);
+        let answered = matches!(end, AttemptEnd::Answered(_) | AttemptEnd::Refused);
         if view.in_flight == 0 {
             view.unanswered_since = None;
-        } else if heard {
+        } else if answered {
             view.unanswered_since = Some(now);
         }
         match end {
@@ -302,22 +313,23 @@
                 view.ejections = 0;
             }
             AttemptEnd::Failed => {
-                view.refusing_until = now + REFUSAL_SPAN;
+                view.avoid_until = now + REFUSAL_PENALTY_TIME;
                 view.failures += 1;
-                if view.failures >= FAILURES_TO_EJECT && may_eject {
-                    let span = EJECT_FLOOR * (1 << view.ejections.min(5));
-                    view.ejected_until = now + span.min(EJECT_CEILING);
+                if view.failures >= FAILURES_TO_EJECT && can_eject {
+                    let span = MIN_EJECTION * (1 << view.ejections.min(5));
+                    view.ejected_until = now + span.min(MAX_EJECTION);
                     view.ejections += 1;
                     view.failures = 0;
                 }
             }
-            AttemptEnd::Refused => view.refusing_until = now + REFUSAL_SPAN,
+            AttemptEnd::Refused => view.avoid_until = now + REFUSAL_PENALTY_TIME,
             AttemptEnd::Abandoned => {}
         }
     }
 
-    /// At most half of a service's upstreams are ejected at once.
-    fn may_eject(&self, now: TimePoint, key: UpstreamKey) -> bool {
+    /// Returns whether one more upstream of the service may be ejected: at most half of them are
+    /// ejected at a time.
+    fn can_eject(&self, now: TimePoint, key: UpstreamKey) -> bool {
         let Some(keys) = self
             .upstreams
             .get(key)
@@ -334,7 +346,7 @@
 
     /// Chooses an upstream for a request that must be answered by `deadline`.
     ///
-    /// `tried` are not chosen again while there are others.
+    /// Upstreams in `tried` are chosen again only if there are no others.
     pub fn choose(
         &mut self,
         now: TimePoint,
@@ -345,20 +357,20 @@
         rng: &mut Rng,
     ) -> RouteChoice {
         let Some(keys) = self.services.get(service) else {
-            return RouteChoice::Nobody;
+            return RouteChoice::NoUpstream;
         };
         let start = rng.usize(..keys.len().max(1));
         let chosen = match policy {
-            RoutePolicy::Weighed => self.weigh(now, keys, tried, start),
+            RoutePolicy::Weighed => self.choose_weighed(now, keys, tried, start),
             RoutePolicy::Random => self.first_from(now, keys, tried, start),
             RoutePolicy::RoundRobin => {
-                self.first_from(now, keys, tried, self.turn % keys.len().max(1))
+                self.first_from(now, keys, tried, self.next_start % keys.len().max(1))
             }
-            RoutePolicy::LeastLoaded => self.least(now, keys, tried),
+            RoutePolicy::LeastLoaded => self.least_loaded(now, keys, tried),
         };
-        self.turn = self.turn.wrapping_add(1);
+        self.next_start = self.next_start.wrapping_add(1);
         let Some(key) = chosen else {
-            return RouteChoice::Nobody;
+            return RouteChoice::NoUpstream;
         };
         if policy != RoutePolicy::Weighed {
             return RouteChoice::Send(key);
@@ -371,7 +383,8 @@
         RouteChoice::Send(key)
     }
 
-    /// The upstreams that may be chosen, from `start` on, those tried last.
+    /// Returns the upstreams that accept requests and are not ejected, from index `start` on, with
+    /// those in `tried` last.
     fn candidates<'a>(
         &'a self,
         now: TimePoint,
@@ -386,12 +399,12 @@
             .take(keys.len())
             .copied()
             .filter(move |key| !tried.contains(key));
-        let again = keys.iter().copied().filter(move |key| tried.contains(key));
+        let retried = keys.iter().copied().filter(move |key| tried.contains(key));
         let healthy = move |key: &UpstreamKey| {
             let view = &self.upstreams[*key];
-            view.takes_work(now) && !view.is_ejected(now)
+            view.accepts_requests(now) && !view.is_ejected(now)
         };
-        fresh.chain(again).filter(healthy)
+        fresh.chain(retried).filter(healthy)
     }
 
     fn first_from(
@@ -404,7 +417,7 @@
         self.candidates(now, keys, tried, start).next()
     }
 
-    fn least(
+    fn least_loaded(
         &self,
         now: TimePoint,
         keys: &[UpstreamKey],
@@ -414,8 +427,9 @@
             .min_by_key(|key| (tried.contains(key), self.upstreams[*key].depth()))
     }
 
-    /// The better of two local ones if it need not wait; else the better of those and two others.
-    fn weigh(
+    /// Returns the better of two local upstreams if it has a free slot, is not to be avoided and
+    /// was not tried before. Otherwise returns the best of these two and two remote ones.
+    fn choose_weighed(
         &self,
         now: TimePoint,
         keys: &[UpstreamKey],
@@ -431,7 +445,7 @@
             .min_by_key(score);
         if let Some(key) = local
             && self.upstreams[key].wait() == Duration::ZERO
-            && !self.upstreams[key].is_shunned(now)
+            && !self.upstreams[key].is_avoided(now)
             && !tried.contains(&key)
         {
             return Some(key);
@@ -444,7 +458,9 @@
         local.into_iter().chain(remote).min_by_key(score)
     }
 
-    /// When a second attempt is worth sending: the answer is slow, and another can still be in time.
+    /// Returns the time at which a hedged request is worth sending: the first answer is slow by
+    /// then, and a second one can still arrive before the deadline. `None` if there is no such
+    /// time.
     pub fn hedge_time(
         &self,
         now: TimePoint,
@@ -453,8 +469,8 @@
     ) -> Option<TimePoint> {
         let view = self.upstreams.get(key)?;
         let usual = view.service_time() + view.wait();
-        let slow = now + usual.mul_f64(SLOW_FACTOR);
-        let latest = deadline - view.service_time().mul_f64(IN_TIME_FACTOR);
+        let slow = now + usual.mul_f64(HEDGE_FACTOR);
+        let latest = deadline - view.service_time().mul_f64(HEDGE_MARGIN_FACTOR);
         let at = slow.min(latest);
         (at > now + usual).then_some(at)
     }
--- a/crates/wax-policy/src/rules.rs
+++ b/crates/wax-policy/src/rules.rs
@@ -1,80 +1,81 @@
-//! Rules of decisions: named numbers with a unit, a default and bounds, as the settings give them.
+//! Rules of decisions: named numbers with a unit, a default and bounds that operators can change in
+//! the settings.
 //!
-//! A set of rules is declared once, by the macro [`rule_set`]: its fields, what the settings call
-//! them, their defaults, bounds, and the value that switches the mechanism off.
+//! A set of rules is declared by the macro [`rule_set`], which lists each rule's field, its key in
+//! the settings, its default and bounds, and the value that switches the mechanism off.
 
 use serde::Deserialize;
 use std::fmt;
 use std::time::Duration;
 
-/// What the settings say of one rule.
+/// Value of one rule as the settings give it.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(untagged)]
-pub enum RuleWord {
-    /// A value in the rule's unit.
+pub enum RuleSetting {
+    /// Number in the rule's unit.
     Number(f64),
-    /// The mechanism is switched off.
+    /// The word `off`, which switches the mechanism off.
     Switch(RuleSwitch),
-    /// YAML reads `off` without quotes as `false`.
+    /// Boolean, because YAML reads `off` without quotes as `false`.
     Flag(bool),
 }
 
-/// A word in place of a number.
+/// Word that may stand in place of a number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RuleSwitch {
-    /// Off.
+    /// The mechanism is switched off.
     Off,
 }
 
-/// One rule of a set.
+/// Description and present value of one rule.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RuleInfo {
-    /// Its key in the settings.
+    /// Key of the rule in the settings.
     pub key: &'static str,
-    /// The unit of its value.
+    /// Unit of the value.
     pub unit: &'static str,
-    /// Its value now.
+    /// Present value.
     pub value: f64,
-    /// The least value.
-    pub least: f64,
-    /// The greatest value.
-    pub most: f64,
-    /// The value that stands for `off`; `None` for what cannot be switched off.
+    /// Smallest value that is accepted.
+    pub min: f64,
+    /// Largest value that is accepted.
+    pub max: f64,
+    /// Value that `off` stands for; `None` if the rule cannot be switched off.
     pub off: Option<f64>,
 }
 
-/// A value that cannot be taken.
+/// Reason why a setting is rejected.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RuleError {
-    /// The set has no such rule.
-    Unknown(Box<str>),
-    /// The value is out of its bounds.
-    Bounds(RuleInfo, f64),
+    /// The set has no rule of this key.
+    UnknownKey(Box<str>),
+    /// The value is out of the rule's bounds.
+    OutOfBounds(RuleInfo, f64),
     /// The rule cannot be switched off.
-    NoSwitch(RuleInfo),
-    /// The rule takes a number or `off`, and has neither.
-    NoNumber(RuleInfo),
+    CannotSwitchOff(RuleInfo),
+    /// The setting is neither a number nor `off`.
+    NotANumber(RuleInfo),
 }
 
 impl fmt::Display for RuleError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unknown(key) => write!(formatter, "{key}: no such rule"),
-            Self::Bounds(info, value) => write!(
+            Self::UnknownKey(key) => write!(formatter, "{key}: no such rule"),
+            Self::OutOfBounds(info, value) => write!(
                 formatter,
                 "{}: {value} is out of range, expected {} to {}",
-                info.key, info.least, info.most
+                info.key, info.min, info.max
             ),
-            Self::NoSwitch(info) => write!(
+            Self::CannotSwitchOff(info) => write!(
                 formatter,
                 "{}: it cannot be off, expected {} to {}",
-                info.key, info.least, info.most
+                info.key, info.min, info.max
             ),
-            Self::NoNumber(info) => write!(
+            Self::NotANumber(info) => write!(
                 formatter,
                 "{}: expected a number from {} to {}, or off",
-                info.key, info.least, info.most
+                info.key, info.min, info.max
             ),
         }
     }
@@ -83,28 +84,28 @@
 impl std::error::Error for RuleError {}
 
 impl RuleInfo {
-    /// The number that a word stands for.
+    /// Returns the number that a setting stands for.
     ///
     /// # Errors
     ///
-    /// It is out of bounds, or the rule cannot be off.
-    pub fn number(self, word: RuleWord) -> Result<f64, RuleError> {
-        match word {
-            RuleWord::Switch(RuleSwitch::Off) | RuleWord::Flag(false) => {
-                self.off.ok_or(RuleError::NoSwitch(self))
+    /// Fails if the value is out of bounds or not a number, or if the rule cannot be switched off.
+    pub fn resolve(self, setting: RuleSetting) -> Result<f64, RuleError> {
+        match setting {
+            RuleSetting::Switch(RuleSwitch::Off) | RuleSetting::Flag(false) => {
+                self.off.ok_or(RuleError::CannotSwitchOff(self))
             }
-            RuleWord::Flag(true) => Err(RuleError::NoNumber(self)),
-            RuleWord::Number(value) if (self.least..=self.most).contains(&value) => Ok(value),
-            RuleWord::Number(value) => Err(RuleError::Bounds(self, value)),
+            RuleSetting::Flag(true) => Err(RuleError::NotANumber(self)),
+            RuleSetting::Number(value) if (self.min..=self.max).contains(&value) => Ok(value),
+            RuleSetting::Number(value) => Err(RuleError::OutOfBounds(self, value)),
         }
     }
 }
 
-/// A type that a rule's value may have.
+/// Type that the value of a rule may have.
 pub trait RuleValue: Copy {
-    /// From a number that keeps the rule's bounds.
+    /// Converts a number within the rule's bounds, in the rule's unit.
     fn from_number(number: f64) -> Self;
-    /// As the settings give it.
+    /// Returns the value as a number in the rule's unit.
     fn to_number(self) -> f64;
 }
 
@@ -128,7 +129,7 @@
     }
 }
 
-/// In milliseconds.
+/// The unit is milliseconds.
 impl RuleValue for Duration {
     fn from_number(number: f64) -> Self {
         Self::from_micros((number * 1_000.0) as u64)
@@ -139,14 +140,14 @@
     }
 }
 
-/// Declares a set of rules.
+/// Declares a struct of rules with defaults, and its conversion from settings.
 macro_rules! rule_set {
     (
         $(#[$meta:meta])*
         $name:ident {
             $(
                 $(#[$doc:meta])*
-                $field:ident: $kind:ty = ($key:literal, $unit:literal, $default:literal, $least:literal to $most:literal $(, off $off:literal)?),
+                $field:ident: $kind:ty = ($key:literal, $unit:literal, $default:literal, $min:literal to $max:literal $(, off $off:literal)?),
             )*
         }
     ) => {
@@ -165,15 +166,15 @@
         }
 
         impl $name {
-            /// All rules with their values.
+            /// Returns all rules with their present values.
             pub fn infos(&self) -> Vec<$crate::rules::RuleInfo> {
                 vec![
                     $( $crate::rules::RuleInfo {
                         key: $key,
                         unit: $unit,
                         value: $crate::rules::RuleValue::to_number(self.$field),
-                        least: $least as f64,
-                        most: $most as f64,
+                        min: $min as f64,
+                        max: $max as f64,
                         off: None $(.or(Some($off as f64)))?,
                     }, )*
                 ]
@@ -183,17 +184,17 @@
             ///
             /// # Errors
             ///
-            /// There is no such rule, or it does not take the word.
+            /// Fails if there is no such rule or it does not accept the setting.
             pub fn set(
                 &mut self,
                 key: &str,
-                word: $crate::rules::RuleWord,
+                setting: $crate::rules::RuleSetting,
             ) -> Result<(), $crate::rules::RuleError> {
                 let infos = self.infos();
                 let Some(info) = infos.iter().find(|info| info.key == key) else {
-                    return Err($crate::rules::RuleError::Unknown(key.into()));
+                    return Err($crate::rules::RuleError::UnknownKey(key.into()));
                 };
-                let number = info.number(word)?;
+                let number = info.resolve(setting)?;
                 match key {
                     $( $key => self.$field = $crate::rules::RuleValue::from_number(number), )*
                     _ => {}
@@ -204,11 +205,11 @@
 
         impl<'de> serde::Deserialize<'de> for $name {
             fn deserialize<D: serde::Deserializer<'de>>(source: D) -> Result<Self, D::Error> {
-                let words: std::collections::BTreeMap<String, $crate::rules::RuleWord> =
+                let settings: std::collections::BTreeMap<String, $crate::rules::RuleSetting> =
                     serde::Deserialize::deserialize(source)?;
                 let mut rules = Self::default();
-                for (key, word) in words {
-                    rules.set(&key, word).map_err(serde::de::Error::custom)?;
+                for (key, setting) in settings {
+                    rules.set(&key, setting).map_err(serde::de::Error::custom)?;
                 }
                 Ok(rules)
             }
--- a/crates/wax-policy/tests/config_view.rs
+++ b/crates/wax-policy/tests/config_view.rs
@@ -1,38 +1,40 @@
-//! No process goes by an old config for longer than the bound, whatever has gone silent: over cuts of what
-//! tells of changes, readings that fail, owners that are silent too.
+//! A process must not use an outdated config for longer than the bound. The tests simulate
+//! connections that go silent, reads that fail, and owners that do not report.
 
 use proptest::prelude::*;
 use std::time::Duration;
 use wax_policy::{ConfigReader, ConfigRules, ConfigView, DrainRules, ReadChoice};
 use wax_types::TimePoint;
 
-/// The users' `configApplyMs` on their smallest sites.
+/// `configApplyMs` of the users' smallest sites.
 const BOUND_MS: u64 = 2_000;
-/// Machines are held to the bound so long after a fault is over: the users' `contactMs` there.
+/// Time after the end of a fault from which the bound applies again: `contactMs` of the same sites.
 const CONTACT_MS: u64 = 3_000;
-/// An answer of the store.
+/// Time that the store takes to answer.
 const ANSWER_MS: u64 = 10;
-/// A front's heartbeats to the owner.
-const BEAT_MS: u64 = 200;
+/// Interval between a front's heartbeats to the owner.
+const HEARTBEAT_MS: u64 = 200;
 
 fn rules() -> ConfigRules {
     ConfigRules::new(Duration::from_millis(BOUND_MS), DrainRules::default())
 }
 
-fn millis(span: Duration) -> u64 {
+fn ceil_ms(span: Duration) -> u64 {
     span.as_micros().div_ceil(1_000) as u64
 }
 
-/// One process that reads by itself and, if `beats` is set, is told by an owner that read at each heartbeat.
+/// Simulated process that reads the operator's rows when its view asks for it.
 struct Reader {
     view: ConfigView,
     reader: ConfigReader,
-    /// Until when it waits or reads, and whether a reading ends then and when it was begun.
+    /// Time until which the process waits or reads.
     busy_until: u64,
+    /// Start of the read in progress, and whether the store will answer it.
     reading: Option<(u64, bool)>,
-    /// Whether connections that are kept are dead: the first reading after the cut finds out.
-    kept_dead: bool,
-    readings: u32,
+    /// Whether the open connection is silent; the first read after the cut fails and a new
+    /// connection is opened.
+    is_connection_dead: bool,
+    read_count: u32,
 }
 
 impl Reader {
@@ -44,138 +46,143 @@
             reader,
             busy_until: 0,
             reading: None,
-            kept_dead: false,
-            readings: 0,
+            is_connection_dead: false,
+            read_count: 0,
         }
     }
 
-    /// One millisecond; `served` says whether the store answers new calls, `jitter` is 0 to 1.
-    fn step(&mut self, now: u64, served: bool, jitter: f64) {
+    /// Simulates one millisecond. `store_answers` tells whether the store answers new calls,
+    /// `jitter` is 0 to 1.
+    fn step(&mut self, now: u64, store_answers: bool, jitter: f64) {
         if now < self.busy_until {
             return;
         }
-        if let Some((begun, answered)) = self.reading.take() {
+        if let Some((started, answered)) = self.reading.take() {
             if answered {
-                self.view.note_read(TimePoint::from_millis(begun));
+                self.view.note_read(TimePoint::from_millis(started));
             } else {
-                self.kept_dead = false;
-                self.view.note_failed();
-                let pause = rules().retry_pause();
-                self.busy_until = now + millis(pause.mul_f64(1.0 + jitter));
+                self.is_connection_dead = false;
+                self.view.note_read_failure();
+                let pause = rules().retry_delay();
+                self.busy_until = now + ceil_ms(pause.mul_f64(1.0 + jitter));
                 return;
             }
         }
-        let at = TimePoint::from_millis(now);
-        match self.view.next_read(at, &rules(), self.reader) {
-            ReadChoice::Wait(left) => self.busy_until = now + millis(left).min(BEAT_MS),
+        let time = TimePoint::from_millis(now);
+        match self.view.next_read(time, &rules(), self.reader) {
+            ReadChoice::Wait(wait) => self.busy_until = now + ceil_ms(wait).min(HEARTBEAT_MS),
             ReadChoice::Read(limit) => {
-                self.readings += 1;
-                let answered = served && !self.kept_dead;
-                let takes = if answered { ANSWER_MS } else { millis(limit) };
+                self.read_count += 1;
+                let answered = store_answers && !self.is_connection_dead;
+                let duration = if answered { ANSWER_MS } else { ceil_ms(limit) };
                 self.reading = Some((now, answered));
-                self.busy_until = now + takes;
+                self.busy_until = now + duration;
             }
         }
     }
 
     fn age(&self, now: u64) -> u64 {
         let age = self.view.age(TimePoint::from_millis(now));
-        millis(age.unwrap_or(Duration::MAX))
+        ceil_ms(age.unwrap_or(Duration::MAX))
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(512))]
 
-    /// Open connections go silent at some moments, and new ones work at once.
+    /// Open connections go silent at random times while new connections work at once. A read that
+    /// hangs on a silent connection must time out early enough for a second read within the bound.
     #[test]
-    fn silent_connections_keep_a_change_no_longer_than_the_bound(
+    fn config_age_stays_within_bound_when_connections_go_silent(
         cuts in prop::collection::vec(3_500_u64..9_000, 1..4),
-        owns in any::<bool>(),
+        is_owner in any::<bool>(),
         jitter in 0.0..1.0_f64,
     ) {
-        let role = if owns { ConfigReader::Owner } else { ConfigReader::Front };
-        let mut reader = Reader::new(role);
+        let reader_kind = if is_owner { ConfigReader::Owner } else { ConfigReader::Front };
+        let mut reader = Reader::new(reader_kind);
         let mut next = 0;
         let cuts: Vec<u64> = cuts.iter().map(|gap| { next += gap; next }).collect();
         for now in 0..next + 8_000 {
             if cuts.contains(&now) {
-                reader.kept_dead = true;
-                // A reading under way is lost with its connection.
+                reader.is_connection_dead = true;
+                // A read in progress is lost with its connection.
                 if let Some(reading) = reader.reading.as_mut() {
                     reading.1 = false;
                     reader.busy_until = reading.0 + BOUND_MS / 4;
                 }
             }
             reader.step(now, true, jitter);
-            prop_assert!(reader.age(now) <= BOUND_MS, "{} ms old at {now}", reader.age(now));
+            prop_assert!(reader.age(now) <= BOUND_MS, "config is {} ms old at {now} ms", reader.age(now));
         }
     }
 
-    /// The store is silent for a while: once machines count as in touch again, nobody goes by an old config.
+    /// The store does not answer for some time. The config must be fresh again as soon as the
+    /// contact time after the outage has passed.
     #[test]
-    fn a_silent_store_is_made_up_for_before_the_bound_holds_again(
-        begins in 3_000_u64..6_000,
-        lasts in 1_u64..12_000,
-        owns in any::<bool>(),
+    fn config_is_fresh_again_within_contact_time_after_a_store_outage(
+        outage_start in 3_000_u64..6_000,
+        outage_ms in 1_u64..12_000,
+        is_owner in any::<bool>(),
         jitter in 0.0..1.0_f64,
     ) {
-        let role = if owns { ConfigReader::Owner } else { ConfigReader::Front };
-        let mut reader = Reader::new(role);
-        let ends = begins + lasts;
-        for now in 0..ends + 8_000 {
-            reader.step(now, !(begins..ends).contains(&now), jitter);
-            if now < begins || now >= ends + CONTACT_MS {
-                prop_assert!(reader.age(now) <= BOUND_MS, "{} ms old at {now}", reader.age(now));
+        let reader_kind = if is_owner { ConfigReader::Owner } else { ConfigReader::Front };
+        let mut reader = Reader::new(reader_kind);
+        let outage_end = outage_start + outage_ms;
+        for now in 0..outage_end + 8_000 {
+            reader.step(now, !(outage_start..outage_end).contains(&now), jitter);
+            if now < outage_start || now >= outage_end + CONTACT_MS {
+                prop_assert!(reader.age(now) <= BOUND_MS, "config is {} ms old at {now} ms", reader.age(now));
             }
         }
     }
 
-    /// A front that an owner tells in time reads nothing by itself.
+    /// A front whose owner reports its reads in time must not read the store itself.
     #[test]
-    fn a_front_that_is_told_reads_nothing(way in 0_u64..40, jitter in 0.0..1.0_f64) {
+    fn front_with_timely_reports_reads_nothing(delay_ms in 0_u64..40, jitter in 0.0..1.0_f64) {
         let mut owner = Reader::new(ConfigReader::Owner);
         let mut front = Reader::new(ConfigReader::Front);
         for now in 0..20_000_u64 {
             owner.step(now, true, jitter);
-            if now % BEAT_MS == 0 && now > 0 {
-                let age = owner.view.read_age(TimePoint::from_millis(now + way));
-                front.view.note_told(TimePoint::from_millis(now) - age.unwrap_or_default());
+            if now % HEARTBEAT_MS == 0 && now > 0 {
+                let age = owner.view.own_read_age(TimePoint::from_millis(now + delay_ms));
+                front.view.note_report(TimePoint::from_millis(now) - age.unwrap_or_default());
             }
             front.step(now, true, jitter);
         }
-        prop_assert_eq!(front.readings, 0);
+        prop_assert_eq!(front.read_count, 0);
     }
 }
 
-/// What an owner says of long ago, or says late, makes nobody surer.
+/// Reports of an earlier time, and reports that arrive late, must not make the config look fresher.
 #[test]
-fn an_older_word_changes_nothing() {
+fn older_reports_do_not_refresh_the_view() {
     let mut view = ConfigView::default();
-    view.note_told(TimePoint::from_millis(5_000));
-    view.note_told(TimePoint::from_millis(1_000));
+    view.note_report(TimePoint::from_millis(5_000));
+    view.note_report(TimePoint::from_millis(1_000));
     view.note_read(TimePoint::from_millis(2_000));
     let now = TimePoint::from_millis(6_000);
     assert_eq!(view.age(now), Some(Duration::from_millis(1_000)));
-    assert_eq!(view.read_age(now), Some(Duration::from_millis(4_000)));
+    assert_eq!(view.own_read_age(now), Some(Duration::from_millis(4_000)));
 }
 
-/// Before its first reading a process is sure of nothing.
+/// Before its first read, a process must assume that its config is stale.
 #[test]
-fn without_a_reading_a_config_may_be_old() {
+fn config_may_be_stale_before_the_first_read() {
     let view = ConfigView::default();
-    assert!(view.may_be_old(TimePoint::from_millis(1), &rules()));
+    assert!(view.may_be_stale(TimePoint::from_millis(1), &rules()));
     let first = view.next_read(TimePoint::from_millis(1), &rules(), ConfigReader::Front);
     assert!(matches!(first, ReadChoice::Read(_)));
 }
 
-/// An owner reads often enough for the drains that it orders starts by.
+/// An owner must read often enough for the drain view by which it orders starts.
 #[test]
-fn readings_keep_to_the_shorter_bound() {
+fn owner_read_interval_respects_the_drain_bound() {
     let drains = DrainRules {
         bound: Some(Duration::from_millis(3_000)),
     };
     let rules = ConfigRules::new(Duration::from_secs(60), drains);
-    let order = drains.order_age().expect("there is a bound");
-    assert!(rules.read_age(ConfigReader::Owner) * 2 < order);
+    let order = drains
+        .max_age_for_order()
+        .expect("the drain rules have a bound");
+    assert!(rules.refresh_age(ConfigReader::Owner) * 2 < order);
 }
--- a/crates/wax-policy/tests/heartbeats.rs
+++ b/crates/wax-policy/tests/heartbeats.rs
@@ -1,7 +1,9 @@
-//! Heartbeats grow no faster than a pool of the size to design for allows.
+//! The interval of heartbeats must grow with the pool, so that the owner's load stays bounded.
 
 use std::time::Duration;
-use wax_policy::{ConfigReader, ConfigRules, DrainRules, agent_period, front_period};
+use wax_policy::{
+    ConfigReader, ConfigRules, DrainRules, agent_heartbeat_period, front_heartbeat_period,
+};
 
 const GRANT: Duration = Duration::from_millis(2_500);
 
@@ -15,38 +17,43 @@
         $(
             #[test]
             fn $name() {
-                assert_eq!(agent_period($agents), Duration::from_millis($period_ms));
+                assert_eq!(agent_heartbeat_period($agents), Duration::from_millis($period_ms));
             }
         )*
     };
 }
 
 agent_cases! {
-    one_agent_beats_at_the_usual_period: 1 => 400;
-    agents_of_a_pool_of_hundreds_do_too: 300 => 400;
-    agents_of_a_larger_pool_beat_more_seldom: 600 => 750;
-    agents_never_beat_too_seldom_for_their_grants: 100_000 => 1_000;
+    single_agent_uses_the_base_period: 1 => 400;
+    hundreds_of_agents_use_the_base_period: 300 => 400;
+    larger_pools_use_a_longer_period: 600 => 750;
+    period_is_capped_for_huge_pools: 100_000 => 1_000;
 }
 
 #[test]
-fn two_heartbeats_may_be_lost_within_a_grant() {
-    assert!(agent_period(usize::MAX) * 2 < GRANT);
+fn two_heartbeats_can_be_lost_within_a_grant() {
+    assert!(agent_heartbeat_period(usize::MAX) * 2 < GRANT);
 }
 
-/// Whatever the number of fronts, those that go first at a takeover watch closely.
+/// Early candidates must notice a lost owner early, however many fronts there are.
 #[test]
-fn the_fronts_that_go_first_beat_at_the_usual_period() {
-    let usual = front_period(1, 0, &rules(5_000));
-    assert_eq!(front_period(2_000, 7, &rules(5_000)), usual);
-    assert!(front_period(2_000, 8, &rules(5_000)) > usual);
+fn early_candidates_keep_the_base_period() {
+    let base_period = front_heartbeat_period(1, 0, &rules(5_000));
+    assert_eq!(front_heartbeat_period(2_000, 7, &rules(5_000)), base_period);
+    assert!(front_heartbeat_period(2_000, 8, &rules(5_000)) > base_period);
 }
 
-/// A front that hears too late of the owner's readings would read the operator's rows itself.
+/// A front that learns too late of the owner's reads would read the operator's rows itself, and the
+/// store's load would grow with the number of fronts.
 #[test]
-fn a_front_hears_of_each_reading_of_the_owner_in_time() {
+fn front_learns_of_each_owner_read_before_reading_itself() {
     for bound_ms in [2_000, 3_000, 5_000, 60_000] {
         let rules = rules(bound_ms);
-        let heard = rules.read_age(ConfigReader::Owner) + front_period(usize::MAX, 100, &rules);
-        assert!(heard < rules.read_age(ConfigReader::Front), "{bound_ms}");
+        let report_age = rules.refresh_age(ConfigReader::Owner)
+            + front_heartbeat_period(usize::MAX, 100, &rules);
+        assert!(
+            report_age < rules.refresh_age(ConfigReader::Front),
+            "{bound_ms}"
+        );
     }
 }
--- a/crates/wax-policy/tests/limits.rs
+++ b/crates/wax-policy/tests/limits.rs
@@ -1,12 +1,13 @@
-//! Bounds that hold whatever comes: slots, places, capacity, ejections.
+//! Limits that must hold for any input: slots, quotas, capacity and ejections.
 
 use fastrand::Rng;
 use proptest::prelude::*;
 use std::time::Duration;
 use wax_policy::{
-    AdmitChoice, AttemptEnd, FirmWeights, GateChoice, KindKey, PairTable, PlaceChoice,
-    PlaceContext, PlacePolicy, ReleaseChoice, RouteChoice, RoutePolicy, RouteTable, RunningTask,
-    SlotGate, TaskDemand, TeamLimits, TeamTable, UpstreamLoad, UpstreamView, WorkerTable,
+    AdmitChoice, AttemptEnd, CustomerWeights, DequeueChoice, GateChoice, KindKey, PairTable,
+    PlacementChoice, PlacementContext, PlacementPolicy, RouteChoice, RoutePolicy, RouteTable,
+    RunningTask, SlotGate, TaskDemand, TeamLimits, TeamTable, UpstreamLoad, UpstreamView,
+    WorkerTable,
 };
 use wax_types::{JobId, ResourceVector, TaskId, TimePoint};
 
@@ -16,7 +17,7 @@
 
 proptest! {
     #[test]
-    fn a_gate_never_runs_more_than_its_slots(
+    fn gate_never_exceeds_its_slots(
         slots in 1_usize..9,
         queue in 0_usize..20,
         steps in prop::collection::vec((any::<bool>(), 1_u64..2_000), 1..200),
@@ -26,30 +27,30 @@
         for (index, (arrives, millis)) in steps.into_iter().enumerate() {
             let now = at(index as u64);
             if arrives {
-                let choice = gate.ask(now, now + Duration::from_millis(millis), index);
+                let choice = gate.admit(now, now + Duration::from_millis(millis), index);
                 running += usize::from(choice == GateChoice::Run);
             } else if running > 0 {
                 gate.release(Duration::from_millis(millis / 100));
                 running -= 1;
                 loop {
-                    match gate.next(now) {
-                        ReleaseChoice::Run(_) => running += 1,
-                        ReleaseChoice::Drop(_) => {}
-                        ReleaseChoice::Idle => break,
+                    match gate.dequeue(now) {
+                        DequeueChoice::Run(_) => running += 1,
+                        DequeueChoice::Drop(_) => {}
+                        DequeueChoice::Idle => break,
                     }
                 }
             }
             prop_assert!(running <= slots);
-            prop_assert_eq!(running, gate.used());
+            prop_assert_eq!(running, gate.slots_used());
             prop_assert!(gate.queued() <= queue);
         }
     }
 
     #[test]
-    fn no_policy_reserves_more_than_a_worker_has(
+    fn no_policy_reserves_more_than_worker_capacity(
         policy in prop::sample::select(vec![
-            PlacePolicy::Weighed, PlacePolicy::Random, PlacePolicy::RoundRobin,
-            PlacePolicy::LeastLoaded, PlacePolicy::FirstFit,
+            PlacementPolicy::Weighed, PlacementPolicy::Random, PlacementPolicy::RoundRobin,
+            PlacementPolicy::LeastLoaded, PlacementPolicy::FirstFit,
         ]),
         sizes in prop::collection::vec((1_u32..5_000, 1_u32..9_000, any::<bool>()), 1..80),
         seed in any::<u64>(),
@@ -66,36 +67,36 @@
                 size: ResourceVector::new(cpu, memory, 0),
                 urgent,
             };
-            let context = PlaceContext {
+            let context = PlacementContext {
                 pairs: &pairs,
-                weights: FirmWeights::default(),
+                weights: CustomerWeights::default(),
                 avoid: &[],
                 policy,
             };
             let now = at(index as u64 * 1_000);
             match table.choose(now, demand, context, &mut rng) {
-                PlaceChoice::Place(key) => {
+                PlacementChoice::Place(key) => {
                     let task = TaskId { job: JobId(1), index: index as u32 };
                     let running = RunningTask {
                         task, kind: demand.kind, size: demand.size, urgent,
-                        evictable: !urgent, saved: now, settled: now, due_today: false,
+                        evictable: !urgent, saved_at: now, protected_until: now, due_today: false,
                     };
-                    prop_assert!(table.reserve(key, running), "a choice that does not fit");
+                    prop_assert!(table.reserve(key, running), "the chosen worker must have enough free capacity");
                 }
-                PlaceChoice::Evict(key, victims) => {
-                    prop_assert!(urgent, "a batch task evicts");
+                PlacementChoice::Evict(key, victims) => {
+                    prop_assert!(urgent, "only urgent tasks may evict");
                     for victim in victims {
-                        let gone = table.release(key, victim).expect("it runs there");
-                        prop_assert!(!gone.urgent, "an urgent task is evicted");
+                        let evicted = table.release(key, victim).expect("the victim runs on the worker");
+                        prop_assert!(!evicted.urgent, "an urgent task must not be evicted");
                     }
-                    let slot = table.get(key).expect("known");
-                    prop_assert!(demand.size.fits_in(slot.free()), "not enough was evicted");
+                    let worker = table.get(key).expect("the worker is in the table");
+                    prop_assert!(demand.size.fits_in(worker.free()), "the evictions must free enough capacity");
                 }
-                PlaceChoice::Wait | PlaceChoice::Impossible => {}
+                PlacementChoice::Wait | PlacementChoice::Impossible => {}
             }
             for key in table.keys() {
-                let slot = table.get(key).expect("known");
-                prop_assert!(slot.used().fits_in(slot.capacity()));
+                let worker = table.get(key).expect("the worker is in the table");
+                prop_assert!(worker.reserved().fits_in(worker.capacity()));
             }
         }
     }
@@ -108,33 +109,34 @@
     hedge_percent: 0,
 };
 
+/// A team may use idle capacity, but two teams that send more than there is get equal shares.
 #[test]
-fn a_busy_team_leaves_the_others_their_share() {
+fn busy_team_leaves_others_their_fair_share() {
     let mut table = TeamTable::new(100);
     let greedy = (0..100)
         .filter(|_| matches!(table.admit("greedy", LIMITS), AdmitChoice::Admit(_)))
         .count();
-    assert_eq!(greedy, 100, "what nobody uses is lent");
+    assert_eq!(greedy, 100, "a single team may use the whole capacity");
     let mut table = TeamTable::new(100);
     let mut admitted = [0, 0];
-    for turn in 0..200 {
-        let name = ["one", "two"][turn % 2];
+    for index in 0..200 {
+        let name = ["one", "two"][index % 2];
         if let AdmitChoice::Admit(_) = table.admit(name, LIMITS) {
-            admitted[turn % 2] += 1;
+            admitted[index % 2] += 1;
         }
     }
     assert_eq!(admitted, [50, 50]);
 }
 
 #[test]
-fn a_quota_is_kept_and_tells_when_to_come_back() {
+fn quota_is_enforced_and_gives_a_retry_delay() {
     let mut table = TeamTable::new(100);
     let limits = TeamLimits {
         in_flight: 2,
         ..LIMITS
     };
     let AdmitChoice::Admit(key) = table.admit("team", limits) else {
-        panic!("the first is admitted");
+        panic!("the first request must be admitted");
     };
     assert!(matches!(table.admit("team", limits), AdmitChoice::Admit(_)));
     assert!(
@@ -152,13 +154,14 @@
     (table, keys)
 }
 
+/// Ejecting every upstream that fails would leave a service without any when all of them fail.
 #[test]
-fn a_wave_of_failures_ejects_at_most_half() {
+fn failures_eject_at_most_half_of_the_upstreams() {
     let (mut table, keys) = route_table(6);
     for _ in 0..50 {
         for key in &keys {
-            table.begin(at(10), *key);
-            table.end(at(10), *key, AttemptEnd::Failed);
+            table.begin_attempt(at(10), *key);
+            table.end_attempt(at(10), *key, AttemptEnd::Failed);
         }
     }
     let mut rng = Rng::with_seed(1);
@@ -181,7 +184,7 @@
 }
 
 #[test]
-fn a_leaving_or_silent_upstream_gets_nothing() {
+fn leaving_or_silent_upstream_gets_no_requests() {
     let (mut table, keys) = route_table(2);
     let mut rng = Rng::with_seed(1);
     let leaving = UpstreamLoad {
@@ -189,7 +192,7 @@
         up: true,
         ..UpstreamLoad::default()
     };
-    table.report(at(10), keys[0], leaving);
+    table.update_load(at(10), keys[0], leaving);
     let mut choose = |table: &mut RouteTable, now: TimePoint| {
         let deadline = now + Duration::from_secs(1);
         table.choose(
@@ -204,27 +207,29 @@
     for _ in 0..50 {
         assert_eq!(choose(&mut table, at(20)), RouteChoice::Send(keys[1]));
     }
-    assert_eq!(choose(&mut table, at(60_000)), RouteChoice::Nobody);
+    assert_eq!(choose(&mut table, at(60_000)), RouteChoice::NoUpstream);
 }
 
+/// An upstream that fails with few requests in flight looks less loaded than the others, and would
+/// get the most requests if only the load counted.
 #[test]
-fn an_upstream_that_answers_nothing_gets_nothing_more() {
+fn unresponsive_upstream_gets_no_further_requests() {
     let (mut table, keys) = route_table(4);
     let mut rng = Rng::with_seed(1);
     for key in &keys {
-        table.begin(at(0), *key);
-        table.end(
+        table.begin_attempt(at(0), *key);
+        table.end_attempt(
             at(10),
             *key,
             AttemptEnd::Answered(Duration::from_millis(10)),
         );
     }
-    // The first one, in the own failure domain, has died with a request under way.
-    table.begin(at(20), keys[0]);
-    // The others are busier, but they answer.
+    // The first upstream, in the own failure domain, fails with a request in flight.
+    table.begin_attempt(at(20), keys[0]);
+    // The other upstreams are busier, but they answer.
     for key in &keys[1..] {
         for _ in 0..4 {
-            table.begin(at(95), *key);
+            table.begin_attempt(at(95), *key);
         }
     }
     for millis in 100..130 {
@@ -235,25 +240,28 @@
     }
 }
 
+/// Refusals and connection failures come faster than answers. If only the load counted, an upstream
+/// that refuses every request would get the most requests.
 #[test]
-fn an_upstream_that_refuses_at_once_draws_no_more_requests() {
+fn upstream_that_refuses_fast_attracts_no_requests() {
     for end in [AttemptEnd::Refused, AttemptEnd::Failed] {
         let (mut table, keys) = route_table(4);
         let mut rng = Rng::with_seed(1);
-        // The others are busier and slower; the first one refuses at once and so looks idle.
+        // The other upstreams are busier and slower. The first one refuses at once and therefore
+        // looks idle.
         for key in &keys[1..] {
-            table.begin(at(0), *key);
-            table.end(
+            table.begin_attempt(at(0), *key);
+            table.end_attempt(
                 at(30),
                 *key,
                 AttemptEnd::Answered(Duration::from_millis(30)),
             );
             for _ in 0..4 {
-                table.begin(at(95), *key);
+                table.begin_attempt(at(95), *key);
             }
         }
-        table.begin(at(99), keys[0]);
-        table.end(at(100), keys[0], end);
+        table.begin_attempt(at(99), keys[0]);
+        table.end_attempt(at(100), keys[0], end);
         for millis in 100..130 {
             let deadline = at(5_000);
             let policy = RoutePolicy::Weighed;
@@ -264,7 +272,7 @@
 }
 
 #[test]
-fn a_hopeless_request_is_refused_with_a_time() {
+fn request_that_cannot_meet_its_deadline_gets_a_retry_delay() {
     let (mut table, keys) = route_table(1);
     let busy = UpstreamLoad {
         slots_used: 8,
@@ -273,7 +281,7 @@
         leaving: false,
         up: true,
     };
-    table.report(at(10), keys[0], busy);
+    table.update_load(at(10), keys[0], busy);
     let mut rng = Rng::with_seed(1);
     let choice = table.choose(
         at(20),
--- a/crates/wax-replay/src/batch/usage.rs
+++ b/crates/wax-replay/src/batch/usage.rs
@@ -12,7 +12,7 @@
             let Some(slot) = self.batch.table.get(self.batch.keys[worker]) else {
                 continue;
             };
-            let band = slot.band();
+            let band = slot.load_band();
             for running in slot.tasks() {
                 let record = self.batch.tasks.get(&running.task);
                 let own = record.map(|_| running.task);
@@ -83,21 +83,21 @@
         };
         let weights = self.world.options.weights;
         let relief = &mut self.batch.records[worker].relief;
-        let view = ReliefView {
-            slot,
-            victim: &victim,
+        let view = MitigationView {
+            worker: slot,
+            affected: &victim,
             excess,
             pairs: &self.batch.pairs,
             weights,
         };
         let choice = relief.decide(now, view);
         match choice {
-            ReliefChoice::Keep => {}
-            ReliefChoice::Throttle(task) => {
+            MitigationChoice::Keep => {}
+            MitigationChoice::Throttle(task) => {
                 self.set_throttle(now, worker, task, f64::from(THROTTLED_PERCENT) / 100.0);
             }
-            ReliefChoice::Restore(task) => self.set_throttle(now, worker, task, 1.0),
-            ReliefChoice::Evict(task) => self.stop(now, task),
+            MitigationChoice::Restore(task) => self.set_throttle(now, worker, task, 1.0),
+            MitigationChoice::Evict(task) => self.stop(now, task),
         }
     }
 
--- a/crates/wax-sidecar/src/process.rs
+++ b/crates/wax-sidecar/src/process.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wax_http::{ClientConnection, ShutdownSignal};
-use wax_policy::{GateChoice, ReleaseChoice, SlotGate};
+use wax_policy::{DequeueChoice, GateChoice, SlotGate};
 use wax_settings::{DaemonSettings, SettingsHolder, SidecarSettings};
 use wax_trace::{Counter, count};
 use wax_types::{AttemptKey, ProcessClock, ProcessIncarnation};
@@ -55,7 +55,7 @@
     pub fn new(daemon: &DaemonSettings, options: SidecarSettings, clock: ProcessClock) -> Self {
         let hello = PeerHello {
             protocol: PeerHello::PROTOCOL,
-            incarnation: ProcessIncarnation::draw().0,
+            incarnation: ProcessIncarnation::generate().0,
             name: daemon.name.to_string(),
             failure_domain: daemon.failure_domain.to_string(),
             service: options.service.to_string(),
@@ -191,7 +191,7 @@
     pub(crate) fn load_report(&self) -> LoadReport {
         let gate = self.gate.borrow();
         LoadReport {
-            slots_used: gate.used() as u32,
+            slots_used: gate.slots_used() as u32,
             queued: gate.queued() as u32,
             service_time_us: gate.service_time().as_micros() as u32,
             leaving: self.leaving.get(),
@@ -223,7 +223,7 @@
         if self.leaving.get() {
             return attempt.refuse(NotRunReason::Leaving, Duration::ZERO);
         }
-        let choice = self.gate.borrow_mut().ask(now, attempt.deadline(), key);
+        let choice = self.gate.borrow_mut().admit(now, attempt.deadline(), key);
         match choice {
             GateChoice::Run => self.start(key, attempt.into_running()),
             GateChoice::Queue => {
@@ -231,7 +231,9 @@
                 self.table.borrow_mut().insert(key, state);
             }
             GateChoice::Full(after) => attempt.refuse(NotRunReason::QueueFull, after),
-            GateChoice::Hopeless(after) => attempt.refuse(NotRunReason::DeadlineHopeless, after),
+            GateChoice::CannotMeetDeadline(after) => {
+                attempt.refuse(NotRunReason::DeadlineHopeless, after)
+            }
         }
     }
 
@@ -275,17 +277,17 @@
 
     fn start_waiting(self: &Rc<Self>) {
         loop {
-            let choice = self.gate.borrow_mut().next(self.clock.now());
+            let choice = self.gate.borrow_mut().dequeue(self.clock.now());
             match choice {
-                ReleaseChoice::Idle => return,
-                ReleaseChoice::Run(key) => {
+                DequeueChoice::Idle => return,
+                DequeueChoice::Run(key) => {
                     let attempt = self.table.borrow_mut().take_queued(key);
                     match attempt {
                         Some(attempt) => self.start(key, attempt.into_running()),
                         None => self.gate.borrow_mut().release_unused(),
                     }
                 }
-                ReleaseChoice::Drop(key) => {
+                DequeueChoice::Drop(key) => {
                     let wait = self.gate.borrow().expected_wait();
                     if let Some(attempt) = self.table.borrow_mut().take_queued(key) {
                         attempt.refuse(NotRunReason::DeadlineHopeless, wait);
--- a/crates/wax-tasks/src/commit_tests.rs
+++ b/crates/wax-tasks/src/commit_tests.rs
@@ -7,17 +7,17 @@
 use crate::term::OwnerTerm;
 use std::time::Duration;
 use wax_platform::WorkerInfo;
-use wax_policy::{LeaseTerms, WorkerContact};
+use wax_policy::{LeaseTimings, WorkerContact};
 use wax_settings::TaskClass;
 use wax_types::{
     JobId, ResourceVector, RowVersion, ShardEpoch, ShardId, TaskEpoch, TaskId, TimePoint, WorkerId,
 };
 
-const TERMS: LeaseTerms = LeaseTerms {
-    lease: Duration::from_secs(1),
-    call: Duration::from_secs(1),
-    margin: Duration::from_secs(1),
-    grace: Duration::from_secs(1),
+const TERMS: LeaseTimings = LeaseTimings {
+    duration: Duration::from_secs(1),
+    call_timeout: Duration::from_secs(1),
+    clock_margin: Duration::from_secs(1),
+    renewal_grace: Duration::from_secs(1),
 };
 const SIZE: ResourceVector = ResourceVector::new(3_000, 100, 0);
 
--- a/crates/wax-tasks/src/coordinator.rs
+++ b/crates/wax-tasks/src/coordinator.rs
@@ -18,7 +18,7 @@
     CommitOutcome, ObjectClient, RowEntry, TableClient, TableTransaction, WorkerClient,
     WorkerDirectory,
 };
-use wax_policy::{LeaseTerms, PlacePolicy, top_member};
+use wax_policy::{LeaseTimings, PlacementPolicy, top_member};
 use wax_settings::{CoordinatorSettings, SettingsHolder};
 use wax_trace::{Counter, count};
 use wax_types::{ProcessClock, RowVersion, ShardEpoch, ShardId, TimePoint, WaxError};
@@ -119,14 +119,14 @@
         directory: WorkerDirectory,
         members: MemberHandle,
         tree: SettingsHolder,
-        policy: PlacePolicy,
+        policy: PlacementPolicy,
         drains: DomainDrains,
     ) -> Result<Self, WaxError> {
-        let terms = LeaseTerms {
-            lease: Duration::from_millis(settings.lease_ms.into()),
-            call: WORKER_CALL,
-            margin: CLOCK_MARGIN + Duration::from_millis(settings.lease_ms.into()) / 50,
-            grace: Duration::from_millis(settings.grace_ms.into()),
+        let terms = LeaseTimings {
+            duration: Duration::from_millis(settings.lease_ms.into()),
+            call_timeout: WORKER_CALL,
+            clock_margin: CLOCK_MARGIN + Duration::from_millis(settings.lease_ms.into()) / 50,
+            renewal_grace: Duration::from_millis(settings.grace_ms.into()),
         };
         let options = ShardOptions {
             shards: settings.shards,
@@ -263,7 +263,7 @@
     fn begin(&mut self, shard: ShardId, epoch: ShardEpoch, version: RowVersion, begun: TimePoint) {
         count(Counter::ShardsGained);
         tracing::info!(%shard, %epoch, "shard gained");
-        let grace = self.options.terms.grace;
+        let grace = self.options.terms.renewal_grace;
         let term = OwnerTerm::new(shard, epoch, version, grace, begun, self.clock.now());
         self.terms.insert(shard, term.clone());
         let shards = self.handle.shards.clone();
