--- a/benches/owner_load.rs
+++ b/benches/owner_load.rs
@@ -27,7 +27,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use wax_agent::GatheredNews;
-use wax_batch::{RunEnd, RunEndKind, RunMark, RunReport, TaskSize, WorkerView};
+use wax_batch::{RunEnd, RunEndKind, RunId, RunReport, TaskSize, WorkerView};
 use wax_wire::{
     AgentHello, EntryHello, LinkPing, PoolBody, PoolReader, PoolWriter, RunNews, StartRun,
     WorkerUp, split_stream,
@@ -48,7 +48,7 @@
 struct PlayedAgent {
     outbox: UnboundedSender<PoolBody>,
     ends: Cell<u64>,
-    running: RefCell<Vec<(RunMark, Instant)>>,
+    running: RefCell<Vec<(RunId, Instant)>>,
     gathered: RefCell<GatheredNews>,
     period: Cell<Duration>,
 }
@@ -60,7 +60,7 @@
     }
 
     async fn run_task(self: Rc<Self>, order: StartRun) {
-        let mark = RunMark::from(&order.seat.mark);
+        let mark = RunId::from(&order.seat.mark);
         self.gathered.borrow_mut().note_started(mark);
         self.running.borrow_mut().push((mark, Instant::now()));
         sleep(TASK_TIME).await;
@@ -70,7 +70,7 @@
         self.ends.set(self.ends.get() + 1);
         let end = RunEnd {
             number: self.ends.get(),
-            mark,
+            run_id: mark,
             kind: RunEndKind::Done,
             checkpoint: "".into(),
         };
@@ -88,11 +88,11 @@
             let running = self.running.borrow();
             for (mark, since) in &*running {
                 self.gathered.borrow_mut().note_going(RunReport {
-                    mark: *mark,
+                    run_id: *mark,
                     checkpoint: "".into(),
                     percent: (100.0 * since.elapsed().div_duration_f64(TASK_TIME)) as u32,
-                    figure: 900,
-                    listed: true,
+                    load_metric: 900,
+                    confirmed_by_worker: true,
                 });
             }
         }
--- a/crates/wax-agent/src/boot_change.rs
+++ b/crates/wax-agent/src/boot_change.rs
@@ -5,7 +5,7 @@
 use crate::state::{AgentState, WorkerBoot};
 use platform::{HoldReply, HoldRequest, WorkerRefusal};
 use std::rc::Rc;
-use wax_batch::{BootId, RunMark, WorkerView};
+use wax_batch::{BootId, RunId, WorkerView};
 use wax_trace::{Counter, count};
 use wax_wire::{BootCrashed, PoolBody, WorkerGone};
 
@@ -44,13 +44,16 @@
     let BootReport { view, sequence } = report;
     let said = view.boot.clone();
     let answers = BootId::new(said.worker_id(), reply.started_ms);
-    if answers.is_other_boot(&said) {
+    if answers.is_different_boot(&said) {
         refuse_candidate(state, &said);
         return;
     }
-    let boot = said.or_started(reply.started_ms);
+    let boot = said.or_started_ms(reply.started_ms);
     let driven = state.driven();
-    if driven.as_ref().is_some_and(|driven| driven.may_be(&boot)) {
+    if driven
+        .as_ref()
+        .is_some_and(|driven| driven.may_match(&boot))
+    {
         state.update_boot(BootReport { view, sequence });
         return;
     }
@@ -58,7 +61,7 @@
         tracing::info!(worker = %boot, "boot has left before it was registered");
         return;
     }
-    if let Some(driven) = driven.filter(|driven| driven.is_other_boot(&boot)) {
+    if let Some(driven) = driven.filter(|driven| driven.is_different_boot(&boot)) {
         end_restarted(state, &driven);
     }
     let token = state.token.get();
@@ -70,7 +73,7 @@
         state.boots.borrow_mut().offer(report);
         return;
     }
-    let on_next: Vec<RunMark> = reply.marks().collect();
+    let on_next: Vec<RunId> = reply.marks().collect();
     replace_boot(state, view, sequence, &on_next);
 }
 
@@ -81,7 +84,7 @@
 
 /// Drives a boot that has answered a call with a token that no boot of its worker has seen: `on_next` is all that
 /// came to it with older ones.
-fn replace_boot(state: &Rc<AgentState>, view: WorkerView, sequence: u64, on_next: &[RunMark]) {
+fn replace_boot(state: &Rc<AgentState>, view: WorkerView, sequence: u64, on_next: &[RunId]) {
     if is_replaced(state) {
         settle_replaced(state, on_next);
     } else if let Some(before) = state.driven() {
@@ -152,7 +155,7 @@
 
 /// Ends the replaced boot but for the runs that are on the next one. The owner hears of both at once, from what
 /// the next boot lists: in between, the tasks of those runs would be started elsewhere.
-fn settle_replaced(state: &Rc<AgentState>, on_next: &[RunMark]) {
+fn settle_replaced(state: &Rc<AgentState>, on_next: &[RunId]) {
     let Some(ended) = state.boot.borrow_mut().take() else {
         return;
     };
--- a/crates/wax-agent/src/boots.rs
+++ b/crates/wax-agent/src/boots.rs
@@ -61,7 +61,7 @@
         if self.dead.contains(&report.view.boot) {
             return CheckInStep::Dead;
         }
-        if driven.is_some_and(|driven| driven.may_be(&report.view.boot)) {
+        if driven.is_some_and(|driven| driven.may_match(&report.view.boot)) {
             return CheckInStep::Update(report);
         }
         self.candidate = Some(report);
@@ -79,7 +79,7 @@
     pub fn take_candidate(&mut self, driven: Option<&BootId>) -> CandidateStep {
         match self.candidate.take() {
             Some(report) if self.dead.contains(&report.view.boot) => CandidateStep::None,
-            Some(report) if driven.is_some_and(|driven| driven.may_be(&report.view.boot)) => {
+            Some(report) if driven.is_some_and(|driven| driven.may_match(&report.view.boot)) => {
                 CandidateStep::Update(report)
             }
             Some(report) => CandidateStep::Verify(report),
@@ -98,7 +98,7 @@
     /// pass on this one.
     pub fn needs_token(&self, boot: &BootId, token: u64) -> bool {
         let ordered = self.ordered.get(boot.worker_id());
-        ordered.is_some_and(|(known, used)| *used == token && known.is_other_boot(boot))
+        ordered.is_some_and(|(known, used)| *used == token && known.is_different_boot(boot))
     }
 
     /// The boot has ended: its late check-ins count for nothing.
--- a/crates/wax-agent/src/check_ins.rs
+++ b/crates/wax-agent/src/check_ins.rs
@@ -70,7 +70,7 @@
 
     /// The worker's word that it ends; the owner may wait for a boot that this process never drove.
     fn leave(&self, said: &BootId) {
-        let driven = self.state.driven().filter(|driven| driven.may_be(said));
+        let driven = self.state.driven().filter(|driven| driven.may_match(said));
         if driven.is_some() && !self.state.takes_leave(said) {
             tracing::warn!(worker = %said, "leave that may be of an earlier boot is passed over");
             return;
--- a/crates/wax-agent/src/crash_log.rs
+++ b/crates/wax-agent/src/crash_log.rs
@@ -29,12 +29,12 @@
     /// A boot is driven from now on; returns the crash of the one that lapsed before, if that was another.
     pub fn note_driven(&mut self, boot: &BootId, now: TimePoint) -> Option<BootCrashed> {
         let (lapsed, runs) = self.lapsed.take()?;
-        (!lapsed.may_be(boot)).then(|| self.keep(&lapsed, &runs, now))
+        (!lapsed.may_match(boot)).then(|| self.keep(&lapsed, &runs, now))
     }
 
     /// A boot has said that it ends.
     pub fn note_left(&mut self, boot: &BootId) {
-        self.lapsed.take_if(|(lapsed, _)| lapsed.may_be(boot));
+        self.lapsed.take_if(|(lapsed, _)| lapsed.may_match(boot));
     }
 
     /// A boot has ended while it was driven; returns its crash, if it did not say that it would end.
--- a/crates/wax-agent/src/news.rs
+++ b/crates/wax-agent/src/news.rs
@@ -3,25 +3,25 @@
 //! An owner wakes up for each message of each agent, so that what can wait goes with what must be sent.
 
 use std::collections::BTreeMap;
-use wax_batch::{RunMark, RunReport};
+use wax_batch::{RunId, RunReport};
 use wax_wire::{EndFrame, MarkFrame, ReportFrame, RunNews};
 
 /// News of one boot's runs that wait for the next heartbeat.
 #[derive(Debug, Default)]
 pub struct GatheredNews {
-    started: Vec<RunMark>,
-    going: BTreeMap<RunMark, RunReport>,
+    started: Vec<RunId>,
+    going: BTreeMap<RunId, RunReport>,
 }
 
 impl GatheredNews {
     /// The worker has begun a run.
-    pub fn note_started(&mut self, mark: RunMark) {
+    pub fn note_started(&mut self, mark: RunId) {
         self.started.push(mark);
     }
 
     /// A run goes on; a later report of it takes the place of this one.
     pub fn note_going(&mut self, report: RunReport) {
-        self.going.insert(report.mark, report);
+        self.going.insert(report.run_id, report);
     }
 
     /// Drops all: the owner is told the worker's whole list.
@@ -34,13 +34,13 @@
     pub fn complete(&mut self, mut news: RunNews) -> RunNews {
         let refused = news.refused.iter().map(|refusal| refusal.decode().0);
         let ended = news.ends.iter().map(EndFrame::run_mark);
-        let over: Vec<RunMark> = refused.chain(ended).collect();
+        let over: Vec<RunId> = refused.chain(ended).collect();
         let gathered = std::mem::take(self);
         let started = gathered.started.iter().filter(|mark| !over.contains(mark));
         news.started
             .extend(started.map(|mark| MarkFrame::from(*mark)));
         let going = gathered.going.values();
-        let going = going.filter(|report| !over.contains(&report.mark));
+        let going = going.filter(|report| !over.contains(&report.run_id));
         news.going.extend(going.map(ReportFrame::from));
         news
     }
--- a/crates/wax-agent/src/orders.rs
+++ b/crates/wax-agent/src/orders.rs
@@ -8,7 +8,7 @@
 use platform::{CallError, OrderOutcome, StartRequest, WorkerRefusal};
 use std::rc::Rc;
 use std::time::Duration;
-use wax_batch::{BootId, RunMark, StartRefusal};
+use wax_batch::{BootId, RunId, StartRefusal};
 use wax_trace::{Counter, Latency, count, count_many, note_latency};
 use wax_wire::{PoolBody, RefusalFrame, RunNews, SeatFrame, StartRun};
 
@@ -34,7 +34,7 @@
 impl AgentState {
     /// Starts a run, if the worker is the one that was meant and has room.
     pub(crate) fn order_start(self: &Rc<Self>, order: StartRun) {
-        let mark = RunMark::from(&order.seat.mark);
+        let mark = RunId::from(&order.seat.mark);
         match self.admit(&order, mark) {
             Err(refusal) => self.tell_refusal(mark, refusal),
             Ok((boot, request)) => {
@@ -46,17 +46,13 @@
 
     /// The guard: what starts must fit, the owner's authority must reach to now, and the worker's failure
     /// domain must not be drained.
-    fn admit(
-        &self,
-        order: &StartRun,
-        mark: RunMark,
-    ) -> Result<(BootId, StartRequest), StartRefusal> {
+    fn admit(&self, order: &StartRun, mark: RunId) -> Result<(BootId, StartRequest), StartRefusal> {
         let meant = order.boot();
         let now = self.now();
         let mut boot = self.boot.borrow_mut();
         let Some(boot) = boot
             .as_mut()
-            .filter(|boot| boot.view.boot.may_be(&meant) && !boot.is_replaced)
+            .filter(|boot| boot.view.boot.may_match(&meant) && !boot.is_replaced)
         else {
             return Err(StartRefusal::Stale);
         };
@@ -105,7 +101,7 @@
     }
 
     /// Ends the doubt about a start: a hold may have shown it running, else a stop forbids it.
-    async fn settle_start(self: Rc<Self>, boot: BootId, mark: RunMark) {
+    async fn settle_start(self: Rc<Self>, boot: BootId, mark: RunId) {
         let starting =
             self.with_table(&boot, |table| table.stand(mark) == Some(RunStand::Starting));
         if starting == Some(true) {
@@ -113,7 +109,7 @@
         }
     }
 
-    fn note_started(self: &Rc<Self>, boot: &BootId, mark: RunMark) {
+    fn note_started(self: &Rc<Self>, boot: &BootId, mark: RunId) {
         let known = self.with_boot(boot, |boot| {
             boot.table.started(mark);
             let runs = boot.table.stand(mark) == Some(RunStand::Running);
@@ -127,7 +123,7 @@
         }
     }
 
-    fn note_refused(&self, boot: &BootId, mark: RunMark, refusal: WorkerRefusal) {
+    fn note_refused(&self, boot: &BootId, mark: RunId, refusal: WorkerRefusal) {
         let refusal = match refusal {
             WorkerRefusal::Room => StartRefusal::Room,
             WorkerRefusal::Unwell | WorkerRefusal::Invalid => StartRefusal::Unwell,
@@ -138,7 +134,7 @@
         }
     }
 
-    fn tell_refusal(&self, mark: RunMark, refusal: StartRefusal) {
+    fn tell_refusal(&self, mark: RunId, refusal: StartRefusal) {
         count(Counter::StartsRefused);
         tracing::info!(task = %mark.task, run = mark.run, why = ?refusal, "start refused");
         let news = RunNews {
@@ -153,7 +149,7 @@
     }
 
     /// Stops a run by the owner's order.
-    pub(crate) fn order_stop(self: &Rc<Self>, mark: RunMark) {
+    pub(crate) fn order_stop(self: &Rc<Self>, mark: RunId) {
         let Some(boot) = self
             .boot
             .borrow()
@@ -167,7 +163,7 @@
     }
 
     /// Sends a stop until it is answered, or the boot is another.
-    pub(crate) async fn stop(self: Rc<Self>, boot: BootId, mark: RunMark) {
+    pub(crate) async fn stop(self: Rc<Self>, boot: BootId, mark: RunId) {
         loop {
             if self.with_table(&boot, |table| table.stopping(mark)) != Some(true) {
                 // The run has ended, or its boot has: the end tells, on this link or the next. To
--- a/crates/wax-agent/src/owner_link.rs
+++ b/crates/wax-agent/src/owner_link.rs
@@ -12,7 +12,7 @@
 use std::pin::pin;
 use std::rc::Rc;
 use std::time::Duration;
-use wax_batch::RunMark;
+use wax_batch::RunId;
 use wax_policy::AGENT_PERIOD;
 use wax_types::TimePoint;
 use wax_wire::{AgentHello, LinkPing, PoolBody, PoolReader, PoolWriter, WorkerKept, split_stream};
@@ -284,11 +284,14 @@
         }
         PoolBody::WorkerKept(kept) => keep_worker(state, &kept),
         PoolBody::Start(order) => state.order_start(order),
-        PoolBody::Stop(order) => state.order_stop(RunMark::from(&order.mark)),
+        PoolBody::Stop(order) => state.order_stop(RunId::from(&order.mark)),
         PoolBody::Ack(ack) => {
             let mut boot = state.boot.borrow_mut();
             let meant = ack.boot();
-            if let Some(boot) = boot.as_mut().filter(|boot| boot.view.boot.may_be(&meant)) {
+            if let Some(boot) = boot
+                .as_mut()
+                .filter(|boot| boot.view.boot.may_match(&meant))
+            {
                 boot.ack_cursor = boot.ack_cursor.max(ack.cursor);
             }
         }
@@ -307,11 +310,14 @@
 fn keep_worker(state: &AgentState, kept: &WorkerKept) {
     let meant = kept.boot();
     let mut boot = state.boot.borrow_mut();
-    let Some(boot) = boot.as_mut().filter(|boot| boot.view.boot.may_be(&meant)) else {
+    let Some(boot) = boot
+        .as_mut()
+        .filter(|boot| boot.view.boot.may_match(&meant))
+    else {
         return;
     };
     for seat in &kept.seats {
-        boot.table.learn(RunMark::from(&seat.mark), seat.into());
+        boot.table.learn(RunId::from(&seat.mark), seat.into());
     }
     if let Some(link) = state.link.borrow_mut().as_mut() {
         link.kept = true;
--- a/crates/wax-agent/src/pace.rs
+++ b/crates/wax-agent/src/pace.rs
@@ -8,7 +8,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
-use wax_batch::RunMark;
+use wax_batch::RunId;
 use wax_policy::{CoreUse, LoadChange, LoadLook, PaceRules, PairPress, PressTable};
 use wax_types::TimePoint;
 
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServingSample {
     /// The run.
-    pub mark: RunMark,
+    pub mark: RunId,
     /// Its image.
     pub image: Box<str>,
     /// Its tail as a share of its target.
@@ -126,7 +126,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PaceCause {
     /// The run.
-    pub run: RunMark,
+    pub run: RunId,
     /// Its tail as a share of its target, by the last look.
     pub tail: f64,
     /// Its load without what fills.
@@ -141,7 +141,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct PaceControl {
     pairs: PressTable,
-    loads: HashMap<RunMark, ServingLoad>,
+    loads: HashMap<RunId, ServingLoad>,
     /// The least tail of each serving image, as a share of its target.
     idle: HashMap<Box<str>, f64>,
     paces: BTreeMap<Box<str>, u32>,
--- a/crates/wax-agent/src/state.rs
+++ b/crates/wax-agent/src/state.rs
@@ -12,7 +12,7 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
-use wax_batch::{BootId, LostRun, RunMark, StartRefusal, WorkerState, WorkerView};
+use wax_batch::{BootId, LostRun, RunId, StartRefusal, WorkerState, WorkerView};
 use wax_policy::{DrainRules, DrainVerdict, DrainView, PaceRules};
 use wax_trace::{Counter, count};
 use wax_types::{ProcessClock, TimePoint};
@@ -59,17 +59,17 @@
 
 impl WorkerBoot {
     /// What was on it when it ended, a line for each run; `kept` names those that are on the next boot.
-    pub(crate) fn lose_runs(&self, now: TimePoint, kept: &[RunMark]) -> Vec<LostRun> {
+    pub(crate) fn lose_runs(&self, now: TimePoint, kept: &[RunId]) -> Vec<LostRun> {
         let silent_ms = now.since(self.answered).as_millis() as u64;
         let mut runs = self.table.lost_runs(self.answered);
-        runs.retain(|lost| !kept.contains(&lost.mark));
+        runs.retain(|lost| !kept.contains(&lost.run_id));
         for lost in &runs {
             count(Counter::RunsLost);
             tracing::info!(
                 worker = %self.view.boot,
-                task = %lost.mark.task,
-                run = lost.mark.run,
-                ran_ms = lost.ran.map(|ran| ran.as_millis() as u64),
+                task = %lost.run_id.task,
+                run = lost.run_id.run,
+                ran_ms = lost.min_run_time.map(|ran| ran.as_millis() as u64),
                 silent_ms,
                 "run lost with its worker"
             );
@@ -263,7 +263,7 @@
         boot.as_ref().is_some_and(|boot| {
             let is_draining = boot.view.state == WorkerState::Draining;
             let is_told = said.started_ms() == boot.view.boot.started_ms();
-            !boot.is_replaced && boot.view.boot.may_be(said) && (is_told || is_draining)
+            !boot.is_replaced && boot.view.boot.may_match(said) && (is_told || is_draining)
         })
     }
 
@@ -272,7 +272,7 @@
         let mut boot = self.boot.borrow_mut();
         let Some(boot) = boot
             .as_mut()
-            .filter(|boot| boot.view.boot.may_be(&report.view.boot))
+            .filter(|boot| boot.view.boot.may_match(&report.view.boot))
         else {
             return;
         };
--- a/crates/wax-agent/src/table.rs
+++ b/crates/wax-agent/src/table.rs
@@ -3,7 +3,7 @@
 use crate::pace::{PaceControl, PaceSample, ServingSample};
 use std::collections::HashMap;
 use wax_batch::{
-    LostRun, RunEnd, RunMark, RunReport, StartRefusal, TaskSize, WorkerState, WorkerView,
+    LostRun, RunEnd, RunId, RunReport, StartRefusal, TaskSize, WorkerState, WorkerView,
 };
 use wax_types::TimePoint;
 
@@ -60,15 +60,15 @@
     /// Runs that ended.
     pub ends: Vec<RunEnd>,
     /// Runs that never began and never will.
-    pub never: Vec<RunMark>,
+    pub never: Vec<RunId>,
     /// Runs of the table whose ends have numbers that were heard before.
-    pub passed_over: Vec<RunMark>,
+    pub passed_over: Vec<RunId>,
 }
 
 /// The guard of the worker's capacity.
 #[derive(Debug, Default)]
 pub struct RunTable {
-    rows: HashMap<RunMark, RunRow>,
+    rows: HashMap<RunId, RunRow>,
     heard: u64,
 }
 
@@ -80,7 +80,7 @@
     /// Why it may not.
     pub fn begin(
         &mut self,
-        mark: RunMark,
+        mark: RunId,
         seat: SeatInfo,
         view: &WorkerView,
         now: TimePoint,
@@ -110,7 +110,7 @@
     }
 
     /// The worker has begun the run.
-    pub fn started(&mut self, mark: RunMark) {
+    pub fn started(&mut self, mark: RunId) {
         if let Some(row) = self.rows.get_mut(&mark)
             && row.stand == RunStand::Starting
         {
@@ -119,12 +119,12 @@
     }
 
     /// The worker has refused the run, or it has ended: nothing of it is left.
-    pub fn remove(&mut self, mark: RunMark) -> bool {
+    pub fn remove(&mut self, mark: RunId) -> bool {
         self.rows.remove(&mark).is_some()
     }
 
     /// Notes that a stop is on its way; says whether the run is known.
-    pub fn stopping(&mut self, mark: RunMark) -> bool {
+    pub fn stopping(&mut self, mark: RunId) -> bool {
         let Some(row) = self.rows.get_mut(&mark) else {
             return false;
         };
@@ -135,19 +135,19 @@
     }
 
     /// The worker has answered the stop while hold number `hold` was under way.
-    pub fn stopped(&mut self, mark: RunMark, hold: u64) {
+    pub fn stopped(&mut self, mark: RunId, hold: u64) {
         if let Some(row) = self.rows.get_mut(&mark) {
             row.stand = RunStand::Stopped { hold };
         }
     }
 
     /// Where a run stands.
-    pub fn stand(&self, mark: RunMark) -> Option<RunStand> {
+    pub fn stand(&self, mark: RunId) -> Option<RunStand> {
         self.rows.get(&mark).map(|row| row.stand)
     }
 
     /// Takes sizes that only the owner knew.
-    pub fn learn(&mut self, mark: RunMark, seat: SeatInfo) {
+    pub fn learn(&mut self, mark: RunId, seat: SeatInfo) {
         if let Some(row) = self.rows.get_mut(&mark) {
             row.seat = Some(seat);
         }
@@ -157,13 +157,13 @@
     pub fn observe(&mut self, running: &[RunReport], ended: &[RunEnd], hold: u64) -> HoldNews {
         let mut news = HoldNews::default();
         for row in self.rows.values_mut() {
-            row.report.listed = false;
+            row.report.confirmed_by_worker = false;
         }
         for report in running {
             let row = self
                 .rows
-                .entry(report.mark)
-                .or_insert_with(|| RunRow::new(report.mark, None, RunStand::Running));
+                .entry(report.run_id)
+                .or_insert_with(|| RunRow::new(report.run_id, None, RunStand::Running));
             if row.stand == RunStand::Starting {
                 row.stand = RunStand::Running;
             }
@@ -176,18 +176,18 @@
             }
         }
         let known = ended.iter().filter(|end| end.number <= self.heard);
-        let known = known.filter(|end| self.rows.contains_key(&end.mark));
-        news.passed_over = known.map(|end| end.mark).collect();
+        let known = known.filter(|end| self.rows.contains_key(&end.run_id));
+        news.passed_over = known.map(|end| end.run_id).collect();
         for end in ended.iter().filter(|end| end.number > self.heard) {
-            self.rows.remove(&end.mark);
+            self.rows.remove(&end.run_id);
             news.ends.push(end.clone());
         }
         self.heard = ended
             .iter()
             .map(|end| end.number)
             .fold(self.heard, u64::max);
-        let listed = |mark: &RunMark| running.iter().any(|report| report.mark == *mark);
-        let gone: Vec<RunMark> = self
+        let listed = |mark: &RunId| running.iter().any(|report| report.run_id == *mark);
+        let gone: Vec<RunId> = self
             .rows
             .iter()
             .filter(|(mark, row)| row.stopped_before(hold) && !listed(mark))
@@ -209,8 +209,8 @@
     pub fn lost_runs(&self, answered: TimePoint) -> Vec<LostRun> {
         let rows = self.rows.iter();
         let lost = rows.map(|(mark, row)| LostRun {
-            mark: *mark,
-            ran: row.sent.map(|sent| answered.since(sent)),
+            run_id: *mark,
+            min_run_time: row.sent.map(|sent| answered.since(sent)),
         });
         lost.collect()
     }
@@ -234,13 +234,13 @@
             };
             if seat.fills {
                 let fill = sample.filling.entry(seat.image.clone()).or_default();
-                fill.used += f64::from(row.report.figure) / 1_000.0;
+                fill.used += f64::from(row.report.load_metric) / 1_000.0;
                 fill.wanted += f64::from(seat.cpu_milli) / 1_000.0;
             } else if seat.tail_target_ms > 0 && row.report.percent == 100 {
                 sample.serving.push(ServingSample {
                     mark: *mark,
                     image: seat.image.clone(),
-                    tail: f64::from(row.report.figure) / f64::from(seat.tail_target_ms),
+                    tail: f64::from(row.report.load_metric) / f64::from(seat.tail_target_ms),
                 });
             }
         }
@@ -248,7 +248,7 @@
     }
 
     /// Runs that fill and whose pace is not the planned one, which is noted as sent.
-    pub fn repace(&mut self, control: &PaceControl) -> Vec<(RunMark, u32)> {
+    pub fn repace(&mut self, control: &PaceControl) -> Vec<(RunId, u32)> {
         let mut marks = Vec::new();
         for (mark, row) in &mut self.rows {
             let Some(seat) = row.seat.as_ref().filter(|seat| seat.fills) else {
@@ -264,7 +264,7 @@
     }
 
     /// A pace was not taken; it is due again.
-    pub fn pace_lost(&mut self, mark: RunMark) {
+    pub fn pace_lost(&mut self, mark: RunId) {
         if let Some(row) = self.rows.get_mut(&mark) {
             row.pace = PACE_UNKNOWN;
         }
@@ -289,16 +289,16 @@
 const PERCENT_STEP: u32 = 10;
 
 impl RunRow {
-    fn new(mark: RunMark, seat: Option<SeatInfo>, stand: RunStand) -> Self {
+    fn new(mark: RunId, seat: Option<SeatInfo>, stand: RunStand) -> Self {
         Self {
             seat,
             stand,
             report: RunReport {
-                mark,
+                run_id: mark,
                 checkpoint: "".into(),
                 percent: 0,
-                figure: 0,
-                listed: false,
+                load_metric: 0,
+                confirmed_by_worker: false,
             },
             percent_sent: 0,
             checkpoint_sent: "".into(),
--- a/crates/wax-agent/tests/crashes.rs
+++ b/crates/wax-agent/tests/crashes.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 use wax_agent::CrashLog;
-use wax_batch::{BootId, JobName, LostRun, RunMark, TaskName, WorkerState, WorkerView};
+use wax_batch::{BootId, JobName, LostRun, RunId, TaskName, WorkerState, WorkerView};
 use wax_types::TimePoint;
 
 fn at(millis: u64) -> TimePoint {
@@ -29,8 +29,8 @@
         index: 0,
     };
     LostRun {
-        mark: RunMark { task, run: 1 },
-        ran: Some(Duration::from_millis(3)),
+        run_id: RunId { task, run: 1 },
+        min_run_time: Some(Duration::from_millis(3)),
     }
 }
 
--- a/crates/wax-agent/tests/guards.rs
+++ b/crates/wax-agent/tests/guards.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use wax_agent::{LeaseClock, LeaseRules, RunStand, RunTable, SeatInfo};
 use wax_batch::{
-    JobName, RunEnd, RunEndKind, RunMark, RunReport, StartRefusal, TaskName, TaskSize, WorkerState,
+    JobName, RunEnd, RunEndKind, RunId, RunReport, StartRefusal, TaskName, TaskSize, WorkerState,
     WorkerView,
 };
 use wax_types::TimePoint;
@@ -14,8 +14,8 @@
     TimePoint::from_millis(100_000 + millis)
 }
 
-fn mark(index: u32, run: u64) -> RunMark {
-    RunMark {
+fn mark(index: u32, run: u64) -> RunId {
+    RunId {
         task: TaskName {
             job: JobName(1),
             occurrence: 0,
@@ -49,20 +49,20 @@
     }
 }
 
-fn report(mark: RunMark) -> RunReport {
+fn report(mark: RunId) -> RunReport {
     RunReport {
-        mark,
+        run_id: mark,
         checkpoint: "".into(),
         percent: 10,
-        figure: 0,
-        listed: true,
+        load_metric: 0,
+        confirmed_by_worker: true,
     }
 }
 
-fn end(number: u64, mark: RunMark) -> RunEnd {
+fn end(number: u64, mark: RunId) -> RunEnd {
     RunEnd {
         number,
-        mark,
+        run_id: mark,
         kind: RunEndKind::Stopped,
         checkpoint: "".into(),
     }
@@ -163,8 +163,8 @@
     // A process before this one started it.
     table.observe(&[report(mark(2, 1))], &[], 1);
     let mut lost = table.lost_runs(at(300));
-    lost.sort_by_key(|lost| lost.mark.task.index);
-    let ran: Vec<Option<Duration>> = lost.iter().map(|lost| lost.ran).collect();
+    lost.sort_by_key(|lost| lost.run_id.task.index);
+    let ran: Vec<Option<Duration>> = lost.iter().map(|lost| lost.min_run_time).collect();
     let known = Duration::from_millis(300);
     assert_eq!(ran, [Some(known), Some(Duration::ZERO), None]);
 }
@@ -220,7 +220,7 @@
 }
 
 /// A stopped run that a later hold omits never began.
-fn forget(truth: &mut BTreeMap<u32, u32>, never: &[RunMark]) {
+fn forget(truth: &mut BTreeMap<u32, u32>, never: &[RunId]) {
     for gone in never {
         truth.remove(&gone.task.index);
     }
--- a/crates/wax-agent/tests/news.rs
+++ b/crates/wax-agent/tests/news.rs
@@ -1,33 +1,33 @@
 //! What waits for the next heartbeat, and what must not be told any more.
 
 use wax_agent::GatheredNews;
-use wax_batch::{JobName, RunEnd, RunEndKind, RunMark, RunReport, StartRefusal, TaskName};
+use wax_batch::{JobName, RunEnd, RunEndKind, RunId, RunReport, StartRefusal, TaskName};
 use wax_wire::{RefusalFrame, RunNews};
 
-fn mark(index: u32) -> RunMark {
+fn mark(index: u32) -> RunId {
     let task = TaskName {
         job: JobName(7),
         occurrence: 0,
         step: 0,
         index,
     };
-    RunMark { task, run: 1 }
+    RunId { task, run: 1 }
 }
 
 fn report(index: u32, percent: u32) -> RunReport {
     RunReport {
-        mark: mark(index),
+        run_id: mark(index),
         checkpoint: "".into(),
         percent,
-        figure: 0,
-        listed: true,
+        load_metric: 0,
+        confirmed_by_worker: true,
     }
 }
 
 fn end(index: u32) -> RunEnd {
     RunEnd {
         number: 1,
-        mark: mark(index),
+        run_id: mark(index),
         kind: RunEndKind::Done,
         checkpoint: "".into(),
     }
@@ -43,7 +43,7 @@
     news
 }
 
-fn told(news: &RunNews) -> (Vec<RunMark>, Vec<RunReport>) {
+fn told(news: &RunNews) -> (Vec<RunId>, Vec<RunReport>) {
     let started = news.started.iter().map(Into::into);
     let going = news.going.iter().map(Into::into);
     (started.collect(), going.collect())
--- a/crates/wax-agent/tests/pacing.rs
+++ b/crates/wax-agent/tests/pacing.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 use wax_agent::{FillingSample, PaceControl, PaceSample, ServingSample};
-use wax_batch::{JobName, RunMark, TaskName};
+use wax_batch::{JobName, RunId, TaskName};
 use wax_policy::{PaceRules, PairPress};
 use wax_types::TimePoint;
 
-fn mark() -> RunMark {
-    RunMark {
+fn mark() -> RunId {
+    RunId {
         task: TaskName {
             job: JobName(1),
             occurrence: 0,
--- a/crates/wax-agent/tests/presses.rs
+++ b/crates/wax-agent/tests/presses.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wax_agent::{FillingSample, PaceControl, PaceSample, ServingSample};
-use wax_batch::{JobName, RunMark, TaskName};
+use wax_batch::{JobName, RunId, TaskName};
 use wax_policy::PaceRules;
 use wax_types::TimePoint;
 
@@ -19,12 +19,12 @@
     filling: Vec<(Box<str>, f64, f64)>,
 }
 
-fn mark(task: &str) -> RunMark {
+fn mark(task: &str) -> RunId {
     let mut parts = task.split('.');
     let mut next = || parts.next().expect("a task has four parts");
     let job = next().parse::<JobName>().expect("a job's name");
     let mut number = || next().parse::<u32>().expect("a number");
-    RunMark {
+    RunId {
         task: TaskName {
             job,
             occurrence: number(),
--- a/crates/wax-batch/src/boot.rs
+++ b/crates/wax-batch/src/boot.rs
@@ -31,13 +31,13 @@
     }
 
     /// The same boot, with the start time that another source gives if it was not known.
-    pub fn or_started(self, started_ms: Option<u64>) -> Self {
+    pub fn or_started_ms(self, started_ms: Option<u64>) -> Self {
         let started_ms = self.started_ms.or(started_ms);
         Self { started_ms, ..self }
     }
 
     /// Whether both may name one boot: a start time that is not known may be any.
-    pub fn may_be(&self, other: &Self) -> bool {
+    pub fn may_match(&self, other: &Self) -> bool {
         let differ = self
             .started_ms
             .zip(other.started_ms)
@@ -46,8 +46,8 @@
     }
 
     /// Whether both surely name different boots of one worker.
-    pub fn is_other_boot(&self, other: &Self) -> bool {
-        self.worker == other.worker && !self.may_be(other)
+    pub fn is_different_boot(&self, other: &Self) -> bool {
+        self.worker == other.worker && !self.may_match(other)
     }
 }
 
--- a/crates/wax-batch/src/ends.rs
+++ b/crates/wax-batch/src/ends.rs
@@ -1,24 +1,24 @@
 //! Ends of runs, refused ones included, and what follows from them.
 
-use crate::book::{JobBook, PendingEnd, StopOrder, TaskAt};
-use crate::life::TaskStand;
-use crate::names::RunMark;
+use crate::names::RunId;
 use crate::progress::JobOutcome;
-use crate::why::StopReason;
+use crate::reasons::StopReason;
+use crate::records::TaskState;
+use crate::scheduler::{JobScheduler, PendingEnd, StopOrder, TaskRef};
 use crate::worker::{RunEnd, RunEndKind, WorkerKey};
 use std::time::Duration;
 use wax_types::TimePoint;
 
 /// After failures of this many tasks in a row a worker gets no work for a while.
-const SHUN_AFTER: usize = 3;
+const EXCLUDE_AFTER_FAILED_TASKS: usize = 3;
 /// How long a worker that fails what it starts gets no work.
-const SHUN_FOR: Duration = Duration::from_secs(3);
+const EXCLUSION: Duration = Duration::from_secs(3);
 
 /// A task does not go back to the worker on which it failed for this long: its few attempts
 /// would be spent where everything fails.
-const FAILED_PAUSE: Duration = Duration::from_millis(1_000);
+const RETRY_ELSEWHERE: Duration = Duration::from_millis(1_000);
 /// How long a worker gets no work whose agent has refused an order by a newer view than ours.
-const SHUN_BRIEFLY: Duration = Duration::from_millis(100);
+const SHORT_EXCLUSION: Duration = Duration::from_millis(100);
 
 /// Why a worker did not start a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -33,68 +33,70 @@
     Drained,
 }
 
-impl JobBook {
+impl JobScheduler {
     /// A worker has not begun a run and never will.
-    pub fn run_refused(
+    pub fn record_refusal(
         &mut self,
         worker: WorkerKey,
-        mark: RunMark,
+        run_id: RunId,
         refusal: StartRefusal,
         now: TimePoint,
         now_ms: u64,
     ) {
-        if !self.knows_run(worker, mark) {
+        if !self.has_run(worker, run_id) {
             return;
         }
-        self.end_run(worker, mark, RunEndKind::Stopped, "", now, now_ms);
-        let shun = match refusal {
-            StartRefusal::Unwell => SHUN_FOR,
+        self.end_run(worker, run_id, RunEndKind::Stopped, "", now, now_ms);
+        let exclusion = match refusal {
+            StartRefusal::Unwell => EXCLUSION,
             // The views differ for a moment; without a pause the same order would go out at once.
-            StartRefusal::Room | StartRefusal::Stale | StartRefusal::Drained => SHUN_BRIEFLY,
+            StartRefusal::Room | StartRefusal::Stale | StartRefusal::Drained => SHORT_EXCLUSION,
         };
-        if let Some(life) = self.workers.get_mut(worker) {
-            life.shunned_until = life.shunned_until.max(now + shun);
+        if let Some(record) = self.workers.get_mut(worker) {
+            record.excluded_until = record.excluded_until.max(now + exclusion);
         }
     }
 
     /// A worker lists an end.
-    pub fn run_ended(&mut self, worker: WorkerKey, end: &RunEnd, now: TimePoint, now_ms: u64) {
-        let Some(life) = self.workers.get_mut(worker) else {
+    pub fn record_end(&mut self, worker: WorkerKey, end: &RunEnd, now: TimePoint, now_ms: u64) {
+        let Some(record) = self.workers.get_mut(worker) else {
             return;
         };
-        if end.number <= life.heard {
+        if end.number <= record.last_end_number {
             return;
         }
-        life.heard = end.number;
-        if !life.runs.contains_key(&end.mark) {
-            self.adopt_end(worker, end, now);
+        record.last_end_number = end.number;
+        if !record.runs.contains_key(&end.run_id) {
+            self.adopt_ended_run(worker, end, now);
         }
-        let known = self.knows_run(worker, end.mark);
-        if known {
-            self.end_run(worker, end.mark, end.kind, &end.checkpoint, now, now_ms);
+        let is_known = self.has_run(worker, end.run_id);
+        if is_known {
+            self.end_run(worker, end.run_id, end.kind, &end.checkpoint, now, now_ms);
         } else {
-            self.late_end(end, now, now_ms);
+            self.apply_late_end(end, now, now_ms);
         }
         // Whatever this end changed, or repeats: the store has all that is known of the job first.
-        let job = self.names.get(&end.mark.task.job);
+        let job = self.names.get(&end.run_id.task.job);
         let covered = job.map(|key| (*key, self.jobs[*key].changes));
-        if let Some(life) = self.workers.get_mut(worker) {
+        if let Some(record) = self.workers.get_mut(worker) {
             let number = end.number;
-            life.pending.push_back(PendingEnd { number, covered });
+            record
+                .pending_ends
+                .push_back(PendingEnd { number, covered });
             self.unacknowledged.insert(worker);
         }
     }
 
     /// Seats the run of an end that this owner did not order, so that the end counts.
-    fn adopt_end(&mut self, worker: WorkerKey, end: &RunEnd, now: TimePoint) {
-        let Some(at) = self.task_at(end.mark.task, now) else {
+    fn adopt_ended_run(&mut self, worker: WorkerKey, end: &RunEnd, now: TimePoint) {
+        let Some(task_ref) = self.resolve_task(end.run_id.task, now) else {
             return;
         };
         let waits = self
-            .task_mut(at)
-            .is_some_and(|task| matches!(task.stand, TaskStand::Waiting));
+            .task_mut(task_ref)
+            .is_some_and(|task| matches!(task.state, TaskState::Waiting));
         if waits {
-            self.seat(at, worker, end.mark.run, true, now);
+            self.reserve_task(task_ref, worker, end.run_id.run, true, now);
         }
     }
 
@@ -102,68 +104,77 @@
     pub(crate) fn end_run(
         &mut self,
         worker: WorkerKey,
-        mark: RunMark,
+        run_id: RunId,
         kind: RunEndKind,
         checkpoint: &str,
         now: TimePoint,
         now_ms: u64,
     ) {
-        let Some(at) = self.free_run(worker, mark).and_then(|seat| seat.task) else {
+        let Some(task_ref) = self
+            .release_run(worker, run_id)
+            .and_then(|reservation| reservation.task)
+        else {
             return;
         };
-        let seat = self.task_mut(at).and_then(|task| task.seat().copied());
-        if !seat.is_some_and(|seat| seat.run == mark.run && seat.worker == worker) {
+        let placement = self
+            .task_mut(task_ref)
+            .and_then(|task| task.placement().copied());
+        if !placement
+            .is_some_and(|placement| placement.run == run_id.run && placement.worker == worker)
+        {
             return;
         }
-        let key = at.step.job;
+        let key = task_ref.step.job;
         if self.jobs[key].is_over() {
-            self.unseat(at, worker, now);
+            self.reset_to_waiting(task_ref, worker, now);
             return;
         }
         if !checkpoint.is_empty()
-            && let Some(task) = self.task_mut(at)
+            && let Some(task) = self.task_mut(task_ref)
         {
             task.checkpoint = checkpoint.into();
         }
-        self.unseat(at, worker, now);
+        self.reset_to_waiting(task_ref, worker, now);
         match kind {
-            RunEndKind::Done => self.task_done(at, worker, now, now_ms),
-            RunEndKind::Failed => self.task_failed(at, mark.run, worker, now, now_ms),
-            // An end with the worker counts by the crash, not by the lapse: [`JobBook::worker_crashed`].
+            RunEndKind::Done => self.complete_task(task_ref, worker, now, now_ms),
+            RunEndKind::Failed => self.fail_task(task_ref, run_id.run, worker, now, now_ms),
+            // An end with the worker counts by the crash, not by the lapse: [`JobScheduler::record_crash`].
             RunEndKind::Stopped | RunEndKind::Lapsed | RunEndKind::Broken | RunEndKind::Alone => {}
         }
         if kind != RunEndKind::Done {
-            self.stop_gang(at);
+            self.stop_gang(task_ref);
         }
     }
 
     /// Stops the other members of a gang of which one has ended: they would wait in vain.
-    fn stop_gang(&mut self, at: TaskAt) {
-        let Some(job) = self.jobs.get(at.step.job) else {
+    fn stop_gang(&mut self, task_ref: TaskRef) {
+        let Some(job) = self.jobs.get(task_ref.step.job) else {
             return;
         };
-        if !job.spec.steps[usize::from(at.step.step)].gang {
+        if !job.spec.steps[usize::from(task_ref.step.step)].gang {
             return;
         }
-        let Some(occurrence) = job.occurrences.get(&at.step.occurrence) else {
+        let Some(occurrence) = job.occurrences.get(&task_ref.step.occurrence) else {
             return;
         };
-        let tasks = occurrence.steps[usize::from(at.step.step)].tasks.len() as u32;
+        let tasks = occurrence.steps[usize::from(task_ref.step.step)]
+            .tasks
+            .len() as u32;
         for index in 0..tasks {
-            let member = TaskAt { index, ..at };
+            let member = TaskRef { index, ..task_ref };
             let name = self.task_name(member);
-            if let Some(seat) = self.task_mut(member).and_then(|task| task.seat_mut())
-                && !seat.stopping
+            if let Some(placement) = self.task_mut(member).and_then(|task| task.placement_mut())
+                && !placement.stop_ordered
             {
-                seat.stopping = true;
-                let mark = RunMark {
+                placement.stop_ordered = true;
+                let run_id = RunId {
                     task: name,
-                    run: seat.run,
+                    run: placement.run,
                 };
                 let order = StopOrder {
-                    worker: seat.worker,
-                    mark,
-                    why: StopReason::GangEnded,
+                    worker: placement.worker,
+                    run_id,
+                    reason: StopReason::GangEnded,
                 };
                 self.stops.push(order);
             }
@@ -171,107 +182,112 @@
     }
 
     /// Takes a task from its worker; it waits again.
-    pub(crate) fn unseat(&mut self, at: TaskAt, worker: WorkerKey, now: TimePoint) {
-        let job = &mut self.jobs[at.step.job];
+    pub(crate) fn reset_to_waiting(
+        &mut self,
+        task_ref: TaskRef,
+        worker: WorkerKey,
+        now: TimePoint,
+    ) {
+        let job = &mut self.jobs[task_ref.step.job];
         let over = job.is_over();
-        let Some(occurrence) = job.occurrences.get_mut(&at.step.occurrence) else {
+        let Some(occurrence) = job.occurrences.get_mut(&task_ref.step.occurrence) else {
             return;
         };
-        let step = &mut occurrence.steps[usize::from(at.step.step)];
-        let Some(task) = step.tasks.get_mut(at.index as usize) else {
+        let step = &mut occurrence.steps[usize::from(task_ref.step.step)];
+        let Some(task) = step.tasks.get_mut(task_ref.index as usize) else {
             return;
         };
-        let has_run = task.seat().is_some_and(|seat| seat.running);
-        task.stand = TaskStand::Waiting;
+        let has_run = task.placement().is_some_and(|placement| placement.running);
+        task.state = TaskState::Waiting;
         step.waiting += 1;
         if has_run {
             // A start that was refused does not begin the wait anew.
-            step.since = now;
+            step.waiting_since = now;
         }
         if let Some(tasks) = step.spread.get_mut(&worker) {
             *tasks = tasks.saturating_sub(1);
         }
         if step.open && !over {
-            self.ready.insert(at.step);
+            self.ready_steps.insert(task_ref.step);
         }
     }
 
-    fn task_done(&mut self, at: TaskAt, worker: WorkerKey, now: TimePoint, now_ms: u64) {
-        if let Some(life) = self.workers.get_mut(worker) {
-            life.failed_tasks.clear();
-            life.shunned_until = TimePoint::default();
+    fn complete_task(&mut self, task_ref: TaskRef, worker: WorkerKey, now: TimePoint, now_ms: u64) {
+        if let Some(record) = self.workers.get_mut(worker) {
+            record.failed_tasks.clear();
+            record.excluded_until = TimePoint::default();
         }
-        let job = &mut self.jobs[at.step.job];
+        let job = &mut self.jobs[task_ref.step.job];
         let spec = job.spec.clone();
-        let step_spec = &spec.steps[usize::from(at.step.step)];
-        if step_spec.lasts {
+        let step_spec = &spec.steps[usize::from(task_ref.step.step)];
+        if step_spec.long_running {
             // A lasting task runs until the job is cancelled, however it ends.
             return;
         }
-        let Some(occurrence) = job.occurrences.get_mut(&at.step.occurrence) else {
+        let Some(occurrence) = job.occurrences.get_mut(&task_ref.step.occurrence) else {
             return;
         };
-        let step = &mut occurrence.steps[usize::from(at.step.step)];
+        let step = &mut occurrence.steps[usize::from(task_ref.step.step)];
         if step_spec.gang {
             // One end stands for all members.
             step.done = step_spec.count;
             step.waiting = 0;
             for task in &mut step.tasks {
-                task.stand = TaskStand::Done;
+                task.state = TaskState::Done;
             }
         } else {
-            let task = &mut step.tasks[at.index as usize];
-            task.stand = TaskStand::Done;
+            let task = &mut step.tasks[task_ref.index as usize];
+            task.state = TaskState::Done;
             task.checkpoint = "".into();
             step.waiting -= 1;
             step.done += 1;
         }
         if step.waiting == 0 {
-            self.ready.remove(&at.step);
+            self.ready_steps.remove(&task_ref.step);
         }
         if step.is_done(step_spec) {
             step.tasks = Vec::new();
             step.spread.clear();
-            self.open_all(at.step.job, now);
+            self.open_ready_steps(task_ref.step.job, now);
         }
-        self.touch(at.step.job);
-        self.settle_job(at.step.job, now_ms);
+        self.mark_changed(task_ref.step.job);
+        self.close_finished(task_ref.step.job, now_ms);
     }
 
-    fn task_failed(
+    fn fail_task(
         &mut self,
-        at: TaskAt,
+        task_ref: TaskRef,
         run: u64,
         worker: WorkerKey,
         now: TimePoint,
         now_ms: u64,
     ) {
-        let task = self.task_name(at);
-        if let Some(life) = self.workers.get_mut(worker) {
+        let task = self.task_name(task_ref);
+        if let Some(record) = self.workers.get_mut(worker) {
             // A task that always fails says nothing of its worker: a lasting one would bar it from all work.
-            life.failed_tasks.insert(task);
-            if life.failed_tasks.len() >= SHUN_AFTER {
-                life.shunned_until = now + SHUN_FOR;
+            record.failed_tasks.insert(task);
+            if record.failed_tasks.len() >= EXCLUDE_AFTER_FAILED_TASKS {
+                record.excluded_until = now + EXCLUSION;
             }
         }
-        if let Some(task) = self.task_mut(at) {
-            task.shuns = Some((worker, now + FAILED_PAUSE));
+        if let Some(task) = self.task_mut(task_ref) {
+            task.excluded_worker = Some((worker, now + RETRY_ELSEWHERE));
         }
-        self.count_failure(at, run, now_ms);
+        self.count_failure(task_ref, run, now_ms);
     }
 
     /// Counts a failed run once, however often its end is heard.
-    fn count_failure(&mut self, at: TaskAt, run: u64, now_ms: u64) {
-        let key = at.step.job;
+    fn count_failure(&mut self, task_ref: TaskRef, run: u64, now_ms: u64) {
+        let key = task_ref.step.job;
         let spec = self.jobs[key].spec.clone();
-        let step_spec = &spec.steps[usize::from(at.step.step)];
-        if step_spec.lasts {
+        let step_spec = &spec.steps[usize::from(task_ref.step.step)];
+        if step_spec.long_running {
             return;
         }
         // A gang fails as one: its first member keeps the count.
-        let counted = TaskAt {
-            index: if step_spec.gang { 0 } else { at.index },
-            ..at
+        let counted = TaskRef {
+            index: if step_spec.gang { 0 } else { task_ref.index },
+            ..task_ref
         };
         let Some(task) = self.task_mut(counted) else {
             return;
@@ -280,71 +296,75 @@
             task.failed_runs.push(run);
         }
         let failures = task.failed_runs.len() as u32;
-        self.touch(key);
-        if failures >= self.jobs[key].queue.most_attempts.max(1) {
-            let name = self.task_name(at);
+        self.mark_changed(key);
+        if failures >= self.jobs[key].queue.max_attempts.max(1) {
+            let name = self.task_name(task_ref);
             let reason = format!("task {name} failed {failures} times");
             self.end_job(key, JobOutcome::Failed, Some(reason.into()), now_ms);
         }
     }
 
     /// Takes an end of a run that the book has given up, as its worker had been taken as lost.
-    fn late_end(&mut self, end: &RunEnd, now: TimePoint, now_ms: u64) {
-        let Some(at) = self.task_at(end.mark.task, now) else {
+    fn apply_late_end(&mut self, end: &RunEnd, now: TimePoint, now_ms: u64) {
+        let Some(task_ref) = self.resolve_task(end.run_id.task, now) else {
             return;
         };
         match end.kind {
-            RunEndKind::Failed => self.count_failure(at, end.mark.run, now_ms),
-            RunEndKind::Done => self.late_done(at, now, now_ms),
+            RunEndKind::Failed => self.count_failure(task_ref, end.run_id.run, now_ms),
+            RunEndKind::Done => self.apply_late_completion(task_ref, now, now_ms),
             _ => {}
         }
     }
 
     /// The task has been done by a run that was given up: another run of it is needless.
-    fn late_done(&mut self, at: TaskAt, now: TimePoint, now_ms: u64) {
-        let name = self.task_name(at);
-        let seat = self.task_mut(at).and_then(|task| task.seat().copied());
-        let Some(seat) = seat else {
+    fn apply_late_completion(&mut self, task_ref: TaskRef, now: TimePoint, now_ms: u64) {
+        let name = self.task_name(task_ref);
+        let placement = self
+            .task_mut(task_ref)
+            .and_then(|task| task.placement().copied());
+        let Some(placement) = placement else {
             return;
         };
-        let mark = RunMark {
+        let run_id = RunId {
             task: name,
-            run: seat.run,
+            run: placement.run,
         };
-        let why = StopReason::DoneElsewhere;
+        let reason = StopReason::DoneElsewhere;
         self.stops.push(StopOrder {
-            worker: seat.worker,
-            mark,
-            why,
+            worker: placement.worker,
+            run_id,
+            reason,
         });
-        self.unseat(at, seat.worker, now);
-        self.task_done(at, seat.worker, now, now_ms);
+        self.reset_to_waiting(task_ref, placement.worker, now);
+        self.complete_task(task_ref, placement.worker, now, now_ms);
     }
 
-    fn knows_run(&self, worker: WorkerKey, mark: RunMark) -> bool {
-        let life = self.workers.get(worker);
-        life.is_some_and(|life| life.runs.contains_key(&mark))
+    fn has_run(&self, worker: WorkerKey, run_id: RunId) -> bool {
+        let record = self.workers.get(worker);
+        record.is_some_and(|record| record.runs.contains_key(&run_id))
     }
 
-    pub(crate) fn run_task(&self, worker: WorkerKey, mark: RunMark) -> Option<TaskAt> {
-        self.workers.get(worker)?.runs.get(&mark)?.task
+    pub(crate) fn task_of_run(&self, worker: WorkerKey, run_id: RunId) -> Option<TaskRef> {
+        self.workers.get(worker)?.runs.get(&run_id)?.task
     }
 
     /// Up to which end a worker may forget.
-    pub fn acknowledged(&self, worker: WorkerKey) -> u64 {
-        self.workers.get(worker).map_or(0, |life| life.cursor)
+    pub fn acknowledged_end(&self, worker: WorkerKey) -> u64 {
+        self.workers
+            .get(worker)
+            .map_or(0, |record| record.ack_cursor)
     }
 
     /// Moves the cursors of workers past ends that the store knows; returns those that moved.
-    pub fn take_cursors(&mut self) -> Vec<(WorkerKey, u64)> {
+    pub fn advance_ack_cursors(&mut self) -> Vec<(WorkerKey, u64)> {
         let mut moved = Vec::new();
         let (workers, jobs) = (&mut self.workers, &self.jobs);
         self.unacknowledged.retain(|key| {
-            let Some(life) = workers.get_mut(*key) else {
+            let Some(record) = workers.get_mut(*key) else {
                 return false;
             };
-            let before = life.cursor;
-            while let Some(first) = life.pending.front() {
+            let before = record.ack_cursor;
+            while let Some(first) = record.pending_ends.front() {
                 let known = first.covered.is_none_or(|(job, changes)| {
                     jobs.get(job)
                         .is_none_or(|job| job.stored_changes >= changes)
@@ -352,13 +372,13 @@
                 if !known {
                     break;
                 }
-                life.cursor = first.number;
-                life.pending.pop_front();
+                record.ack_cursor = first.number;
+                record.pending_ends.pop_front();
             }
-            if life.cursor > before {
-                moved.push((*key, life.cursor));
+            if record.ack_cursor > before {
+                moved.push((*key, record.ack_cursor));
             }
-            !life.pending.is_empty()
+            !record.pending_ends.is_empty()
         });
         moved
     }
--- a/crates/wax-batch/src/fit.rs
+++ b/crates/wax-batch/src/fit.rs
@@ -1,25 +1,30 @@
 //! Whether a task fits a worker, and at what cost.
 
-use crate::book::WorkerLife;
+use crate::reasons::WaitReason;
+use crate::scheduler::WorkerRecord;
 use crate::spec::{StepSpec, TaskSize};
-use crate::why::WaitReason;
 use crate::worker::WorkerState;
 use wax_policy::{PlaceRules, PressChoice, PressTable};
 use wax_types::TimePoint;
 
-impl WorkerLife {
+impl WorkerRecord {
     /// What is not booked.
-    pub fn room(&self) -> TaskSize {
-        self.view.capacity.minus(self.booked)
+    pub fn free_capacity(&self) -> TaskSize {
+        self.view.capacity.minus(self.reserved)
     }
 
     /// The share of its processors that is booked.
-    pub(crate) fn booked_share(&self) -> f64 {
-        f64::from(self.booked.cpu_milli) / f64::from(self.view.capacity.cpu_milli.max(1))
+    pub(crate) fn reserved_share(&self) -> f64 {
+        f64::from(self.reserved.cpu_milli) / f64::from(self.view.capacity.cpu_milli.max(1))
     }
 
     /// Why it takes no tasks of the step at all now; `None` if it does.
-    fn refusal(&self, service: &str, step: &StepSpec, now: TimePoint) -> Option<WaitReason> {
+    fn exclusion_reason(
+        &self,
+        service: &str,
+        step: &StepSpec,
+        now: TimePoint,
+    ) -> Option<WaitReason> {
         let label = step.label.as_ref();
         if *self.view.service != *service {
             Some(WaitReason::NoWorker)
@@ -27,7 +32,7 @@
             Some(WaitReason::Label)
         } else if self.view.state != WorkerState::Ready
             || !self.reachable
-            || now < self.shunned_until
+            || now < self.excluded_until
         {
             Some(WaitReason::NotReady)
         } else if self.drained {
@@ -38,82 +43,82 @@
     }
 
     /// Whether it takes tasks of the step at all now.
-    pub(crate) fn takes(&self, service: &str, step: &StepSpec, now: TimePoint) -> bool {
-        self.refusal(service, step, now).is_none()
+    pub(crate) fn accepts(&self, service: &str, step: &StepSpec, now: TimePoint) -> bool {
+        self.exclusion_reason(service, step, now).is_none()
     }
 
     /// Whether one more task of the step fits here now; `fill_limit` bounds what fills ask for.
-    pub(crate) fn has_room(
+    pub(crate) fn can_fit(
         &self,
         service: &str,
         step: &StepSpec,
-        (fill_limit, rules): (f64, &PlaceRules),
+        (best_effort_limit, rules): (f64, &PlaceRules),
         now: TimePoint,
     ) -> bool {
-        self.obstacle(service, step, (fill_limit, rules), now)
+        self.placement_obstacle(service, step, (best_effort_limit, rules), now)
             .is_none()
     }
 
-    /// Why one more task of the step does not fit here now; see [`WorkerLife::has_room`].
-    pub(crate) fn obstacle(
+    /// Why one more task of the step does not fit here now; see [`WorkerRecord::can_fit`].
+    pub(crate) fn placement_obstacle(
         &self,
         service: &str,
         step: &StepSpec,
-        (fill_limit, rules): (f64, &PlaceRules),
+        (best_effort_limit, rules): (f64, &PlaceRules),
         now: TimePoint,
     ) -> Option<WaitReason> {
-        if let Some(refusal) = self.refusal(service, step, now) {
-            return Some(refusal);
+        if let Some(reason) = self.exclusion_reason(service, step, now) {
+            return Some(reason);
         }
-        if !step.booked().fits(self.room()) {
+        if !step.reserved().fits(self.free_capacity()) {
             return Some(WaitReason::Capacity);
         }
-        let left = self.fill_room_milli(fill_limit, rules);
-        (step.fills && left < f64::from(step.size.cpu_milli)).then_some(WaitReason::Spare)
+        let left = self.best_effort_headroom_milli(best_effort_limit, rules);
+        (step.best_effort && left < f64::from(step.size.cpu_milli)).then_some(WaitReason::Spare)
     }
 
     /// Thousandths of a core that are left to tasks that fill.
-    fn fill_room_milli(&self, fill_limit: f64, rules: &PlaceRules) -> f64 {
-        let lasting = f64::from(self.lasting_milli);
-        let batch = f64::from(self.booked.cpu_milli) - lasting;
+    fn best_effort_headroom_milli(&self, best_effort_limit: f64, rules: &PlaceRules) -> f64 {
+        let lasting = f64::from(self.long_running_milli);
+        let batch = f64::from(self.reserved.cpu_milli) - lasting;
         let left = f64::from(self.view.capacity.cpu_milli) - batch - lasting * rules.lasting_use;
-        left * fill_limit - f64::from(self.filling_milli)
+        left * best_effort_limit - f64::from(self.best_effort_milli)
     }
 
     /// How one more task of the step would fare beside what serves here.
-    pub(crate) fn press_choice(
+    pub(crate) fn interference_choice(
         &self,
         step: &StepSpec,
         pairs: &PressTable,
         rules: &PlaceRules,
     ) -> PressChoice {
         let cpu_milli = step.size.cpu_milli;
-        self.press
+        self.interference
             .choice(pairs, &step.image, cpu_milli, rules.no_press)
     }
 
     /// Whether one more task of the step would work here at this pace at least.
-    pub(crate) fn bears(
+    pub(crate) fn can_keep_pace(
         &self,
         step: &StepSpec,
-        least_pace: f64,
+        min_pace: f64,
         pairs: &PressTable,
         rules: &PlaceRules,
     ) -> bool {
-        !step.fills || self.press_choice(step, pairs, rules).pace >= least_pace
+        !step.best_effort || self.interference_choice(step, pairs, rules).pace >= min_pace
     }
 
     /// The pace that one more task of the step would be left here, 0 to 1.
     pub(crate) fn pace_for(&self, step: &StepSpec, pairs: &PressTable, rules: &PlaceRules) -> f64 {
-        match step.fills {
-            true => self.press_choice(step, pairs, rules).pace,
+        match step.best_effort {
+            true => self.interference_choice(step, pairs, rules).pace,
             false => 1.0,
         }
     }
 
     /// The share of lasting runs here that are of another image.
-    fn strangers(&self, image: &str) -> f64 {
-        let serving = self.press.serving();
+    fn other_image_share(&self, image: &str) -> f64 {
+        let serving = self.interference.serving();
         let all: u32 = serving.values().sum();
         let own = serving.get(image).copied().unwrap_or(0);
         f64::from(all - own) / f64::from(all.max(1))
@@ -128,19 +133,19 @@
         rules: &PlaceRules,
     ) -> f64 {
         let capacity = f64::from(self.view.capacity.cpu_milli.max(1));
-        let used = f64::from(self.booked.cpu_milli)
-            - f64::from(self.lasting_milli) * (1.0 - rules.lasting_use)
-            + f64::from(self.filling_milli);
+        let used = f64::from(self.reserved.cpu_milli)
+            - f64::from(self.long_running_milli) * (1.0 - rules.lasting_use)
+            + f64::from(self.best_effort_milli);
         let mut cost = (used + f64::from(step.size.cpu_milli)) / capacity;
-        if step.fills {
-            let choice = self.press_choice(step, pairs, rules);
+        if step.best_effort {
+            let choice = self.interference_choice(step, pairs, rules);
             cost += rules.pace_cost * (1.0 - choice.pace) + rules.press_cost * choice.taken;
         }
-        if step.lasts {
+        if step.long_running {
             // Lasting tasks of one image keep together, and fill a worker before they open another:
             // so other workers are left to what presses on the image.
-            cost = 1.0 - cost + rules.stranger_cost * self.strangers(&step.image);
-            if self.press.serving().is_empty() {
+            cost = 1.0 - cost + rules.stranger_cost * self.other_image_share(&step.image);
+            if self.interference.serving().is_empty() {
                 cost += rules.open_cost;
             }
         }
--- a/crates/wax-batch/src/lib.rs
+++ b/crates/wax-batch/src/lib.rs
@@ -3,46 +3,47 @@
 //! Nothing here does I/O; the present time is an argument of everything that decides.
 
 mod approvals;
-mod blame;
-mod book;
 mod boot;
+mod crash_history;
 mod crashes;
 mod ends;
 mod fit;
-mod life;
-mod moves;
+mod migrations;
 mod names;
-mod notes;
 mod offers;
-mod patience;
-mod place;
+mod placement;
 mod progress;
 mod queue;
 mod rank;
+mod reasons;
+mod records;
+mod relaxation;
 mod reports;
-mod seats;
+mod reservations;
+mod scheduler;
 mod spec;
-mod unheard;
-mod why;
+mod unreconciled;
+mod updates;
 mod worker;
 
-pub use approvals::AdviceAsk;
-pub use blame::{CrashBlame, CrashVerdict, CrashedRun};
-pub use book::{
-    BookNote, JobBook, JobInfo, JobKey, RunSeat, StartOrder, StepAt, StopOrder, TaskAt, WorkerLife,
-};
+pub use approvals::AdviceRequest;
 pub use boot::BootId;
-pub use crashes::CrashNote;
+pub use crash_history::{CrashHistory, CrashVerdict, CrashedRun};
+pub use crashes::CrashFinding;
 pub use ends::StartRefusal;
-pub use life::{JobLife, OccurrenceLife, StepLife, TaskLife, TaskStand};
-pub use names::{JobName, RunMark, TaskName};
-pub use place::PlaceChoice;
+pub use names::{JobName, RunId, TaskName};
+pub use placement::PlacementChoice;
 pub use progress::{
     JobOutcome, JobProgress, JobRow, OccurrenceProgress, StepProgress, TaskFailures,
 };
 pub use queue::{AdviceRules, QueueConfig, QueueRules, QueueTable, ServiceRules};
-pub use rank::{JobRank, latest_start_ms, longest_chain_ms, objective_ms};
+pub use rank::{JobRank, critical_path_ms, latest_start_ms, objective_ms};
+pub use reasons::{PlacementReason, StepWait, StopReason, WaitReason};
+pub use records::{JobRecord, OccurrenceRecord, StepRecord, TaskRecord, TaskState};
+pub use scheduler::{
+    JobInfo, JobKey, JobScheduler, ProgressUpdate, RunReservation, StartOrder, StepRef, StopOrder,
+    TaskRef, WorkerRecord,
+};
 pub use spec::{JobSpec, RepeatPlan, SpecError, StepSpec, TaskSize};
-pub use unheard::UnheardRuns;
-pub use why::{PlaceReason, StepWait, StopReason, WaitReason};
+pub use unreconciled::UnreconciledRuns;
 pub use worker::{LostRun, RunEnd, RunEndKind, RunReport, WorkerKey, WorkerState, WorkerView};
--- a/crates/wax-batch/src/names.rs
+++ b/crates/wax-batch/src/names.rs
@@ -106,7 +106,7 @@
 
 /// One start of a task; runs of a task are numbered from 1 and rise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct RunMark {
+pub struct RunId {
     /// The task.
     pub task: TaskName,
     /// The number of the start.
--- a/crates/wax-batch/src/offers.rs
+++ b/crates/wax-batch/src/offers.rs
@@ -3,7 +3,7 @@
 //! A step of many tasks is placed in one go. Each placement changes one worker, so that the others need not be
 //! looked at again.
 
-use crate::why::WaitReason;
+use crate::reasons::WaitReason;
 use crate::worker::WorkerKey;
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BinaryHeap, HashMap};
@@ -47,49 +47,51 @@
 pub(crate) struct StepOffers {
     offers: BinaryHeap<Reverse<WorkerOffer>>,
     versions: HashMap<WorkerKey, u32>,
-    /// The obstacle of the worker that comes nearest to taking a task.
-    nearest: WaitReason,
-    is_whole: bool,
+    /// The obstacle of the worker that comes nearest_obstacle to taking a task.
+    nearest_obstacle: WaitReason,
+    covers_all_workers: bool,
 }
 
 impl StepOffers {
     /// Takes answers of workers, each with its position in the book, until so many were asked and so many offer
     /// something.
-    pub(crate) fn ask(
-        answers: impl Iterator<Item = (usize, WorkerKey, Result<f64, WaitReason>)>,
-        enough_asked: usize,
+    pub(crate) fn collect(
+        worker_offers: impl Iterator<Item = (usize, WorkerKey, Result<f64, WaitReason>)>,
+        sample_size: usize,
         enough_offers: usize,
     ) -> Self {
-        let mut nearest = WaitReason::NoWorker;
+        let mut nearest_obstacle = WaitReason::NoWorker;
         let mut offers = Vec::new();
-        let mut asked = 0;
-        let mut answers = answers.peekable();
-        while answers.peek().is_some() && (asked < enough_asked || offers.len() < enough_offers) {
-            let Some((position, worker, answer)) = answers.next() else {
+        let mut evaluated = 0;
+        let mut worker_offers = worker_offers.peekable();
+        while worker_offers.peek().is_some()
+            && (evaluated < sample_size || offers.len() < enough_offers)
+        {
+            let Some((position, worker, offer)) = worker_offers.next() else {
                 break;
             };
-            asked += 1;
-            match answer {
+            evaluated += 1;
+            match offer {
                 Ok(cost) => offers.push(Reverse(WorkerOffer {
                     cost,
                     position,
                     worker,
                     version: 0,
                 })),
-                Err(reason) => nearest = nearest.max(reason),
+                Err(reason) => nearest_obstacle = nearest_obstacle.max(reason),
             }
         }
         Self {
-            is_whole: answers.peek().is_none(),
+            covers_all_workers: worker_offers.peek().is_none(),
             offers: offers.into(),
             versions: HashMap::new(),
-            nearest,
+            nearest_obstacle,
         }
     }
 
     /// Whether all workers were asked.
-    pub(crate) fn is_whole(&self) -> bool {
-        self.is_whole
+    pub(crate) fn covers_all_workers(&self) -> bool {
+        self.covers_all_workers
     }
 
     /// The cheapest worker.
@@ -98,9 +100,9 @@
     ///
     /// Why no worker takes a task.
     pub(crate) fn best(&mut self) -> Result<BestOffer, WaitReason> {
-        let best = self.current().ok_or(self.nearest)?;
+        let best = self.peek_current().ok_or(self.nearest_obstacle)?;
         self.offers.pop();
-        let next_cost = self.current().map(|next| next.cost);
+        let next_cost = self.peek_current().map(|next| next.cost);
         self.offers.push(Reverse(best));
         Ok(BestOffer {
             worker: best.worker,
@@ -110,7 +112,7 @@
     }
 
     /// The first offer that its worker still stands by.
-    fn current(&mut self) -> Option<WorkerOffer> {
+    fn peek_current(&mut self) -> Option<WorkerOffer> {
         while let Some(Reverse(first)) = self.offers.peek().copied() {
             let version = self.versions.get(&first.worker).copied().unwrap_or(0);
             if first.version == version {
@@ -122,22 +124,22 @@
     }
 
     /// A task was placed on a worker, or taken back from it: what it answers now counts.
-    pub(crate) fn changed(
+    pub(crate) fn update(
         &mut self,
         worker: WorkerKey,
         position: usize,
-        answer: Result<f64, WaitReason>,
+        offer: Result<f64, WaitReason>,
     ) {
         let version = self.versions.entry(worker).or_default();
         *version += 1;
-        match answer {
+        match offer {
             Ok(cost) => self.offers.push(Reverse(WorkerOffer {
                 cost,
                 position,
                 worker,
                 version: *version,
             })),
-            Err(reason) => self.nearest = self.nearest.max(reason),
+            Err(reason) => self.nearest_obstacle = self.nearest_obstacle.max(reason),
         }
     }
 }
--- /dev/null
+++ b/crates/wax-batch/src/placement.rs
@@ -0,0 +1,692 @@
+//! Which task starts where.
+
+use crate::names::RunId;
+use crate::offers::StepOffers;
+use crate::rank::JobRank;
+use crate::reasons::{PlacementReason, StepWait, WaitReason};
+use crate::records::TaskRecord;
+use crate::relaxation::PlacementRelaxation;
+use crate::scheduler::{JobScheduler, StartOrder, StepRef, TaskRef, WorkerRecord};
+use crate::spec::StepSpec;
+use crate::unreconciled::StepEligibility;
+use crate::worker::{WorkerKey, WorkerState};
+use std::collections::BTreeMap;
+use std::time::Duration;
+use wax_policy::ExpectedFinish;
+use wax_types::TimePoint;
+
+/// Of a larger pool only so many workers are asked if they offer enough. Without that each step of a job would cost
+/// as much as the pool is large, and a pool of twice the size four times as much.
+const SAMPLE_SIZE: usize = 256;
+/// How far apart the workers are with which two steps in a row begin; a prime, so that all take their turn.
+const SCAN_STRIDE: usize = 101;
+/// Offers that leave a choice for each task of a step.
+const OFFERS_PER_TASK: usize = 2;
+/// A step that fits nowhere on a large pool is looked at again after this for each worker that was asked.
+const RECHECK_DELAY_PER_WORKER: Duration = Duration::from_micros(25);
+
+/// The same step is not told more often to wait, whatever the reason.
+const WAIT_REPORT_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Where a step's task can be placed now, or why nowhere.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub enum PlacementChoice {
+    /// Here.
+    Worker(ChosenWorker),
+    /// Nowhere.
+    Wait(WaitReason),
+}
+
+/// The best worker for a task, and what made it so.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct ChosenWorker {
+    /// The worker.
+    pub key: WorkerKey,
+    /// See [`PlacementReason`].
+    pub cost: f64,
+    /// See [`PlacementReason`].
+    pub next_cost: Option<f64>,
+    /// See [`PlacementReason`].
+    pub pace: f64,
+}
+
+/// What the tasks of one step ask of a worker.
+struct StepRequest<'a> {
+    step: &'a StepSpec,
+    service: &'a str,
+    /// The step's rank among what waits.
+    rank: JobRank,
+    /// How much of what is left to tasks that fill it may ask for.
+    best_effort_limit: f64,
+    /// How long its tasks have waited.
+    waited: Duration,
+    /// Whether most of the service's processors are not booked.
+    lightly_loaded: bool,
+    /// The worker that is asked first, by its position in the book.
+    scan_start: usize,
+    /// With so many offers no more workers of a large pool are asked.
+    enough_offers: usize,
+    /// The rack to be preferred: that of the data, or of the step's other tasks.
+    rack: Option<Box<str>>,
+}
+
+impl StepRequest<'_> {
+    /// Whether the tasks do as well on one worker as on another with the same room: not all need be asked then.
+    fn accepts_any_worker(&self) -> bool {
+        let step = self.step;
+        self.rack.is_none() && step.label.is_none() && !step.long_running && !step.gang
+    }
+}
+
+/// A task that has failed, or under which workers have ended.
+struct FailedTask<'a> {
+    task_ref: TaskRef,
+    record: &'a TaskRecord,
+    is_suspected: bool,
+    /// Whether it starts on machines only under which no worker has ended.
+    avoids_vms: bool,
+}
+
+impl FailedTask<'_> {
+    /// Whether it may not go back to this worker yet.
+    fn is_excluded(&self, key: WorkerKey, now: TimePoint) -> bool {
+        let excluded_worker = self.record.excluded_worker;
+        excluded_worker.is_some_and(|(excluded, until)| excluded == key && now < until)
+    }
+}
+
+impl JobScheduler {
+    /// Places what can be placed now, the most urgent first.
+    pub fn place(&mut self, now: TimePoint) -> Vec<StartOrder> {
+        let mut ranked: Vec<(JobRank, StepRef)> = Vec::with_capacity(self.ready_steps.len());
+        for step_ref in &self.ready_steps {
+            if !self.is_eligible(*step_ref, now) {
+                continue;
+            }
+            let job = &self.jobs[step_ref.job];
+            ranked.push((
+                JobRank::new(job, step_ref.occurrence, step_ref.step, now),
+                *step_ref,
+            ));
+        }
+        ranked.sort_unstable();
+        let mut orders = Vec::new();
+        for (rank, step_ref) in ranked {
+            self.place_step(step_ref, rank, now, &mut orders);
+        }
+        orders
+    }
+
+    /// When a step that fitted nowhere is to be looked at again, if that is sooner than `limit`.
+    pub fn time_to_next_check(&self, now: TimePoint, limit: Duration) -> Duration {
+        let steps = self
+            .ready_steps
+            .iter()
+            .filter_map(|step_ref| self.step_record(*step_ref));
+        let checks = steps.filter_map(|step| step.next_check);
+        let next = checks.filter(|time| *time > now).min();
+        next.map_or(limit, |step_ref| step_ref.since(now).min(limit))
+    }
+
+    /// Steps begin with different workers, so that those in front are not asked more often.
+    fn advance_scan_start(&mut self) -> usize {
+        self.scan_start = self.scan_start.wrapping_add(SCAN_STRIDE);
+        self.scan_start
+    }
+
+    /// Notes that a step's tasks fit nowhere. On a small pool it is looked at with the next change.
+    fn delay_next_check(&mut self, step_ref: StepRef, now: TimePoint) {
+        let workers = self.workers.len();
+        if workers <= SAMPLE_SIZE {
+            return;
+        }
+        let pause = RECHECK_DELAY_PER_WORKER.saturating_mul(workers as u32);
+        let job = self.jobs.get_mut(step_ref.job);
+        let occurrence = job.and_then(|job| job.occurrences.get_mut(&step_ref.occurrence));
+        if let Some(occurrence) = occurrence {
+            occurrence.steps[usize::from(step_ref.step)].next_check = Some(now + pause);
+        }
+    }
+
+    /// Whether any waiting task of a step may be started, and is to be looked at now.
+    fn is_eligible(&self, step_ref: StepRef, now: TimePoint) -> bool {
+        let Some(step) = self.step_record(step_ref) else {
+            return false;
+        };
+        if step.next_check.is_some_and(|step_ref| now < step_ref) {
+            return false;
+        }
+        match self.eligibility(step_ref, step) {
+            StepEligibility::All => true,
+            some => step
+                .tasks
+                .iter()
+                .any(|task| task.is_waiting() && some.covers(task)),
+        }
+    }
+
+    fn place_step(
+        &mut self,
+        step_ref: StepRef,
+        rank: JobRank,
+        now: TimePoint,
+        orders: &mut Vec<StartOrder>,
+    ) {
+        let job = &self.jobs[step_ref.job];
+        let spec = job.spec.clone();
+        let service = job.queue.service.clone();
+        let step = &spec.steps[usize::from(step_ref.step)];
+        let Some(occurrence) = job.occurrences.get(&step_ref.occurrence) else {
+            return;
+        };
+        let record = &occurrence.steps[usize::from(step_ref.step)];
+        let eligibility = self.eligibility(step_ref, record);
+        let tasks = (0..).zip(&record.tasks);
+        let waiting = tasks.filter(|(_, task)| task.is_waiting() && eligibility.covers(task));
+        // Those under which workers have ended come last: they may have to wait where others need not.
+        let (others, with_crashes): (Vec<_>, Vec<_>) =
+            waiting.partition(|(_, task)| task.crash_history.is_empty());
+        let without_crashes = others.len();
+        let waiting: Vec<u32> = others
+            .into_iter()
+            .chain(with_crashes)
+            .map(|(index, _)| index)
+            .collect();
+        let gang_waits = step.gang && waiting.len() < step.count as usize;
+        if waiting.is_empty() || gang_waits {
+            return;
+        }
+        let request = StepRequest {
+            step,
+            service: &service,
+            rank,
+            best_effort_limit: self.rules.fill_limit(if step.gang {
+                ExpectedFinish::InTime
+            } else {
+                rank.finish
+            }),
+            waited: now.since(record.waiting_since),
+            lightly_loaded: step.best_effort && !step.gang && self.is_lightly_loaded(&service),
+            rack: self.preferred_rack(step_ref, step, &service, now),
+            scan_start: self.advance_scan_start(),
+            enough_offers: waiting.len().saturating_mul(OFFERS_PER_TASK),
+        };
+        if step.gang {
+            self.place_gang(step_ref, &request, now, orders);
+            return;
+        }
+        let mut cached = None;
+        for (nth, index) in waiting.into_iter().enumerate() {
+            let task = TaskRef {
+                step: step_ref,
+                index,
+            };
+            match self.choose_worker(task, &request, &mut cached, now) {
+                PlacementChoice::Worker(chosen) => {
+                    orders.push(self.create_order(task, chosen, &request, None, now));
+                    self.refresh_offer(step_ref, &request, &mut cached, chosen.key, now);
+                }
+                PlacementChoice::Wait(reason) => {
+                    self.report_wait(task, &request, reason, now);
+                    if nth < without_crashes {
+                        self.delay_next_check(step_ref, now);
+                        return;
+                    }
+                }
+            }
+        }
+    }
+
+    /// Seats all members or none.
+    fn place_gang(
+        &mut self,
+        step_ref: StepRef,
+        request: &StepRequest<'_>,
+        now: TimePoint,
+        orders: &mut Vec<StartOrder>,
+    ) {
+        let count = request.step.count;
+        let last_run = self.last_run(step_ref);
+        let run = self.next_run(&self.jobs[step_ref.job], last_run);
+        let mut members = Vec::with_capacity(count as usize);
+        let mut cached = None;
+        for index in 0..count {
+            let task = TaskRef {
+                step: step_ref,
+                index,
+            };
+            match self.choose_worker(task, request, &mut cached, now) {
+                PlacementChoice::Worker(chosen) => {
+                    members.push(self.create_order(task, chosen, request, Some(run), now));
+                    self.refresh_offer(step_ref, request, &mut cached, chosen.key, now);
+                }
+                PlacementChoice::Wait(reason) => {
+                    let reason = match members.is_empty() {
+                        true => reason,
+                        false => WaitReason::Gang,
+                    };
+                    for member in members {
+                        self.revoke_order(step_ref, &member, now);
+                    }
+                    self.report_wait(task, request, reason, now);
+                    self.delay_next_check(step_ref, now);
+                    return;
+                }
+            }
+        }
+        orders.extend(members);
+    }
+
+    /// Notes why a step's tasks wait, if that is news.
+    fn report_wait(
+        &mut self,
+        task_ref: TaskRef,
+        request: &StepRequest<'_>,
+        reason: WaitReason,
+        now: TimePoint,
+    ) {
+        let task = self.task_name(task_ref);
+        let Some(occurrence) = self.jobs[task_ref.step.job]
+            .occurrences
+            .get_mut(&task_ref.step.occurrence)
+        else {
+            return;
+        };
+        let record = &mut occurrence.steps[usize::from(task_ref.step.step)];
+        let last_reported = record.reported_wait;
+        if last_reported
+            .is_some_and(|(last, when)| last == reason || now.since(when) < WAIT_REPORT_INTERVAL)
+        {
+            return;
+        }
+        record.reported_wait = Some((reason, now));
+        self.waits.push(StepWait {
+            task,
+            waiting: record.waiting,
+            waited: request.waited,
+            reason,
+        });
+    }
+
+    fn last_run(&self, step_ref: StepRef) -> u64 {
+        let tasks = self.jobs[step_ref.job]
+            .occurrences
+            .get(&step_ref.occurrence)
+            .map(|occurrence| &occurrence.steps[usize::from(step_ref.step)].tasks);
+        tasks
+            .into_iter()
+            .flatten()
+            .map(|task| task.last_run)
+            .max()
+            .unwrap_or(0)
+    }
+
+    /// Undoes a seat whose order was not given out.
+    fn revoke_order(&mut self, step_ref: StepRef, order: &StartOrder, now: TimePoint) {
+        let task = TaskRef {
+            step: step_ref,
+            index: order.run_id.task.index,
+        };
+        self.release_run(order.worker, order.run_id);
+        self.reset_to_waiting(task, order.worker, now);
+    }
+
+    /// Whether most of a service's processors are not booked.
+    fn is_lightly_loaded(&self, service: &str) -> bool {
+        let workers = self.workers.values();
+        let ready = workers.filter(|worker| {
+            *worker.view.service == *service
+                && worker.view.state == WorkerState::Ready
+                && !worker.drained
+        });
+        let (reserved, all) = ready.fold((0.0, 0.0), |(reserved, all), worker| {
+            let capacity = f64::from(worker.view.capacity.cpu_milli);
+            (
+                reserved + f64::from(worker.reserved.cpu_milli),
+                all + capacity,
+            )
+        });
+        reserved < all * self.rules.calm_use
+    }
+
+    /// The rack that a step's tasks would rather be on.
+    fn preferred_rack(
+        &self,
+        step_ref: StepRef,
+        step: &StepSpec,
+        service: &str,
+        now: TimePoint,
+    ) -> Option<Box<str>> {
+        if step.data_rack.is_some() || !step.one_rack {
+            return step.data_rack.clone();
+        }
+        let placed = self.rack_of_placed(step_ref);
+        placed.or_else(|| self.rack_with_most_capacity(step, service, now))
+    }
+
+    /// The rack on which most tasks of a step are.
+    fn rack_of_placed(&self, step_ref: StepRef) -> Option<Box<str>> {
+        let occurrence = self
+            .jobs
+            .get(step_ref.job)?
+            .occurrences
+            .get(&step_ref.occurrence)?;
+        let mut racks: BTreeMap<&str, u32> = BTreeMap::new();
+        for (worker, tasks) in &occurrence.steps[usize::from(step_ref.step)].spread {
+            let worker = self.workers.get(*worker).filter(|_| *tasks > 0);
+            if let Some(rack) = worker.and_then(|worker| worker.view.rack.as_deref()) {
+                *racks.entry(rack).or_default() += tasks;
+            }
+        }
+        let best = racks.into_iter().max_by_key(|(_, tasks)| *tasks);
+        best.map(|(rack, _)| rack.into())
+    }
+
+    /// The rack that holds most tasks of a step.
+    fn rack_with_most_capacity(
+        &self,
+        step: &StepSpec,
+        service: &str,
+        now: TimePoint,
+    ) -> Option<Box<str>> {
+        let max_tasks = match step.max_per_worker {
+            0 => u32::MAX,
+            best => best,
+        };
+        let mut racks: BTreeMap<&str, u32> = BTreeMap::new();
+        for worker in self.workers.values() {
+            let Some(rack) = worker.view.rack.as_deref() else {
+                continue;
+            };
+            if worker.accepts(service, step, now) {
+                let fits = step
+                    .reserved()
+                    .count_that_fit(worker.free_capacity())
+                    .min(max_tasks);
+                let fitting = racks.entry(rack).or_default();
+                *fitting = fitting.saturating_add(fits);
+            }
+        }
+        let best = racks.into_iter().max_by_key(|(_, fitting)| *fitting);
+        best.map(|(rack, _)| rack.into())
+    }
+
+    fn choose_worker(
+        &mut self,
+        task_ref: TaskRef,
+        request: &StepRequest<'_>,
+        cached: &mut Option<(PlacementRelaxation, StepOffers)>,
+        now: TimePoint,
+    ) -> PlacementChoice {
+        let Some(relaxation) = self.relaxation(task_ref.step, request, now) else {
+            return PlacementChoice::Wait(WaitReason::NoWorker);
+        };
+        let Some(task) = self.task(task_ref) else {
+            return PlacementChoice::Wait(WaitReason::NoWorker);
+        };
+        if task.excluded_worker.is_some() || !task.crash_history.is_empty() {
+            return self.choose_after_failures(task_ref, request, relaxation, now);
+        }
+        let mut offers = match cached.take().filter(|(of, _)| *of == relaxation) {
+            Some((_, offers)) => offers,
+            None => self.collect_offers(None, task_ref.step, request, relaxation, now),
+        };
+        let mut best = offers.best();
+        if best.is_err() && !offers.covers_all_workers() {
+            offers = self.collect_offers(None, task_ref.step, request, relaxation, now);
+            best = offers.best();
+        }
+        debug_assert!(
+            self.workers.len() > SAMPLE_SIZE
+                || best
+                    == self
+                        .collect_offers(None, task_ref.step, request, relaxation, now)
+                        .best(),
+            "a worker has changed unseen"
+        );
+        *cached = Some((relaxation, offers));
+        match best {
+            Ok(best) => {
+                let worker = &self.workers[best.worker];
+                PlacementChoice::Worker(ChosenWorker {
+                    key: best.worker,
+                    cost: best.cost,
+                    next_cost: best.next_cost,
+                    pace: worker.pace_for(request.step, &self.pairs, &self.rules),
+                })
+            }
+            Err(reason) => PlacementChoice::Wait(reason),
+        }
+    }
+
+    /// A task of a step was placed on a worker: what it takes for the next one has changed.
+    fn refresh_offer(
+        &self,
+        step_ref: StepRef,
+        request: &StepRequest<'_>,
+        cached: &mut Option<(PlacementRelaxation, StepOffers)>,
+        placed: WorkerKey,
+        now: TimePoint,
+    ) {
+        let Some((relaxation, offers)) = cached else {
+            return;
+        };
+        let position = self.workers.keys().position(|key| key == placed);
+        if let (Some(position), Some(worker)) = (position, self.workers.get(placed)) {
+            let offer =
+                self.offer_cost(None, step_ref, (placed, worker), request, *relaxation, now);
+            offers.update(placed, position, offer);
+        }
+    }
+
+    fn relaxation(
+        &self,
+        step_ref: StepRef,
+        request: &StepRequest<'_>,
+        now: TimePoint,
+    ) -> Option<PlacementRelaxation> {
+        let job = self.jobs.get(step_ref.job)?;
+        let record = self.step_record(step_ref)?;
+        Some(PlacementRelaxation::of(
+            &self.rules,
+            job,
+            record,
+            request.lightly_loaded,
+            now,
+        ))
+    }
+
+    fn task(&self, task_ref: TaskRef) -> Option<&TaskRecord> {
+        self.step_record(task_ref.step)?
+            .tasks
+            .get(task_ref.index as usize)
+    }
+
+    fn collect_offers(
+        &self,
+        failed: Option<&FailedTask<'_>>,
+        step_ref: StepRef,
+        request: &StepRequest<'_>,
+        relaxation: PlacementRelaxation,
+        now: TimePoint,
+    ) -> StepOffers {
+        let offer = |(position, (key, worker)): (usize, (WorkerKey, &WorkerRecord))| {
+            self.workers_evaluated.update(|count| count + 1);
+            let offer = self.offer_cost(failed, step_ref, (key, worker), request, relaxation, now);
+            (position, key, offer)
+        };
+        let workers = self.workers.iter().enumerate();
+        if failed.is_some() || !request.accepts_any_worker() {
+            return StepOffers::collect(workers.map(offer), usize::MAX, usize::MAX);
+        }
+        let scan_start = request.scan_start % self.workers.len().max(1);
+        let from_scan_start = workers
+            .clone()
+            .skip(scan_start)
+            .chain(workers.take(scan_start));
+        StepOffers::collect(
+            from_scan_start.map(offer),
+            SAMPLE_SIZE,
+            request.enough_offers,
+        )
+    }
+
+    /// What a worker takes for a task of the step, or why it takes none. `special` is set for a task that
+    /// has failed, or under which workers have ended.
+    fn offer_cost(
+        &self,
+        failed: Option<&FailedTask<'_>>,
+        step_ref: StepRef,
+        (key, worker): (WorkerKey, &WorkerRecord),
+        request: &StepRequest<'_>,
+        relaxation: PlacementRelaxation,
+        now: TimePoint,
+    ) -> Result<f64, WaitReason> {
+        let step = request.step;
+        let best_effort_limit = match relaxation {
+            PlacementRelaxation::Careful | PlacementRelaxation::Late | PlacementRelaxation::Any => {
+                request.best_effort_limit
+            }
+            PlacementRelaxation::Starved => f64::INFINITY,
+        };
+        if let Some(placement_obstacle) =
+            worker.placement_obstacle(request.service, step, (best_effort_limit, &self.rules), now)
+        {
+            return Err(placement_obstacle);
+        }
+        let max_tasks = match step.max_per_worker {
+            0 => u32::MAX,
+            max_tasks => max_tasks,
+        };
+        let record = self.step_record(step_ref).ok_or(WaitReason::NoWorker)?;
+        if record.spread.get(&key).copied().unwrap_or(0) >= max_tasks {
+            return Err(WaitReason::Spread);
+        }
+        if failed.is_some_and(|task| task.avoids_vms && task.record.crash_history.names(&worker.vm))
+        {
+            return Err(WaitReason::FailedThere);
+        }
+        if worker.is_reserved_against(failed.map(|task| task.task_ref), now) {
+            return Err(WaitReason::Trial);
+        }
+        if !worker.can_keep_pace(
+            step,
+            relaxation.min_pace(&self.rules),
+            &self.pairs,
+            &self.rules,
+        ) {
+            return Err(WaitReason::Interference);
+        }
+        let is_advised = self.jobs[step_ref.job].queue.advice.is_some();
+        if is_advised && self.ticket(step_ref, key, now).is_none() {
+            return Err(WaitReason::Advice);
+        }
+        let cost = worker.cost(step, request.rack.as_deref(), &self.pairs, &self.rules);
+        match failed {
+            None => Ok(cost),
+            Some(task) if task.is_excluded(key, now) => Err(WaitReason::FailedThere),
+            Some(task) => Ok(cost + self.failure_cost(task, key, worker, now)),
+        }
+    }
+
+    /// What it costs beside [`WorkerRecord::cost`] to place a task that has failed, or under which workers have
+    /// ended.
+    fn failure_cost(
+        &self,
+        task: &FailedTask<'_>,
+        key: WorkerKey,
+        worker: &WorkerRecord,
+        now: TimePoint,
+    ) -> f64 {
+        let mut cost = 0.0;
+        if task
+            .record
+            .excluded_worker
+            .is_some_and(|(excluded, _)| excluded == key)
+        {
+            cost += self.rules.shun_cost;
+        }
+        if !task.record.crash_history.is_empty() {
+            let crashed = self.last_vm_crash.get(&worker.vm).copied();
+            cost += worker.crash_cost(task.task_ref, task.is_suspected, crashed, now);
+        }
+        cost
+    }
+
+    /// Chooses for a task that is not like the others of its step: all workers are asked for it alone.
+    fn choose_after_failures(
+        &mut self,
+        task_ref: TaskRef,
+        request: &StepRequest<'_>,
+        relaxation: PlacementRelaxation,
+        now: TimePoint,
+    ) -> PlacementChoice {
+        let is_suspected = self.isolation_of(task_ref).is_some();
+        if is_suspected && self.is_isolation_limit_reached(task_ref, request.service, now) {
+            return PlacementChoice::Wait(WaitReason::Trial);
+        }
+        let Some(record) = self.task(task_ref) else {
+            return PlacementChoice::Wait(WaitReason::NoWorker);
+        };
+        let task = FailedTask {
+            task_ref,
+            record,
+            is_suspected,
+            avoids_vms: self.avoids_vms(&record.crash_history, request.service, now),
+        };
+        let mut offers = self.collect_offers(Some(&task), task_ref.step, request, relaxation, now);
+        let best = match offers.best() {
+            Ok(best) => best,
+            Err(reason) => return PlacementChoice::Wait(reason),
+        };
+        if is_suspected && !self.reserve_isolated_worker(task_ref, best.worker, now) {
+            return PlacementChoice::Wait(WaitReason::Trial);
+        }
+        PlacementChoice::Worker(ChosenWorker {
+            key: best.worker,
+            cost: best.cost,
+            next_cost: best.next_cost,
+            pace: self.workers[best.worker].pace_for(request.step, &self.pairs, &self.rules),
+        })
+    }
+
+    fn create_order(
+        &mut self,
+        task_ref: TaskRef,
+        chosen: ChosenWorker,
+        request: &StepRequest<'_>,
+        run: Option<u64>,
+        now: TimePoint,
+    ) -> StartOrder {
+        let worker = chosen.key;
+        let last_contact = self.workers.get(worker).map(|worker| worker.last_contact);
+        let reason = PlacementReason {
+            waited: request.waited,
+            rank: request.rank,
+            cost: chosen.cost,
+            next_cost: chosen.next_cost,
+            pace: chosen.pace,
+            view_age: now.since(last_contact.unwrap_or_default()),
+        };
+        let job = &self.jobs[task_ref.step.job];
+        let spec = job.spec.clone();
+        let occurrence = &job.occurrences[&task_ref.step.occurrence];
+        let task =
+            &occurrence.steps[usize::from(task_ref.step.step)].tasks[task_ref.index as usize];
+        let checkpoint = task.checkpoint.clone();
+        let ticket = self.ticket(task_ref.step, worker, now).unwrap_or_default();
+        let run = run.unwrap_or_else(|| self.next_run(job, task.last_run));
+        self.reserve_task(task_ref, worker, run, false, now);
+        StartOrder {
+            worker,
+            run_id: RunId {
+                task: self.task_name(task_ref),
+                run,
+            },
+            spec,
+            checkpoint,
+            ticket,
+            reason,
+        }
+    }
+}
--- a/crates/wax-batch/src/progress.rs
+++ b/crates/wax-batch/src/progress.rs
@@ -1,6 +1,6 @@
 //! What the store keeps of a job, as protobuf.
 
-use crate::blame::CrashedRun;
+use crate::crash_history::CrashedRun;
 use crate::spec::{JobSpec, RepeatPlan, StepSpec, TaskSize};
 use prost::Message;
 
@@ -65,19 +65,19 @@
     #[prost(string, optional, tag = "11")]
     data_rack: Option<String>,
     #[prost(uint32, tag = "12")]
-    most_per_worker: u32,
+    max_per_worker: u32,
     #[prost(bool, tag = "13")]
-    copies: bool,
+    speculative: bool,
     #[prost(bool, tag = "14")]
-    lasts: bool,
+    long_running: bool,
     #[prost(string, tag = "15")]
     image: String,
     #[prost(uint32, tag = "16")]
     tail_target_ms: u32,
     #[prost(bool, tag = "17")]
-    fills: bool,
+    best_effort: bool,
     #[prost(uint32, optional, tag = "18")]
-    may_be_away: Option<u32>,
+    max_unavailable: Option<u32>,
 }
 
 impl From<&StepSpec> for StepRow {
@@ -94,13 +94,13 @@
             one_rack: step.one_rack,
             label: step.label.as_deref().map(Into::into),
             data_rack: step.data_rack.as_deref().map(Into::into),
-            most_per_worker: step.most_per_worker,
-            copies: step.copies,
-            lasts: step.lasts,
+            max_per_worker: step.max_per_worker,
+            speculative: step.speculative,
+            long_running: step.long_running,
             image: step.image.to_string(),
             tail_target_ms: step.tail_target_ms,
-            fills: step.fills,
-            may_be_away: step.may_be_away,
+            best_effort: step.best_effort,
+            max_unavailable: step.max_unavailable,
         }
     }
 }
@@ -121,13 +121,13 @@
             one_rack: row.one_rack,
             label: row.label.map(Into::into),
             data_rack: row.data_rack.map(Into::into),
-            most_per_worker: row.most_per_worker,
-            copies: row.copies,
-            lasts: row.lasts,
+            max_per_worker: row.max_per_worker,
+            speculative: row.speculative,
+            long_running: row.long_running,
             image: row.image.into(),
             tail_target_ms: row.tail_target_ms,
-            fills: row.fills,
-            may_be_away: row.may_be_away,
+            best_effort: row.best_effort,
+            max_unavailable: row.max_unavailable,
         }
     }
 }
@@ -240,7 +240,7 @@
     #[prost(uint64, tag = "1")]
     run: u64,
     #[prost(string, tag = "2")]
-    machine: String,
+    vm: String,
     #[prost(bool, tag = "3")]
     early: bool,
 }
@@ -249,7 +249,7 @@
     fn from(crashed: &CrashedRun) -> Self {
         Self {
             run: crashed.run,
-            machine: crashed.machine.to_string(),
+            vm: crashed.vm.to_string(),
             early: crashed.early,
         }
     }
@@ -259,7 +259,7 @@
     fn from(row: &TaskCrash) -> Self {
         Self {
             run: row.run,
-            machine: row.machine.as_str().into(),
+            vm: row.vm.as_str().into(),
             early: row.early,
         }
     }
--- a/crates/wax-batch/src/queue.rs
+++ b/crates/wax-batch/src/queue.rs
@@ -16,7 +16,7 @@
     /// 0 comes first and may preempt others.
     pub priority: u32,
     /// Failed runs of a task after which its job has failed.
-    pub most_attempts: u32,
+    pub max_attempts: u32,
     /// The objective is this many times the longest chain of work, and the target latency more.
     pub stretch: f64,
     /// See `stretch`; milliseconds.
@@ -44,7 +44,7 @@
     /// Its name.
     pub name: Box<str>,
     /// Whether its workers refuse what does not fit.
-    pub guards: bool,
+    pub admission_control: bool,
     /// Whether its machines are off.
     pub standby: bool,
 }
@@ -59,7 +59,7 @@
     /// All services.
     pub services: Vec<ServiceRules>,
     /// Longest body of a request, bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
 }
 
 /// The greatest version that this process has seen.
@@ -70,7 +70,7 @@
 
 impl QueueTable {
     /// Takes a version if it is greater; says whether it was.
-    pub fn offer(&mut self, config: QueueConfig) -> bool {
+    pub fn apply_if_newer(&mut self, config: QueueConfig) -> bool {
         if self
             .version()
             .is_some_and(|version| config.version <= version)
--- a/crates/wax-batch/src/rank.rs
+++ b/crates/wax-batch/src/rank.rs
@@ -1,15 +1,15 @@
 //! In which order waiting steps are served.
 
-use crate::book::JobBook;
-use crate::life::{JobLife, OccurrenceLife};
 use crate::queue::QueueRules;
+use crate::records::{JobRecord, OccurrenceRecord};
+use crate::scheduler::JobScheduler;
 use crate::spec::JobSpec;
 use std::time::Duration;
 use wax_policy::ExpectedFinish;
 use wax_types::TimePoint;
 
 /// Longest chain of estimated work from each step to the end, milliseconds, that step included.
-pub fn longest_chain_ms(spec: &JobSpec) -> Vec<u64> {
+pub fn critical_path_ms(spec: &JobSpec) -> Vec<u64> {
     let mut chain: Vec<u64> = spec
         .steps
         .iter()
@@ -37,16 +37,16 @@
     pub priority: u32,
     /// What is left of the job, core milliseconds: the least goes first, since under overload it
     /// earns most for its work, and what is nearly done is not kept from its end.
-    pub left: u64,
+    pub remaining_work_ms: u64,
     /// The latest start that still makes it.
     pub latest_start: TimePoint,
 }
 
 /// The work that is left of an occurrence, in core milliseconds by the caller's guess.
-fn work_left(job: &JobLife, occurrence: Option<&OccurrenceLife>) -> u64 {
+fn remaining_work_ms(job: &JobRecord, occurrence: Option<&OccurrenceRecord>) -> u64 {
     let steps = job.spec.steps.iter().enumerate();
     let work = steps.map(|(number, step)| {
-        let done = occurrence.map_or(0, |life| life.steps[number].done);
+        let done = occurrence.map_or(0, |record| record.steps[number].done);
         u64::from(step.count.saturating_sub(done)) * step.task_work_ms()
     });
     work.sum()
@@ -55,23 +55,23 @@
 /// The latest start of a step that keeps `stretch` times the job's chain and the target latency.
 ///
 /// Milliseconds after the job's (or occurrence's) beginning; negative values become 0.
-pub fn latest_start_ms(job: &JobLife, step: u16, factor: f64) -> u64 {
-    let chain = longest_chain_ms(&job.spec);
+pub fn latest_start_ms(job: &JobRecord, step: u16, factor: f64) -> u64 {
+    let chain = critical_path_ms(&job.spec);
     let objective = objective_of(&chain, &job.queue);
-    let left = chain.get(usize::from(step)).copied().unwrap_or(0) as f64;
-    (objective * factor - left).max(0.0) as u64
+    let remaining_chain = chain.get(usize::from(step)).copied().unwrap_or(0) as f64;
+    (objective * factor - remaining_chain).max(0.0) as u64
 }
 
 /// Fewer open jobs say nothing of how such jobs fare.
-const LEAST_JOBS: usize = 4;
+const MIN_OPEN_JOBS: usize = 4;
 
-impl JobBook {
+impl JobScheduler {
     /// The share of the open jobs that fill whose objective has passed, 0 to 1.
     pub fn overload(&self, now: TimePoint) -> f64 {
-        let fills = |job: &&JobLife| job.spec.steps.iter().any(|step| step.fills);
-        let open: Vec<&JobLife> = self.jobs.values().filter(|job| !job.is_over()).collect();
-        let open: Vec<&JobLife> = open.into_iter().filter(fills).collect();
-        if open.len() < LEAST_JOBS {
+        let best_effort = |job: &&JobRecord| job.spec.steps.iter().any(|step| step.best_effort);
+        let open: Vec<&JobRecord> = self.jobs.values().filter(|job| !job.is_over()).collect();
+        let open: Vec<&JobRecord> = open.into_iter().filter(best_effort).collect();
+        if open.len() < MIN_OPEN_JOBS {
             return 0.0;
         }
         let late = open.iter().filter(|job| job.is_late(now)).count();
@@ -79,7 +79,7 @@
     }
 }
 
-impl JobLife {
+impl JobRecord {
     /// Whether the objective of an occurrence under way has passed.
     fn is_late(&self, now: TimePoint) -> bool {
         let objective = Duration::from_millis(objective_ms(&self.spec, &self.queue));
@@ -91,7 +91,7 @@
 /// The time within which a job should end, milliseconds: `stretch` times its longest chain of
 /// estimated work, and the queue's target latency.
 pub fn objective_ms(spec: &JobSpec, queue: &QueueRules) -> u64 {
-    objective_of(&longest_chain_ms(spec), queue) as u64
+    objective_of(&critical_path_ms(spec), queue) as u64
 }
 
 fn objective_of(chain: &[u64], queue: &QueueRules) -> f64 {
@@ -101,9 +101,9 @@
 
 impl JobRank {
     /// Ranks a step of an occurrence.
-    pub fn new(job: &JobLife, number: u32, step: u16, now: TimePoint) -> Self {
+    pub fn new(job: &JobRecord, number: u32, step: u16, now: TimePoint) -> Self {
         let occurrence = job.occurrences.get(&number);
-        let due = occurrence.map_or(job.accepted, |life| life.due);
+        let due = occurrence.map_or(job.accepted, |record| record.due);
         let start = |factor| due + Duration::from_millis(latest_start_ms(job, step, factor));
         let (finish, latest_start) = if now <= start(1.0) {
             (ExpectedFinish::InTime, start(1.0))
@@ -112,19 +112,19 @@
         } else {
             (ExpectedFinish::TooLate, start(LATE_FACTOR))
         };
-        let lasts = job
+        let long_running = job
             .spec
             .steps
             .get(usize::from(step))
-            .is_some_and(|step| step.lasts);
+            .is_some_and(|step| step.long_running);
         Self {
-            finish: if lasts {
+            finish: if long_running {
                 ExpectedFinish::InTime
             } else {
                 finish
             },
             priority: job.queue.priority,
-            left: work_left(job, occurrence),
+            remaining_work_ms: remaining_work_ms(job, occurrence),
             latest_start,
         }
     }
--- a/crates/wax-batch/src/why.rs
+++ b/crates/wax-batch/src/reasons.rs
@@ -7,7 +7,7 @@
 
 /// What decided a placement.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct PlaceReason {
+pub struct PlacementReason {
     /// How long the step's tasks had waited.
     pub waited: Duration,
     /// The step's rank among all that waited.
--- a/crates/wax-batch/src/life.rs
+++ b/crates/wax-batch/src/records.rs
@@ -1,11 +1,11 @@
 //! The life of a job in its owner's memory: occurrences, steps, tasks.
 
-use crate::blame::{CrashBlame, CrashedRun};
+use crate::crash_history::{CrashHistory, CrashedRun};
 use crate::names::JobName;
 use crate::progress::{JobOutcome, JobProgress, OccurrenceProgress, StepProgress, TaskFailures};
 use crate::queue::QueueRules;
+use crate::reasons::WaitReason;
 use crate::spec::{JobSpec, StepSpec};
-use crate::why::WaitReason;
 use crate::worker::WorkerKey;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -13,72 +13,72 @@
 
 /// Where one task stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum TaskStand {
+pub enum TaskState {
     /// It waits for a worker.
     #[default]
     Waiting,
     /// It was sent to a worker, and may run there.
-    Placed(TaskSeat),
+    Placed(TaskPlacement),
     /// It has ended with its result.
     Done,
 }
 
 /// Where a placed task is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TaskSeat {
+pub struct TaskPlacement {
     /// The worker.
     pub worker: WorkerKey,
     /// The number of the start.
     pub run: u64,
     /// When it was sent.
-    pub since: TimePoint,
+    pub sent_at: TimePoint,
     /// Whether the worker has said that it runs.
     pub running: bool,
     /// Whether a stop was sent.
-    pub stopping: bool,
+    pub stop_ordered: bool,
     /// How much of its work is done, by the worker's last report.
     pub percent: u32,
     /// When `percent` last rose.
-    pub moved: TimePoint,
+    pub progressed_at: TimePoint,
 }
 
 /// One task.
 #[derive(Debug, Clone, Default)]
-pub struct TaskLife {
+pub struct TaskRecord {
     /// Where it stands.
-    pub stand: TaskStand,
+    pub state: TaskState,
     /// The numbers of runs that ended by a fault; kept for tasks that do not last.
     pub failed_runs: Vec<u64>,
     /// Its runs that ended with their workers.
-    pub blame: CrashBlame,
+    pub crash_history: CrashHistory,
     /// The number of its last start.
     pub last_run: u64,
     /// The checkpoint to resume from; empty for none.
     pub checkpoint: Box<str>,
     /// The worker of its last failed run, and until when it does not go back there.
-    pub shuns: Option<(WorkerKey, TimePoint)>,
+    pub excluded_worker: Option<(WorkerKey, TimePoint)>,
     /// Whether a worker listed a run of it as running in this term: no other worker has one.
-    pub located: bool,
+    pub located_in_term: bool,
 }
 
-impl TaskLife {
+impl TaskRecord {
     /// Whether it waits for a worker.
     pub fn is_waiting(&self) -> bool {
-        matches!(self.stand, TaskStand::Waiting)
+        matches!(self.state, TaskState::Waiting)
     }
 
     /// Its seat, if it is placed.
-    pub fn seat(&self) -> Option<&TaskSeat> {
-        match &self.stand {
-            TaskStand::Placed(seat) => Some(seat),
+    pub fn placement(&self) -> Option<&TaskPlacement> {
+        match &self.state {
+            TaskState::Placed(placement) => Some(placement),
             _ => None,
         }
     }
 
     /// Its seat, if it is placed.
-    pub fn seat_mut(&mut self) -> Option<&mut TaskSeat> {
-        match &mut self.stand {
-            TaskStand::Placed(seat) => Some(seat),
+    pub fn placement_mut(&mut self) -> Option<&mut TaskPlacement> {
+        match &mut self.state {
+            TaskState::Placed(placement) => Some(placement),
             _ => None,
         }
     }
@@ -86,30 +86,30 @@
 
 /// One step of an occurrence.
 #[derive(Debug, Clone, Default)]
-pub struct StepLife {
+pub struct StepRecord {
     /// Whether the steps that it waits for are done.
     pub open: bool,
     /// The tasks; empty until the step is open.
-    pub tasks: Vec<TaskLife>,
+    pub tasks: Vec<TaskRecord>,
     /// Since when a task of the step has waited that could be placed.
-    pub since: TimePoint,
+    pub waiting_since: TimePoint,
     /// How many tasks wait.
     pub waiting: u32,
     /// How many tasks are done.
     pub done: u32,
     /// Why its tasks wait, as last told, and when that was.
-    pub told_wait: Option<(WaitReason, TimePoint)>,
+    pub reported_wait: Option<(WaitReason, TimePoint)>,
     /// Not before this is it looked for a worker again: none took a task.
-    pub look_at: Option<TimePoint>,
+    pub next_check: Option<TimePoint>,
     /// Tasks on each worker, for steps that are kept apart.
     pub spread: BTreeMap<WorkerKey, u32>,
     /// Whether a run of it was listed as running in this term, or it was opened after such a step.
-    pub outlived_takeover: bool,
+    pub confirmed_in_term: bool,
     /// Whether no owner of an earlier term can have started its tasks.
     pub is_new_in_term: bool,
 }
 
-impl StepLife {
+impl StepRecord {
     /// Whether all tasks are done.
     pub fn is_done(&self, spec: &StepSpec) -> bool {
         self.done >= spec.count
@@ -118,9 +118,9 @@
     /// Opens the step: its tasks may be placed.
     pub fn open(&mut self, spec: &StepSpec, now: TimePoint) {
         self.open = true;
-        self.since = now;
+        self.waiting_since = now;
         if self.tasks.is_empty() && !self.is_done(spec) {
-            self.tasks = vec![TaskLife::default(); spec.count as usize];
+            self.tasks = vec![TaskRecord::default(); spec.count as usize];
             self.waiting = spec.count;
         }
     }
@@ -132,15 +132,15 @@
             return progress;
         }
         for (index, task) in self.tasks.iter().enumerate() {
-            if matches!(task.stand, TaskStand::Done) {
+            if matches!(task.state, TaskState::Done) {
                 progress.mark_done(index as u32);
             }
-            let counts_failures = !task.failed_runs.is_empty() && !spec.lasts;
-            if counts_failures || !task.blame.is_empty() {
+            let counts_failures = !task.failed_runs.is_empty() && !spec.long_running;
+            if counts_failures || !task.crash_history.is_empty() {
                 progress.failures.push(TaskFailures {
                     index: index as u32,
                     runs: task.failed_runs.clone(),
-                    crashes: task.blame.runs.iter().map(Into::into).collect(),
+                    crashes: task.crash_history.runs.iter().map(Into::into).collect(),
                 });
             }
         }
@@ -155,11 +155,11 @@
         if progress.done.is_empty() && progress.failures.is_empty() {
             return;
         }
-        self.tasks = vec![TaskLife::default(); spec.count as usize];
+        self.tasks = vec![TaskRecord::default(); spec.count as usize];
         self.waiting = spec.count;
         for (index, task) in self.tasks.iter_mut().enumerate() {
             if progress.is_done(index as u32) {
-                task.stand = TaskStand::Done;
+                task.state = TaskState::Done;
                 self.done += 1;
                 self.waiting -= 1;
             }
@@ -168,8 +168,8 @@
             if let Some(task) = self.tasks.get_mut(failure.index as usize) {
                 let failed = failure.runs.iter().copied().max().unwrap_or(0);
                 task.failed_runs.clone_from(&failure.runs);
-                task.blame.runs = failure.crashes.iter().map(CrashedRun::from).collect();
-                task.last_run = failed.max(task.blame.last_run());
+                task.crash_history.runs = failure.crashes.iter().map(CrashedRun::from).collect();
+                task.last_run = failed.max(task.crash_history.last_run());
             }
         }
     }
@@ -177,17 +177,17 @@
 
 /// One occurrence of a job's steps.
 #[derive(Debug, Clone)]
-pub struct OccurrenceLife {
+pub struct OccurrenceRecord {
     /// The steps, in order.
-    pub steps: Vec<StepLife>,
+    pub steps: Vec<StepRecord>,
     /// When it was due; the acceptance for a job that runs once.
     pub due: TimePoint,
 }
 
-impl OccurrenceLife {
+impl OccurrenceRecord {
     pub(crate) fn new(spec: &JobSpec, due: TimePoint) -> Self {
         Self {
-            steps: vec![StepLife::default(); spec.steps.len()],
+            steps: vec![StepRecord::default(); spec.steps.len()],
             due,
         }
     }
@@ -199,17 +199,17 @@
             if self.steps[number].open {
                 continue;
             }
-            let free = step_spec.after.iter().all(|earlier| {
+            let can_open = step_spec.after.iter().all(|earlier| {
                 let earlier = usize::from(*earlier);
                 self.steps[earlier].is_done(&spec.steps[earlier])
             });
-            if free {
+            if can_open {
                 // An earlier owner cannot have opened it: a task before it still ran in this term.
                 let mut earlier = step_spec.after.iter().map(|step| usize::from(*step));
                 let is_new = self.steps[number].tasks.is_empty()
-                    && earlier.any(|step| self.steps[step].outlived_takeover);
+                    && earlier.any(|step| self.steps[step].confirmed_in_term);
                 self.steps[number].is_new_in_term = is_new;
-                self.steps[number].outlived_takeover |= is_new;
+                self.steps[number].confirmed_in_term |= is_new;
                 self.steps[number].open(step_spec, now);
                 opened.push(number as u16);
             }
@@ -225,7 +225,7 @@
 
 /// One job.
 #[derive(Debug, Clone)]
-pub struct JobLife {
+pub struct JobRecord {
     /// Its name.
     pub name: JobName,
     /// What its caller asked for.
@@ -239,7 +239,7 @@
     /// When it was accepted, as near as the owner knows.
     pub accepted: TimePoint,
     /// Occurrences under way, by number.
-    pub occurrences: BTreeMap<u32, OccurrenceLife>,
+    pub occurrences: BTreeMap<u32, OccurrenceRecord>,
     /// Occurrences before this one are done or under way.
     pub next_occurrence: u32,
     /// How it ended, in memory.
@@ -249,7 +249,7 @@
     /// How it ended, in the store: only this is shown to callers.
     pub stored_outcome: JobOutcome,
     /// Whether any of its tasks has begun.
-    pub begun: bool,
+    pub started: bool,
     /// Why it failed.
     pub reason: Option<Box<str>>,
     /// Rises with each change that the store must learn.
@@ -258,7 +258,7 @@
     pub stored_changes: u64,
 }
 
-impl JobLife {
+impl JobRecord {
     /// Whether it has ended, in memory.
     pub fn is_over(&self) -> bool {
         self.outcome != JobOutcome::Open
@@ -271,7 +271,7 @@
             .values()
             .flat_map(|occurrence| &occurrence.steps);
         let mut tasks = steps.flat_map(|step| &step.tasks);
-        tasks.any(|task| task.seat().is_some())
+        tasks.any(|task| task.placement().is_some())
     }
 
     /// What the store must know.
@@ -307,13 +307,13 @@
         self.ended_ms = progress.ended_ms;
         self.next_occurrence = progress.done_before;
         for kept in &progress.occurrences {
-            let mut occurrence = OccurrenceLife::new(&self.spec, self.accepted);
+            let mut occurrence = OccurrenceRecord::new(&self.spec, self.accepted);
             for (number, step) in kept.steps.iter().enumerate() {
                 if let Some(spec) = self.spec.steps.get(number) {
                     occurrence.steps[number].restore(spec, step);
                 }
             }
-            self.begun = true;
+            self.started = true;
             self.occurrences.insert(kept.number, occurrence);
             self.next_occurrence = self.next_occurrence.max(kept.number + 1);
         }
--- a/crates/wax-batch/src/reports.rs
+++ b/crates/wax-batch/src/reports.rs
@@ -1,69 +1,69 @@
 //! What workers and their agents say of themselves and of what runs: it is adopted, kept or stopped.
 
-use crate::book::{JobBook, RunSeat, StopOrder, WorkerLife};
-use crate::life::TaskStand;
-use crate::names::RunMark;
+use crate::names::RunId;
+use crate::reasons::StopReason;
+use crate::records::TaskState;
+use crate::scheduler::{JobScheduler, RunReservation, StopOrder, WorkerRecord};
 use crate::spec::TaskSize;
-use crate::why::StopReason;
 use crate::worker::{RunEnd, RunEndKind, RunReport, WorkerKey, WorkerView};
 use std::collections::{HashMap, HashSet, VecDeque};
 use wax_policy::WorkerPress;
 use wax_types::TimePoint;
 
-impl JobBook {
+impl JobScheduler {
     /// A worker has registered at an agent that can be reached.
-    pub fn worker_joined(&mut self, view: WorkerView, machine: &str) -> WorkerKey {
+    pub fn add_worker(&mut self, view: WorkerView, vm: &str) -> WorkerKey {
         let drained = self.drained.contains(&view.failure_domain);
-        self.workers.insert(WorkerLife {
+        self.workers.insert(WorkerRecord {
             view,
             drained,
             runs: HashMap::new(),
-            booked: TaskSize::default(),
-            filling_milli: 0,
-            lasting_milli: 0,
-            heard: 0,
-            cursor: 0,
-            pending: VecDeque::new(),
+            reserved: TaskSize::default(),
+            best_effort_milli: 0,
+            long_running_milli: 0,
+            last_end_number: 0,
+            ack_cursor: 0,
+            pending_ends: VecDeque::new(),
             failed_tasks: HashSet::new(),
-            shunned_until: TimePoint::default(),
+            excluded_until: TimePoint::default(),
             reachable: true,
-            heard_at: TimePoint::default(),
-            press: WorkerPress::default(),
-            machine: machine.into(),
+            last_contact: TimePoint::default(),
+            interference: WorkerPress::default(),
+            vm: vm.into(),
             last_start: TimePoint::default(),
-            trial: None,
+            isolation: None,
         })
     }
 
     /// A worker says something new of itself.
-    pub fn worker_changed(&mut self, worker: WorkerKey, view: WorkerView) {
-        if let Some(life) = self.workers.get_mut(worker) {
-            life.drained = self.drained.contains(&view.failure_domain);
-            life.view = view;
+    pub fn update_worker(&mut self, worker: WorkerKey, view: WorkerView) {
+        if let Some(record) = self.workers.get_mut(worker) {
+            record.drained = self.drained.contains(&view.failure_domain);
+            record.view = view;
         }
     }
 
     /// Its agent can, or cannot, be reached.
-    pub fn worker_reachable(&mut self, worker: WorkerKey, reachable: bool) {
-        if let Some(life) = self.workers.get_mut(worker) {
-            life.reachable = reachable;
+    pub fn set_worker_reachable(&mut self, worker: WorkerKey, reachable: bool) {
+        if let Some(record) = self.workers.get_mut(worker) {
+            record.reachable = reachable;
         }
     }
 
     /// All that ran on the worker has surely ended: it is gone, or its leases have lapsed.
-    pub fn worker_lost(&mut self, worker: WorkerKey, now: TimePoint, now_ms: u64) {
-        let Some(life) = self.workers.get(worker) else {
+    pub fn remove_lost_worker(&mut self, worker: WorkerKey, now: TimePoint, now_ms: u64) {
+        let Some(record) = self.workers.get(worker) else {
             return;
         };
-        let marks: Vec<RunMark> = life.runs.keys().copied().collect();
-        for mark in marks {
-            self.end_run(worker, mark, RunEndKind::Lapsed, "", now, now_ms);
+        let run_ids: Vec<RunId> = record.runs.keys().copied().collect();
+        for run_id in run_ids {
+            self.end_run(worker, run_id, RunEndKind::Lapsed, "", now, now_ms);
         }
         self.workers.remove(worker);
     }
 
     /// Compares what an agent says with the book: its word is whole and newer than any order.
-    pub fn sync_worker(
+    pub fn reconcile_worker(
         &mut self,
         worker: WorkerKey,
         runs: &[RunReport],
@@ -72,132 +72,147 @@
         now_ms: u64,
     ) {
         for end in ends {
-            self.run_ended(worker, end, now, now_ms);
+            self.record_end(worker, end, now, now_ms);
         }
-        let listed: HashSet<RunMark> = runs.iter().map(|run| run.mark).collect();
+        let confirmed_by_worker: HashSet<RunId> = runs.iter().map(|run| run.run_id).collect();
         for run in runs {
-            let is_orphan = self.is_orphan(worker, run.mark);
-            self.adopt(worker, run, now);
-            if is_orphan || self.is_being_stopped(worker, run.mark) {
-                let (mark, why) = (run.mark, StopReason::Repeated);
-                self.stops.push(StopOrder { worker, mark, why });
+            let is_orphan = self.is_orphan(worker, run.run_id);
+            self.adopt_run(worker, run, now);
+            if is_orphan || self.is_being_stopped(worker, run.run_id) {
+                let (run_id, reason) = (run.run_id, StopReason::Repeated);
+                self.stops.push(StopOrder {
+                    worker,
+                    run_id,
+                    reason,
+                });
             }
         }
-        let Some(life) = self.workers.get(worker) else {
+        let Some(record) = self.workers.get(worker) else {
             return;
         };
-        let missing: Vec<RunMark> = life
+        let missing: Vec<RunId> = record
             .runs
             .keys()
-            .filter(|mark| !listed.contains(mark))
+            .filter(|run_id| !confirmed_by_worker.contains(run_id))
             .copied()
             .collect();
-        for mark in missing {
-            self.end_run(worker, mark, RunEndKind::Stopped, "", now, now_ms);
+        for run_id in missing {
+            self.end_run(worker, run_id, RunEndKind::Stopped, "", now, now_ms);
         }
     }
 
     /// Keeps a run that a worker lists, or orders its stop.
-    pub fn adopt(&mut self, worker: WorkerKey, run: &RunReport, now: TimePoint) {
+    pub fn adopt_run(&mut self, worker: WorkerKey, run: &RunReport, now: TimePoint) {
         let known = self
             .workers
             .get(worker)
-            .is_some_and(|life| life.runs.contains_key(&run.mark));
+            .is_some_and(|record| record.runs.contains_key(&run.run_id));
         if known {
-            self.run_progress(worker, run, now);
+            self.record_progress(worker, run, now);
             return;
         }
-        let at = self.task_at(run.mark.task, now);
-        let free = at.filter(|at| {
-            self.task_mut(*at).is_some_and(|task| {
-                matches!(task.stand, TaskStand::Waiting) && task.last_run <= run.mark.run
+        let task_ref = self.resolve_task(run.run_id.task, now);
+        let waiting_task = task_ref.filter(|task_ref| {
+            self.task_mut(*task_ref).is_some_and(|task| {
+                matches!(task.state, TaskState::Waiting) && task.last_run <= run.run_id.run
             })
         });
-        match free {
-            Some(at) => {
-                self.seat(at, worker, run.mark.run, true, now);
-                self.run_progress(worker, run, now);
+        match waiting_task {
+            Some(task_ref) => {
+                self.reserve_task(task_ref, worker, run.run_id.run, true, now);
+                self.record_progress(worker, run, now);
             }
-            None => self.stop_orphan(worker, run.mark),
+            None => self.stop_orphan(worker, run.run_id),
         }
     }
 
     /// Whether a run's stop was ordered: the order may have been lost with a link.
-    fn is_being_stopped(&mut self, worker: WorkerKey, mark: RunMark) -> bool {
-        let seat = self
-            .run_task(worker, mark)
-            .and_then(|at| self.task_mut(at)?.seat().copied());
-        seat.is_some_and(|seat| seat.stopping && seat.run == mark.run)
+    fn is_being_stopped(&mut self, worker: WorkerKey, run_id: RunId) -> bool {
+        let placement = self
+            .task_of_run(worker, run_id)
+            .and_then(|task_ref| self.task_mut(task_ref)?.placement().copied());
+        placement.is_some_and(|placement| placement.stop_ordered && placement.run == run_id.run)
     }
 
     /// Whether a run of no known job is booked, which is always being stopped.
-    fn is_orphan(&self, worker: WorkerKey, mark: RunMark) -> bool {
-        let life = self.workers.get(worker);
-        let seat = life.and_then(|life| life.runs.get(&mark));
-        seat.is_some_and(|seat| seat.task.is_none())
+    fn is_orphan(&self, worker: WorkerKey, run_id: RunId) -> bool {
+        let record = self.workers.get(worker);
+        let reservation = record.and_then(|record| record.runs.get(&run_id));
+        reservation.is_some_and(|reservation| reservation.task.is_none())
     }
 
-    fn stop_orphan(&mut self, worker: WorkerKey, mark: RunMark) {
-        let size = self.known_size(mark);
+    fn stop_orphan(&mut self, worker: WorkerKey, run_id: RunId) {
+        let size = self.run_size(run_id);
         // Of a job that is gone the size is not known: nothing else fits until it has ended.
-        let booked = size.unwrap_or(TaskSize {
+        let reserved = size.unwrap_or(TaskSize {
             cpu_milli: u32::MAX,
             memory_mb: u32::MAX,
             accelerators: u32::MAX,
         });
-        let seat = RunSeat {
+        let reservation = RunReservation {
             task: None,
-            booked,
-            filling_milli: 0,
-            lasting_milli: 0,
-            lasts: false,
+            reserved,
+            best_effort_milli: 0,
+            long_running_milli: 0,
+            long_running: false,
         };
-        self.book_run(worker, mark, seat);
-        let why = StopReason::Orphan;
-        self.stops.push(StopOrder { worker, mark, why });
+        self.reserve_run(worker, run_id, reservation);
+        let reason = StopReason::Orphan;
+        self.stops.push(StopOrder {
+            worker,
+            run_id,
+            reason,
+        });
     }
 
     /// The size that a run books, if its job is known.
-    pub fn known_size(&self, mark: RunMark) -> Option<TaskSize> {
-        let job = self.job(mark.task.job)?;
-        Some(job.spec.steps.get(usize::from(mark.task.step))?.booked())
+    pub fn run_size(&self, run_id: RunId) -> Option<TaskSize> {
+        let job = self.job(run_id.task.job)?;
+        Some(
+            job.spec
+                .steps
+                .get(usize::from(run_id.task.step))?
+                .reserved(),
+        )
     }
 
     /// A worker has begun a run.
-    pub fn run_started(&mut self, worker: WorkerKey, mark: RunMark, now: TimePoint) {
-        let Some(at) = self.run_task(worker, mark) else {
+    pub fn record_start(&mut self, worker: WorkerKey, run_id: RunId, now: TimePoint) {
+        let Some(task_ref) = self.task_of_run(worker, run_id) else {
             return;
         };
-        if let Some(seat) = self.task_mut(at).and_then(|task| task.seat_mut())
-            && seat.run == mark.run
+        if let Some(placement) = self
+            .task_mut(task_ref)
+            .and_then(|task| task.placement_mut())
+            && placement.run == run_id.run
         {
-            seat.running = true;
-            seat.moved = now;
+            placement.running = true;
+            placement.progressed_at = now;
         }
-        self.jobs[at.step.job].begun = true;
+        self.jobs[task_ref.step.job].started = true;
     }
 
     /// How a run goes on.
-    pub fn run_progress(&mut self, worker: WorkerKey, report: &RunReport, now: TimePoint) {
-        let Some(at) = self.run_task(worker, report.mark) else {
+    pub fn record_progress(&mut self, worker: WorkerKey, report: &RunReport, now: TimePoint) {
+        let Some(task_ref) = self.task_of_run(worker, report.run_id) else {
             return;
         };
-        let Some(task) = self.task_mut(at) else {
+        let Some(task) = self.task_mut(task_ref) else {
             return;
         };
         if !report.checkpoint.is_empty() && task.checkpoint != report.checkpoint {
             task.checkpoint = report.checkpoint.clone();
         }
-        if let Some(seat) = task.seat_mut() {
-            seat.running = true;
-            if report.percent > seat.percent {
-                seat.percent = report.percent;
-                seat.moved = now;
+        if let Some(placement) = task.placement_mut() {
+            placement.running = true;
+            if report.percent > placement.percent {
+                placement.percent = report.percent;
+                placement.progressed_at = now;
             }
         }
-        self.jobs[at.step.job].begun = true;
-        if report.listed {
-            self.note_located(at);
+        self.jobs[task_ref.step.job].started = true;
+        if report.confirmed_by_worker {
+            self.mark_located(task_ref);
         }
     }
 }
--- a/crates/wax-batch/src/book.rs
+++ b/crates/wax-batch/src/scheduler.rs
@@ -1,14 +1,14 @@
 //! All open jobs of a shard and the workers that run them, in their owner's memory.
 
 use crate::approvals::StepApproval;
-use crate::crashes::WorkerTrial;
-use crate::life::{JobLife, OccurrenceLife};
-use crate::names::{JobName, RunMark, TaskName};
+use crate::crashes::WorkerIsolation;
+use crate::names::{JobName, RunId, TaskName};
 use crate::progress::{JobOutcome, JobProgress, JobRow};
 use crate::queue::{QueueConfig, QueueRules};
+use crate::reasons::{PlacementReason, StepWait, StopReason};
+use crate::records::{JobRecord, OccurrenceRecord};
 use crate::spec::{JobSpec, TaskSize};
-use crate::unheard::UnheardRuns;
-use crate::why::{PlaceReason, StepWait, StopReason};
+use crate::unreconciled::UnreconciledRuns;
 use crate::worker::{WorkerKey, WorkerView};
 use slotmap::SlotMap;
 use std::cell::Cell;
@@ -25,7 +25,7 @@
 
 /// A step of an occurrence of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct StepAt {
+pub struct StepRef {
     /// The job.
     pub job: JobKey,
     /// The occurrence.
@@ -36,9 +36,9 @@
 
 /// A task of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct TaskAt {
+pub struct TaskRef {
     /// The step.
-    pub step: StepAt,
+    pub step: StepRef,
     /// The index within it.
     pub index: u32,
 }
@@ -49,7 +49,7 @@
     /// Where.
     pub worker: WorkerKey,
     /// Which task, with the number of the start.
-    pub mark: RunMark,
+    pub run_id: RunId,
     /// The task's job.
     pub spec: Rc<JobSpec>,
     /// The checkpoint to resume from; empty for none.
@@ -57,7 +57,7 @@
     /// The advisor's ticket; empty where none is needed.
     pub ticket: Box<str>,
     /// What decided it; for the log.
-    pub reason: PlaceReason,
+    pub reason: PlacementReason,
 }
 
 /// A run to stop.
@@ -66,9 +66,9 @@
     /// Where.
     pub worker: WorkerKey,
     /// Which run.
-    pub mark: RunMark,
+    pub run_id: RunId,
     /// Why; for the log.
-    pub why: StopReason,
+    pub reason: StopReason,
 }
 
 /// What a caller is told of a job.
@@ -77,12 +77,12 @@
     /// How it ended, by the store.
     pub outcome: JobOutcome,
     /// Whether any task has begun.
-    pub begun: bool,
+    pub started: bool,
 }
 
 /// Changes of a job for the store.
 #[derive(Debug, Clone)]
-pub struct BookNote {
+pub struct ProgressUpdate {
     /// The job.
     pub job: JobKey,
     /// Its name.
@@ -103,55 +103,55 @@
 
 /// A worker and what is placed on it.
 #[derive(Debug)]
-pub struct WorkerLife {
+pub struct WorkerRecord {
     /// What it says of itself.
     pub view: WorkerView,
     /// Runs placed here; each books its size until it has ended.
-    pub runs: HashMap<RunMark, RunSeat>,
+    pub runs: HashMap<RunId, RunReservation>,
     /// The sum of what the runs book.
-    pub booked: TaskSize,
+    pub reserved: TaskSize,
     /// Thousandths of a core that runs which fill ask for.
-    pub filling_milli: u32,
+    pub best_effort_milli: u32,
     /// Thousandths of a core that lasting runs ask for.
-    pub lasting_milli: u32,
+    pub long_running_milli: u32,
     /// The last number of an end that was heard.
-    pub heard: u64,
+    pub last_end_number: u64,
     /// Ends up to here may be forgotten by the worker.
-    pub cursor: u64,
-    pub(crate) pending: VecDeque<PendingEnd>,
+    pub ack_cursor: u64,
+    pub(crate) pending_ends: VecDeque<PendingEnd>,
     /// Tasks of which a run has failed since the last run that was done here.
     pub(crate) failed_tasks: HashSet<TaskName>,
     /// Until when it gets no work, after failures.
-    pub shunned_until: TimePoint,
+    pub excluded_until: TimePoint,
     /// Whether its agent can be reached now.
     pub reachable: bool,
     /// Whether its failure domain is drained: what runs there goes on, nothing new comes.
     pub(crate) drained: bool,
     /// When its agent was last heard.
-    pub heard_at: TimePoint,
+    pub last_contact: TimePoint,
     /// What serves and what fills here, by image.
-    pub press: WorkerPress,
+    pub interference: WorkerPress,
     /// Its machine: another boot of the worker is on the same one.
-    pub(crate) machine: Box<str>,
+    pub(crate) vm: Box<str>,
     /// When a start was last ordered here.
     pub(crate) last_start: TimePoint,
     /// Set while it is kept for a task that may end its worker.
-    pub(crate) trial: Option<WorkerTrial>,
+    pub(crate) isolation: Option<WorkerIsolation>,
 }
 
 /// One run on a worker.
 #[derive(Debug, Clone, Copy)]
-pub struct RunSeat {
+pub struct RunReservation {
     /// The task; `None` for a run that no known job asked for.
-    pub task: Option<TaskAt>,
+    pub task: Option<TaskRef>,
     /// What it books.
-    pub booked: TaskSize,
+    pub reserved: TaskSize,
     /// Thousandths of a core that it asks for, if it fills.
-    pub filling_milli: u32,
+    pub best_effort_milli: u32,
     /// Thousandths of a core that it asks for, if it lasts.
-    pub lasting_milli: u32,
+    pub long_running_milli: u32,
     /// Whether it lasts: then its worker counts its image.
-    pub lasts: bool,
+    pub long_running: bool,
 }
 
 /// Runs started in a later term of ownership are numbered from a multiple of this.
@@ -159,45 +159,45 @@
 
 /// The owner's memory of a shard.
 #[derive(Debug)]
-pub struct JobBook {
-    pub(crate) jobs: SlotMap<JobKey, JobLife>,
+pub struct JobScheduler {
+    pub(crate) jobs: SlotMap<JobKey, JobRecord>,
     pub(crate) names: HashMap<JobName, JobKey>,
-    pub(crate) workers: SlotMap<WorkerKey, WorkerLife>,
-    pub(crate) ready: BTreeSet<StepAt>,
+    pub(crate) workers: SlotMap<WorkerKey, WorkerRecord>,
+    pub(crate) ready_steps: BTreeSet<StepRef>,
     pub(crate) dirty: BTreeSet<JobKey>,
     pub(crate) stops: Vec<StopOrder>,
     /// Workers with ends that they may not forget yet.
     pub(crate) unacknowledged: BTreeSet<WorkerKey>,
-    /// Waits that are to be told; see [`JobBook::take_waits`].
+    /// Waits that are to be told; see [`JobScheduler::take_waits`].
     pub(crate) waits: Vec<StepWait>,
     pub(crate) config: Rc<QueueConfig>,
     pub(crate) rules: PlaceRules,
     /// What the advisor has said of steps.
-    pub(crate) approvals: HashMap<StepAt, StepApproval>,
+    pub(crate) approvals: HashMap<StepRef, StepApproval>,
     /// What filling images press on serving ones.
     pub(crate) pairs: PressTable,
     /// The owner's term.
     pub(crate) epoch: u64,
     /// When a worker of a machine last crashed, for a while.
-    pub(crate) crashed: HashMap<Box<str>, TimePoint>,
+    pub(crate) last_vm_crash: HashMap<Box<str>, TimePoint>,
     /// What workers that were not heard may still run of earlier terms.
-    pub(crate) unheard: UnheardRuns,
+    pub(crate) unreconciled: UnreconciledRuns,
     /// Failure domains that get nothing new.
     pub(crate) drained: BTreeSet<Box<str>>,
     /// How often a worker was asked what it takes for a task.
-    pub(crate) workers_asked: Cell<u64>,
+    pub(crate) workers_evaluated: Cell<u64>,
     /// Which worker the last step began with, by its position.
-    pub(crate) first_asked: usize,
+    pub(crate) scan_start: usize,
 }
 
-impl JobBook {
+impl JobScheduler {
     /// An empty book of the term `epoch`.
     pub fn new(epoch: u64, rules: PlaceRules) -> Self {
         Self {
             jobs: SlotMap::with_key(),
             names: HashMap::new(),
             workers: SlotMap::with_key(),
-            ready: BTreeSet::new(),
+            ready_steps: BTreeSet::new(),
             dirty: BTreeSet::new(),
             stops: Vec::new(),
             unacknowledged: BTreeSet::new(),
@@ -207,11 +207,11 @@
             approvals: HashMap::new(),
             pairs: PressTable::default(),
             epoch,
-            crashed: HashMap::new(),
-            unheard: UnheardRuns::Any,
+            last_vm_crash: HashMap::new(),
+            unreconciled: UnreconciledRuns::Any,
             drained: BTreeSet::new(),
-            workers_asked: Cell::new(0),
-            first_asked: 0,
+            workers_evaluated: Cell::new(0),
+            scan_start: 0,
         }
     }
 
@@ -241,25 +241,35 @@
     }
 
     /// Notes how much press an image that serves bears on a worker in all.
-    pub fn set_press_room(&mut self, worker: WorkerKey, serving: &str, room: f64) {
-        if let Some(life) = self.workers.get_mut(worker) {
-            life.press.set_room(serving, room);
+    pub fn set_headroom(&mut self, worker: WorkerKey, serving: &str, headroom: f64) {
+        if let Some(record) = self.workers.get_mut(worker) {
+            record.interference.set_room(serving, headroom);
         }
     }
 
     /// What is known of all pairs of images.
-    pub fn presses(&self) -> &PressTable {
+    pub fn interference_table(&self) -> &PressTable {
         &self.pairs
     }
 
     /// Takes what an earlier owner knew of a pair.
-    pub fn restore_press(&mut self, serving: &str, filling: &str, press: PairPress) {
-        self.pairs.set(serving, filling, press);
+    pub fn restore_interference(
+        &mut self,
+        serving: &str,
+        best_effort: &str,
+        interference: PairPress,
+    ) {
+        self.pairs.set(serving, best_effort, interference);
     }
 
     /// Merges what an agent has learned of a pair of images; says what is known now.
-    pub fn merge_press(&mut self, serving: &str, filling: &str, press: PairPress) -> PairPress {
-        self.pairs.merge(serving, filling, press)
+    pub fn merge_interference(
+        &mut self,
+        serving: &str,
+        best_effort: &str,
+        interference: PairPress,
+    ) -> PairPress {
+        self.pairs.merge(serving, best_effort, interference)
     }
 
     /// Takes a job from its rows; a job that is known already is left as it is.
@@ -276,7 +286,7 @@
         }
         let queue = self.queue_rules(&row);
         let age = Duration::from_millis(now_ms.saturating_sub(row.accepted_ms));
-        let mut job = JobLife {
+        let mut job = JobRecord {
             name,
             queue,
             service: row.service.as_str().into(),
@@ -287,7 +297,7 @@
             outcome: JobOutcome::Open,
             ended_ms: 0,
             stored_outcome: JobOutcome::Open,
-            begun: false,
+            started: false,
             reason: None,
             changes: 0,
             stored_changes: 0,
@@ -300,9 +310,9 @@
         let key = self.jobs.insert(job);
         self.names.insert(name, key);
         if !over {
-            self.open_occurrences(key, now, now_ms);
-            self.open_all(key, now);
-            self.settle_job(key, now_ms);
+            self.start_due_occurrences_of(key, now, now_ms);
+            self.open_ready_steps(key, now);
+            self.close_finished(key, now_ms);
         }
     }
 
@@ -319,7 +329,7 @@
                 prefix: "".into(),
                 service: row.service.as_str().into(),
                 priority: 1,
-                most_attempts: 2,
+                max_attempts: 2,
                 stretch: 2.0,
                 target_latency_ms: 1_000,
                 timeout_ms: 0,
@@ -329,9 +339,14 @@
     }
 
     /// Begins occurrences that are due; says when the next one is, Unix milliseconds.
-    fn open_occurrences(&mut self, key: JobKey, now: TimePoint, now_ms: u64) -> Option<u64> {
+    fn start_due_occurrences_of(
+        &mut self,
+        key: JobKey,
+        now: TimePoint,
+        now_ms: u64,
+    ) -> Option<u64> {
         let job = &mut self.jobs[key];
-        let all = job.spec.occurrences();
+        let all = job.spec.occurrence_count();
         while job.next_occurrence < all {
             let due = match job.spec.repeat {
                 Some(plan) if plan.due_ms(job.next_occurrence) > now_ms => {
@@ -343,7 +358,7 @@
                 }
                 None => job.accepted,
             };
-            let occurrence = OccurrenceLife::new(&job.spec, due);
+            let occurrence = OccurrenceRecord::new(&job.spec, due);
             job.occurrences.insert(job.next_occurrence, occurrence);
             job.next_occurrence += 1;
         }
@@ -351,7 +366,7 @@
     }
 
     /// Begins what is due now in all timed jobs; returns when to look again, Unix milliseconds.
-    pub fn open_due(&mut self, now: TimePoint, now_ms: u64) -> Option<u64> {
+    pub fn start_due_occurrences(&mut self, now: TimePoint, now_ms: u64) -> Option<u64> {
         let timed: Vec<JobKey> = self
             .jobs
             .iter()
@@ -360,22 +375,22 @@
             .collect();
         let mut next = None;
         for key in timed {
-            let due = self.open_occurrences(key, now, now_ms);
-            self.open_all(key, now);
+            let due = self.start_due_occurrences_of(key, now, now_ms);
+            self.open_ready_steps(key, now);
             next = [next, due].into_iter().flatten().min();
         }
         next
     }
 
     /// Opens every step that can be, in all occurrences of a job.
-    pub(crate) fn open_all(&mut self, key: JobKey, now: TimePoint) {
+    pub(crate) fn open_ready_steps(&mut self, key: JobKey, now: TimePoint) {
         let job = &mut self.jobs[key];
         let spec = job.spec.clone();
         for (number, occurrence) in &mut job.occurrences {
             occurrence.open_steps(&spec, now);
-            for (step, life) in occurrence.steps.iter().enumerate() {
-                if life.open && life.waiting > 0 {
-                    self.ready.insert(StepAt {
+            for (step, record) in occurrence.steps.iter().enumerate() {
+                if record.open && record.waiting > 0 {
+                    self.ready_steps.insert(StepRef {
                         job: key,
                         occurrence: *number,
                         step: step as u16,
@@ -386,7 +401,7 @@
     }
 
     /// Closes finished occurrences, and the job if that was all.
-    pub(crate) fn settle_job(&mut self, key: JobKey, now_ms: u64) {
+    pub(crate) fn close_finished(&mut self, key: JobKey, now_ms: u64) {
         let job = &mut self.jobs[key];
         if job.is_over() {
             return;
@@ -399,7 +414,7 @@
             }
             first.remove();
         }
-        if job.occurrences.is_empty() && job.next_occurrence >= spec.occurrences() {
+        if job.occurrences.is_empty() && job.next_occurrence >= spec.occurrence_count() {
             self.end_job(key, JobOutcome::Completed, None, now_ms);
         }
     }
@@ -419,46 +434,49 @@
         job.outcome = outcome;
         job.reason = reason;
         job.ended_ms = now_ms;
-        self.touch(key);
+        self.mark_changed(key);
         self.stop_all(key, StopReason::JobEnded);
-        let from = StepAt {
+        let from = StepRef {
             job: key,
             occurrence: 0,
             step: 0,
         };
-        let stale: Vec<StepAt> = self
-            .ready
+        let ready_steps: Vec<StepRef> = self
+            .ready_steps
             .range(from..)
             .take_while(|step| step.job == key)
             .copied()
             .collect();
-        for step in stale {
-            self.ready.remove(&step);
+        for step in ready_steps {
+            self.ready_steps.remove(&step);
         }
     }
 
-    fn stop_all(&mut self, key: JobKey, why: StopReason) {
+    fn stop_all(&mut self, key: JobKey, reason: StopReason) {
         let job = &mut self.jobs[key];
         for (number, occurrence) in &mut job.occurrences {
-            for (step, life) in occurrence.steps.iter_mut().enumerate() {
-                for (index, task) in life.tasks.iter_mut().enumerate() {
-                    let Some(seat) = task.seat_mut().filter(|seat| !seat.stopping) else {
+            for (step, record) in occurrence.steps.iter_mut().enumerate() {
+                for (index, task) in record.tasks.iter_mut().enumerate() {
+                    let Some(placement) = task
+                        .placement_mut()
+                        .filter(|placement| !placement.stop_ordered)
+                    else {
                         continue;
                     };
-                    seat.stopping = true;
-                    let mark = RunMark {
+                    placement.stop_ordered = true;
+                    let run_id = RunId {
                         task: TaskName {
                             job: job.name,
                             occurrence: *number,
                             step: step as u16,
                             index: index as u32,
                         },
-                        run: seat.run,
+                        run: placement.run,
                     };
                     self.stops.push(StopOrder {
-                        worker: seat.worker,
-                        mark,
-                        why,
+                        worker: placement.worker,
+                        run_id,
+                        reason,
                     });
                 }
             }
@@ -466,7 +484,7 @@
     }
 
     /// Notes a change that the store must learn.
-    pub(crate) fn touch(&mut self, key: JobKey) {
+    pub(crate) fn mark_changed(&mut self, key: JobKey) {
         self.jobs[key].changes += 1;
         self.dirty.insert(key);
     }
@@ -479,17 +497,17 @@
     }
 
     /// What a caller may be told of a job; `None` if it is not known here.
-    pub fn info(&self, name: JobName) -> Option<JobInfo> {
+    pub fn job_info(&self, name: JobName) -> Option<JobInfo> {
         let job = self.jobs.get(*self.names.get(&name)?)?;
         Some(JobInfo {
             outcome: job.stored_outcome,
-            begun: job.begun,
+            started: job.started,
         })
     }
 
     /// Accepted jobs of a queue of which no task has begun.
-    pub fn pending(&self, queue: &str) -> u64 {
-        let waits = |job: &&JobLife| *job.queue.name == *queue && !job.begun && !job.is_over();
+    pub fn pending_job_count(&self, queue: &str) -> u64 {
+        let waits = |job: &&JobRecord| *job.queue.name == *queue && !job.started && !job.is_over();
         self.jobs.values().filter(waits).count() as u64
     }
 
@@ -504,15 +522,15 @@
     }
 
     /// Something was heard of a worker.
-    pub fn worker_heard(&mut self, worker: WorkerKey, now: TimePoint) {
-        if let Some(life) = self.workers.get_mut(worker) {
-            life.heard_at = now;
+    pub fn record_contact(&mut self, worker: WorkerKey, now: TimePoint) {
+        if let Some(record) = self.workers.get_mut(worker) {
+            record.last_contact = now;
         }
     }
 
     /// Jobs that ended before `before_ms` and can be forgotten.
-    pub fn forgettable(&self, before_ms: u64, most: usize) -> Vec<JobName> {
-        let old = |job: &&JobLife| {
+    pub fn removable_jobs(&self, before_ms: u64, max_jobs: usize) -> Vec<JobName> {
+        let is_removable = |job: &&JobRecord| {
             job.is_over()
                 && job.ended_ms < before_ms
                 && job.stored_changes == job.changes
@@ -520,8 +538,8 @@
         };
         self.jobs
             .values()
-            .filter(old)
-            .take(most)
+            .filter(is_removable)
+            .take(max_jobs)
             .map(|job| job.name)
             .collect()
     }
@@ -535,22 +553,22 @@
     }
 
     /// How many jobs are open.
-    pub fn open_jobs(&self) -> usize {
+    pub fn open_job_count(&self) -> usize {
         self.jobs.values().filter(|job| !job.is_over()).count()
     }
 
     /// A job by its name, for explanations.
-    pub fn job(&self, name: JobName) -> Option<&JobLife> {
+    pub fn job(&self, name: JobName) -> Option<&JobRecord> {
         self.jobs.get(*self.names.get(&name)?)
     }
 
     /// How often a worker was asked what it takes for a task, since the last call.
-    pub fn take_workers_asked(&self) -> u64 {
-        self.workers_asked.take()
+    pub fn take_workers_evaluated(&self) -> u64 {
+        self.workers_evaluated.take()
     }
 
     /// All workers.
-    pub fn workers(&self) -> impl Iterator<Item = (WorkerKey, &WorkerLife)> {
+    pub fn workers(&self) -> impl Iterator<Item = (WorkerKey, &WorkerRecord)> {
         self.workers.iter()
     }
 }
--- a/crates/wax-batch/src/spec.rs
+++ b/crates/wax-batch/src/spec.rs
@@ -33,18 +33,18 @@
     }
 
     /// Whether it fits into `room` in every dimension.
-    pub fn fits(self, room: Self) -> bool {
-        self.cpu_milli <= room.cpu_milli
-            && self.memory_mb <= room.memory_mb
-            && self.accelerators <= room.accelerators
+    pub fn fits(self, available: Self) -> bool {
+        self.cpu_milli <= available.cpu_milli
+            && self.memory_mb <= available.memory_mb
+            && self.accelerators <= available.accelerators
     }
 
     /// How many such tasks fit into `room`.
-    pub fn times_in(self, room: Self) -> u32 {
+    pub fn count_that_fit(self, available: Self) -> u32 {
         let times = |need: u32, have: u32| have.checked_div(need).unwrap_or(u32::MAX);
-        times(self.cpu_milli, room.cpu_milli)
-            .min(times(self.memory_mb, room.memory_mb))
-            .min(times(self.accelerators, room.accelerators))
+        times(self.cpu_milli, available.cpu_milli)
+            .min(times(self.memory_mb, available.memory_mb))
+            .min(times(self.accelerators, available.accelerators))
     }
 }
 
@@ -70,19 +70,19 @@
     /// The rack that holds the data; slower elsewhere.
     pub data_rack: Option<Box<str>>,
     /// At most this many tasks of the step on one worker; 0 for no limit.
-    pub most_per_worker: u32,
+    pub max_per_worker: u32,
     /// Whether copies of a task may run at once; the first to end counts.
-    pub copies: bool,
+    pub speculative: bool,
     /// Whether tasks run until the job is cancelled.
-    pub lasts: bool,
+    pub long_running: bool,
     /// Tasks of the same image behave alike.
     pub image: Box<str>,
     /// Bound on the tail latency of what a lasting task serves, milliseconds; 0 for none.
     pub tail_target_ms: u32,
     /// Whether the tasks get only the processor time that others leave.
-    pub fills: bool,
+    pub best_effort: bool,
     /// How many lasting tasks may be away at once by the system's doing; `None` for no bound.
-    pub may_be_away: Option<u32>,
+    pub max_unavailable: Option<u32>,
 }
 
 impl StepSpec {
@@ -97,9 +97,9 @@
     }
 
     /// What counts against a worker's capacity: without the processors if the step fills.
-    pub fn booked(&self) -> TaskSize {
+    pub fn reserved(&self) -> TaskSize {
         let mut size = self.size;
-        if self.fills {
+        if self.best_effort {
             size.cpu_milli = 0;
         }
         size
@@ -137,10 +137,10 @@
 }
 
 /// Bounds on what a caller may ask for; the state of a job grows with them.
-const MOST_STEPS: usize = 256;
-const MOST_TASKS: u64 = 100_000;
-const MOST_OCCURRENCES: u32 = 1_000_000;
-const MOST_TEXT_BYTES: usize = 4_000;
+const MAX_STEPS: usize = 256;
+const MAX_TASKS: u64 = 100_000;
+const MAX_OCCURRENCES: u32 = 1_000_000;
+const MAX_TEXT_BYTES: usize = 4_000;
 
 /// Why a job cannot be accepted.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -170,7 +170,7 @@
 
 impl JobSpec {
     /// All tasks of one occurrence.
-    pub fn tasks(&self) -> u32 {
+    pub fn task_count(&self) -> u32 {
         self.steps.iter().map(|step| step.count).sum()
     }
 
@@ -185,24 +185,21 @@
     /// # Errors
     ///
     /// The first bound that is broken.
-    pub fn check(&self) -> Result<(), SpecError> {
+    pub fn validate(&self) -> Result<(), SpecError> {
         if self.steps.is_empty() {
             return Err(SpecError::NoSteps);
         }
-        if self.steps.len() > MOST_STEPS {
+        if self.steps.len() > MAX_STEPS {
             return Err(SpecError::TooLarge("more than 256 steps"));
         }
-        if self.text.len() > MOST_TEXT_BYTES {
+        if self.text.len() > MAX_TEXT_BYTES {
             return Err(SpecError::TooLarge("the text is longer than 4000 bytes"));
         }
         let tasks: u64 = self.steps.iter().map(|step| u64::from(step.count)).sum();
-        if tasks > MOST_TASKS {
+        if tasks > MAX_TASKS {
             return Err(SpecError::TooLarge("more than 100000 tasks"));
         }
-        if self
-            .repeat
-            .is_some_and(|plan| plan.count > MOST_OCCURRENCES)
-        {
+        if self.repeat.is_some_and(|plan| plan.count > MAX_OCCURRENCES) {
             return Err(SpecError::TooLarge("more than 1000000 occurrences"));
         }
         for (number, step) in self.steps.iter().enumerate() {
@@ -221,7 +218,7 @@
     }
 
     /// How many times the steps run.
-    pub fn occurrences(&self) -> u32 {
+    pub fn occurrence_count(&self) -> u32 {
         self.repeat.map_or(1, |plan| plan.count)
     }
 }
--- a/crates/wax-batch/src/worker.rs
+++ b/crates/wax-batch/src/worker.rs
@@ -1,7 +1,7 @@
 //! Workers as an owner sees them, and what they report.
 
 use crate::boot::BootId;
-use crate::names::RunMark;
+use crate::names::RunId;
 use crate::spec::TaskSize;
 use std::time::Duration;
 
@@ -68,7 +68,7 @@
     /// The worker's own count of ends in this boot, from 1.
     pub number: u64,
     /// The run.
-    pub mark: RunMark,
+    pub run_id: RunId,
     /// How it ended.
     pub kind: RunEndKind,
     /// Its last checkpoint; empty for none.
@@ -79,23 +79,23 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LostRun {
     /// The run.
-    pub mark: RunMark,
+    pub run_id: RunId,
     /// For how long it surely ran: from its start to the worker's last answer. `None` if that is not
     /// known: another process of the worker's machine has sent its start.
-    pub ran: Option<Duration>,
+    pub min_run_time: Option<Duration>,
 }
 
 /// A run that goes on, as the worker lists it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunReport {
     /// The run.
-    pub mark: RunMark,
+    pub run_id: RunId,
     /// Its last checkpoint; empty for none.
     pub checkpoint: Box<str>,
     /// How much of its work is done; 100 for a lasting task at work.
     pub percent: u32,
     /// For a serving task its tail latency in milliseconds, else the thousandths of a core in use.
-    pub figure: u32,
+    pub load_metric: u32,
     /// Whether the worker itself lists it as running; else it may only begin yet.
-    pub listed: bool,
+    pub confirmed_by_worker: bool,
 }
--- a/crates/wax-batch/tests/crash_storm.rs
+++ b/crates/wax-batch/tests/crash_storm.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 use support::*;
 use wax_batch::{
-    JobBook, JobName, JobOutcome, LostRun, RunEndKind, RunMark, TaskName, WorkerKey, WorkerState,
-    WorkerView,
+    JobName, JobOutcome, JobScheduler, LostRun, RunEndKind, RunId, TaskName, WorkerKey,
+    WorkerState, WorkerView,
 };
 
 /// Length of a step, milliseconds.
@@ -22,7 +22,7 @@
 /// A task ends its worker so long after its start, milliseconds.
 const CRASH_AFTER: u64 = 10;
 /// Three workers may end before it must be known, and two more starts may follow.
-const MOST_STARTS: u32 = 5;
+const MAX_STARTS: u32 = 5;
 /// When workers go down by themselves, milliseconds.
 const FLAPPING: std::ops::Range<u64> = 0..15_000;
 const WORKERS: usize = 11;
@@ -42,11 +42,11 @@
 }
 
 #[derive(Debug)]
-struct Machine {
+struct Vm {
     key: Option<WorkerKey>,
     boot: u32,
     /// Starts of runs by their marks.
-    runs: HashMap<RunMark, u64>,
+    runs: HashMap<RunId, u64>,
     answered: u64,
     ended: Option<u64>,
     told_silent: bool,
@@ -69,8 +69,8 @@
 struct Storm {
     plan: StormPlan,
     random: fastrand::Rng,
-    book: JobBook,
-    machines: Vec<Machine>,
+    scheduler: JobScheduler,
+    vms: Vec<Vm>,
     crashing: HashSet<u64>,
     /// How long the tasks of a job work, milliseconds.
     work: HashMap<u64, u64>,
@@ -80,7 +80,7 @@
 
 impl Storm {
     fn new(plan: StormPlan, seed: u64) -> Self {
-        let machines = (0..WORKERS).map(|_| Machine {
+        let vms = (0..WORKERS).map(|_| Vm {
             key: None,
             boot: 0,
             runs: HashMap::new(),
@@ -93,8 +93,8 @@
         Self {
             plan,
             random: fastrand::Rng::with_seed(seed),
-            book: book(1),
-            machines: machines.collect(),
+            scheduler: scheduler(1),
+            vms: vms.collect(),
             crashing: HashSet::new(),
             work: HashMap::new(),
             report: StormReport::default(),
@@ -108,7 +108,7 @@
         }
         for _ in 0..6 {
             let mut lasting = step(6, 6_400);
-            lasting.lasts = true;
+            lasting.long_running = true;
             self.submit(lasting, u64::MAX, false);
         }
         for now in (0..until).step_by(STEP as usize) {
@@ -120,10 +120,10 @@
             }
             self.place(now);
             if now.is_multiple_of(500) {
-                store_all(&mut self.book);
+                store_all(&mut self.scheduler);
             }
         }
-        store_all(&mut self.book);
+        store_all(&mut self.scheduler);
         self.finish()
     }
 
@@ -145,7 +145,7 @@
         if crashing {
             self.crashing.insert(job);
         }
-        add(&mut self.book, job, 1, &spec(vec![step]), None);
+        add(&mut self.scheduler, job, 1, &spec(vec![step]), None);
     }
 
     fn view(number: usize, boot: u32, state: WorkerState) -> WorkerView {
@@ -164,104 +164,114 @@
 
     /// A new boot: its agent tells of the crash of the one before, then that it is gone.
     fn boot(&mut self, number: usize, now: u64) {
-        let machine = &mut self.machines[number];
-        let runs: Vec<LostRun> = machine
+        let vm = &mut self.vms[number];
+        let runs: Vec<LostRun> = vm
             .runs
             .drain()
-            .map(|(mark, sent)| LostRun {
-                mark,
-                ran: Some(Duration::from_millis(machine.answered.saturating_sub(sent))),
+            .map(|(run_id, sent)| LostRun {
+                run_id,
+                min_run_time: Some(Duration::from_millis(vm.answered.saturating_sub(sent))),
             })
             .collect();
-        machine.boot += 1;
-        machine.ended = None;
-        machine.told_silent = false;
-        machine.ends = 0;
-        machine.answered = now;
+        vm.boot += 1;
+        vm.ended = None;
+        vm.told_silent = false;
+        vm.ends = 0;
+        vm.answered = now;
         let flaps = number < self.plan.flapping && FLAPPING.contains(&now);
-        machine.ends_at = flaps.then(|| now + self.random.u64(1..self.plan.up * 2));
-        let view = Self::view(number, machine.boot, WorkerState::Ready);
-        let before = machine.key.take();
+        vm.ends_at = flaps.then(|| now + self.random.u64(1..self.plan.up * 2));
+        let view = Self::view(number, vm.boot, WorkerState::Ready);
+        let before = vm.key.take();
         if let Some(before) = before {
-            self.book
-                .worker_crashed(&format!("m{number}"), &runs, at(now), wall(now));
-            self.book.worker_lost(before, at(now), wall(now));
+            self.scheduler
+                .record_crash(&format!("m{number}"), &runs, at(now), unix_ms(now));
+            self.scheduler
+                .remove_lost_worker(before, at(now), unix_ms(now));
         }
-        self.machines[number].key = Some(self.book.worker_joined(view, &format!("m{number}")));
+        self.vms[number].key = Some(self.scheduler.add_worker(view, &format!("m{number}")));
     }
 
     fn run_machine(&mut self, number: usize, now: u64) {
-        let machine = &mut self.machines[number];
-        let key = machine.key.expect("every machine has a worker");
-        if let Some(ended) = machine.ended {
+        let vm = &mut self.vms[number];
+        let key = vm.key.expect("every machine has a worker");
+        if let Some(ended) = vm.ended {
             if now >= ended + BACK_AFTER {
                 self.boot(number, now);
-            } else if !machine.told_silent && now >= ended + SILENT_AFTER {
-                machine.told_silent = true;
-                let view = Self::view(number, machine.boot, WorkerState::Silent);
-                self.book.worker_changed(key, view);
+            } else if !vm.told_silent && now >= ended + SILENT_AFTER {
+                vm.told_silent = true;
+                let view = Self::view(number, vm.boot, WorkerState::Silent);
+                self.scheduler.update_worker(key, view);
             }
             return;
         }
         let crashing = &self.crashing;
-        let by_task = machine.runs.iter().any(|(mark, sent)| {
-            mark.task.index == 0 && crashing.contains(&mark.task.job.0) && now >= sent + CRASH_AFTER
+        let by_task = vm.runs.iter().any(|(run_id, sent)| {
+            run_id.task.index == 0
+                && crashing.contains(&run_id.task.job.0)
+                && now >= sent + CRASH_AFTER
         });
-        if by_task || machine.ends_at.is_some_and(|end| now >= end) {
+        if by_task || vm.ends_at.is_some_and(|end| now >= end) {
             self.report.crashes += 1;
-            machine.ended = Some(now);
+            vm.ended = Some(now);
             return;
         }
         if now.is_multiple_of(ANSWERS) {
-            machine.answered = now;
+            vm.answered = now;
         }
         let work = &self.work;
-        let done: Vec<RunMark> = machine
+        let done: Vec<RunId> = vm
             .runs
             .iter()
-            .filter(|(mark, sent)| now - **sent >= work[&mark.task.job.0])
-            .map(|(mark, _)| *mark)
+            .filter(|(run_id, sent)| now - **sent >= work[&run_id.task.job.0])
+            .map(|(run_id, _)| *run_id)
             .collect();
-        for mark in done {
-            machine.runs.remove(&mark);
-            machine.answered = now;
-            machine.ends += 1;
-            let end = end(machine.ends, mark, RunEndKind::Done);
-            self.book.run_ended(key, &end, at(now), wall(now));
+        for run_id in done {
+            vm.runs.remove(&run_id);
+            vm.answered = now;
+            vm.ends += 1;
+            let end = end(vm.ends, run_id, RunEndKind::Done);
+            self.scheduler.record_end(key, &end, at(now), unix_ms(now));
         }
-        for stop in self.book.take_stops() {
-            self.stop(stop.worker, stop.mark, now);
+        for stop in self.scheduler.take_stops() {
+            self.stop(stop.worker, stop.run_id, now);
         }
     }
 
-    fn stop(&mut self, worker: WorkerKey, mark: RunMark, now: u64) {
-        let mut machines = self.machines.iter_mut();
-        let Some(machine) = machines.find(|machine| machine.key == Some(worker)) else {
+    fn stop(&mut self, worker: WorkerKey, run_id: RunId, now: u64) {
+        let mut vms = self.vms.iter_mut();
+        let Some(vm) = vms.find(|vm| vm.key == Some(worker)) else {
             return;
         };
-        if machine.ended.is_none() && machine.runs.remove(&mark).is_some() {
-            machine.ends += 1;
-            let end = end(machine.ends, mark, RunEndKind::Stopped);
-            self.book.run_ended(worker, &end, at(now), wall(now));
+        if vm.ended.is_none() && vm.runs.remove(&run_id).is_some() {
+            vm.ends += 1;
+            let end = end(vm.ends, run_id, RunEndKind::Stopped);
+            self.scheduler
+                .record_end(worker, &end, at(now), unix_ms(now));
         }
     }
 
     fn place(&mut self, now: u64) {
-        for order in self.book.place(at(now)) {
-            let mut machines = self.machines.iter_mut();
-            let machine = machines
-                .find(|machine| machine.key == Some(order.worker))
+        for order in self.scheduler.place(at(now)) {
+            let mut vms = self.vms.iter_mut();
+            let vm = vms
+                .find(|vm| vm.key == Some(order.worker))
                 .expect("orders go to known workers");
-            if machine.ended.is_some() {
+            if vm.ended.is_some() {
                 let refusal = wax_batch::StartRefusal::Unwell;
-                self.book
-                    .run_refused(order.worker, order.mark, refusal, at(now), wall(now));
+                self.scheduler.record_refusal(
+                    order.worker,
+                    order.run_id,
+                    refusal,
+                    at(now),
+                    unix_ms(now),
+                );
                 continue;
             }
-            machine.runs.insert(order.mark, now);
-            machine.answered = now;
-            self.book.run_started(order.worker, order.mark, at(now));
-            let TaskName { job, index, .. } = order.mark.task;
+            vm.runs.insert(order.run_id, now);
+            vm.answered = now;
+            self.scheduler
+                .record_start(order.worker, order.run_id, at(now));
+            let TaskName { job, index, .. } = order.run_id.task;
             if index == 0 && self.crashing.contains(&job.0) {
                 *self.report.starts.entry(job.0).or_default() += 1;
             }
@@ -270,14 +280,18 @@
 
     fn finish(mut self) -> StormReport {
         for job in 1..self.next_job {
-            let outcome = self.book.info(JobName(job)).expect("known").outcome;
-            let lasts = self.work[&job] == u64::MAX;
+            let outcome = self
+                .scheduler
+                .job_info(JobName(job))
+                .expect("known")
+                .outcome;
+            let long_running = self.work[&job] == u64::MAX;
             match outcome {
                 JobOutcome::Completed => self.report.completed += 1,
                 JobOutcome::Failed if !self.crashing.contains(&job) => {
                     self.report.wronged.push(job)
                 }
-                JobOutcome::Open if !lasts => self.report.open += 1,
+                JobOutcome::Open if !long_running => self.report.open += 1,
                 _ => {}
             }
         }
@@ -303,7 +317,7 @@
 /// No task that ends its workers is started too often, and no other job fails for it.
 fn check_blame(report: &StormReport) {
     let starts = report.starts.values();
-    assert!(starts.into_iter().all(|starts| *starts <= MOST_STARTS));
+    assert!(starts.into_iter().all(|starts| *starts <= MAX_STARTS));
     assert_eq!(report.wronged, [], "jobs that ended no worker");
 }
 
--- a/crates/wax-batch/tests/places.rs
+++ b/crates/wax-batch/tests/places.rs
@@ -3,12 +3,12 @@
 mod support;
 
 use support::*;
-use wax_batch::{JobBook, StepSpec, TaskSize, WorkerKey};
+use wax_batch::{JobScheduler, StepSpec, TaskSize, WorkerKey};
 use wax_policy::PairPress;
 
 fn filling(count: u32, cpu_milli: u32, image: &str) -> StepSpec {
     StepSpec {
-        fills: true,
+        best_effort: true,
         checkpoints: true,
         image: image.into(),
         ..step(count, cpu_milli)
@@ -17,70 +17,74 @@
 
 fn lasting(count: u32, cpu_milli: u32, image: &str) -> StepSpec {
     StepSpec {
-        lasts: true,
+        long_running: true,
         tail_target_ms: 100,
         image: image.into(),
         ..step(count, cpu_milli)
     }
 }
 
-fn known(press: f64) -> PairPress {
+fn known(interference: f64) -> PairPress {
     PairPress {
-        per_core: press,
+        per_core: interference,
         weight: 100.0,
     }
 }
 
-fn sure(press: f64) -> PairPress {
+fn sure(interference: f64) -> PairPress {
     PairPress {
-        per_core: press,
+        per_core: interference,
         weight: 100_000.0,
     }
 }
 
 /// Books most of the service's processors by what neither fills nor serves.
-fn keep_busy(book: &mut JobBook) {
-    worker(book, "full", 40_000);
-    add(book, 99, 1, &spec(vec![step(4, 10_000)]), None);
-    let orders = book.place(at(0));
+fn keep_busy(scheduler: &mut JobScheduler) {
+    worker(scheduler, "full", 40_000);
+    add(scheduler, 99, 1, &spec(vec![step(4, 10_000)]), None);
+    let orders = scheduler.place(at(0));
     assert_eq!(orders.len(), 4);
-    start_all(book, &orders, at(0));
+    start_all(scheduler, &orders, at(0));
 }
 
-fn count_on(book: &JobBook, worker: WorkerKey) -> usize {
-    book.workers()
+fn count_on(scheduler: &JobScheduler, worker: WorkerKey) -> usize {
+    scheduler
+        .workers()
         .find(|(key, _)| *key == worker)
-        .map_or(0, |(_, life)| life.runs.len())
+        .map_or(0, |(_, record)| record.runs.len())
 }
 
 #[test]
 fn capacity_is_never_exceeded_and_the_rest_waits() {
-    let mut book = book(1);
-    let one = worker(&mut book, "one", 2_500);
-    let other = worker(&mut book, "other", 1_000);
-    add(&mut book, 7, 1, &spec(vec![step(9, 1_000)]), None);
-    let orders = book.place(at(0));
+    let mut scheduler = scheduler(1);
+    let one = worker(&mut scheduler, "one", 2_500);
+    let other = worker(&mut scheduler, "other", 1_000);
+    add(&mut scheduler, 7, 1, &spec(vec![step(9, 1_000)]), None);
+    let orders = scheduler.place(at(0));
     assert_eq!(orders.len(), 3);
-    assert_eq!((count_on(&book, one), count_on(&book, other)), (2, 1));
+    assert_eq!(
+        (count_on(&scheduler, one), count_on(&scheduler, other)),
+        (2, 1)
+    );
 }
 
 #[test]
 fn tasks_kept_apart_are_limited_on_each_worker() {
-    let mut book = book(1);
-    worker(&mut book, "one", 8_000);
-    worker(&mut book, "other", 8_000);
+    let mut scheduler = scheduler(1);
+    worker(&mut scheduler, "one", 8_000);
+    worker(&mut scheduler, "other", 8_000);
     let apart = StepSpec {
-        most_per_worker: 1,
+        max_per_worker: 1,
         ..step(5, 1_000)
     };
-    add(&mut book, 7, 1, &spec(vec![apart]), None);
-    assert_eq!(book.place(at(0)).len(), 2);
+    add(&mut scheduler, 7, 1, &spec(vec![apart]), None);
+    assert_eq!(scheduler.place(at(0)).len(), 2);
 }
 
 #[test]
 fn a_label_is_required_and_a_rack_preferred() {
-    let mut book = book(1);
-    worker(&mut book, "plain", 8_000);
+    let mut scheduler = scheduler(1);
+    worker(&mut scheduler, "plain", 8_000);
     let view = wax_batch::WorkerView {
         boot: "special".into(),
         service: "svc".into(),
@@ -92,7 +96,7 @@
         },
         ..Default::default()
     };
-    let special = book.worker_joined(view, "special");
+    let failed = scheduler.add_worker(view, "special");
     let labelled = StepSpec {
         label: Some("gpu".into()),
         ..step(1, 1_000)
@@ -101,72 +105,84 @@
         data_rack: Some("r1".into()),
         ..step(1, 1_000)
     };
-    add(&mut book, 7, 1, &spec(vec![labelled, near]), None);
-    let orders = book.place(at(0));
+    add(&mut scheduler, 7, 1, &spec(vec![labelled, near]), None);
+    let orders = scheduler.place(at(0));
     assert_eq!(orders.len(), 2);
-    assert!(orders.iter().all(|order| order.worker == special));
+    assert!(orders.iter().all(|order| order.worker == failed));
 }
 
 #[test]
 fn lasting_tasks_of_one_image_keep_together() {
-    let mut book = book(1);
+    let mut scheduler = scheduler(1);
     for id in ["a", "b", "c", "d"] {
-        worker(&mut book, id, 8_000);
+        worker(&mut scheduler, id, 8_000);
     }
-    add(&mut book, 7, 1, &spec(vec![lasting(4, 2_000, "red")]), None);
     add(
-        &mut book,
+        &mut scheduler,
+        7,
+        1,
+        &spec(vec![lasting(4, 2_000, "red")]),
+        None,
+    );
+    add(
+        &mut scheduler,
         8,
         1,
         &spec(vec![lasting(4, 2_000, "blue")]),
         None,
     );
-    assert_eq!(book.place(at(0)).len(), 8);
-    let empty = book
+    assert_eq!(scheduler.place(at(0)).len(), 8);
+    let empty = scheduler
         .workers()
-        .filter(|(_, life)| life.runs.is_empty())
+        .filter(|(_, record)| record.runs.is_empty())
         .count();
     assert_eq!(empty, 2, "two workers stay free for what presses on them");
-    let mixed = book
+    let mixed = scheduler
         .workers()
-        .filter(|(_, life)| life.press.serving().len() > 1);
+        .filter(|(_, record)| record.interference.serving().len() > 1);
     assert_eq!(mixed.count(), 0);
 }
 
 #[test]
 fn what_presses_waits_for_a_worker_that_bears_it_but_not_for_ever() {
-    let mut book = book(1);
-    keep_busy(&mut book);
-    let busy = worker(&mut book, "busy", 8_000);
-    add(&mut book, 7, 1, &spec(vec![lasting(1, 2_000, "red")]), None);
-    let orders = book.place(at(0));
-    start_all(&mut book, &orders, at(0));
-    book.merge_press("red", "heavy", known(0.5));
-    book.set_press_room(busy, "red", 0.1);
+    let mut scheduler = scheduler(1);
+    keep_busy(&mut scheduler);
+    let busy = worker(&mut scheduler, "busy", 8_000);
+    add(
+        &mut scheduler,
+        7,
+        1,
+        &spec(vec![lasting(1, 2_000, "red")]),
+        None,
+    );
+    let orders = scheduler.place(at(0));
+    start_all(&mut scheduler, &orders, at(0));
+    scheduler.merge_interference("red", "heavy", known(0.5));
+    scheduler.set_headroom(busy, "red", 0.1);
     add(
-        &mut book,
+        &mut scheduler,
         8,
         1,
         &spec(vec![filling(1, 2_000, "heavy")]),
         None,
     );
-    assert!(book.place(at(100)).is_empty());
-    book.merge_press("red", "light", known(0.01));
+    assert!(scheduler.place(at(100)).is_empty());
+    scheduler.merge_interference("red", "light", known(0.01));
     add(
-        &mut book,
+        &mut scheduler,
         9,
         1,
         &spec(vec![filling(1, 2_000, "light")]),
         None,
     );
     assert_eq!(
-        book.place(at(200)).len(),
+        scheduler.place(at(200)).len(),
         1,
         "what does not press is placed"
     );
-    assert!(book.place(at(9_900)).is_empty());
+    assert!(scheduler.place(at(9_900)).is_empty());
     assert_eq!(
-        book.place(at(10_100)).len(),
+        scheduler.place(at(10_100)).len(),
         1,
         "of an old job one task takes any worker"
     );
@@ -175,113 +191,152 @@
 /// The agent tells its room before it has seen what was placed a moment ago.
 #[test]
 fn what_was_just_placed_is_not_forgotten_when_the_room_is_told_again() {
-    let mut book = book(1);
-    let busy = worker(&mut book, "busy", 16_000);
-    add(&mut book, 7, 1, &spec(vec![lasting(1, 2_000, "red")]), None);
-    let orders = book.place(at(0));
-    start_all(&mut book, &orders, at(0));
-    book.merge_press("red", "heavy", sure(0.1));
+    let mut scheduler = scheduler(1);
+    let busy = worker(&mut scheduler, "busy", 16_000);
+    add(
+        &mut scheduler,
+        7,
+        1,
+        &spec(vec![lasting(1, 2_000, "red")]),
+        None,
+    );
+    let orders = scheduler.place(at(0));
+    start_all(&mut scheduler, &orders, at(0));
+    scheduler.merge_interference("red", "heavy", sure(0.1));
     let mut placed = 0;
     for (number, name) in [8, 9, 10, 11].into_iter().enumerate() {
-        book.set_press_room(busy, "red", 0.5);
+        scheduler.set_headroom(busy, "red", 0.5);
         add(
-            &mut book,
+            &mut scheduler,
             name,
             1,
             &spec(vec![filling(1, 2_000, "heavy")]),
             None,
         );
-        placed += book.place(at(100 * number as u64)).len();
+        placed += scheduler.place(at(100 * number as u64)).len();
     }
     assert_eq!(placed, 2, "each presses by 0.2");
 }
 
 #[test]
 fn an_old_job_of_which_nothing_runs_gets_one_task_placed_however_full_it_is() {
-    let mut book = book(1);
-    keep_busy(&mut book);
-    worker(&mut book, "w", 4_000);
-    add(&mut book, 7, 1, &spec(vec![filling(4, 1_000, "a")]), None);
-    let orders = book.place(at(0));
+    let mut scheduler = scheduler(1);
+    keep_busy(&mut scheduler);
+    worker(&mut scheduler, "w", 4_000);
+    add(
+        &mut scheduler,
+        7,
+        1,
+        &spec(vec![filling(4, 1_000, "a")]),
+        None,
+    );
+    let orders = scheduler.place(at(0));
     assert_eq!(orders.len(), 4, "all processors are asked for");
-    start_all(&mut book, &orders, at(0));
-    add(&mut book, 8, 1, &spec(vec![filling(3, 1_000, "a")]), None);
-    assert!(book.place(at(5_000)).is_empty());
-    let orders = book.place(at(10_500));
+    start_all(&mut scheduler, &orders, at(0));
+    add(
+        &mut scheduler,
+        8,
+        1,
+        &spec(vec![filling(3, 1_000, "a")]),
+        None,
+    );
+    assert!(scheduler.place(at(5_000)).is_empty());
+    let orders = scheduler.place(at(10_500));
     assert_eq!(orders.len(), 1);
-    assert_eq!(orders[0].mark.task.job.0, 8);
+    assert_eq!(orders[0].run_id.task.job.0, 8);
 }
 
 /// LOST on riveneige scale-1: with most processors not booked, jobs of any age must not stand still.
 #[test]
 fn in_a_calm_service_a_young_job_of_which_nothing_runs_gets_one_task_placed() {
-    let mut book = book(1);
-    worker(&mut book, "w", 4_000);
-    add(&mut book, 7, 1, &spec(vec![filling(4, 1_200, "a")]), None);
-    let orders = book.place(at(0));
+    let mut scheduler = scheduler(1);
+    worker(&mut scheduler, "w", 4_000);
+    add(
+        &mut scheduler,
+        7,
+        1,
+        &spec(vec![filling(4, 1_200, "a")]),
+        None,
+    );
+    let orders = scheduler.place(at(0));
     assert_eq!(orders.len(), 4, "all processors are asked for");
-    start_all(&mut book, &orders, at(0));
-    add(&mut book, 8, 1, &spec(vec![filling(3, 1_200, "a")]), None);
-    assert!(book.place(at(1_000)).is_empty());
-    let orders = book.place(at(1_300));
+    start_all(&mut scheduler, &orders, at(0));
+    add(
+        &mut scheduler,
+        8,
+        1,
+        &spec(vec![filling(3, 1_200, "a")]),
+        None,
+    );
+    assert!(scheduler.place(at(1_000)).is_empty());
+    let orders = scheduler.place(at(1_300));
     assert_eq!(orders.len(), 1);
-    assert_eq!(orders[0].mark.task.job.0, 8);
-    assert!(book.place(at(3_000)).is_empty(), "one is enough");
+    assert_eq!(orders[0].run_id.task.job.0, 8);
+    assert!(scheduler.place(at(3_000)).is_empty(), "one is enough");
 }
 
 #[test]
 fn a_run_that_stands_still_is_moved_if_another_worker_bears_it() {
-    let mut book = book(1);
-    let first = worker(&mut book, "first", 4_000);
-    add(&mut book, 7, 1, &spec(vec![filling(1, 1_000, "a")]), None);
-    let orders = book.place(at(0));
-    start_all(&mut book, &orders, at(0));
-    book.move_stalled(at(5_000));
-    assert!(book.take_stops().is_empty(), "there is no other worker");
-    let other = worker(&mut book, "other", 4_000);
-    book.move_stalled(at(5_000));
-    let stops = book.take_stops();
+    let mut scheduler = scheduler(1);
+    let first = worker(&mut scheduler, "first", 4_000);
+    add(
+        &mut scheduler,
+        7,
+        1,
+        &spec(vec![filling(1, 1_000, "a")]),
+        None,
+    );
+    let orders = scheduler.place(at(0));
+    start_all(&mut scheduler, &orders, at(0));
+    scheduler.move_stalled(at(5_000));
+    assert!(
+        scheduler.take_stops().is_empty(),
+        "there is no other worker"
+    );
+    let other = worker(&mut scheduler, "other", 4_000);
+    scheduler.move_stalled(at(5_000));
+    let stops = scheduler.take_stops();
     assert_eq!(stops.len(), 1);
     let stopped = wax_batch::RunEnd {
         checkpoint: "saved".into(),
-        ..end(1, stops[0].mark, wax_batch::RunEndKind::Stopped)
+        ..end(1, stops[0].run_id, wax_batch::RunEndKind::Stopped)
     };
-    book.run_ended(first, &stopped, at(5_100), wall(5_100));
-    let again = book.place(at(5_200));
-    assert_eq!(&*again[0].checkpoint, "saved");
+    scheduler.record_end(first, &stopped, at(5_100), unix_ms(5_100));
+    let repeated = scheduler.place(at(5_200));
+    assert_eq!(&*repeated[0].checkpoint, "saved");
     let _ = other;
 }
 
 #[test]
 fn the_job_with_the_least_work_left_goes_first() {
-    let mut book = book(1);
-    worker(&mut book, "w", 1_000);
-    add(&mut book, 7, 1, &spec(vec![step(9, 1_000)]), None);
-    add(&mut book, 8, 1, &spec(vec![step(1, 1_000)]), None);
-    let orders = book.place(at(0));
-    assert_eq!(orders[0].mark.task.job.0, 8);
+    let mut scheduler = scheduler(1);
+    worker(&mut scheduler, "w", 1_000);
+    add(&mut scheduler, 7, 1, &spec(vec![step(9, 1_000)]), None);
+    add(&mut scheduler, 8, 1, &spec(vec![step(1, 1_000)]), None);
+    let orders = scheduler.place(at(0));
+    assert_eq!(orders[0].run_id.task.job.0, 8);
 }
 
 #[test]
 fn a_worker_that_fails_all_it_starts_gets_no_work_for_a_while() {
-    let mut book = book(1);
-    let bad = worker(&mut book, "bad", 1_000);
+    let mut scheduler = scheduler(1);
+    let bad = worker(&mut scheduler, "bad", 1_000);
     let mut now = 0;
     for number in 1..=3 {
-        add(&mut book, number, 1, &spec(vec![step(1, 1_000)]), None);
-        let orders = book.place(at(now));
+        add(&mut scheduler, number, 1, &spec(vec![step(1, 1_000)]), None);
+        let orders = scheduler.place(at(now));
         assert_eq!(orders.len(), 1);
-        book.run_ended(
+        scheduler.record_end(
             bad,
-            &end(number, orders[0].mark, wax_batch::RunEndKind::Failed),
+            &end(number, orders[0].run_id, wax_batch::RunEndKind::Failed),
             at(now),
-            wall(now),
+            unix_ms(now),
         );
         now += 10;
     }
-    assert!(book.place(at(now)).is_empty());
+    assert!(scheduler.place(at(now)).is_empty());
     assert_eq!(
-        book.place(at(now + 3_100)).len(),
+        scheduler.place(at(now + 3_100)).len(),
         1,
         "then one is tried again"
     );
@@ -289,14 +344,26 @@
 
 #[test]
 fn a_worker_that_leaves_is_emptied_of_what_would_be_lost() {
-    let mut book = book(1);
-    let leaving = worker(&mut book, "leaving", 8_000);
-    add(&mut book, 7, 1, &spec(vec![lasting(1, 1_000, "red")]), None);
-    add(&mut book, 8, 1, &spec(vec![filling(1, 1_000, "a")]), None);
-    add(&mut book, 9, 1, &spec(vec![step(1, 1_000)]), None);
-    let orders = book.place(at(0));
+    let mut scheduler = scheduler(1);
+    let leaving = worker(&mut scheduler, "leaving", 8_000);
+    add(
+        &mut scheduler,
+        7,
+        1,
+        &spec(vec![lasting(1, 1_000, "red")]),
+        None,
+    );
+    add(
+        &mut scheduler,
+        8,
+        1,
+        &spec(vec![filling(1, 1_000, "a")]),
+        None,
+    );
+    add(&mut scheduler, 9, 1, &spec(vec![step(1, 1_000)]), None);
+    let orders = scheduler.place(at(0));
     assert_eq!(orders.len(), 3);
-    start_all(&mut book, &orders, at(0));
+    start_all(&mut scheduler, &orders, at(0));
     let view = wax_batch::WorkerView {
         boot: "leaving".into(),
         service: "svc".into(),
@@ -304,25 +371,25 @@
         remaining_ms: 300,
         ..Default::default()
     };
-    book.worker_changed(leaving, view);
-    book.evacuate(at(100));
-    assert!(book.take_stops().is_empty(), "there is nowhere to go");
-    worker(&mut book, "other", 8_000);
-    book.evacuate(at(200));
-    let mut jobs: Vec<u64> = book
+    scheduler.update_worker(leaving, view);
+    scheduler.evacuate(at(100));
+    assert!(scheduler.take_stops().is_empty(), "there is nowhere to go");
+    worker(&mut scheduler, "other", 8_000);
+    scheduler.evacuate(at(200));
+    let mut jobs: Vec<u64> = scheduler
         .take_stops()
         .iter()
-        .map(|stop| stop.mark.task.job.0)
+        .map(|stop| stop.run_id.task.job.0)
         .collect();
     jobs.sort_unstable();
     assert_eq!(jobs, [7, 8], "what cannot resume is left to end by itself");
-    book.evacuate(at(300));
-    assert!(book.take_stops().is_empty(), "once");
+    scheduler.evacuate(at(300));
+    assert!(scheduler.take_stops().is_empty(), "once");
 }
 
 #[test]
 fn an_advised_step_starts_only_where_its_ticket_is_valid() {
-    let mut book = book(1);
+    let mut scheduler = scheduler(1);
     let mut advised = config(2);
     let mut queue = (*advised.queues[0]).clone();
     queue.advice = Some(wax_batch::AdviceRules {
@@ -331,29 +398,40 @@
         validity_ms: 2_000,
     });
     advised.queues = vec![queue.into()];
-    book.set_config(advised.into());
-    let allowed = worker(&mut book, "allowed", 1_000);
-    worker(&mut book, "other", 4_000);
-    add(&mut book, 7, 1, &spec(vec![step(2, 1_000)]), None);
-    assert!(book.place(at(0)).is_empty(), "nobody has approved it");
-    let ask = book.advice_wanted(at(0)).expect("the advisor is asked");
-    assert_eq!(&*ask.name, "0000000000000007.0.0");
-    assert_eq!(ask.workers.len(), 2);
-    assert_eq!(book.advice_wanted(at(10)), None, "one question at a time");
-    book.advice_given(&ask, &[("allowed".into(), "t-1".into())], at(2_000));
-    let orders = book.place(at(100));
+    scheduler.set_config(advised.into());
+    let allowed = worker(&mut scheduler, "allowed", 1_000);
+    worker(&mut scheduler, "other", 4_000);
+    add(&mut scheduler, 7, 1, &spec(vec![step(2, 1_000)]), None);
+    assert!(scheduler.place(at(0)).is_empty(), "nobody has approved it");
+    let request = scheduler
+        .next_advice_request(at(0))
+        .expect("the advisor is asked");
+    assert_eq!(&*request.name, "0000000000000007.0.0");
+    assert_eq!(request.workers.len(), 2);
+    assert_eq!(
+        scheduler.next_advice_request(at(10)),
+        None,
+        "one question at a time"
+    );
+    scheduler.record_advice(&request, &[("allowed".into(), "t-1".into())], at(2_000));
+    let orders = scheduler.place(at(100));
     assert_eq!(orders.len(), 1);
     assert_eq!((orders[0].worker, &*orders[0].ticket), (allowed, "t-1"));
-    book.run_ended(
+    scheduler.record_end(
         allowed,
-        &end(1, orders[0].mark, wax_batch::RunEndKind::Done),
+        &end(1, orders[0].run_id, wax_batch::RunEndKind::Done),
         at(1_900),
-        wall(1_900),
+        unix_ms(1_900),
     );
-    assert!(book.place(at(1_900)).is_empty(), "the ticket ends too soon");
-    let again = book.advice_wanted(at(1_900)).expect("it is asked again");
+    assert!(
+        scheduler.place(at(1_900)).is_empty(),
+        "the ticket ends too soon"
+    );
+    let repeated = scheduler
+        .next_advice_request(at(1_900))
+        .expect("it is asked again");
     assert_eq!(
-        again.workers.len(),
+        repeated.workers.len(),
         1,
         "a worker that may not run the step never may"
     );
@@ -361,54 +439,69 @@
 
 #[test]
 fn a_task_does_not_go_back_at_once_to_the_worker_on_which_it_failed() {
-    let mut book = book(1);
-    let only = worker(&mut book, "only", 4_000);
-    add(&mut book, 7, 1, &spec(vec![step(1, 1_000)]), None);
-    let orders = book.place(at(0));
-    book.run_ended(
+    let mut scheduler = scheduler(1);
+    let only = worker(&mut scheduler, "only", 4_000);
+    add(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
+    let orders = scheduler.place(at(0));
+    scheduler.record_end(
         only,
-        &end(1, orders[0].mark, wax_batch::RunEndKind::Failed),
+        &end(1, orders[0].run_id, wax_batch::RunEndKind::Failed),
         at(10),
-        wall(10),
+        unix_ms(10),
+    );
+    assert!(
+        scheduler.place(at(20)).is_empty(),
+        "others may yet register"
     );
-    assert!(book.place(at(20)).is_empty(), "others may yet register");
-    let other = worker(&mut book, "other", 4_000);
-    assert_eq!(book.place(at(30))[0].worker, other);
+    let other = worker(&mut scheduler, "other", 4_000);
+    assert_eq!(scheduler.place(at(30))[0].worker, other);
 }
 
 #[test]
 fn a_refused_start_does_not_begin_the_wait_anew() {
-    let mut book = book(1);
-    let only = worker(&mut book, "w", 4_000);
-    add(&mut book, 7, 1, &spec(vec![filling(4, 1_000, "a")]), None);
-    let orders = book.place(at(0));
-    start_all(&mut book, &orders, at(0));
-    add(&mut book, 8, 1, &spec(vec![filling(1, 1_000, "a")]), None);
-    let starved = book.place(at(10_500));
+    let mut scheduler = scheduler(1);
+    let only = worker(&mut scheduler, "w", 4_000);
+    add(
+        &mut scheduler,
+        7,
+        1,
+        &spec(vec![filling(4, 1_000, "a")]),
+        None,
+    );
+    let orders = scheduler.place(at(0));
+    start_all(&mut scheduler, &orders, at(0));
+    add(
+        &mut scheduler,
+        8,
+        1,
+        &spec(vec![filling(1, 1_000, "a")]),
+        None,
+    );
+    let starved = scheduler.place(at(10_500));
     assert_eq!(starved.len(), 1);
-    book.run_refused(
+    scheduler.record_refusal(
         only,
-        starved[0].mark,
+        starved[0].run_id,
         wax_batch::StartRefusal::Room,
         at(10_510),
-        wall(10_510),
+        unix_ms(10_510),
     );
     assert_eq!(
-        book.place(at(10_700)).len(),
+        scheduler.place(at(10_700)).len(),
         1,
         "it has waited long enough already"
     );
 }
 
-fn rack_of(book: &JobBook, key: WorkerKey) -> Box<str> {
-    let found = book.workers().find(|(worker, _)| *worker == key);
+fn rack_of(scheduler: &JobScheduler, key: WorkerKey) -> Box<str> {
+    let found = scheduler.workers().find(|(worker, _)| *worker == key);
     found
-        .and_then(|(_, life)| life.view.rack.clone())
+        .and_then(|(_, record)| record.view.rack.clone())
         .expect("a worker on a rack")
 }
 
-fn racked(book: &mut JobBook, id: &str, rack: &str, cpu_milli: u32) {
-    book.worker_joined(
+fn racked(scheduler: &mut JobScheduler, id: &str, rack: &str, cpu_milli: u32) {
+    scheduler.add_worker(
         wax_batch::WorkerView {
             boot: id.into(),
             service: "svc".into(),
@@ -429,20 +522,20 @@
     ($($name:ident: $gang:literal, $apart:literal => $rack:literal;)*) => {$(
         #[test]
         fn $name() {
-            let mut book = book(1);
-            racked(&mut book, "a", "r1", 2_000);
-            racked(&mut book, "b", "r2", 3_000);
-            racked(&mut book, "c", "r1", 2_000);
+            let mut scheduler = scheduler(1);
+            racked(&mut scheduler, "a", "r1", 2_000);
+            racked(&mut scheduler, "b", "r2", 3_000);
+            racked(&mut scheduler, "c", "r1", 2_000);
             let together = StepSpec {
                 one_rack: true,
                 gang: $gang,
-                most_per_worker: $apart,
+                max_per_worker: $apart,
                 ..step(3, 1_000)
             };
-            add(&mut book, 7, 1, &spec(vec![together]), None);
-            let orders = book.place(at(0));
+            add(&mut scheduler, 7, 1, &spec(vec![together]), None);
+            let orders = scheduler.place(at(0));
             assert_eq!(orders.len(), 3);
-            let mut racks: Vec<_> = orders.iter().map(|order| rack_of(&book, order.worker)).collect();
+            let mut racks: Vec<_> = orders.iter().map(|order| rack_of(&scheduler, order.worker)).collect();
             racks.dedup();
             assert_eq!(racks, [$rack.into()]);
         }
--- a/crates/wax-batch/tests/support/mod.rs
+++ b/crates/wax-batch/tests/support/mod.rs
@@ -3,8 +3,8 @@
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use wax_batch::{
-    JobBook, JobName, JobProgress, JobRow, JobSpec, QueueConfig, QueueRules, RunEnd, RunEndKind,
-    RunMark, RunReport, StartOrder, StepSpec, TaskName, TaskSize, WorkerKey, WorkerView,
+    JobName, JobProgress, JobRow, JobScheduler, JobSpec, QueueConfig, QueueRules, RunEnd,
+    RunEndKind, RunId, RunReport, StartOrder, StepSpec, TaskName, TaskSize, WorkerKey, WorkerView,
 };
 use wax_policy::PlaceRules;
 use wax_types::TimePoint;
@@ -16,7 +16,7 @@
     TimePoint::from_millis(100_000 + millis)
 }
 
-pub(crate) fn wall(millis: u64) -> u64 {
+pub(crate) fn unix_ms(millis: u64) -> u64 {
     EPOCH_MS + millis
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-pub(crate) fn config(most_attempts: u32) -> QueueConfig {
+pub(crate) fn config(max_attempts: u32) -> QueueConfig {
     QueueConfig {
         version: 1,
         queues: vec![
@@ -55,7 +55,7 @@
                 prefix: "/g/".into(),
                 service: "svc".into(),
                 priority: 0,
-                most_attempts,
+                max_attempts,
                 stretch: 2.0,
                 target_latency_ms: 500,
                 timeout_ms: 3_000,
@@ -64,33 +64,33 @@
             .into(),
         ],
         services: Vec::new(),
-        body_bytes: 1 << 18,
+        max_body_bytes: 1 << 18,
     }
 }
 
 /// A settled book of term `epoch`.
-pub(crate) fn book(epoch: u64) -> JobBook {
-    let mut book = JobBook::new(epoch, PlaceRules::default());
-    book.set_config(config(2).into());
-    book.settle();
-    book
+pub(crate) fn scheduler(epoch: u64) -> JobScheduler {
+    let mut scheduler = JobScheduler::new(epoch, PlaceRules::default());
+    scheduler.set_config(config(2).into());
+    scheduler.mark_all_reconciled();
+    scheduler
 }
 
 pub(crate) fn add(
-    book: &mut JobBook,
+    scheduler: &mut JobScheduler,
     job: u64,
     epoch: u64,
     spec: &JobSpec,
     progress: Option<&JobProgress>,
 ) -> JobName {
-    let mut row = JobRow::new(spec, "gauges", "svc", wall(0), 1);
+    let mut row = JobRow::new(spec, "gauges", "svc", unix_ms(0), 1);
     row.epoch = epoch;
-    book.add_job(JobName(job), row, progress, at(0), wall(0));
+    scheduler.add_job(JobName(job), row, progress, at(0), unix_ms(0));
     JobName(job)
 }
 
-pub(crate) fn worker(book: &mut JobBook, id: &str, cpu_milli: u32) -> WorkerKey {
-    book.worker_joined(
+pub(crate) fn worker(scheduler: &mut JobScheduler, id: &str, cpu_milli: u32) -> WorkerKey {
+    scheduler.add_worker(
         WorkerView {
             boot: id.into(),
             service: "svc".into(),
@@ -105,8 +105,8 @@
     )
 }
 
-pub(crate) fn mark(job: u64, step: u16, index: u32, run: u64) -> RunMark {
-    RunMark {
+pub(crate) fn run_id(job: u64, step: u16, index: u32, run: u64) -> RunId {
+    RunId {
         task: TaskName {
             job: JobName(job),
             occurrence: 0,
@@ -117,38 +117,38 @@
     }
 }
 
-pub(crate) fn end(number: u64, mark: RunMark, kind: RunEndKind) -> RunEnd {
+pub(crate) fn end(number: u64, run_id: RunId, kind: RunEndKind) -> RunEnd {
     RunEnd {
         number,
-        mark,
+        run_id,
         kind,
         checkpoint: "".into(),
     }
 }
 
-pub(crate) fn running(mark: RunMark) -> RunReport {
+pub(crate) fn running(run_id: RunId) -> RunReport {
     RunReport {
-        mark,
+        run_id,
         checkpoint: "".into(),
         percent: 10,
-        figure: 0,
-        listed: true,
+        load_metric: 0,
+        confirmed_by_worker: true,
     }
 }
 
 /// Tells the book that all orders were carried out.
-pub(crate) fn start_all(book: &mut JobBook, orders: &[StartOrder], now: TimePoint) {
+pub(crate) fn start_all(scheduler: &mut JobScheduler, orders: &[StartOrder], now: TimePoint) {
     for order in orders {
-        book.run_started(order.worker, order.mark, now);
+        scheduler.record_start(order.worker, order.run_id, now);
     }
 }
 
 /// Writes everything to the store and returns what was written.
-pub(crate) fn store_all(book: &mut JobBook) -> Vec<(JobName, JobProgress)> {
-    let notes = book.take_notes(1_000);
-    book.notes_stored(&notes);
-    notes
+pub(crate) fn store_all(scheduler: &mut JobScheduler) -> Vec<(JobName, JobProgress)> {
+    let updates = scheduler.take_updates(1_000);
+    scheduler.confirm_updates(&updates);
+    updates
         .into_iter()
-        .map(|note| (note.name, note.progress))
+        .map(|update| (update.name, update.progress))
         .collect()
 }
