--- a/crates/wax-front/src/handler.rs
+++ b/crates/wax-front/src/handler.rs
@@ -91,7 +91,7 @@
             .and_then(|host| host.to_str().ok());
         let path = request.uri().path();
         match config.route(host.unwrap_or_default(), path) {
-            Some(queue) => Ok((queue.clone(), version.body_bytes)),
+            Some(queue) => Ok((queue.clone(), version.max_body_bytes)),
             None => Err(self.no_queue(host, path, version.version)),
         }
     }
@@ -148,12 +148,12 @@
                     queue = %queue.name,
                     took_ms,
                     steps = spec.steps.len(),
-                    tasks = spec.tasks(),
+                    tasks = spec.task_count(),
                     work_ms = spec.work_ms(),
                     objective_ms = objective_ms(&spec, queue),
                     priority = queue.priority,
-                    lasts = spec.steps.iter().any(|step| step.lasts),
-                    fills = spec.steps.iter().any(|step| step.fills),
+                    lasts = spec.steps.iter().any(|step| step.long_running),
+                    fills = spec.steps.iter().any(|step| step.best_effort),
                     "job accepted"
                 )
             }
--- a/crates/wax-owner/src/advice.rs
+++ b/crates/wax-owner/src/advice.rs
@@ -6,7 +6,7 @@
 use platform::AdviceClient;
 use std::rc::Rc;
 use std::time::Duration;
-use wax_batch::AdviceAsk;
+use wax_batch::AdviceRequest;
 use wax_trace::FailureStreak;
 
 /// Without a change the book is looked through this often.
@@ -21,7 +21,7 @@
     let streak = FailureStreak::new("placement advisor");
     while !tenure.over.is_raised() {
         let listener = tenure.dispatch.listen();
-        let ask = tenure.book.borrow_mut().advice_wanted(shared.now());
+        let ask = tenure.book.borrow_mut().next_advice_request(shared.now());
         let Some(ask) = ask else {
             // Either a change or the time; both lead to another look.
             let _ = timeout(LOOK_PERIOD, listener).await;
@@ -40,7 +40,7 @@
     shared: &PoolShared,
     tenure: &Tenure,
     advisor: &AdviceClient,
-    ask: &AdviceAsk,
+    ask: &AdviceRequest,
 ) -> Result<(), wax_types::WaxError> {
     let asked = shared.now();
     let workers: Vec<Box<str>> = ask.workers.iter().map(|(_, id)| id.clone()).collect();
@@ -54,7 +54,7 @@
     tenure
         .book
         .borrow_mut()
-        .advice_given(ask, &approved, asked + validity);
+        .record_advice(ask, &approved, asked + validity);
     tenure.dispatch.notify(usize::MAX);
     Ok(())
 }
--- a/crates/wax-owner/src/agents.rs
+++ b/crates/wax-owner/src/agents.rs
@@ -13,7 +13,7 @@
 use std::pin::pin;
 use std::rc::Rc;
 use std::time::Duration;
-use wax_batch::{BootId, CrashVerdict, LostRun, RunEnd, RunMark, RunReport, WorkerKey, WorkerView};
+use wax_batch::{BootId, CrashVerdict, LostRun, RunEnd, RunId, RunReport, WorkerKey, WorkerView};
 use wax_trace::{Counter, count_many};
 use wax_types::{TimePoint, wall_clock_ms};
 use wax_wire::{
@@ -86,7 +86,7 @@
         .borrow_mut()
         .open(node, link, outbox, now, &shared.spans);
     if let Some(worker) = known {
-        tenure.book.borrow_mut().worker_reachable(worker, false);
+        tenure.book.borrow_mut().set_worker_reachable(worker, false);
     }
     tracing::info!(agent = node, link, epoch = tenure.epoch, "agent linked");
 }
@@ -101,7 +101,7 @@
         return;
     };
     if let Some(worker) = known {
-        tenure.book.borrow_mut().worker_reachable(worker, false);
+        tenure.book.borrow_mut().set_worker_reachable(worker, false);
     }
     tracing::warn!(agent = node, link, why, "agent unlinked");
 }
@@ -142,7 +142,7 @@
     fn note_heard(&self) {
         if let Some(worker) = self.worker() {
             let now = self.shared.now();
-            self.tenure.book.borrow_mut().worker_heard(worker, now);
+            self.tenure.book.borrow_mut().record_contact(worker, now);
         }
     }
 
@@ -217,17 +217,17 @@
         let boot = view.boot.clone();
         let worker = self.join(view, now);
         let mut book = self.tenure.book.borrow_mut();
-        book.sync_worker(worker, &runs, &ends, now, now_ms);
+        book.reconcile_worker(worker, &runs, &ends, now, now_ms);
         self.is_compared.set(true);
         let mut seats = Vec::with_capacity(runs.len());
         for run in &runs {
-            let task = run.mark.task;
+            let task = run.run_id.task;
             let step = book
                 .job(task.job)
                 .and_then(|job| job.spec.steps.get(usize::from(task.step)));
-            seats.extend(step.map(|step| seat_frame(run.mark, step)));
+            seats.extend(step.map(|step| seat_frame(run.run_id, step)));
         }
-        let cursor = book.acknowledged(worker);
+        let cursor = book.acknowledged_end(worker);
         drop(book);
         tracing::info!(agent = self.node, worker = %boot, runs = runs.len(), ends = ends.len(), "worker taken over");
         let kept = WorkerKept {
@@ -250,15 +250,15 @@
         let key = match before {
             Some((key, known)) if known == boot => {
                 let mut book = self.tenure.book.borrow_mut();
-                book.worker_changed(key, view);
-                book.worker_reachable(key, true);
+                book.update_worker(key, view);
+                book.set_worker_reachable(key, true);
                 key
             }
             Some((key, _)) => {
                 self.tenure.lose_worker(key, now);
-                self.tenure.book.borrow_mut().worker_joined(view, self.node)
+                self.tenure.book.borrow_mut().add_worker(view, self.node)
             }
-            None => self.tenure.book.borrow_mut().worker_joined(view, self.node),
+            None => self.tenure.book.borrow_mut().add_worker(view, self.node),
         };
         self.tenure
             .agents
@@ -290,7 +290,7 @@
     fn worker_changed(&self, view: WorkerView) {
         let known = self.tenure.agents.borrow().worker(self.node);
         if let Some((key, _)) = known.filter(|(_, boot)| *boot == view.boot) {
-            self.tenure.book.borrow_mut().worker_changed(key, view);
+            self.tenure.book.borrow_mut().update_worker(key, view);
             self.tenure.dispatch.notify(usize::MAX);
         }
     }
@@ -307,15 +307,15 @@
             .tenure
             .book
             .borrow_mut()
-            .worker_crashed(self.node, &runs, now, now_ms);
+            .record_crash(self.node, &runs, now, now_ms);
         for note in notes {
             let given_up = note.verdict == CrashVerdict::GivenUp;
             count_many(Counter::TasksGivenUp, given_up.into());
             tracing::info!(
-                task = %note.mark.task,
-                run = note.mark.run,
+                task = %note.run_id.task,
+                run = note.run_id.run,
                 worker = %crash.boot(),
-                ran_ms = note.ran.as_millis() as u64,
+                ran_ms = note.min_run_time.as_millis() as u64,
                 crashes = note.crashes,
                 verdict = ?note.verdict,
                 "run ended with its worker"
@@ -340,11 +340,11 @@
         };
         let mut book = self.tenure.book.borrow_mut();
         for told in &news.rooms {
-            book.set_press_room(worker, &told.serving, f64::from(told.room));
+            book.set_headroom(worker, &told.serving, f64::from(told.room));
         }
         let mut told = Vec::with_capacity(news.pairs.len());
         for pair in &news.pairs {
-            let known = book.merge_press(&pair.serving, &pair.filling, pair.press());
+            let known = book.merge_interference(&pair.serving, &pair.filling, pair.press());
             told.push(PressFrame::new(&pair.serving, &pair.filling, known));
         }
         drop(book);
@@ -375,20 +375,20 @@
         let (now, now_ms) = (self.shared.now(), wall_clock_ms());
         let mut book = self.tenure.book.borrow_mut();
         for mark in &news.started {
-            book.run_started(worker, RunMark::from(mark), now);
+            book.record_start(worker, RunId::from(mark), now);
         }
         for refusal in &news.refused {
             let (mark, why) = refusal.decode();
             tracing::info!(task = %mark.task, run = mark.run, agent = self.node, ?why, "start refused");
-            book.run_refused(worker, mark, why, now, now_ms);
+            book.record_refusal(worker, mark, why, now, now_ms);
         }
         for report in &news.going {
-            book.adopt(worker, &report.into(), now);
+            book.adopt_run(worker, &report.into(), now);
         }
         for end in &news.ends {
             let end = RunEnd::from(end);
-            tracing::info!(task = %end.mark.task, run = end.mark.run, agent = self.node, how = ?end.kind, "run ended");
-            book.run_ended(worker, &end, now, now_ms);
+            tracing::info!(task = %end.run_id.task, run = end.run_id.run, agent = self.node, how = ?end.kind, "run ended");
+            book.record_end(worker, &end, now, now_ms);
         }
         drop(book);
         self.tenure.dispatch.notify(usize::MAX);
--- a/crates/wax-owner/src/chain.rs
+++ b/crates/wax-owner/src/chain.rs
@@ -10,7 +10,7 @@
 use platform::{RowWrite, TX_BYTES, TX_ENTRIES, TxRequest, encoded_bytes};
 use prost::Message;
 use std::time::Duration;
-use wax_batch::{BookNote, JobName};
+use wax_batch::{JobName, ProgressUpdate};
 use wax_types::wall_clock_ms;
 
 /// Jobs whose progress goes into one transaction.
@@ -68,7 +68,7 @@
 /// One transaction of the chain and what it carries.
 pub(crate) struct ChainItem {
     pub(crate) tx: TxRequest,
-    pub(crate) notes: Vec<BookNote>,
+    pub(crate) notes: Vec<ProgressUpdate>,
     pub(crate) agents: Vec<(Box<str>, AgentNote)>,
     pub(crate) forgotten: Vec<JobName>,
     pub(crate) releases: bool,
@@ -96,7 +96,7 @@
         let agents = put_agents(&mut tx, tenure, limits.agents);
         put_presses(&mut tx, shared, tenure);
         let forgotten = remove_forgotten(&mut tx, shared, tenure);
-        let releases = tenure.letting_go.is_raised() && !tenure.book.borrow().has_notes();
+        let releases = tenure.letting_go.is_raised() && !tenure.book.borrow().has_updates();
         if releases {
             let row = OwnerRow {
                 released: true,
@@ -118,7 +118,7 @@
     /// refused by itself is given up, so that the rest goes on; it is due anew when it changes.
     pub(crate) fn put_back(self, tenure: &Tenure, limits: ItemLimits) -> ItemLimits {
         if self.notes.len() > 1 || self.agents.len() > 1 {
-            tenure.book.borrow_mut().notes_failed(&self.notes);
+            tenure.book.borrow_mut().requeue_updates(&self.notes);
             tenure.agents.borrow_mut().notes_failed(self.agents);
             return limits.shrink();
         }
@@ -133,9 +133,9 @@
 }
 
 /// Progress of jobs, as much as fits; the rest is due again.
-fn put_progress(tx: &mut TxRequest, tenure: &Tenure, most: usize) -> Vec<BookNote> {
+fn put_progress(tx: &mut TxRequest, tenure: &Tenure, most: usize) -> Vec<ProgressUpdate> {
     let mut book = tenure.book.borrow_mut();
-    let mut notes = book.take_notes(most);
+    let mut notes = book.take_updates(most);
     let mut bytes = 0;
     let fitting = notes.iter().take_while(|note| {
         let is_first = bytes == 0;
@@ -144,7 +144,7 @@
     });
     let fitting = fitting.count();
     let rest = notes.split_off(fitting);
-    book.notes_failed(&rest);
+    book.requeue_updates(&rest);
     for note in &notes {
         put(tx, progress_key(note.name), &note.progress);
     }
@@ -186,7 +186,10 @@
 
 fn remove_forgotten(tx: &mut TxRequest, shared: &PoolShared, tenure: &Tenure) -> Vec<JobName> {
     let before_ms = wall_clock_ms().saturating_sub(shared.keep_ended.as_millis() as u64);
-    let forgotten = tenure.book.borrow().forgettable(before_ms, FORGET_PER_TX);
+    let forgotten = tenure
+        .book
+        .borrow()
+        .removable_jobs(before_ms, FORGET_PER_TX);
     for job in &forgotten {
         tx.remove
             .extend([job_key(*job), cancel_key(*job), progress_key(*job)]);
--- a/crates/wax-owner/src/dispatch.rs
+++ b/crates/wax-owner/src/dispatch.rs
@@ -5,7 +5,7 @@
 use compio::time::timeout;
 use std::rc::Rc;
 use std::time::Duration;
-use wax_batch::{BootId, StartOrder, UnheardRuns, WorkerKey};
+use wax_batch::{BootId, StartOrder, UnreconciledRuns, WorkerKey};
 use wax_trace::{Counter, Latency, count, count_many, note_latency};
 use wax_types::{TimePoint, wall_clock_ms};
 use wax_wire::{AckEnds, PoolBody, SeatFrame, StartRun, StopRun};
@@ -24,7 +24,10 @@
     while !tenure.over.is_raised() {
         let listener = tenure.dispatch.listen();
         // Either a change or the time; both lead to another look.
-        let wait = tenure.book.borrow().next_look(shared.now(), IDLE_PERIOD);
+        let wait = tenure
+            .book
+            .borrow()
+            .time_to_next_check(shared.now(), IDLE_PERIOD);
         if timeout(wait, listener).await.is_ok() {
             compio::time::sleep(GATHER).await;
         }
@@ -59,7 +62,7 @@
     }
     count_many(
         Counter::WorkersAsked,
-        tenure.book.borrow().take_workers_asked(),
+        tenure.book.borrow().take_workers_evaluated(),
     );
     count_many(
         Counter::AgentsLookedAt,
@@ -67,18 +70,18 @@
     );
     let stops = tenure.book.borrow_mut().take_stops();
     for stop in stops {
-        tracing::info!(task = %stop.mark.task, run = stop.mark.run, why = %stop.why, "stop ordered");
+        tracing::info!(task = %stop.run_id.task, run = stop.run_id.run, why = %stop.reason, "stop ordered");
         count(Counter::StopsOrdered);
-        let mark = stop.mark.into();
+        let mark = stop.run_id.into();
         tenure.tell_worker(stop.worker, PoolBody::Stop(StopRun { mark }));
     }
-    let cursors = tenure.book.borrow_mut().take_cursors();
+    let cursors = tenure.book.borrow_mut().advance_ack_cursors();
     for (worker, cursor) in cursors {
         let boot = worker_boot(tenure, worker);
         let ack = AckEnds::new(&boot, cursor);
         tenure.tell_worker(worker, PoolBody::Ack(ack));
     }
-    if tenure.book.borrow().has_notes() {
+    if tenure.book.borrow().has_updates() {
         tenure.write.notify(usize::MAX);
     }
 }
@@ -102,7 +105,7 @@
 /// What depends on time more than on any one change: due occurrences, runs to move.
 fn look_through(tenure: &Tenure, now: TimePoint) {
     let mut book = tenure.book.borrow_mut();
-    book.open_due(now, wall_clock_ms());
+    book.start_due_occurrences(now, wall_clock_ms());
     if now >= tenure.blind_until.get() {
         book.move_stalled(now);
     }
@@ -139,16 +142,16 @@
 
 fn send_start(tenure: &Tenure, order: &StartOrder) {
     count(Counter::StartsOrdered);
-    let step = &order.spec.steps[usize::from(order.mark.task.step)];
+    let step = &order.spec.steps[usize::from(order.run_id.task.step)];
     let boot = worker_boot(tenure, order.worker);
     tracing::info!(
-        task = %order.mark.task,
-        run = order.mark.run,
+        task = %order.run_id.task,
+        run = order.run_id.run,
         worker = %boot,
         resumes = !order.checkpoint.is_empty(),
         waited_ms = millis(order.reason.waited),
         finish = ?order.reason.rank.finish,
-        left_ms = order.reason.rank.left,
+        left_ms = order.reason.rank.remaining_work_ms,
         cost = rounded(order.reason.cost),
         next_cost = order.reason.next_cost.map(rounded),
         pace = rounded(order.reason.pace),
@@ -156,7 +159,7 @@
         "start ordered"
     );
     let start = StartRun {
-        seat: seat_frame(order.mark, step),
+        seat: seat_frame(order.run_id, step),
         text: order.spec.text.to_string(),
         checkpoint: order.checkpoint.to_string(),
         ticket: order.ticket.to_string(),
@@ -167,13 +170,13 @@
 }
 
 /// What an agent must know of a run.
-pub(crate) fn seat_frame(mark: wax_batch::RunMark, step: &wax_batch::StepSpec) -> SeatFrame {
+pub(crate) fn seat_frame(mark: wax_batch::RunId, step: &wax_batch::StepSpec) -> SeatFrame {
     SeatFrame {
         mark: mark.into(),
         cpu_milli: step.size.cpu_milli,
         memory_mb: step.size.memory_mb,
         accelerators: step.size.accelerators,
-        fills: step.fills,
+        fills: step.best_effort,
         tail_target_ms: step.tail_target_ms,
         image: step.image.to_string(),
     }
@@ -208,7 +211,7 @@
 
 /// Tasks of earlier terms may start as far as no agent that was not heard may run them.
 fn settle(tenure: &Tenure, now: TimePoint) {
-    if tenure.book.borrow().is_settled() {
+    if tenure.book.borrow().is_reconciled() {
         return;
     }
     let agents = tenure.agents.borrow();
@@ -218,22 +221,22 @@
     }
     let unheard = agents.unheard();
     let mut book = tenure.book.borrow_mut();
-    if *book.unheard() == unheard {
+    if *book.unreconciled() == unheard {
         return;
     }
     let bound = match &unheard {
-        UnheardRuns::Any => None,
-        UnheardRuns::Only(jobs) => Some(jobs.len()),
+        UnreconciledRuns::Any => None,
+        UnreconciledRuns::Only(jobs) => Some(jobs.len()),
     };
-    book.set_unheard(unheard);
+    book.set_unreconciled(unheard);
     tracing::info!(
         epoch = tenure.epoch,
         agents = agents.unheard_agents(),
         jobs = bound,
-        held_back = book.held_back(),
+        held_back = book.held_back_task_count(),
         "runs of earlier terms that were not heard"
     );
-    if book.is_settled() {
+    if book.is_reconciled() {
         note_latency(Latency::Settle, now.since(tenure.began));
         tracing::info!(epoch = tenure.epoch, "all workers heard or lapsed");
     }
--- a/crates/wax-owner/src/roster.rs
+++ b/crates/wax-owner/src/roster.rs
@@ -11,7 +11,7 @@
 use std::cell::Cell;
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::time::Duration;
-use wax_batch::{BootId, JobName, UnheardRuns, WorkerKey};
+use wax_batch::{BootId, JobName, UnreconciledRuns, WorkerKey};
 use wax_policy::agent_period;
 use wax_types::TimePoint;
 use wax_wire::PoolBody;
@@ -76,7 +76,7 @@
     /// Its worker, once its runs were compared in this term.
     worker: Option<(WorkerKey, BootId)>,
     /// What may run there of earlier terms, until its runs were compared.
-    earlier: Option<UnheardRuns>,
+    earlier: Option<UnreconciledRuns>,
     /// Until when the last grant reaches.
     grant_end: TimePoint,
     /// Set while nothing certain is known of its worker: by then everything there has lapsed.
@@ -214,17 +214,17 @@
             agent.lapse_at = Some(lapse_at);
             if row.unlinked {
                 let jobs: HashSet<JobName> = row.jobs.iter().map(|job| JobName(*job)).collect();
-                agent.earlier = Some(UnheardRuns::Only(jobs));
+                agent.earlier = Some(UnreconciledRuns::Only(jobs));
                 agent.row = RowStand::Unlinked(boot);
             } else {
-                agent.earlier = Some(UnheardRuns::Any);
+                agent.earlier = Some(UnreconciledRuns::Any);
                 agent.row = RowStand::Stored(boot);
             }
         });
     }
 
     /// What agents that were not heard may still run of earlier terms.
-    pub fn unheard(&self) -> UnheardRuns {
+    pub fn unheard(&self) -> UnreconciledRuns {
         let mut all = HashSet::new();
         for key in &self.earlier {
             self.looked_at.update(|count| count + 1);
@@ -233,12 +233,12 @@
                 .get(*key)
                 .and_then(|agent| agent.earlier.as_ref())
             {
-                Some(UnheardRuns::Any) => return UnheardRuns::Any,
-                Some(UnheardRuns::Only(jobs)) => all.extend(jobs),
+                Some(UnreconciledRuns::Any) => return UnreconciledRuns::Any,
+                Some(UnreconciledRuns::Only(jobs)) => all.extend(jobs),
                 None => {}
             }
         }
-        UnheardRuns::Only(all)
+        UnreconciledRuns::Only(all)
     }
 
     /// Rises whenever [`AgentRoster::unheard`] may have changed.
--- a/crates/wax-owner/src/shared.rs
+++ b/crates/wax-owner/src/shared.rs
@@ -257,7 +257,7 @@
             WaxError::new(ErrorKind::Protocol, Step::ChangeSettings, from, error)
         })?;
         let version = config.version;
-        if !self.config.borrow_mut().offer(config) {
+        if !self.config.borrow_mut().apply_if_newer(config) {
             return Ok(());
         }
         *self.config_text.borrow_mut() = text.to_vec();
--- a/crates/wax-owner/src/tenure.rs
+++ b/crates/wax-owner/src/tenure.rs
@@ -12,7 +12,7 @@
 use std::collections::HashMap;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
-use wax_batch::{BootId, JobBook, JobName, JobOutcome, WorkerKey};
+use wax_batch::{BootId, JobName, JobOutcome, JobScheduler, WorkerKey};
 use wax_http::ShutdownSignal;
 use wax_policy::DrainView;
 use wax_trace::{Counter, count};
@@ -45,7 +45,7 @@
     pub(crate) began: TimePoint,
     /// Whether the owner before surely acted no more when this term began.
     pub(crate) after_release: bool,
-    pub(crate) book: RefCell<JobBook>,
+    pub(crate) book: RefCell<JobScheduler>,
     pub(crate) agents: RefCell<AgentRoster>,
     /// The fronts that are linked.
     pub(crate) fronts: RefCell<FrontRoster>,
@@ -105,7 +105,7 @@
         confirmed: TimePoint,
         after_release: bool,
     ) -> Self {
-        let mut book = JobBook::new(row.epoch, shared.place_rules());
+        let mut book = JobScheduler::new(row.epoch, shared.place_rules());
         if let Some(config) = shared.config.borrow().config() {
             book.set_config(config.clone());
         }
@@ -186,10 +186,10 @@
         if !self.loaded.is_raised() || self.over.is_raised() {
             return JobWord::Unknown;
         }
-        match self.book.borrow().info(job) {
+        match self.book.borrow().job_info(job) {
             Some(info) => JobWord::Known {
                 outcome: info.outcome,
-                begun: info.begun,
+                begun: info.started,
             },
             None => JobWord::Unknown,
         }
@@ -200,7 +200,7 @@
     pub fn pending(&self, queue: &str, now: TimePoint) -> Option<u64> {
         let fresh = now.since(self.jobs_heard.get()) < JOBS_FRESH;
         let whole = self.loaded.is_raised() && !self.over.is_raised() && fresh;
-        whole.then(|| self.book.borrow().pending(queue))
+        whole.then(|| self.book.borrow().pending_job_count(queue))
     }
 
     /// The store has a cancel of a job; the feed may bring it later.
@@ -259,13 +259,20 @@
     /// before knows most, and all pairs to each agent would keep a slow link busy at each takeover.
     pub(crate) fn is_news(&self, known_pairs: u32) -> bool {
         let known = known_pairs as usize;
-        known < self.book.borrow().presses().len().min(MOST_PAIRS) / 2
+        known
+            < self
+                .book
+                .borrow()
+                .interference_table()
+                .len()
+                .min(MOST_PAIRS)
+                / 2
     }
 
     /// All presses, as the store and a new agent are told.
     pub(crate) fn all_presses(&self) -> PressNews {
         let book = self.book.borrow();
-        let pairs = book.presses().iter().take(MOST_PAIRS);
+        let pairs = book.interference_table().iter().take(MOST_PAIRS);
         PressNews {
             pairs: pairs
                 .map(|(serving, filling, press)| PressFrame::new(serving, filling, press))
@@ -328,7 +335,7 @@
     pub(crate) fn lose_worker(&self, worker: WorkerKey, now: TimePoint) {
         self.book
             .borrow_mut()
-            .worker_lost(worker, now, wall_clock_ms());
+            .remove_lost_worker(worker, now, wall_clock_ms());
         self.dispatch.notify(usize::MAX);
     }
 }
--- a/crates/wax-owner/src/writer.rs
+++ b/crates/wax-owner/src/writer.rs
@@ -90,9 +90,9 @@
 
 fn due_in(shared: &PoolShared, tenure: &Tenure) -> Duration {
     let book = tenure.book.borrow();
-    if book.has_urgent_notes() || tenure.agents.borrow().has_notes() {
+    if book.has_urgent_updates() || tenure.agents.borrow().has_notes() {
         URGENT_PAUSE
-    } else if book.has_notes() {
+    } else if book.has_updates() {
         shared.spans.flush
     } else {
         shared.spans.beat
@@ -187,7 +187,7 @@
 
 fn note_stored(tenure: &Tenure, item: &ChainItem) {
     let mut book = tenure.book.borrow_mut();
-    book.notes_stored(&item.notes);
+    book.confirm_updates(&item.notes);
     for job in &item.forgotten {
         book.forget(*job);
     }
--- a/crates/wax-owner/tests/roster.rs
+++ b/crates/wax-owner/tests/roster.rs
@@ -4,7 +4,7 @@
 use futures_util::FutureExt;
 use slotmap::SlotMap;
 use std::collections::BTreeSet;
-use wax_batch::{BootId, JobName, UnheardRuns, WorkerKey};
+use wax_batch::{BootId, JobName, UnreconciledRuns, WorkerKey};
 use wax_owner::{AgentNote, AgentRoster, AgentRow, GoneBoots, OwnerSpans};
 use wax_types::TimePoint;
 use wax_wire::PoolBody;
@@ -46,8 +46,8 @@
     }
 }
 
-fn only(jobs: &[u64]) -> UnheardRuns {
-    UnheardRuns::Only(jobs.iter().map(|job| JobName(*job)).collect())
+fn only(jobs: &[u64]) -> UnreconciledRuns {
+    UnreconciledRuns::Only(jobs.iter().map(|job| JobName(*job)).collect())
 }
 
 fn gone(node: &str) -> Vec<(Box<str>, AgentNote)> {
@@ -122,10 +122,14 @@
     let mut case = Case::new();
     case.load("side-1", &row("w1"));
     case.open("side-1", 1, 0);
-    assert_eq!(case.roster.unheard(), UnheardRuns::Any);
+    assert_eq!(case.roster.unheard(), UnreconciledRuns::Any);
     case.close("side-1", 1, 1_000);
     let unheard = case.roster.unheard();
-    assert_eq!(unheard, UnheardRuns::Any, "the worker may run on alone");
+    assert_eq!(
+        unheard,
+        UnreconciledRuns::Any,
+        "the worker may run on alone"
+    );
     let early = case.roster.drop_lapsed(at(14_999), at(14_999));
     assert!(early.nodes.is_empty());
     case.roster.drop_lapsed(at(15_000), at(15_000));
@@ -219,14 +223,14 @@
     case.load("side-2", &unlinked("w2", &[7, 8]));
     assert_eq!(case.roster.unheard(), only(&[7, 8]));
     case.load("side-3", &row("w3"));
-    assert_eq!(case.roster.unheard(), UnheardRuns::Any);
+    assert_eq!(case.roster.unheard(), UnreconciledRuns::Any);
 }
 
 #[test]
 fn a_row_of_an_older_version_may_stand_for_any_run() {
     let mut case = Case::new();
     case.load("side-1", &AgentRow::default());
-    assert_eq!(case.roster.unheard(), UnheardRuns::Any);
+    assert_eq!(case.roster.unheard(), UnreconciledRuns::Any);
     assert_eq!(
         case.roster.boot_dead(&boot("")),
         None,
--- a/crates/wax-owner/tests/scale/play.rs
+++ b/crates/wax-owner/tests/scale/play.rs
@@ -5,8 +5,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use wax_batch::{
-    BootId, JobBook, JobName, JobOutcome, JobProgress, JobRow, JobSpec, QueueConfig, QueueRules,
-    RunEnd, RunEndKind, RunMark, RunReport, StepSpec, TaskSize, UnheardRuns, WorkerKey, WorkerView,
+    BootId, JobName, JobOutcome, JobProgress, JobRow, JobScheduler, JobSpec, QueueConfig,
+    QueueRules, RunEnd, RunEndKind, RunId, RunReport, StepSpec, TaskSize, UnreconciledRuns,
+    WorkerKey, WorkerView,
 };
 use wax_owner::{
     AgentNote, AgentRoster, AgentRow, FrontLife, FrontRoster, GoneBoots, OwnerFitness, OwnerSpans,
@@ -77,7 +78,7 @@
     AgentBeat(usize),
     FrontBeat(usize),
     Job,
-    End(usize, RunMark),
+    End(usize, RunId),
     Link(usize),
     Return(usize),
     Stored,
@@ -87,7 +88,7 @@
     boot: u64,
     link: u64,
     worker: Option<WorkerKey>,
-    runs: BTreeSet<RunMark>,
+    runs: BTreeSet<RunId>,
     ends: u64,
     /// Ends that no owner has heard.
     unheard: Vec<RunEnd>,
@@ -100,7 +101,7 @@
     size: PoolSize,
     now: TimePoint,
     epoch: u64,
-    book: JobBook,
+    book: JobScheduler,
     /// Open jobs as the store has them.
     jobs: BTreeMap<JobName, (JobRow, Option<JobProgress>)>,
     roster: AgentRoster,
@@ -131,7 +132,7 @@
         prefix: "/g/".into(),
         service: "svc".into(),
         priority: 0,
-        most_attempts: 2,
+        max_attempts: 2,
         stretch: 2.0,
         target_latency_ms: 500,
         timeout_ms: 3_000,
@@ -141,12 +142,12 @@
         version: 1,
         queues: vec![queue.into()],
         services: Vec::new(),
-        body_bytes: 1 << 18,
+        max_body_bytes: 1 << 18,
     }
 }
 
-fn new_book(epoch: u64) -> JobBook {
-    let mut book = JobBook::new(epoch, PlaceRules::default());
+fn new_book(epoch: u64) -> JobScheduler {
+    let mut book = JobScheduler::new(epoch, PlaceRules::default());
     book.set_config(config().into());
     book
 }
@@ -207,12 +208,12 @@
 
     /// Tasks that wait although their jobs were handed in a while ago.
     pub(crate) fn waiting(&self) -> usize {
-        self.book.held_back()
+        self.book.held_back_task_count()
     }
 
     /// What was counted since the last call.
     pub(crate) fn take_cost(&mut self) -> PlayedCost {
-        self.cost.workers_asked += self.book.take_workers_asked();
+        self.cost.workers_asked += self.book.take_workers_evaluated();
         self.cost.agents_looked_at += self.roster.take_looked_at();
         self.cost.fronts_ranked += self.fronts.take_ranked();
         std::mem::take(&mut self.cost)
@@ -292,7 +293,7 @@
             let (node, link) = (node(number), self.agents[number].link);
             let known = self.roster.close(&node, link, self.now, &self.spans);
             if let Some(worker) = known.flatten() {
-                self.book.worker_reachable(worker, false);
+                self.book.set_worker_reachable(worker, false);
             }
         }
         self.changed = true;
@@ -303,7 +304,8 @@
         let node = node(number);
         self.send(1, 40);
         if let Some(worker) = self.roster.worker_gone(&node, &boot) {
-            self.book.worker_lost(worker, self.now, wall(self.now));
+            self.book
+                .remove_lost_worker(worker, self.now, wall(self.now));
         }
         self.gone.note(&boot);
         self.roster.boot_dead(&boot);
@@ -380,7 +382,7 @@
         self.roster
             .granted(&node(number), self.now + self.spans.grant);
         if let Some(worker) = self.agents[number].worker {
-            self.book.worker_heard(worker, self.now);
+            self.book.record_contact(worker, self.now);
         }
         let period = self.roster.period();
         self.answer(PoolBody::Grant(LeaseGrant {
@@ -448,7 +450,7 @@
         self.after(pause, Deed::Job);
     }
 
-    fn end(&mut self, number: usize, mark: RunMark) {
+    fn end(&mut self, number: usize, mark: RunId) {
         let agent = &mut self.agents[number];
         if !agent.runs.remove(&mark) {
             return;
@@ -456,7 +458,7 @@
         agent.ends += 1;
         let end = RunEnd {
             number: agent.ends,
-            mark,
+            run_id: mark,
             kind: RunEndKind::Done,
             checkpoint: "".into(),
         };
@@ -465,7 +467,7 @@
             return;
         };
         self.send(1, 60);
-        self.book.run_ended(worker, &end, self.now, wall(self.now));
+        self.book.record_end(worker, &end, self.now, wall(self.now));
         self.changed = true;
     }
 
@@ -495,15 +497,15 @@
         let view = view(number, boot.clone());
         let worker = match self.roster.worker(&node) {
             Some((key, known)) if known == boot => {
-                self.book.worker_reachable(key, true);
+                self.book.set_worker_reachable(key, true);
                 key
             }
-            _ => self.book.worker_joined(view, &node),
+            _ => self.book.add_worker(view, &node),
         };
         self.roster.compared(&node, worker, &boot);
         let ends = std::mem::take(&mut self.agents[number].unheard);
         self.book
-            .sync_worker(worker, &reports, &ends, self.now, wall(self.now));
+            .reconcile_worker(worker, &reports, &ends, self.now, wall(self.now));
         self.agents[number].worker = Some(worker);
         self.send(2, 200);
         self.changed = true;
@@ -552,7 +554,8 @@
     fn round(&mut self) {
         let lapsed = self.roster.drop_lapsed(self.now, self.now);
         for worker in lapsed.workers {
-            self.book.worker_lost(worker, self.now, wall(self.now));
+            self.book
+                .remove_lost_worker(worker, self.now, wall(self.now));
         }
         let book = &self.book;
         self.roster
@@ -563,13 +566,13 @@
             self.starts += 1;
             self.send(1, 150);
             let number = self.number_of(order.worker);
-            self.agents[number].runs.insert(order.mark);
-            self.book.run_started(order.worker, order.mark, self.now);
-            self.after(TASK_TIME, Deed::End(number, order.mark));
+            self.agents[number].runs.insert(order.run_id);
+            self.book.record_start(order.worker, order.run_id, self.now);
+            self.after(TASK_TIME, Deed::End(number, order.run_id));
         }
-        let notes = self.book.take_notes(usize::MAX);
+        let notes = self.book.take_updates(usize::MAX);
         self.cost.transactions += notes.len().div_ceil(32) as u64;
-        self.book.notes_stored(&notes);
+        self.book.confirm_updates(&notes);
         for note in notes {
             match self.jobs.get_mut(&note.name) {
                 Some(job) if note.progress.outcome() == JobOutcome::Open => {
@@ -580,15 +583,15 @@
                 }
             }
         }
-        let cursors = self.book.take_cursors();
+        let cursors = self.book.advance_ack_cursors();
         self.send(cursors.len() as u64, 20 * cursors.len() as u64);
     }
 
     fn settle(&mut self) {
         let changes = Some(self.roster.unheard_changes());
         if std::mem::replace(&mut self.unheard_seen, changes) != changes {
-            let unheard: UnheardRuns = self.roster.unheard();
-            self.book.set_unheard(unheard);
+            let unheard: UnreconciledRuns = self.roster.unheard();
+            self.book.set_unreconciled(unheard);
         }
     }
 
@@ -624,12 +627,12 @@
     }
 }
 
-fn report(mark: RunMark) -> RunReport {
+fn report(mark: RunId) -> RunReport {
     RunReport {
-        mark,
+        run_id: mark,
         checkpoint: "".into(),
         percent: 10,
-        figure: 700,
-        listed: true,
+        load_metric: 700,
+        confirmed_by_worker: true,
     }
 }
--- a/crates/wax-wire/src/pool_parts.rs
+++ b/crates/wax-wire/src/pool_parts.rs
@@ -3,7 +3,7 @@
 use prost::Message;
 use std::time::Duration;
 use wax_batch::{
-    BootId, JobName, LostRun, RunEnd, RunEndKind, RunMark, RunReport, StartRefusal, TaskName,
+    BootId, JobName, LostRun, RunEnd, RunEndKind, RunId, RunReport, StartRefusal, TaskName,
     TaskSize, WorkerState, WorkerView,
 };
 
@@ -22,8 +22,8 @@
     run: u64,
 }
 
-impl From<RunMark> for MarkFrame {
-    fn from(mark: RunMark) -> Self {
+impl From<RunId> for MarkFrame {
+    fn from(mark: RunId) -> Self {
         Self {
             job: mark.task.job.0,
             occurrence: mark.task.occurrence,
@@ -34,7 +34,7 @@
     }
 }
 
-impl From<&MarkFrame> for RunMark {
+impl From<&MarkFrame> for RunId {
     fn from(frame: &MarkFrame) -> Self {
         Self {
             task: TaskName {
@@ -172,11 +172,11 @@
 impl From<&RunReport> for ReportFrame {
     fn from(report: &RunReport) -> Self {
         Self {
-            mark: report.mark.into(),
+            mark: report.run_id.into(),
             checkpoint: report.checkpoint.to_string(),
             percent: report.percent,
-            figure: report.figure,
-            listed: report.listed,
+            figure: report.load_metric,
+            listed: report.confirmed_by_worker,
         }
     }
 }
@@ -184,11 +184,11 @@
 impl From<&ReportFrame> for RunReport {
     fn from(frame: &ReportFrame) -> Self {
         Self {
-            mark: (&frame.mark).into(),
+            run_id: (&frame.mark).into(),
             checkpoint: frame.checkpoint.as_str().into(),
             percent: frame.percent,
-            figure: frame.figure,
-            listed: frame.listed,
+            load_metric: frame.figure,
+            confirmed_by_worker: frame.listed,
         }
     }
 }
@@ -206,8 +206,8 @@
 impl From<&LostRun> for LostFrame {
     fn from(lost: &LostRun) -> Self {
         Self {
-            mark: lost.mark.into(),
-            ran_ms: lost.ran.map(|ran| ran.as_millis() as u64),
+            mark: lost.run_id.into(),
+            ran_ms: lost.min_run_time.map(|ran| ran.as_millis() as u64),
         }
     }
 }
@@ -215,8 +215,8 @@
 impl From<&LostFrame> for LostRun {
     fn from(frame: &LostFrame) -> Self {
         Self {
-            mark: (&frame.mark).into(),
-            ran: frame.ran_ms.map(Duration::from_millis),
+            run_id: (&frame.mark).into(),
+            min_run_time: frame.ran_ms.map(Duration::from_millis),
         }
     }
 }
@@ -249,7 +249,7 @@
         let kind = END_KINDS.iter().position(|kind| *kind == end.kind);
         Self {
             number: end.number,
-            mark: end.mark.into(),
+            mark: end.run_id.into(),
             kind: kind.unwrap_or_default() as u32,
             checkpoint: end.checkpoint.to_string(),
         }
@@ -258,7 +258,7 @@
 
 impl EndFrame {
     /// Which run has ended.
-    pub fn run_mark(&self) -> RunMark {
+    pub fn run_mark(&self) -> RunId {
         (&self.mark).into()
     }
 }
@@ -268,7 +268,7 @@
         let kind = END_KINDS.get(frame.kind as usize).copied();
         Self {
             number: frame.number,
-            mark: (&frame.mark).into(),
+            run_id: (&frame.mark).into(),
             kind: kind.unwrap_or(RunEndKind::Stopped),
             checkpoint: frame.checkpoint.as_str().into(),
         }
@@ -286,7 +286,7 @@
 
 impl RefusalFrame {
     /// Encodes a refusal.
-    pub fn new(mark: RunMark, refusal: StartRefusal) -> Self {
+    pub fn new(mark: RunId, refusal: StartRefusal) -> Self {
         let why = match refusal {
             StartRefusal::Stale => 0,
             StartRefusal::Room => 1,
@@ -300,7 +300,7 @@
     }
 
     /// Decodes it.
-    pub fn decode(&self) -> (RunMark, StartRefusal) {
+    pub fn decode(&self) -> (RunId, StartRefusal) {
         let refusal = match self.why {
             1 => StartRefusal::Room,
             2 => StartRefusal::Unwell,
--- a/crates/wax-wire/tests/fuzz.rs
+++ b/crates/wax-wire/tests/fuzz.rs
@@ -5,7 +5,7 @@
 
 use fuzz::{damage_bytes, fuzz};
 use prost::Message;
-use wax_batch::{BootId, JobName, RunMark, TaskName, WorkerView};
+use wax_batch::{BootId, JobName, RunId, TaskName, WorkerView};
 use wax_wire::{
     AckEnds, AgentHello, MarkFrame, PoolBody, PoolFrame, ReportFrame, RunNews, StopRun, WorkerGone,
     WorkerUp,
@@ -19,7 +19,7 @@
         step: 2,
         index: 17,
     };
-    let mark = RunMark { task, run: 3 };
+    let mark = RunId { task, run: 3 };
     let view = WorkerView {
         boot: boot.clone(),
         ..Default::default()
--- a/crates/wax-wire/tests/pool.rs
+++ b/crates/wax-wire/tests/pool.rs
@@ -4,14 +4,14 @@
 use std::time::Duration;
 use tokio_util::codec::{Decoder, Encoder};
 use wax_batch::{
-    BootId, JobName, LostRun, RunEnd, RunEndKind, RunMark, RunReport, StartRefusal, TaskName,
+    BootId, JobName, LostRun, RunEnd, RunEndKind, RunId, RunReport, StartRefusal, TaskName,
     TaskSize, WorkerState, WorkerView,
 };
 use wax_policy::PairPress;
 use wax_wire::*;
 
-fn mark() -> RunMark {
-    RunMark {
+fn mark() -> RunId {
+    RunId {
         task: TaskName {
             job: JobName(0x5c0e_7a21_d94b_36f8),
             occurrence: 3,
@@ -46,25 +46,25 @@
 
 fn report() -> RunReport {
     RunReport {
-        mark: mark(),
+        run_id: mark(),
         checkpoint: "00bb".into(),
         percent: 41,
-        figure: 12,
-        listed: true,
+        load_metric: 12,
+        confirmed_by_worker: true,
     }
 }
 
 fn lost() -> LostRun {
     LostRun {
-        mark: mark(),
-        ran: Some(Duration::from_millis(12)),
+        run_id: mark(),
+        min_run_time: Some(Duration::from_millis(12)),
     }
 }
 
 fn end() -> RunEnd {
     RunEnd {
         number: 58,
-        mark: mark(),
+        run_id: mark(),
         kind: RunEndKind::Broken,
         checkpoint: "".into(),
     }
@@ -172,14 +172,14 @@
     cancelled: PoolBody::Cancelled(JobCancelled { job: 7 }),
     boot_crashed: PoolBody::BootCrashed(BootCrashed {
         worker: "i-1".into(),
-        runs: vec![(&lost()).into(), (&LostRun { ran: None, ..lost() }).into()],
+        runs: vec![(&lost()).into(), (&LostRun { min_run_time: None, ..lost() }).into()],
         started_ms: None,
     }),
 }
 
 #[test]
 fn typed_parts_come_back_as_they_were() {
-    assert_eq!(RunMark::from(&MarkFrame::from(mark())), mark());
+    assert_eq!(RunId::from(&MarkFrame::from(mark())), mark());
     assert_eq!(WorkerView::from(WorkerFrame::from(&view())), view());
     assert_eq!(RunReport::from(&ReportFrame::from(&report())), report());
     assert_eq!(RunEnd::from(&EndFrame::from(&end())), end());
--- a/tests/pool/links.rs
+++ b/tests/pool/links.rs
@@ -7,7 +7,7 @@
 use futures_channel::mpsc::{UnboundedSender, unbounded};
 use std::net::SocketAddr;
 use std::time::Duration;
-use wax_batch::{BootId, RunEnd, RunEndKind, RunMark, TaskSize, WorkerView};
+use wax_batch::{BootId, RunEnd, RunEndKind, RunId, TaskSize, WorkerView};
 use wax_wire::{
     AgentHello, EndFrame, LinkPing, PoolBody, PoolReader, PoolWriter, RunNews, WorkerUp,
     split_stream,
@@ -97,9 +97,9 @@
         .expect("the message comes")
     }
 
-    async fn next_start(&mut self) -> RunMark {
+    async fn next_start(&mut self) -> RunId {
         self.next(|body| match body {
-            PoolBody::Start(order) => Some(RunMark::from(&order.seat.mark)),
+            PoolBody::Start(order) => Some(RunId::from(&order.seat.mark)),
             _ => None,
         })
         .await
@@ -111,10 +111,10 @@
     }
 }
 
-fn done(number: u64, mark: RunMark) -> RunEnd {
+fn done(number: u64, mark: RunId) -> RunEnd {
     RunEnd {
         number,
-        mark,
+        run_id: mark,
         kind: RunEndKind::Done,
         checkpoint: "".into(),
     }
