--- a/crates/wax-batch/src/boot.rs
+++ b/crates/wax-batch/src/boot.rs
@@ -40,11 +40,11 @@
 
     /// Returns whether both may identify the same boot. An unknown start time matches any.
     pub fn may_match(&self, other: &Self) -> bool {
-        let differ = self
+        let differs = self
             .started_ms
             .zip(other.started_ms)
             .is_some_and(|(one, other)| one != other);
-        self.worker == other.worker && !differ
+        self.worker == other.worker && !differs
     }
 
     /// Returns whether both are known to identify different boots of the same worker.
--- a/crates/wax-batch/src/crash_history.rs
+++ b/crates/wax-batch/src/crash_history.rs
@@ -22,7 +22,7 @@
 const PROVEN_HARMLESS_AFTER: Duration = Duration::from_secs(10);
 /// Time for which a suspected task has its worker to itself after a start: until a crash would no
 /// longer count as early, and one more answer interval.
-const SHORT_ISOLATION: Duration = EARLY_CRASH_LIMIT.saturating_mul(2);
+const SHORT_ISOLATION_TIME: Duration = EARLY_CRASH_LIMIT.saturating_mul(2);
 /// Number of VMs with an early crash after a start of the task that proves it to be the cause, if
 /// no other run had just started at the last crash. To occur by chance, two other causes would each
 /// have to fall within [`EARLY_CRASH_LIMIT`] of a start of the same task.
@@ -44,7 +44,7 @@
 /// exist. The restarted worker is empty and would attract all waiting tasks. Without this rule 938
 /// instead of 824 workers crash in 40 runs of `crash_storm` with one crashing job in 20, and 2 of
 /// 8,000 jobs fail because of workers that restart repeatedly.
-const VM_AVOIDANCE: Duration = Duration::from_secs(3);
+const VM_AVOIDANCE_TIME: Duration = Duration::from_secs(3);
 
 /// Part of a task in a crash of its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -103,7 +103,7 @@
 
 impl CrashHistory {
     /// Returns the number of workers that crashed under the task.
-    pub fn crashes(&self) -> usize {
+    pub fn crash_count(&self) -> usize {
         self.runs.len()
     }
 
@@ -119,14 +119,14 @@
     }
 
     /// Returns whether a worker on this VM crashed under the task.
-    pub(crate) fn names(&self, vm: &str) -> bool {
+    pub(crate) fn includes_vm(&self, vm: &str) -> bool {
         self.runs.iter().any(|crashed| *crashed.vm == *vm)
     }
 
     /// Returns whether the task should currently only start on VMs on which no worker has crashed
     /// under it.
     pub(crate) fn avoids_vms(&self, now: TimePoint) -> bool {
-        !self.is_empty() && now.since(self.last_reported) < VM_AVOIDANCE
+        !self.is_empty() && now.since(self.last_reported) < VM_AVOIDANCE_TIME
     }
 
     fn early(&self) -> impl Iterator<Item = &CrashedRun> {
@@ -135,7 +135,7 @@
 
     /// Records a run that ended in a crash of its worker. A run counts once, however often it is
     /// reported.
-    pub(crate) fn update(
+    pub(crate) fn record(
         &mut self,
         crashed: RunInCrash,
         context: CrashContext<'_>,
@@ -171,7 +171,7 @@
 
     fn verdict(&self, crashed: RunInCrash, repeated: bool, early: bool) -> CrashVerdict {
         // A service with fewer VMs than required cannot provide more evidence.
-        let enough = |vms: usize, most: usize| vms >= most.min(crashed.vms);
+        let enough = |vms: usize, required: usize| vms >= required.min(crashed.vms);
         let vms = count_vms(self.runs.iter());
         // A VM with another crash shortly before is weaker evidence, so one more early crash is
         // required.
@@ -179,12 +179,12 @@
         let proven_early = early
             && self.early().count() >= needed
             && enough(count_vms(self.early()), EARLY_CRASH_VMS);
-        let proven_late = self.crashes() >= LATE_CRASH_VMS && enough(vms, LATE_CRASH_VMS);
+        let proven_late = self.crash_count() >= LATE_CRASH_VMS && enough(vms, LATE_CRASH_VMS);
         // A long-running task is hit by more crashes of other causes in its lifetime than a task
         // that ends.
         let too_many = self.early().count() >= MAX_EARLY_CRASHES
             || !crashed.long_running
-                && self.crashes() >= MAX_CRASHES
+                && self.crash_count() >= MAX_CRASHES
                 && enough(vms, MANY_CRASH_VMS);
         match crashed.is_only_recent_start && (proven_early || proven_late) || too_many {
             true => CrashVerdict::GivenUp,
@@ -199,7 +199,7 @@
         if !long_running && count_vms(self.runs.iter()) >= MANY_CRASH_VMS {
             Some(PROVEN_HARMLESS_AFTER)
         } else if self.early().next().is_some() {
-            Some(SHORT_ISOLATION)
+            Some(SHORT_ISOLATION_TIME)
         } else {
             None
         }
--- a/crates/wax-batch/src/crashes.rs
+++ b/crates/wax-batch/src/crashes.rs
@@ -107,17 +107,17 @@
         let before = self.last_vm_crash.insert(vm.into(), now);
         let repeated =
             before.is_some_and(|crashed_at| now.since(crashed_at) < REPEATED_CRASH_WINDOW);
-        let known = runs
+        let timed_runs = runs
             .iter()
             .filter_map(|lost| Some((lost.run_id, lost.min_run_time?)));
-        let known: Vec<(RunId, Duration)> = known.collect();
+        let timed_runs: Vec<(RunId, Duration)> = timed_runs.collect();
         let context = CrashContext { vm, repeated };
-        let mut findings = Vec::with_capacity(known.len());
-        for (run_id, min_run_time) in &known {
-            let near = known
+        let mut findings = Vec::with_capacity(timed_runs.len());
+        for (run_id, min_run_time) in &timed_runs {
+            let recent_starts = timed_runs
                 .iter()
                 .filter(|(_, other)| *other < *min_run_time + EARLY_CRASH_LIMIT);
-            let is_only_recent_start = near.count() == 1;
+            let is_only_recent_start = recent_starts.count() == 1;
             let finding = self.record_run_crash(
                 (*run_id, *min_run_time),
                 is_only_recent_start,
@@ -147,9 +147,9 @@
         };
         let task = self.task_mut(task_ref)?;
         let before = task.crash_history.clone();
-        let verdict = task.crash_history.update(crashed, context, now);
+        let verdict = task.crash_history.record(crashed, context, now);
         task.last_run = task.last_run.max(run_id.run);
-        let crashes = task.crash_history.crashes();
+        let crashes = task.crash_history.crash_count();
         if task.crash_history != before {
             self.mark_changed(task_ref.step.job);
         }
@@ -186,8 +186,9 @@
     ) -> bool {
         let mut workers = self.workers.values();
         crash_history.avoids_vms(now)
-            && workers
-                .any(|worker| *worker.view.service == *service && !crash_history.names(&worker.vm))
+            && workers.any(|worker| {
+                *worker.view.service == *service && !crash_history.includes_vm(&worker.vm)
+            })
     }
 
     /// Returns for how long the next start of a task must have its worker to itself. Members of a
@@ -216,8 +217,8 @@
     ) -> bool {
         let workers = self.workers.values();
         let of_service = workers.filter(|worker| *worker.view.service == *service);
-        let kept = of_service.filter(|worker| worker.is_reserved_against(Some(task_ref), now));
-        kept.count() >= (self.worker_count(service) / WORKERS_PER_ISOLATION).max(1)
+        let isolated = of_service.filter(|worker| worker.is_reserved_against(Some(task_ref), now));
+        isolated.count() >= (self.worker_count(service) / WORKERS_PER_ISOLATION).max(1)
     }
 
     /// Prepares an isolated start of a suspected task on a worker. Returns whether the task can
--- a/crates/wax-batch/src/ends.rs
+++ b/crates/wax-batch/src/ends.rs
@@ -13,14 +13,14 @@
 /// is excluded.
 const EXCLUDE_AFTER_FAILED_TASKS: usize = 3;
 /// Time for which a worker gets no tasks after repeated failures.
-const EXCLUSION: Duration = Duration::from_secs(3);
+const EXCLUSION_TIME: Duration = Duration::from_secs(3);
 
 /// Time for which a task does not return to the worker on which it failed. Otherwise its few
 /// attempts could all be spent on a worker on which every task fails.
-const RETRY_ELSEWHERE: Duration = Duration::from_millis(1_000);
+const SAME_WORKER_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 /// Time for which a worker gets no tasks after its agent has refused an order because of newer
 /// information than the owner has.
-const SHORT_EXCLUSION: Duration = Duration::from_millis(100);
+const SHORT_EXCLUSION_TIME: Duration = Duration::from_millis(100);
 
 /// Reason why a worker did not start a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -50,10 +50,12 @@
         }
         self.end_run(worker, run_id, RunEndKind::Stopped, "", now, now_ms);
         let exclusion = match refusal {
-            StartRefusal::Unwell => EXCLUSION,
+            StartRefusal::Unwell => EXCLUSION_TIME,
             // Agent and owner disagree for a moment. Without a pause the same order would be sent
             // again immediately.
-            StartRefusal::Room | StartRefusal::Stale | StartRefusal::Drained => SHORT_EXCLUSION,
+            StartRefusal::Room | StartRefusal::Stale | StartRefusal::Drained => {
+                SHORT_EXCLUSION_TIME
+            }
         };
         if let Some(record) = self.workers.get_mut(worker) {
             record.excluded_until = record.excluded_until.max(now + exclusion);
@@ -97,10 +99,10 @@
         let Some(task_ref) = self.resolve_task(end.run_id.task, now) else {
             return;
         };
-        let waits = self
+        let is_waiting = self
             .task_mut(task_ref)
             .is_some_and(|task| matches!(task.state, TaskState::Waiting));
-        if waits {
+        if is_waiting {
             self.reserve_task(task_ref, worker, end.run_id.run, true, now);
         }
     }
@@ -275,11 +277,11 @@
             // otherwise exclude its worker from all other work.
             record.failed_tasks.insert(task);
             if record.failed_tasks.len() >= EXCLUDE_AFTER_FAILED_TASKS {
-                record.excluded_until = now + EXCLUSION;
+                record.excluded_until = now + EXCLUSION_TIME;
             }
         }
         if let Some(task) = self.task_mut(task_ref) {
-            task.excluded_worker = Some((worker, now + RETRY_ELSEWHERE));
+            task.excluded_worker = Some((worker, now + SAME_WORKER_RETRY_DELAY));
         }
         self.count_failure(task_ref, run, now_ms);
     }
@@ -368,7 +370,7 @@
     /// Advances the acknowledgement cursors of workers past the ends that are stored. Returns the
     /// cursors that advanced.
     pub fn advance_ack_cursors(&mut self) -> Vec<(WorkerKey, u64)> {
-        let mut moved = Vec::new();
+        let mut advanced = Vec::new();
         let (workers, jobs) = (&mut self.workers, &self.jobs);
         self.unacknowledged.retain(|key| {
             let Some(record) = workers.get_mut(*key) else {
@@ -387,10 +389,10 @@
                 record.pending_ends.pop_front();
             }
             if record.ack_cursor > before {
-                moved.push((*key, record.ack_cursor));
+                advanced.push((*key, record.ack_cursor));
             }
             !record.pending_ends.is_empty()
         });
-        moved
+        advanced
     }
 }
--- a/crates/wax-batch/src/fit.rs
+++ b/crates/wax-batch/src/fit.rs
@@ -75,16 +75,18 @@
         if !step.reserved().fits(self.free_capacity()) {
             return Some(WaitReason::Capacity);
         }
-        let left = self.best_effort_headroom_milli(best_effort_limit, rules);
-        (step.best_effort && left < f64::from(step.size.cpu_milli)).then_some(WaitReason::Spare)
+        let available = self.best_effort_headroom_milli(best_effort_limit, rules);
+        (step.best_effort && available < f64::from(step.size.cpu_milli))
+            .then_some(WaitReason::Spare)
     }
 
     /// Returns the processors that best-effort tasks may still request, in thousandths of a core.
     fn best_effort_headroom_milli(&self, best_effort_limit: f64, rules: &PlaceRules) -> f64 {
-        let lasting = f64::from(self.long_running_milli);
-        let batch = f64::from(self.reserved.cpu_milli) - lasting;
-        let left = f64::from(self.view.capacity.cpu_milli) - batch - lasting * rules.lasting_use;
-        left * best_effort_limit - f64::from(self.best_effort_milli)
+        let long_running = f64::from(self.long_running_milli);
+        let batch = f64::from(self.reserved.cpu_milli) - long_running;
+        let available =
+            f64::from(self.view.capacity.cpu_milli) - batch - long_running * rules.lasting_use;
+        available * best_effort_limit - f64::from(self.best_effort_milli)
     }
 
     /// Returns the expected interference between one more task of the step and the serving tasks on
--- a/crates/wax-batch/src/migrations.rs
+++ b/crates/wax-batch/src/migrations.rs
@@ -10,7 +10,7 @@
 use wax_types::TimePoint;
 
 /// Runs with at least this share of their work done are not moved, percent.
-const NEARLY_DONE: u32 = 80;
+const NEARLY_DONE_PERCENT: u32 = 80;
 
 impl JobScheduler {
     /// Orders the stop of stalled best-effort runs that could make progress on another worker.
@@ -135,7 +135,7 @@
         let placement = self
             .placement_of(task_ref)
             .filter(|placement| placement.running && !placement.stop_ordered)?;
-        if !spec.checkpoints || placement.percent >= NEARLY_DONE {
+        if !spec.checkpoints || placement.percent >= NEARLY_DONE_PERCENT {
             return None;
         }
         let share = Duration::from_millis(spec.estimate_ms.into()).mul_f64(self.rules.stall_share);
--- a/crates/wax-batch/src/names.rs
+++ b/crates/wax-batch/src/names.rs
@@ -39,10 +39,10 @@
     type Err = NameError;
 
     fn from_str(text: &str) -> Result<Self, NameError> {
-        let plain = text
+        let is_hex = text
             .bytes()
             .all(|byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f'));
-        if text.len() != JOB_DIGITS || !plain {
+        if text.len() != JOB_DIGITS || !is_hex {
             return Err(NameError);
         }
         u64::from_str_radix(text, 16)
--- a/crates/wax-batch/src/placement.rs
+++ b/crates/wax-batch/src/placement.rs
@@ -147,11 +147,11 @@
         if workers <= SAMPLE_SIZE {
             return;
         }
-        let pause = RECHECK_DELAY_PER_WORKER.saturating_mul(workers as u32);
+        let delay = RECHECK_DELAY_PER_WORKER.saturating_mul(workers as u32);
         let job = self.jobs.get_mut(step_ref.job);
         let occurrence = job.and_then(|job| job.occurrences.get_mut(&step_ref.occurrence));
         if let Some(occurrence) = occurrence {
-            occurrence.steps[usize::from(step_ref.step)].next_check = Some(now + pause);
+            occurrence.steps[usize::from(step_ref.step)].next_check = Some(now + delay);
         }
     }
 
@@ -165,10 +165,10 @@
         }
         match self.eligibility(step_ref, step) {
             StepEligibility::All => true,
-            some => step
+            located => step
                 .tasks
                 .iter()
-                .any(|task| task.is_waiting() && some.covers(task)),
+                .any(|task| task.is_waiting() && located.includes(task)),
         }
     }
 
@@ -189,7 +189,7 @@
         let record = &occurrence.steps[usize::from(step_ref.step)];
         let eligibility = self.eligibility(step_ref, record);
         let tasks = (0..).zip(&record.tasks);
-        let waiting = tasks.filter(|(_, task)| task.is_waiting() && eligibility.covers(task));
+        let waiting = tasks.filter(|(_, task)| task.is_waiting() && eligibility.includes(task));
         // Tasks with crashes come last: they may have to wait for an isolated worker, which must
         // not hold up the others.
         let (others, with_crashes): (Vec<_>, Vec<_>) =
@@ -200,8 +200,8 @@
             .chain(with_crashes)
             .map(|(index, _)| index)
             .collect();
-        let gang_waits = step.gang && waiting.len() < step.count as usize;
-        if waiting.is_empty() || gang_waits {
+        let is_gang_incomplete = step.gang && waiting.len() < step.count as usize;
+        if waiting.is_empty() || is_gang_incomplete {
             return;
         }
         let request = StepRequest {
@@ -369,12 +369,12 @@
         if step.data_rack.is_some() || !step.one_rack {
             return step.data_rack.clone();
         }
-        let placed = self.rack_of_placed(step_ref);
+        let placed = self.rack_with_most_tasks(step_ref);
         placed.or_else(|| self.rack_with_most_capacity(step, service, now))
     }
 
     /// Returns the rack that runs the most tasks of a step.
-    fn rack_of_placed(&self, step_ref: StepRef) -> Option<Box<str>> {
+    fn rack_with_most_tasks(&self, step_ref: StepRef) -> Option<Box<str>> {
         let occurrence = self
             .jobs
             .get(step_ref.job)?
@@ -571,8 +571,9 @@
         if record.spread.get(&key).copied().unwrap_or(0) >= max_tasks {
             return Err(WaitReason::Spread);
         }
-        if failed.is_some_and(|task| task.avoids_vms && task.record.crash_history.names(&worker.vm))
-        {
+        if failed.is_some_and(|task| {
+            task.avoids_vms && task.record.crash_history.includes_vm(&worker.vm)
+        }) {
             return Err(WaitReason::FailedThere);
         }
         if worker.is_reserved_against(failed.map(|task| task.task_ref), now) {
--- a/crates/wax-batch/src/rank.rs
+++ b/crates/wax-batch/src/rank.rs
@@ -99,8 +99,8 @@
 }
 
 fn objective_of(chain: &[u64], queue: &QueueRules) -> f64 {
-    let whole = chain.iter().copied().max().unwrap_or(0) as f64;
-    queue.stretch * whole + f64::from(queue.target_latency_ms)
+    let longest = chain.iter().copied().max().unwrap_or(0) as f64;
+    queue.stretch * longest + f64::from(queue.target_latency_ms)
 }
 
 impl JobRank {
--- a/crates/wax-batch/src/relaxation.rs
+++ b/crates/wax-batch/src/relaxation.rs
@@ -29,8 +29,8 @@
         now: TimePoint,
     ) -> Self {
         let waited = now.since(step.waiting_since);
-        let old = lightly_loaded || now.since(job.accepted) >= rules.old_age;
-        if old && waited >= rules.starvation && !job.has_placed() {
+        let is_old = lightly_loaded || now.since(job.accepted) >= rules.old_age;
+        if is_old && waited >= rules.starvation && !job.has_placed() {
             Self::Starved
         } else if waited < rules.fill_patience {
             Self::Careful
--- a/crates/wax-batch/src/scheduler.rs
+++ b/crates/wax-batch/src/scheduler.rs
@@ -376,14 +376,14 @@
     /// Starts all due occurrences of repeated jobs. Returns when the next one is due, Unix
     /// milliseconds.
     pub fn start_due_occurrences(&mut self, now: TimePoint, now_ms: u64) -> Option<u64> {
-        let timed: Vec<JobKey> = self
+        let repeated: Vec<JobKey> = self
             .jobs
             .iter()
             .filter(|(_, job)| job.spec.repeat.is_some() && !job.is_over())
             .map(|(key, _)| key)
             .collect();
         let mut next = None;
-        for key in timed {
+        for key in repeated {
             let due = self.start_due_occurrences_of(key, now, now_ms);
             self.open_ready_steps(key, now);
             next = [next, due].into_iter().flatten().min();
@@ -517,8 +517,9 @@
 
     /// Returns the number of open jobs of a queue of which no task has started.
     pub fn pending_job_count(&self, queue: &str) -> u64 {
-        let waits = |job: &&JobRecord| *job.queue.name == *queue && !job.started && !job.is_over();
-        self.jobs.values().filter(waits).count() as u64
+        let is_pending =
+            |job: &&JobRecord| *job.queue.name == *queue && !job.started && !job.is_over();
+        self.jobs.values().filter(is_pending).count() as u64
     }
 
     /// Returns the stops ordered since the last call.
--- a/crates/wax-batch/src/unreconciled.rs
+++ b/crates/wax-batch/src/unreconciled.rs
@@ -30,7 +30,7 @@
         matches!(self, Self::Only(jobs) if jobs.is_empty())
     }
 
-    fn may_hold(&self, job: JobName) -> bool {
+    fn may_run(&self, job: JobName) -> bool {
         match self {
             Self::Any => true,
             Self::Only(jobs) => jobs.contains(&job),
@@ -48,7 +48,7 @@
 }
 
 impl StepEligibility {
-    pub(crate) fn covers(self, task: &TaskRecord) -> bool {
+    pub(crate) fn includes(self, task: &TaskRecord) -> bool {
         match self {
             Self::All => true,
             Self::Located => task.located_in_term,
@@ -102,7 +102,7 @@
         let held = step
             .tasks
             .iter()
-            .filter(|task| task.is_waiting() && !eligibility.covers(task));
+            .filter(|task| task.is_waiting() && !eligibility.includes(task));
         held.count()
     }
 
@@ -117,8 +117,8 @@
 
     pub(crate) fn eligibility(&self, step_ref: StepRef, step: &StepRecord) -> StepEligibility {
         let job = &self.jobs[step_ref.job];
-        let is_bound = job.epoch < self.epoch && self.unreconciled.may_hold(job.name);
-        if is_bound && !step.is_new_in_term {
+        let may_be_unreconciled = job.epoch < self.epoch && self.unreconciled.may_run(job.name);
+        if may_be_unreconciled && !step.is_new_in_term {
             StepEligibility::Located
         } else {
             StepEligibility::All
--- a/crates/wax-batch/tests/crash_storm.rs
+++ b/crates/wax-batch/tests/crash_storm.rs
@@ -12,19 +12,19 @@
 };
 
 /// Length of a step, milliseconds.
-const STEP: u64 = 10;
+const STEP_MS: u64 = 10;
 /// A worker that has ended is back after this, milliseconds.
-const BACK_AFTER: u64 = 3_000;
+const RESTART_DELAY_MS: u64 = 3_000;
 /// A worker's agent has an answer at least this often, milliseconds.
-const ANSWERS: u64 = 250;
+const ANSWER_INTERVAL_MS: u64 = 250;
 /// How long after its end a worker counts as silent, milliseconds.
-const SILENT_AFTER: u64 = 100;
+const SILENT_AFTER_MS: u64 = 100;
 /// A task ends its worker so long after its start, milliseconds.
-const CRASH_AFTER: u64 = 10;
+const CRASH_DELAY_MS: u64 = 10;
 /// Three workers may end before it must be known, and two more starts may follow.
 const MAX_STARTS: u32 = 5;
 /// When workers go down by themselves, milliseconds.
-const FLAPPING: std::ops::Range<u64> = 0..15_000;
+const FLAPPING_MS: std::ops::Range<u64> = 0..15_000;
 const WORKERS: usize = 11;
 const PROCESSORS_MILLI: u32 = 32_000;
 
@@ -36,9 +36,9 @@
     /// How many workers go down and up by turns.
     flapping: usize,
     /// How long such a worker is up, milliseconds.
-    up: u64,
+    up_ms: u64,
     /// A job comes this often, milliseconds.
-    period: u64,
+    period_ms: u64,
 }
 
 #[derive(Debug)]
@@ -47,12 +47,12 @@
     boot: u32,
     /// Starts of runs by their marks.
     runs: HashMap<RunId, u64>,
-    answered: u64,
-    ended: Option<u64>,
-    told_silent: bool,
-    ends: u64,
+    last_answer: u64,
+    ended_at: Option<u64>,
+    reported_silent: bool,
+    end_count: u64,
     /// When it ends by itself.
-    ends_at: Option<u64>,
+    crashes_at: Option<u64>,
 }
 
 #[derive(Debug, Default)]
@@ -61,7 +61,7 @@
     starts: BTreeMap<u64, u32>,
     crashes: u32,
     /// Jobs without such a task that failed.
-    wronged: Vec<u64>,
+    wrongly_failed: Vec<u64>,
     completed: u32,
     open: u32,
 }
@@ -73,7 +73,7 @@
     vms: Vec<Vm>,
     crashing: HashSet<u64>,
     /// How long the tasks of a job work, milliseconds.
-    work: HashMap<u64, u64>,
+    work_ms: HashMap<u64, u64>,
     report: StormReport,
     next_job: u64,
 }
@@ -84,11 +84,11 @@
             key: None,
             boot: 0,
             runs: HashMap::new(),
-            answered: 0,
-            ended: Some(0),
-            told_silent: true,
-            ends: 0,
-            ends_at: None,
+            last_answer: 0,
+            ended_at: Some(0),
+            reported_silent: true,
+            end_count: 0,
+            crashes_at: None,
         });
         Self {
             plan,
@@ -96,24 +96,24 @@
             scheduler: scheduler(1),
             vms: vms.collect(),
             crashing: HashSet::new(),
-            work: HashMap::new(),
+            work_ms: HashMap::new(),
             report: StormReport::default(),
             next_job: 1,
         }
     }
 
-    fn play(mut self, arrivals: u64, until: u64) -> StormReport {
+    fn run_storm(mut self, arrivals_end: u64, end_time: u64) -> StormReport {
         for number in 0..WORKERS {
             self.boot(number, 0);
         }
         for _ in 0..6 {
-            let mut lasting = step(6, 6_400);
-            lasting.long_running = true;
-            self.submit(lasting, u64::MAX, false);
+            let mut long_running_step = step(6, 6_400);
+            long_running_step.long_running = true;
+            self.submit(long_running_step, u64::MAX, false);
         }
-        for now in (0..until).step_by(STEP as usize) {
-            if now < arrivals && now.is_multiple_of(self.plan.period) {
-                self.arrive();
+        for now in (0..end_time).step_by(STEP_MS as usize) {
+            if now < arrivals_end && now.is_multiple_of(self.plan.period_ms) {
+                self.submit_random_job();
             }
             for number in 0..WORKERS {
                 self.run_machine(number, now);
@@ -127,25 +127,25 @@
         self.finish()
     }
 
-    fn arrive(&mut self) {
+    fn submit_random_job(&mut self) {
         let one_in = self.plan.crashing_one_in;
         let crashing = one_in > 0 && self.random.u64(0..one_in) == 0;
-        let wide = self.random.u32(0..4) == 0;
-        let (count, cpu, work) = match wide {
+        let is_wide = self.random.u32(0..4) == 0;
+        let (count, cpu, work_ms) = match is_wide {
             true => (8, 3_500, self.random.u64(1_000..4_000)),
             false => (self.random.u32(1..12), 480, self.random.u64(200..1_500)),
         };
-        self.submit(step(count, cpu), work, crashing);
+        self.submit(step(count, cpu), work_ms, crashing);
     }
 
-    fn submit(&mut self, step: wax_batch::StepSpec, work: u64, crashing: bool) {
+    fn submit(&mut self, step: wax_batch::StepSpec, work_ms: u64, crashing: bool) {
         let job = self.next_job;
         self.next_job += 1;
-        self.work.insert(job, work);
+        self.work_ms.insert(job, work_ms);
         if crashing {
             self.crashing.insert(job);
         }
-        add(&mut self.scheduler, job, 1, &spec(vec![step]), None);
+        add_job(&mut self.scheduler, job, 1, &spec(vec![step]), None);
     }
 
     fn view(number: usize, boot: u32, state: WorkerState) -> WorkerView {
@@ -170,16 +170,16 @@
             .drain()
             .map(|(run_id, sent)| LostRun {
                 run_id,
-                min_run_time: Some(Duration::from_millis(vm.answered.saturating_sub(sent))),
+                min_run_time: Some(Duration::from_millis(vm.last_answer.saturating_sub(sent))),
             })
             .collect();
         vm.boot += 1;
-        vm.ended = None;
-        vm.told_silent = false;
-        vm.ends = 0;
-        vm.answered = now;
-        let flaps = number < self.plan.flapping && FLAPPING.contains(&now);
-        vm.ends_at = flaps.then(|| now + self.random.u64(1..self.plan.up * 2));
+        vm.ended_at = None;
+        vm.reported_silent = false;
+        vm.end_count = 0;
+        vm.last_answer = now;
+        let flaps = number < self.plan.flapping && FLAPPING_MS.contains(&now);
+        vm.crashes_at = flaps.then(|| now + self.random.u64(1..self.plan.up_ms * 2));
         let view = Self::view(number, vm.boot, WorkerState::Ready);
         let before = vm.key.take();
         if let Some(before) = before {
@@ -194,11 +194,11 @@
     fn run_machine(&mut self, number: usize, now: u64) {
         let vm = &mut self.vms[number];
         let key = vm.key.expect("every machine has a worker");
-        if let Some(ended) = vm.ended {
-            if now >= ended + BACK_AFTER {
+        if let Some(ended_at) = vm.ended_at {
+            if now >= ended_at + RESTART_DELAY_MS {
                 self.boot(number, now);
-            } else if !vm.told_silent && now >= ended + SILENT_AFTER {
-                vm.told_silent = true;
+            } else if !vm.reported_silent && now >= ended_at + SILENT_AFTER_MS {
+                vm.reported_silent = true;
                 let view = Self::view(number, vm.boot, WorkerState::Silent);
                 self.scheduler.update_worker(key, view);
             }
@@ -208,28 +208,28 @@
         let by_task = vm.runs.iter().any(|(run_id, sent)| {
             run_id.task.index == 0
                 && crashing.contains(&run_id.task.job.0)
-                && now >= sent + CRASH_AFTER
+                && now >= sent + CRASH_DELAY_MS
         });
-        if by_task || vm.ends_at.is_some_and(|end| now >= end) {
+        if by_task || vm.crashes_at.is_some_and(|end| now >= end) {
             self.report.crashes += 1;
-            vm.ended = Some(now);
+            vm.ended_at = Some(now);
             return;
         }
-        if now.is_multiple_of(ANSWERS) {
-            vm.answered = now;
+        if now.is_multiple_of(ANSWER_INTERVAL_MS) {
+            vm.last_answer = now;
         }
-        let work = &self.work;
+        let work_ms = &self.work_ms;
         let done: Vec<RunId> = vm
             .runs
             .iter()
-            .filter(|(run_id, sent)| now - **sent >= work[&run_id.task.job.0])
+            .filter(|(run_id, sent)| now - **sent >= work_ms[&run_id.task.job.0])
             .map(|(run_id, _)| *run_id)
             .collect();
         for run_id in done {
             vm.runs.remove(&run_id);
-            vm.answered = now;
-            vm.ends += 1;
-            let end = end(vm.ends, run_id, RunEndKind::Done);
+            vm.last_answer = now;
+            vm.end_count += 1;
+            let end = end(vm.end_count, run_id, RunEndKind::Done);
             self.scheduler.record_end(key, &end, at(now), unix_ms(now));
         }
         for stop in self.scheduler.take_stops() {
@@ -242,9 +242,9 @@
         let Some(vm) = vms.find(|vm| vm.key == Some(worker)) else {
             return;
         };
-        if vm.ended.is_none() && vm.runs.remove(&run_id).is_some() {
-            vm.ends += 1;
-            let end = end(vm.ends, run_id, RunEndKind::Stopped);
+        if vm.ended_at.is_none() && vm.runs.remove(&run_id).is_some() {
+            vm.end_count += 1;
+            let end = end(vm.end_count, run_id, RunEndKind::Stopped);
             self.scheduler
                 .record_end(worker, &end, at(now), unix_ms(now));
         }
@@ -256,7 +256,7 @@
             let vm = vms
                 .find(|vm| vm.key == Some(order.worker))
                 .expect("orders go to known workers");
-            if vm.ended.is_some() {
+            if vm.ended_at.is_some() {
                 let refusal = wax_batch::StartRefusal::Unwell;
                 self.scheduler.record_refusal(
                     order.worker,
@@ -268,7 +268,7 @@
                 continue;
             }
             vm.runs.insert(order.run_id, now);
-            vm.answered = now;
+            vm.last_answer = now;
             self.scheduler
                 .record_start(order.worker, order.run_id, at(now));
             let TaskName { job, index, .. } = order.run_id.task;
@@ -285,11 +285,11 @@
                 .job_info(JobName(job))
                 .expect("known")
                 .outcome;
-            let long_running = self.work[&job] == u64::MAX;
+            let long_running = self.work_ms[&job] == u64::MAX;
             match outcome {
                 JobOutcome::Completed => self.report.completed += 1,
                 JobOutcome::Failed if !self.crashing.contains(&job) => {
-                    self.report.wronged.push(job)
+                    self.report.wrongly_failed.push(job)
                 }
                 JobOutcome::Open if !long_running => self.report.open += 1,
                 _ => {}
@@ -299,72 +299,72 @@
     }
 }
 
-fn play(plan: StormPlan, seed: u64) -> StormReport {
-    let report = Storm::new(plan, seed).play(15_000, 45_000);
-    let most = report.starts.values().copied().max().unwrap_or(0);
+fn run_storm(plan: StormPlan, seed: u64) -> StormReport {
+    let report = Storm::new(plan, seed).run_storm(15_000, 45_000);
+    let max_starts = report.starts.values().copied().max().unwrap_or(0);
     println!(
-        "{plan:?}, seed {seed}: {} tasks that end workers, {most} starts of one at most; {} workers ended, {} jobs \
+        "{plan:?}, seed {seed}: {} tasks that end workers, {max_starts} starts of one at most; {} workers ended, {} jobs \
          completed, {} open, wronged {:?}",
         report.starts.len(),
         report.crashes,
         report.completed,
         report.open,
-        report.wronged
+        report.wrongly_failed
     );
     report
 }
 
 /// No task that ends its workers is started too often, and no other job fails for it.
-fn check_blame(report: &StormReport) {
+fn check_attribution(report: &StormReport) {
     let starts = report.starts.values();
     assert!(starts.into_iter().all(|starts| *starts <= MAX_STARTS));
-    assert_eq!(report.wronged, [], "jobs that ended no worker");
+    assert_eq!(report.wrongly_failed, [], "jobs that ended no worker");
 }
 
 /// Of what was accepted and can be done, 95 of 100 jobs have ended.
-fn check_ends(report: &StormReport) {
+fn check_completion(report: &StormReport) {
     assert!(report.completed * 5 >= report.open * 95);
 }
 
 #[test]
-fn tasks_that_end_their_workers_are_found_and_others_complete() {
+fn crashing_tasks_are_found_and_other_jobs_complete() {
     for (seed, one_in) in [(1, 20), (2, 20), (3, 50)] {
         let plan = StormPlan {
             crashing_one_in: one_in,
             flapping: 0,
-            up: 0,
-            period: 150,
+            up_ms: 0,
+            period_ms: 150,
         };
-        let report = play(plan, seed);
-        check_blame(&report);
-        check_ends(&report);
+        let report = run_storm(plan, seed);
+        check_attribution(&report);
+        check_completion(&report);
     }
 }
 
 #[test]
-fn workers_that_go_down_by_themselves_wrong_no_job() {
-    for (seed, up) in [(1, 1_500), (3, 4_000), (5, 700)] {
+fn flapping_workers_make_no_job_fail() {
+    for (seed, up_ms) in [(1, 1_500), (3, 4_000), (5, 700)] {
         let plan = StormPlan {
             crashing_one_in: 0,
             flapping: 2,
-            up,
-            period: 150,
+            up_ms,
+            period_ms: 150,
         };
-        let report = play(plan, seed);
-        check_blame(&report);
-        check_ends(&report);
+        let report = run_storm(plan, seed);
+        check_attribution(&report);
+        check_completion(&report);
     }
 }
 
 #[test]
-fn nobody_is_wronged_by_more_of_them_or_by_both_at_once() {
+fn no_other_job_fails_with_more_crashing_tasks_or_with_flapping_workers_as_well() {
     for (seed, one_in, flapping) in [(1, 8, 0), (3, 20, 2), (5, 8, 2)] {
         let plan = StormPlan {
             crashing_one_in: one_in,
             flapping,
-            up: 1_500,
-            period: 150,
+            up_ms: 1_500,
+            period_ms: 150,
         };
-        check_blame(&play(plan, seed));
+        check_attribution(&run_storm(plan, seed));
     }
 }
--- a/crates/wax-batch/tests/crashes.rs
+++ b/crates/wax-batch/tests/crashes.rs
@@ -10,7 +10,7 @@
 };
 
 /// A run that was lost `ran_ms` milliseconds after its start.
-fn lost(run_id: RunId, ran_ms: u64) -> LostRun {
+fn lost_run(run_id: RunId, ran_ms: u64) -> LostRun {
     LostRun {
         run_id,
         min_run_time: Some(Duration::from_millis(ran_ms)),
@@ -18,7 +18,7 @@
 }
 
 /// The worker of a machine crashes under these runs, which are all that it has.
-fn crash(
+fn crash_worker(
     scheduler: &mut JobScheduler,
     (worker, vm): (WorkerKey, &str),
     runs: &[LostRun],
@@ -29,14 +29,14 @@
     updates.iter().map(|update| update.verdict).collect()
 }
 
-fn outcome(scheduler: &mut JobScheduler, job: u64) -> JobOutcome {
+fn stored_outcome(scheduler: &mut JobScheduler, job: u64) -> JobOutcome {
     store_all(scheduler);
     let job_info = scheduler.job_info(wax_batch::JobName(job));
     job_info.expect("the job is known").outcome
 }
 
 /// The only order for a task.
-fn order_of(orders: &[StartOrder], job: u64) -> &StartOrder {
+fn only_order_of(orders: &[StartOrder], job: u64) -> &StartOrder {
     let mut of_job = orders
         .iter()
         .filter(|order| order.run_id.task.job == wax_batch::JobName(job));
@@ -46,13 +46,13 @@
 }
 
 /// The worker of a machine has the only task, and crashes under it so long after its start.
-fn crash_on(scheduler: &mut JobScheduler, vm: &str, ran_ms: u64, millis: u64) -> CrashVerdict {
+fn crash_on_vm(scheduler: &mut JobScheduler, vm: &str, ran_ms: u64, millis: u64) -> CrashVerdict {
     let worker = worker(scheduler, vm, 4_000);
-    let run_id = order_of(&scheduler.place(at(millis)), 7).run_id;
-    let verdicts = crash(
+    let run_id = only_order_of(&scheduler.place(at(millis)), 7).run_id;
+    let verdicts = crash_worker(
         scheduler,
         (worker, vm),
-        &[lost(run_id, ran_ms)],
+        &[lost_run(run_id, ran_ms)],
         millis + 20,
     );
     assert_eq!(verdicts.len(), 1);
@@ -60,15 +60,18 @@
 }
 
 #[test]
-fn a_task_under_which_two_machines_end_at_once_fails_its_job() {
+fn a_task_with_early_crashes_on_two_vms_fails_its_job() {
     let mut scheduler = scheduler(1);
-    add(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
-    assert_eq!(crash_on(&mut scheduler, "x", 3, 0), CrashVerdict::Suspected);
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
     assert_eq!(
-        crash_on(&mut scheduler, "y", 3, 1_000),
+        crash_on_vm(&mut scheduler, "x", 3, 0),
+        CrashVerdict::Suspected
+    );
+    assert_eq!(
+        crash_on_vm(&mut scheduler, "y", 3, 1_000),
         CrashVerdict::GivenUp
     );
-    assert_eq!(outcome(&mut scheduler, 7), JobOutcome::Failed);
+    assert_eq!(stored_outcome(&mut scheduler, 7), JobOutcome::Failed);
     worker(&mut scheduler, "z", 4_000);
     assert!(
         scheduler.place(at(5_000)).is_empty(),
@@ -77,92 +80,95 @@
 }
 
 #[test]
-fn a_machine_that_crashes_again_and_again_says_less_but_is_not_believed_for_ever() {
+fn repeated_crashes_on_one_vm_are_weaker_evidence_but_count_in_the_end() {
     let mut scheduler = scheduler(1);
-    add(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
     let verdicts: Vec<CrashVerdict> = (0..3)
-        .map(|nth| crash_on(&mut scheduler, "x", 3, nth * 4_000))
+        .map(|nth| crash_on_vm(&mut scheduler, "x", 3, nth * 4_000))
         .collect();
     let open = CrashVerdict::Suspected;
     assert_eq!(verdicts, [open, open, CrashVerdict::GivenUp]);
 }
 
 #[test]
-fn a_start_that_its_worker_outlived_clears_those_that_ended_one_at_once() {
+fn a_start_that_its_worker_survives_clears_earlier_early_crashes() {
     let mut scheduler = scheduler(1);
-    add(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
     let min_run_time = [("x", 3), ("y", 700), ("z", 3)];
     for (nth, (vm, ran_ms)) in (0..).zip(min_run_time) {
-        let verdict = crash_on(&mut scheduler, vm, ran_ms, nth * 1_000);
+        let verdict = crash_on_vm(&mut scheduler, vm, ran_ms, nth * 1_000);
         assert_eq!(verdict, CrashVerdict::Suspected);
     }
 }
 
 #[test]
-fn a_task_that_ends_its_workers_after_a_while_is_given_up_on_the_fourth_machine() {
+fn a_task_with_late_crashes_is_given_up_on_the_fourth_vm() {
     let mut scheduler = scheduler(1);
-    add(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
     let vms = ["u", "v", "x", "y"];
     // Four machines have workers for it, so that four must have shown it.
-    let _others: Vec<WorkerKey> = (0..3)
+    let _small_workers: Vec<WorkerKey> = (0..3)
         .map(|nth| worker(&mut scheduler, &format!("o{nth}"), 10))
         .collect();
     for (nth, vm) in (0..).zip(vms) {
-        let verdict = crash_on(&mut scheduler, vm, 900, nth * 1_000);
+        let verdict = crash_on_vm(&mut scheduler, vm, 900, nth * 1_000);
         let last = vm == "y";
         assert_eq!(verdict == CrashVerdict::GivenUp, last, "{vm}");
     }
 }
 
 #[test]
-fn a_task_does_not_go_back_to_a_machine_that_it_may_have_ended_while_another_has_room() {
+fn a_task_avoids_vms_that_it_may_have_crashed_while_another_has_capacity() {
     let mut scheduler = scheduler(1);
-    add(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
-    crash_on(&mut scheduler, "x", 900, 0);
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
+    crash_on_vm(&mut scheduler, "x", 900, 0);
     worker(&mut scheduler, "x", 4_000);
     let busy = worker(&mut scheduler, "y", 1_500);
-    add(&mut scheduler, 8, 1, &spec(vec![step(1, 1_000)]), None);
+    add_job(&mut scheduler, 8, 1, &spec(vec![step(1, 1_000)]), None);
     let orders = scheduler.place(at(1_000));
-    assert_eq!(order_of(&orders, 7).worker, busy);
+    assert_eq!(only_order_of(&orders, 7).worker, busy);
 }
 
 #[test]
-fn what_ran_for_a_while_beside_a_fresh_start_is_not_started_alone() {
+fn a_run_of_some_age_next_to_a_recent_start_is_not_isolated() {
     let mut scheduler = scheduler(1);
     let first = worker(&mut scheduler, "w", 4_000);
-    add(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
-    add(&mut scheduler, 8, 1, &spec(vec![step(1, 1_000)]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
+    add_job(&mut scheduler, 8, 1, &spec(vec![step(1, 1_000)]), None);
     let orders = scheduler.place(at(0));
-    let (beside, cause) = (order_of(&orders, 7).run_id, order_of(&orders, 8).run_id);
-    crash(
+    let (bystander, cause) = (
+        only_order_of(&orders, 7).run_id,
+        only_order_of(&orders, 8).run_id,
+    );
+    crash_worker(
         &mut scheduler,
         (first, "w"),
-        &[lost(beside, 900), lost(cause, 3)],
+        &[lost_run(bystander, 900), lost_run(cause, 3)],
         1_000,
     );
-    assert_eq!(outcome(&mut scheduler, 7), JobOutcome::Open);
+    assert_eq!(stored_outcome(&mut scheduler, 7), JobOutcome::Open);
     // Its next start keeps no worker: others start beside it.
     let next = worker(&mut scheduler, "x", 1_000);
-    assert_eq!(order_of(&scheduler.place(at(1_300)), 7).worker, next);
+    assert_eq!(only_order_of(&scheduler.place(at(1_300)), 7).worker, next);
     worker(&mut scheduler, "y", 4_000);
-    assert_eq!(order_of(&scheduler.place(at(1_310)), 8).run_id.run, 2);
+    assert_eq!(only_order_of(&scheduler.place(at(1_310)), 8).run_id.run, 2);
 }
 
 /// Each time exactly one other task has just started: by itself the crash points to that one.
 #[test]
-fn a_task_that_ends_its_workers_late_is_given_up_though_others_have_just_started() {
+fn a_task_with_late_crashes_is_given_up_though_others_have_just_started() {
     let mut scheduler = scheduler(1);
-    add(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
-    let _others: Vec<WorkerKey> = (0..3)
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
+    let _small_workers: Vec<WorkerKey> = (0..3)
         .map(|nth| worker(&mut scheduler, &format!("o{nth}"), 10))
         .collect();
     for nth in 0..5 {
         let vm = format!("m{nth}");
         let crashing = worker(&mut scheduler, &vm, 4_000);
         let now = nth * 20_000;
-        let run_id = order_of(&scheduler.place(at(now)), 7).run_id;
+        let run_id = only_order_of(&scheduler.place(at(now)), 7).run_id;
         let fresh = support::run_id(100 + nth, 0, 0, 1);
-        add(
+        add_job(
             &mut scheduler,
             100 + nth,
             1,
@@ -171,68 +177,68 @@
         );
         scheduler.record_crash(
             &vm,
-            &[lost(run_id, 900), lost(fresh, 3)],
+            &[lost_run(run_id, 900), lost_run(fresh, 3)],
             at(now + 1_000),
             unix_ms(now + 1_000),
         );
         scheduler.remove_lost_worker(crashing, at(now + 1_000), unix_ms(now + 1_000));
         scheduler.cancel(wax_batch::JobName(100 + nth), unix_ms(now + 1_000));
     }
-    assert_eq!(outcome(&mut scheduler, 7), JobOutcome::Failed);
+    assert_eq!(stored_outcome(&mut scheduler, 7), JobOutcome::Failed);
 }
 
 #[test]
-fn a_crash_that_is_told_again_counts_once() {
+fn a_crash_that_is_reported_again_counts_once() {
     let mut scheduler = scheduler(1);
     let first = worker(&mut scheduler, "w", 4_000);
-    add(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
-    let run_id = order_of(&scheduler.place(at(0)), 7).run_id;
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
+    let run_id = only_order_of(&scheduler.place(at(0)), 7).run_id;
     for _ in 0..6 {
-        scheduler.record_crash("w", &[lost(run_id, 3)], at(10), unix_ms(10));
+        scheduler.record_crash("w", &[lost_run(run_id, 3)], at(10), unix_ms(10));
     }
     scheduler.remove_lost_worker(first, at(10), unix_ms(10));
-    assert_eq!(outcome(&mut scheduler, 7), JobOutcome::Open);
+    assert_eq!(stored_outcome(&mut scheduler, 7), JobOutcome::Open);
 }
 
 #[test]
-fn the_next_owner_knows_which_task_ended_a_worker() {
+fn the_next_owner_knows_which_task_crashed_a_worker() {
     let mut old = scheduler(1);
     let first = worker(&mut old, "w", 4_000);
     let crashing = spec(vec![step(1, 1_000)]);
-    add(&mut old, 7, 1, &crashing, None);
-    let run_id = order_of(&old.place(at(0)), 7).run_id;
-    crash(&mut old, (first, "w"), &[lost(run_id, 3)], 10);
+    add_job(&mut old, 7, 1, &crashing, None);
+    let run_id = only_order_of(&old.place(at(0)), 7).run_id;
+    crash_worker(&mut old, (first, "w"), &[lost_run(run_id, 3)], 10);
     let stored = store_all(&mut old);
     let (_, progress) = stored.last().expect("the crash is stored");
 
     let mut new = scheduler(2);
-    add(&mut new, 7, 1, &crashing, Some(progress));
+    add_job(&mut new, 7, 1, &crashing, Some(progress));
     let second = worker(&mut new, "w", 4_000);
-    let run_id = order_of(&new.place(at(2_000)), 7).run_id;
+    let run_id = only_order_of(&new.place(at(2_000)), 7).run_id;
     assert!(run_id.run > 1, "run numbers rise");
-    let verdicts = crash(&mut new, (second, "w"), &[lost(run_id, 3)], 2_010);
+    let verdicts = crash_worker(&mut new, (second, "w"), &[lost_run(run_id, 3)], 2_010);
     assert_eq!(verdicts, [CrashVerdict::GivenUp]);
 }
 
 #[test]
-fn the_next_owner_is_told_of_a_crash_that_was_not_written_down() {
+fn a_crash_that_was_not_stored_is_reported_to_the_next_owner() {
     let mut new = scheduler(2);
-    add(&mut new, 7, 1, &spec(vec![step(1, 1_000)]), None);
-    let updates = new.record_crash("w", &[lost(run_id(7, 0, 0, 1), 3)], at(0), unix_ms(0));
+    add_job(&mut new, 7, 1, &spec(vec![step(1, 1_000)]), None);
+    let updates = new.record_crash("w", &[lost_run(run_id(7, 0, 0, 1), 3)], at(0), unix_ms(0));
     assert_eq!(updates.len(), 1);
     assert_eq!(updates[0].verdict, CrashVerdict::Suspected);
 }
 
 #[test]
-fn a_suspected_task_starts_alone_and_others_start_elsewhere() {
+fn a_suspected_task_is_isolated_and_others_start_elsewhere() {
     let mut scheduler = scheduler(1);
     let first = worker(&mut scheduler, "w", 4_000);
-    add(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
-    let run_id = order_of(&scheduler.place(at(0)), 7).run_id;
-    crash(&mut scheduler, (first, "w"), &[lost(run_id, 3)], 10);
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
+    let run_id = only_order_of(&scheduler.place(at(0)), 7).run_id;
+    crash_worker(&mut scheduler, (first, "w"), &[lost_run(run_id, 3)], 10);
 
     let only = worker(&mut scheduler, "x", 4_000);
-    add(&mut scheduler, 8, 1, &spec(vec![step(1, 1_000)]), None);
+    add_job(&mut scheduler, 8, 1, &spec(vec![step(1, 1_000)]), None);
     let orders = scheduler.place(at(1_000));
     // Whichever goes first, the other one is not started beside it.
     assert_eq!(orders.len(), 1);
@@ -250,33 +256,33 @@
 }
 
 #[test]
-fn a_worker_takes_starts_again_once_a_suspected_task_has_held_out_there() {
+fn a_worker_accepts_starts_again_after_the_isolation_of_a_suspected_task() {
     let mut scheduler = scheduler(1);
     let first = worker(&mut scheduler, "w", 4_000);
-    add(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
-    let run_id = order_of(&scheduler.place(at(0)), 7).run_id;
-    crash(&mut scheduler, (first, "w"), &[lost(run_id, 3)], 10);
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
+    let run_id = only_order_of(&scheduler.place(at(0)), 7).run_id;
+    crash_worker(&mut scheduler, (first, "w"), &[lost_run(run_id, 3)], 10);
     worker(&mut scheduler, "x", 4_000);
     assert_eq!(scheduler.place(at(1_000)).len(), 1);
-    add(&mut scheduler, 8, 1, &spec(vec![step(1, 1_000)]), None);
+    add_job(&mut scheduler, 8, 1, &spec(vec![step(1, 1_000)]), None);
     assert!(scheduler.place(at(1_400)).is_empty(), "it is on trial");
     assert_eq!(scheduler.place(at(1_600)).len(), 1);
 }
 
 #[test]
-fn a_worker_that_falls_silent_under_a_trial_stays_kept() {
+fn a_worker_that_becomes_silent_stays_isolated() {
     let mut scheduler = scheduler(1);
     let first = worker(&mut scheduler, "w", 4_000);
-    add(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
-    let run_id = order_of(&scheduler.place(at(0)), 7).run_id;
-    crash(&mut scheduler, (first, "w"), &[lost(run_id, 3)], 10);
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
+    let run_id = only_order_of(&scheduler.place(at(0)), 7).run_id;
+    crash_worker(&mut scheduler, (first, "w"), &[lost_run(run_id, 3)], 10);
     // Of two workers one may be kept.
-    let tried = worker(&mut scheduler, "x", 4_000);
+    let isolated = worker(&mut scheduler, "x", 4_000);
     worker(&mut scheduler, "y", 4_000);
-    add(&mut scheduler, 8, 1, &spec(vec![step(1, 1_000)]), None);
+    add_job(&mut scheduler, 8, 1, &spec(vec![step(1, 1_000)]), None);
     scheduler.record_crash(
         "w",
-        &[lost(support::run_id(8, 0, 0, 1), 3)],
+        &[lost_run(support::run_id(8, 0, 0, 1), 3)],
         at(20),
         unix_ms(20),
     );
@@ -293,26 +299,26 @@
     scheduler.update_worker(worker, silent);
     assert!(scheduler.place(at(3_000)).is_empty(), "one trial at a time");
     let run_id = orders[0].run_id;
-    let vm = if worker == tried { "x" } else { "y" };
-    crash(&mut scheduler, (worker, vm), &[lost(run_id, 3)], 4_000);
+    let vm = if worker == isolated { "x" } else { "y" };
+    crash_worker(&mut scheduler, (worker, vm), &[lost_run(run_id, 3)], 4_000);
     let orders = scheduler.place(at(4_010));
     assert_eq!(orders.len(), 1);
     assert_ne!(orders[0].run_id.task.job, run_id.task.job);
 }
 
 #[test]
-fn a_task_that_held_out_for_long_is_cleared() {
+fn a_task_that_ran_for_long_enough_is_cleared() {
     let mut scheduler = scheduler(1);
-    add(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
     let mut verdicts = Vec::new();
     for (number, ran_ms) in [(0, 3), (1, 20_000), (2, 3)] {
         let worker = worker(&mut scheduler, "w", 4_000);
         let start = number * 100_000;
-        let run_id = order_of(&scheduler.place(at(start)), 7).run_id;
-        verdicts.extend(crash(
+        let run_id = only_order_of(&scheduler.place(at(start)), 7).run_id;
+        verdicts.extend(crash_worker(
             &mut scheduler,
             (worker, "w"),
-            &[lost(run_id, ran_ms)],
+            &[lost_run(run_id, ran_ms)],
             start + 30_000,
         ));
     }
@@ -327,24 +333,24 @@
 }
 
 #[test]
-fn ends_after_a_while_on_the_same_few_machines_prove_nothing() {
+fn late_crashes_on_the_same_few_vms_prove_nothing() {
     let mut scheduler = scheduler(1);
-    add(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
-    let _others: Vec<WorkerKey> = (0..3)
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
+    let _small_workers: Vec<WorkerKey> = (0..3)
         .map(|nth| worker(&mut scheduler, &format!("o{nth}"), 10))
         .collect();
     for nth in 0..6 {
         let vm = ["x", "y"][nth as usize % 2];
-        let verdict = crash_on(&mut scheduler, vm, 900, nth * 5_000);
+        let verdict = crash_on_vm(&mut scheduler, vm, 900, nth * 5_000);
         assert_eq!(verdict, CrashVerdict::Suspected, "the {nth}th");
     }
 }
 
 #[test]
-fn ends_before_a_run_that_held_out_do_not_count() {
+fn crashes_before_a_long_enough_run_do_not_count() {
     let mut scheduler = scheduler(1);
-    add(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
-    let _others: Vec<WorkerKey> = (0..3)
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
+    let _small_workers: Vec<WorkerKey> = (0..3)
         .map(|nth| worker(&mut scheduler, &format!("o{nth}"), 10))
         .collect();
     let min_run_time = [
@@ -355,35 +361,35 @@
         ("z", 900),
     ];
     for (nth, (vm, ran_ms)) in (0..).zip(min_run_time) {
-        let verdict = crash_on(&mut scheduler, vm, ran_ms, nth * 20_000);
+        let verdict = crash_on_vm(&mut scheduler, vm, ran_ms, nth * 20_000);
         assert_ne!(verdict, CrashVerdict::GivenUp, "{vm}");
     }
 }
 
 #[test]
-fn a_suspected_task_waits_until_no_other_start_is_near_and_keeps_its_place() {
+fn a_suspected_task_waits_on_a_reserved_worker_until_no_other_start_is_recent() {
     let mut scheduler = scheduler(1);
     let first = worker(&mut scheduler, "x", 1_000);
-    add(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
-    let run_id = order_of(&scheduler.place(at(0)), 7).run_id;
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
+    let run_id = only_order_of(&scheduler.place(at(0)), 7).run_id;
     worker(&mut scheduler, "y", 4_000);
-    add(&mut scheduler, 8, 1, &spec(vec![step(1, 1_000)]), None);
+    add_job(&mut scheduler, 8, 1, &spec(vec![step(1, 1_000)]), None);
     assert_eq!(scheduler.place(at(1_000)).len(), 1);
-    crash(&mut scheduler, (first, "x"), &[lost(run_id, 3)], 1_010);
+    crash_worker(&mut scheduler, (first, "x"), &[lost_run(run_id, 3)], 1_010);
     assert!(
         scheduler.place(at(1_020)).is_empty(),
         "another start is near"
     );
-    add(&mut scheduler, 9, 1, &spec(vec![step(1, 1_000)]), None);
+    add_job(&mut scheduler, 9, 1, &spec(vec![step(1, 1_000)]), None);
     assert!(scheduler.place(at(1_100)).is_empty(), "the place is kept");
-    assert_eq!(order_of(&scheduler.place(at(1_260)), 7).run_id.run, 2);
+    assert_eq!(only_order_of(&scheduler.place(at(1_260)), 7).run_id.run, 2);
 }
 
 #[test]
-fn a_task_waits_rather_than_go_back_at_once_where_it_may_have_ended_a_worker() {
+fn a_task_waits_rather_than_return_at_once_to_a_vm_that_it_may_have_crashed() {
     let mut scheduler = scheduler(1);
-    add(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
-    crash_on(&mut scheduler, "x", 900, 0);
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
+    crash_on_vm(&mut scheduler, "x", 900, 0);
     worker(&mut scheduler, "x", 4_000);
     worker(&mut scheduler, "full", 10);
     assert!(scheduler.place(at(1_000)).is_empty());
@@ -395,10 +401,10 @@
 }
 
 #[test]
-fn a_task_that_was_in_a_crash_is_placed_where_none_was_lately() {
+fn a_task_with_a_crash_prefers_vms_without_recent_crashes() {
     let mut scheduler = scheduler(1);
-    add(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
-    crash_on(&mut scheduler, "x", 900, 0);
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
+    crash_on_vm(&mut scheduler, "x", 900, 0);
     // Another machine has crashed since, under something else.
     let other = worker(&mut scheduler, "y", 4_000);
     scheduler.record_crash("y", &[], at(3_000), unix_ms(3_000));
@@ -407,53 +413,63 @@
     worker(&mut scheduler, "y", 4_000);
     let steady = worker(&mut scheduler, "z", 1_200);
     let orders = scheduler.place(at(4_000));
-    assert_eq!(order_of(&orders, 7).worker, steady, "though it is fuller");
+    assert_eq!(
+        only_order_of(&orders, 7).worker,
+        steady,
+        "though it is fuller"
+    );
 }
 
 #[test]
-fn a_lasting_task_that_ends_its_workers_is_given_up_too() {
+fn a_long_running_task_that_crashes_its_workers_is_given_up() {
     let mut scheduler = scheduler(1);
-    let mut lasting = step(1, 1_000);
-    lasting.long_running = true;
-    add(&mut scheduler, 7, 1, &spec(vec![lasting]), None);
-    assert_eq!(crash_on(&mut scheduler, "x", 3, 0), CrashVerdict::Suspected);
+    let mut long_running_step = step(1, 1_000);
+    long_running_step.long_running = true;
+    add_job(&mut scheduler, 7, 1, &spec(vec![long_running_step]), None);
     assert_eq!(
-        crash_on(&mut scheduler, "y", 3, 1_000),
+        crash_on_vm(&mut scheduler, "x", 3, 0),
+        CrashVerdict::Suspected
+    );
+    assert_eq!(
+        crash_on_vm(&mut scheduler, "y", 3, 1_000),
         CrashVerdict::GivenUp
     );
-    assert_eq!(outcome(&mut scheduler, 7), JobOutcome::Failed);
+    assert_eq!(stored_outcome(&mut scheduler, 7), JobOutcome::Failed);
 }
 
 #[test]
-fn members_of_a_gang_wait_for_no_trial() {
+fn members_of_a_gang_are_never_isolated() {
     let mut scheduler = scheduler(1);
     let first = worker(&mut scheduler, "w", 8_000);
     let mut gang = step(6, 1_000);
     gang.gang = true;
-    add(&mut scheduler, 7, 1, &spec(vec![gang]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![gang]), None);
     let orders = scheduler.place(at(0));
-    let runs: Vec<LostRun> = orders.iter().map(|order| lost(order.run_id, 3)).collect();
+    let runs: Vec<LostRun> = orders
+        .iter()
+        .map(|order| lost_run(order.run_id, 3))
+        .collect();
     assert_eq!(runs.len(), 6);
-    crash(&mut scheduler, (first, "w"), &runs, 10);
+    crash_worker(&mut scheduler, (first, "w"), &runs, 10);
     worker(&mut scheduler, "x", 8_000);
     assert_eq!(scheduler.place(at(1_000)).len(), 6, "they start together");
 }
 
 /// A crash is told again on a new link, after a newer one: what the newer one showed stands.
 #[test]
-fn an_older_crash_that_is_told_again_undoes_nothing_of_a_newer_one() {
+fn a_repeated_report_of_an_older_crash_does_not_undo_a_newer_one() {
     let mut scheduler = scheduler(1);
-    add(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
     let older = worker(&mut scheduler, "x", 4_000);
-    let late = lost(order_of(&scheduler.place(at(0)), 7).run_id, 900);
-    crash(&mut scheduler, (older, "x"), &[late], 1_000);
+    let late = lost_run(only_order_of(&scheduler.place(at(0)), 7).run_id, 900);
+    crash_worker(&mut scheduler, (older, "x"), &[late], 1_000);
     assert_eq!(
-        crash_on(&mut scheduler, "y", 3, 2_000),
+        crash_on_vm(&mut scheduler, "y", 3, 2_000),
         CrashVerdict::Suspected
     );
     scheduler.record_crash("x", &[late], at(3_000), unix_ms(3_000));
     assert_eq!(
-        crash_on(&mut scheduler, "z", 3, 4_000),
+        crash_on_vm(&mut scheduler, "z", 3, 4_000),
         CrashVerdict::GivenUp
     );
 }
--- a/crates/wax-batch/tests/drained.rs
+++ b/crates/wax-batch/tests/drained_domains.rs
@@ -43,9 +43,9 @@
 }
 
 #[test]
-fn nothing_is_placed_there_until_it_is_taken_back() {
+fn nothing_is_placed_in_a_drained_domain_until_the_drain_ends() {
     let (mut scheduler, open, drained) = half_drained();
-    add(&mut scheduler, 7, 1, &spec(vec![step(6, 1_000)]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(6, 1_000)]), None);
     let orders = scheduler.place(at(0));
     assert_eq!(orders.len(), 4);
     assert!(orders.iter().all(|order| order.worker == open));
@@ -61,11 +61,11 @@
 }
 
 #[test]
-fn what_runs_there_goes_on() {
+fn runs_in_a_drained_domain_continue() {
     let mut scheduler = scheduler(1);
     let worker = worker_in(&mut scheduler, "w", "b");
     worker_in(&mut scheduler, "other", "a");
-    let lasting = StepSpec {
+    let long_running_step = StepSpec {
         long_running: true,
         ..step(1, 1_000)
     };
@@ -73,10 +73,16 @@
         checkpoints: true,
         ..step(7, 1_000)
     };
-    add(&mut scheduler, 7, 1, &spec(vec![lasting, saving]), None);
+    add_job(
+        &mut scheduler,
+        7,
+        1,
+        &spec(vec![long_running_step, saving]),
+        None,
+    );
     let orders = scheduler.place(at(0));
     assert!(orders.iter().any(|order| order.worker == worker));
-    start_all(&mut scheduler, &orders, at(0));
+    record_all_starts(&mut scheduler, &orders, at(0));
     drain(&mut scheduler, &["b"]);
     scheduler.evacuate(at(200));
     scheduler.move_stalled(at(200));
@@ -84,16 +90,16 @@
 }
 
 #[test]
-fn a_lasting_task_that_fails_there_is_back_at_once_elsewhere() {
+fn a_long_running_task_that_fails_in_a_drained_domain_restarts_elsewhere_at_once() {
     let mut scheduler = scheduler(1);
     let worker = worker_in(&mut scheduler, "w", "b");
-    let lasting = StepSpec {
+    let long_running_step = StepSpec {
         long_running: true,
         ..step(1, 1_000)
     };
-    add(&mut scheduler, 7, 1, &spec(vec![lasting]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![long_running_step]), None);
     let orders = scheduler.place(at(0));
-    start_all(&mut scheduler, &orders, at(0));
+    record_all_starts(&mut scheduler, &orders, at(0));
     let other = worker_in(&mut scheduler, "other", "a");
     drain(&mut scheduler, &["b"]);
     let failed = end(1, orders[0].run_id, RunEndKind::Failed);
@@ -104,13 +110,13 @@
 }
 
 #[test]
-fn a_label_that_only_the_drained_domain_has_is_waited_for() {
+fn a_step_waits_for_a_label_that_only_the_drained_domain_has() {
     let (mut scheduler, _, drained) = half_drained();
     let wanted = StepSpec {
         label: Some("only-b".into()),
         ..step(2, 1_000)
     };
-    add(&mut scheduler, 7, 1, &spec(vec![wanted]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![wanted]), None);
     assert!(scheduler.place(at(0)).is_empty());
     assert_eq!(reasons(&mut scheduler), [WaitReason::Drained]);
     drain(&mut scheduler, &[]);
@@ -120,13 +126,13 @@
 }
 
 #[test]
-fn a_gang_starts_whole_or_not_at_all() {
+fn a_gang_starts_with_all_members_or_not_at_all() {
     let (mut scheduler, _, _) = half_drained();
     let gang = StepSpec {
         gang: true,
         ..step(6, 1_000)
     };
-    add(&mut scheduler, 7, 1, &spec(vec![gang]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![gang]), None);
     assert!(scheduler.place(at(0)).is_empty());
     drain(&mut scheduler, &[]);
     assert_eq!(scheduler.place(at(2_000)).len(), 6);
@@ -142,7 +148,7 @@
         gang: true,
         ..step(6, 1_000)
     };
-    add(&mut scheduler, 7, 1, &spec(vec![gang]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![gang]), None);
     let orders = scheduler.place(at(0));
     assert_eq!(orders.len(), 6);
     let refused = orders.iter().find(|order| order.worker == drained);
@@ -153,26 +159,26 @@
 }
 
 #[test]
-fn data_on_a_rack_that_is_drained_are_read_from_afar() {
+fn a_step_with_data_on_a_drained_rack_runs_on_another_rack() {
     let (mut scheduler, open, _) = half_drained();
     let near = StepSpec {
         data_rack: Some("rack-b".into()),
         ..step(2, 1_000)
     };
-    add(&mut scheduler, 7, 1, &spec(vec![near]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![near]), None);
     let orders = scheduler.place(at(0));
     assert_eq!(orders.len(), 2);
     assert!(orders.iter().all(|order| order.worker == open));
 }
 
 #[test]
-fn a_step_that_keeps_to_one_rack_takes_one_that_is_not_drained() {
+fn a_one_rack_step_uses_a_rack_that_is_not_drained() {
     let (mut scheduler, open, _) = half_drained();
     let together = StepSpec {
         one_rack: true,
         ..step(3, 1_000)
     };
-    add(&mut scheduler, 7, 1, &spec(vec![together]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![together]), None);
     let orders = scheduler.place(at(0));
     assert_eq!(orders.len(), 3);
     assert!(orders.iter().all(|order| order.worker == open));
@@ -184,7 +190,7 @@
     let mut scheduler = scheduler(1);
     let workers = ["a", "b", "c"].map(|domain| worker_in(&mut scheduler, domain, domain));
     drain(&mut scheduler, &["a", "b", "c"]);
-    add(&mut scheduler, 7, 1, &spec(vec![step(12, 1_000)]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(12, 1_000)]), None);
     assert!(scheduler.place(at(0)).is_empty());
     assert_eq!(reasons(&mut scheduler), [WaitReason::Drained]);
     for (nth, left) in [&["a", "b"][..], &["b"], &[]].into_iter().enumerate() {
@@ -202,7 +208,7 @@
 /// Workers that join, come back, or change their word while their domain is drained get nothing, cold
 /// or not.
 #[test]
-fn workers_that_come_while_their_domain_is_drained_get_nothing() {
+fn workers_that_join_a_drained_domain_get_no_tasks() {
     let mut scheduler = scheduler(1);
     drain(&mut scheduler, &["b"]);
     let late = worker_in(&mut scheduler, "late", "b");
@@ -213,7 +219,7 @@
             ..view_in("late", "b")
         },
     );
-    add(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
     assert!(scheduler.place(at(0)).is_empty());
     assert_eq!(reasons(&mut scheduler), [WaitReason::Drained]);
 }
--- a/crates/wax-batch/tests/life.rs
+++ b/crates/wax-batch/tests/job_lifecycle.rs
@@ -11,7 +11,7 @@
     let worker = worker(&mut scheduler, "w", 4_000);
     let mut second = step(1, 1_000);
     second.after = [0].into();
-    let job = add(
+    let job = add_job(
         &mut scheduler,
         7,
         1,
@@ -37,12 +37,8 @@
         at(30),
         unix_ms(30),
     );
-    let last_reported = scheduler.job_info(job).expect("the job is known");
-    assert_eq!(
-        last_reported.outcome,
-        JobOutcome::Open,
-        "not before it is stored"
-    );
+    let info = scheduler.job_info(job).expect("the job is known");
+    assert_eq!(info.outcome, JobOutcome::Open, "not before it is stored");
     store_all(&mut scheduler);
     assert_eq!(
         scheduler.job_info(job).expect("known").outcome,
@@ -54,7 +50,7 @@
 fn an_end_is_acknowledged_only_after_it_is_stored() {
     let mut scheduler = scheduler(1);
     let worker = worker(&mut scheduler, "w", 4_000);
-    add(&mut scheduler, 7, 1, &spec(vec![step(2, 1_000)]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(2, 1_000)]), None);
     let orders = scheduler.place(at(0));
     scheduler.record_end(
         worker,
@@ -78,10 +74,10 @@
 }
 
 #[test]
-fn an_end_of_a_job_that_failed_is_acknowledged_only_after_the_failure_is_stored() {
+fn an_end_of_a_failed_job_is_acknowledged_only_after_the_failure_is_stored() {
     let mut scheduler = scheduler(1);
     let worker = worker(&mut scheduler, "w", 4_000);
-    add(&mut scheduler, 7, 1, &spec(vec![step(2, 1_000)]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(2, 1_000)]), None);
     let first = scheduler.place(at(0));
     scheduler.record_end(
         worker,
@@ -109,18 +105,18 @@
 }
 
 #[test]
-fn a_failed_run_that_two_owners_hear_of_counts_once() {
+fn a_failed_run_that_is_reported_to_two_owners_counts_once() {
     let mut first = scheduler(1);
     let worker_key = worker(&mut first, "w", 4_000);
     let job_spec = spec(vec![step(1, 1_000)]);
-    add(&mut first, 7, 1, &job_spec, None);
+    add_job(&mut first, 7, 1, &job_spec, None);
     let orders = first.place(at(0));
     let failed = end(1, orders[0].run_id, RunEndKind::Failed);
     first.record_end(worker_key, &failed, at(10), unix_ms(10));
     let stored = store_all(&mut first);
     // The owner lets go before the worker hears that the end may be forgotten.
     let mut second = scheduler(2);
-    let job = add(&mut second, 7, 1, &job_spec, Some(&stored[0].1));
+    let job = add_job(&mut second, 7, 1, &job_spec, Some(&stored[0].1));
     let worker_key = worker(&mut second, "w", 4_000);
     second.reconcile_worker(worker_key, &[], &[failed], at(20), unix_ms(20));
     store_all(&mut second);
@@ -145,10 +141,10 @@
 }
 
 #[test]
-fn a_failed_run_of_a_worker_given_up_still_counts() {
+fn a_failed_run_of_a_removed_worker_still_counts() {
     let mut scheduler = scheduler(1);
     let lost = worker(&mut scheduler, "lost", 4_000);
-    let job = add(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
+    let job = add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
     let orders = scheduler.place(at(0));
     scheduler.remove_lost_worker(lost, at(10_000), unix_ms(10_000));
     let back = worker(&mut scheduler, "lost", 4_000);
@@ -175,10 +171,10 @@
 }
 
 #[test]
-fn a_task_that_a_run_given_up_has_done_does_not_run_again() {
+fn a_task_completed_by_a_run_given_up_as_lost_does_not_run_again() {
     let mut scheduler = scheduler(1);
     let lost = worker(&mut scheduler, "lost", 4_000);
-    let job = add(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
+    let job = add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
     let orders = scheduler.place(at(0));
     scheduler.remove_lost_worker(lost, at(10_000), unix_ms(10_000));
     let back = worker(&mut scheduler, "lost", 4_000);
@@ -200,12 +196,12 @@
 }
 
 #[test]
-fn a_takeover_adopts_and_starts_nothing_of_earlier_terms_until_all_were_heard() {
+fn a_new_owner_adopts_runs_and_starts_earlier_jobs_only_after_reconciliation() {
     let job_spec = spec(vec![step(2, 1_000)]);
     let mut scheduler = wax_batch::JobScheduler::new(2, Default::default());
     scheduler.set_config(config(2).into());
-    add(&mut scheduler, 7, 1, &job_spec, None);
-    add(&mut scheduler, 8, 2, &job_spec, None);
+    add_job(&mut scheduler, 7, 1, &job_spec, None);
+    add_job(&mut scheduler, 8, 2, &job_spec, None);
     let worker = worker(&mut scheduler, "w", 8_000);
     let orders = scheduler.place(at(0));
     assert!(
@@ -229,7 +225,7 @@
 }
 
 #[test]
-fn what_no_job_asks_for_is_stopped_and_keeps_its_room_until_it_has_ended() {
+fn an_orphan_run_is_stopped_and_keeps_its_reservation_until_it_has_ended() {
     let mut scheduler = scheduler(1);
     let worker = worker(&mut scheduler, "w", 4_000);
     scheduler.reconcile_worker(
@@ -240,7 +236,7 @@
         unix_ms(0),
     );
     assert_eq!(scheduler.take_stops().len(), 1);
-    add(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
     assert!(scheduler.place(at(0)).is_empty(), "its size is not known");
     scheduler.record_end(
         worker,
@@ -255,7 +251,7 @@
 fn a_cancelled_job_stops_and_starts_nothing() {
     let mut scheduler = scheduler(1);
     let worker = worker(&mut scheduler, "w", 1_000);
-    let job = add(&mut scheduler, 7, 1, &spec(vec![step(2, 1_000)]), None);
+    let job = add_job(&mut scheduler, 7, 1, &spec(vec![step(2, 1_000)]), None);
     let orders = scheduler.place(at(0));
     assert_eq!(orders.len(), 1);
     scheduler.cancel(job, unix_ms(10));
@@ -275,12 +271,12 @@
 }
 
 #[test]
-fn a_lasting_task_is_restarted_however_it_ends() {
+fn a_long_running_task_is_restarted_however_its_run_ends() {
     let mut scheduler = scheduler(1);
     let worker = worker(&mut scheduler, "w", 4_000);
-    let mut lasting = step(1, 1_000);
-    lasting.long_running = true;
-    let job = add(&mut scheduler, 7, 1, &spec(vec![lasting]), None);
+    let mut long_running_step = step(1, 1_000);
+    long_running_step.long_running = true;
+    let job = add_job(&mut scheduler, 7, 1, &spec(vec![long_running_step]), None);
     for (number, kind) in (1..).zip([
         RunEndKind::Done,
         RunEndKind::Failed,
@@ -306,12 +302,12 @@
 
 /// It is the task that fails, not its worker: other work was kept away for 3 s, again and again.
 #[test]
-fn a_lasting_task_that_always_fails_bars_its_worker_from_no_other_work() {
+fn a_long_running_task_that_always_fails_does_not_exclude_its_worker() {
     let mut scheduler = scheduler(1);
     let worker = worker(&mut scheduler, "w", 4_000);
-    let mut lasting = step(1, 1_000);
-    lasting.long_running = true;
-    add(&mut scheduler, 7, 1, &spec(vec![lasting]), None);
+    let mut long_running_step = step(1, 1_000);
+    long_running_step.long_running = true;
+    add_job(&mut scheduler, 7, 1, &spec(vec![long_running_step]), None);
     for number in 1..=4 {
         let now = number * 1_100;
         let orders = scheduler.place(at(now));
@@ -323,18 +319,18 @@
             unix_ms(now + 10),
         );
     }
-    let job = add(&mut scheduler, 8, 1, &spec(vec![step(1, 1_000)]), None);
+    let job = add_job(&mut scheduler, 8, 1, &spec(vec![step(1, 1_000)]), None);
     let orders = scheduler.place(at(4_420));
     assert!(orders.iter().any(|order| order.run_id.task.job == job));
 }
 
 #[test]
-fn a_gang_starts_whole_or_not_at_all_and_stops_whole() {
+fn a_gang_starts_and_stops_with_all_members() {
     let mut scheduler = scheduler(1);
     let small = worker(&mut scheduler, "small", 1_000);
     let mut gang = step(2, 1_000);
     gang.gang = true;
-    add(&mut scheduler, 7, 1, &spec(vec![gang]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![gang]), None);
     assert!(
         scheduler.place(at(0)).is_empty(),
         "there is room for one member only"
@@ -360,12 +356,12 @@
 }
 
 #[test]
-fn one_end_of_a_gang_stands_for_all_members() {
+fn one_completed_member_completes_a_gang() {
     let mut scheduler = scheduler(1);
     let worker = worker(&mut scheduler, "w", 4_000);
     let mut gang = step(3, 1_000);
     gang.gang = true;
-    let job = add(&mut scheduler, 7, 1, &spec(vec![gang]), None);
+    let job = add_job(&mut scheduler, 7, 1, &spec(vec![gang]), None);
     let orders = scheduler.place(at(0));
     for (number, order) in (1..).zip(&orders) {
         scheduler.record_end(
@@ -386,13 +382,13 @@
 /// TWICE on a site of our own: all lost power before the store had the first member's end, and the
 /// other ends had been acknowledged already.
 #[test]
-fn no_end_of_a_gang_is_acknowledged_before_the_store_has_the_first() {
+fn no_end_of_a_gang_is_acknowledged_before_the_first_end_is_stored() {
     let mut scheduler = scheduler(1);
     let one = worker(&mut scheduler, "one", 1_000);
     let other = worker(&mut scheduler, "other", 1_000);
     let mut gang = step(2, 1_000);
     gang.gang = true;
-    add(
+    add_job(
         &mut scheduler,
         7,
         1,
@@ -412,12 +408,12 @@
 
 /// The same for two runs of one task, of which the first had been given up.
 #[test]
-fn a_second_end_of_a_done_task_waits_for_the_store_like_the_first() {
+fn a_second_end_of_a_done_task_is_acknowledged_only_after_it_is_stored() {
     let mut scheduler = scheduler(1);
     let lost = worker(&mut scheduler, "lost", 1_000);
-    add(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
     let first = scheduler.place(at(0));
-    start_all(&mut scheduler, &first, at(0));
+    record_all_starts(&mut scheduler, &first, at(0));
     scheduler.remove_lost_worker(lost, at(10), unix_ms(10));
     let one = worker(&mut scheduler, "one", 1_000);
     let other = worker(&mut scheduler, "other", 1_000);
@@ -445,7 +441,7 @@
 }
 
 #[test]
-fn a_timed_job_runs_each_occurrence_when_it_is_due() {
+fn a_repeated_job_starts_each_occurrence_when_it_is_due() {
     let mut scheduler = scheduler(1);
     let worker = worker(&mut scheduler, "w", 4_000);
     let mut timed = spec(vec![step(1, 1_000)]);
@@ -454,7 +450,7 @@
         first_ms: unix_ms(1_000),
         interval_ms: 500,
     });
-    let job = add(&mut scheduler, 7, 1, &timed, None);
+    let job = add_job(&mut scheduler, 7, 1, &timed, None);
     assert_eq!(
         scheduler.start_due_occurrences(at(900), unix_ms(900)),
         Some(unix_ms(1_000))
@@ -496,14 +492,14 @@
 }
 
 #[test]
-fn a_stop_that_was_lost_with_a_link_is_repeated_on_the_next() {
+fn a_stop_order_is_repeated_on_the_next_link() {
     let mut scheduler = scheduler(1);
     let worker = worker(&mut scheduler, "w", 4_000);
-    let mut lasting = step(1, 1_000);
-    lasting.long_running = true;
-    add(&mut scheduler, 7, 1, &spec(vec![lasting]), None);
+    let mut long_running_step = step(1, 1_000);
+    long_running_step.long_running = true;
+    add_job(&mut scheduler, 7, 1, &spec(vec![long_running_step]), None);
     let orders = scheduler.place(at(0));
-    start_all(&mut scheduler, &orders, at(0));
+    record_all_starts(&mut scheduler, &orders, at(0));
     scheduler.reconcile_worker(
         worker,
         &[running(orders[0].run_id)],
@@ -514,7 +510,7 @@
     assert!(scheduler.take_stops().is_empty());
     let mut gang = step(2, 1_000);
     gang.gang = true;
-    add(&mut scheduler, 8, 1, &spec(vec![gang]), None);
+    add_job(&mut scheduler, 8, 1, &spec(vec![gang]), None);
     let members = scheduler.place(at(20));
     scheduler.record_end(
         worker,
@@ -532,7 +528,7 @@
 
 /// The order may have been lost with its link: the run would go on for ever.
 #[test]
-fn the_stop_of_what_no_job_asks_for_is_repeated_on_the_next_link() {
+fn the_stop_order_for_an_orphan_run_is_repeated_on_the_next_link() {
     let mut scheduler = scheduler(1);
     let worker = worker(&mut scheduler, "w", 2_000);
     let runs = [running(run_id(9, 0, 0, 1))];
@@ -545,10 +541,10 @@
 }
 
 #[test]
-fn what_a_worker_may_forget_can_be_told_again_after_a_lost_link() {
+fn an_acknowledged_end_can_be_reported_again_after_a_lost_link() {
     let mut scheduler = scheduler(1);
     let worker = worker(&mut scheduler, "w", 4_000);
-    add(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
     let orders = scheduler.place(at(0));
     let done = end(1, orders[0].run_id, RunEndKind::Done);
     scheduler.record_end(worker, &done, at(10), unix_ms(10));
@@ -562,14 +558,14 @@
 
 /// The share of late jobs counts those that fill, are open, and are enough to say anything.
 #[test]
-fn strain_is_the_share_of_open_jobs_that_fill_and_are_late() {
+fn overload_is_the_share_of_open_best_effort_jobs_that_are_late() {
     let mut scheduler = scheduler(1);
     let best_effort = wax_batch::StepSpec {
         best_effort: true,
         ..step(1, 1_000)
     };
     for number in 0..3 {
-        add(
+        add_job(
             &mut scheduler,
             10 + number,
             1,
@@ -577,13 +573,13 @@
             None,
         );
     }
-    add(&mut scheduler, 20, 1, &spec(vec![step(1, 1_000)]), None);
+    add_job(&mut scheduler, 20, 1, &spec(vec![step(1, 1_000)]), None);
     assert_eq!(
         scheduler.overload(at(60_000)),
         0.0,
         "three jobs are too few"
     );
-    add(&mut scheduler, 13, 1, &spec(vec![best_effort]), None);
+    add_job(&mut scheduler, 13, 1, &spec(vec![best_effort]), None);
     assert_eq!(scheduler.overload(at(0)), 0.0);
     assert_eq!(scheduler.overload(at(60_000)), 1.0);
     scheduler.cancel(wax_batch::JobName(13), unix_ms(60_000));
--- a/crates/wax-batch/tests/places.rs
+++ b/crates/wax-batch/tests/placement.rs
@@ -6,7 +6,7 @@
 use wax_batch::{JobScheduler, StepSpec, TaskSize, WorkerKey};
 use wax_policy::PairPress;
 
-fn filling(count: u32, cpu_milli: u32, image: &str) -> StepSpec {
+fn best_effort_step(count: u32, cpu_milli: u32, image: &str) -> StepSpec {
     StepSpec {
         best_effort: true,
         checkpoints: true,
@@ -15,7 +15,7 @@
     }
 }
 
-fn lasting(count: u32, cpu_milli: u32, image: &str) -> StepSpec {
+fn long_running_step(count: u32, cpu_milli: u32, image: &str) -> StepSpec {
     StepSpec {
         long_running: true,
         tail_target_ms: 100,
@@ -24,14 +24,14 @@
     }
 }
 
-fn known(interference: f64) -> PairPress {
+fn likely_interference(interference: f64) -> PairPress {
     PairPress {
         per_core: interference,
         weight: 100.0,
     }
 }
 
-fn sure(interference: f64) -> PairPress {
+fn certain_interference(interference: f64) -> PairPress {
     PairPress {
         per_core: interference,
         weight: 100_000.0,
@@ -39,12 +39,12 @@
 }
 
 /// Books most of the service's processors by what neither fills nor serves.
-fn keep_busy(scheduler: &mut JobScheduler) {
+fn reserve_most_capacity(scheduler: &mut JobScheduler) {
     worker(scheduler, "full", 40_000);
-    add(scheduler, 99, 1, &spec(vec![step(4, 10_000)]), None);
+    add_job(scheduler, 99, 1, &spec(vec![step(4, 10_000)]), None);
     let orders = scheduler.place(at(0));
     assert_eq!(orders.len(), 4);
-    start_all(scheduler, &orders, at(0));
+    record_all_starts(scheduler, &orders, at(0));
 }
 
 fn count_on(scheduler: &JobScheduler, worker: WorkerKey) -> usize {
@@ -55,11 +55,11 @@
 }
 
 #[test]
-fn capacity_is_never_exceeded_and_the_rest_waits() {
+fn capacity_is_never_exceeded_and_remaining_tasks_wait() {
     let mut scheduler = scheduler(1);
     let one = worker(&mut scheduler, "one", 2_500);
     let other = worker(&mut scheduler, "other", 1_000);
-    add(&mut scheduler, 7, 1, &spec(vec![step(9, 1_000)]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(9, 1_000)]), None);
     let orders = scheduler.place(at(0));
     assert_eq!(orders.len(), 3);
     assert_eq!(
@@ -69,15 +69,15 @@
 }
 
 #[test]
-fn tasks_kept_apart_are_limited_on_each_worker() {
+fn the_tasks_of_a_step_on_one_worker_are_limited() {
     let mut scheduler = scheduler(1);
     worker(&mut scheduler, "one", 8_000);
     worker(&mut scheduler, "other", 8_000);
-    let apart = StepSpec {
+    let spread_out = StepSpec {
         max_per_worker: 1,
         ..step(5, 1_000)
     };
-    add(&mut scheduler, 7, 1, &spec(vec![apart]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![spread_out]), None);
     assert_eq!(scheduler.place(at(0)).len(), 2);
 }
 
@@ -105,30 +105,30 @@
         data_rack: Some("r1".into()),
         ..step(1, 1_000)
     };
-    add(&mut scheduler, 7, 1, &spec(vec![labelled, near]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![labelled, near]), None);
     let orders = scheduler.place(at(0));
     assert_eq!(orders.len(), 2);
     assert!(orders.iter().all(|order| order.worker == failed));
 }
 
 #[test]
-fn lasting_tasks_of_one_image_keep_together() {
+fn long_running_tasks_of_one_image_share_workers() {
     let mut scheduler = scheduler(1);
     for id in ["a", "b", "c", "d"] {
         worker(&mut scheduler, id, 8_000);
     }
-    add(
+    add_job(
         &mut scheduler,
         7,
         1,
-        &spec(vec![lasting(4, 2_000, "red")]),
+        &spec(vec![long_running_step(4, 2_000, "red")]),
         None,
     );
-    add(
+    add_job(
         &mut scheduler,
         8,
         1,
-        &spec(vec![lasting(4, 2_000, "blue")]),
+        &spec(vec![long_running_step(4, 2_000, "blue")]),
         None,
     );
     assert_eq!(scheduler.place(at(0)).len(), 8);
@@ -144,35 +144,35 @@
 }
 
 #[test]
-fn what_presses_waits_for_a_worker_that_bears_it_but_not_for_ever() {
+fn an_interfering_task_waits_for_a_worker_with_headroom_but_not_forever() {
     let mut scheduler = scheduler(1);
-    keep_busy(&mut scheduler);
+    reserve_most_capacity(&mut scheduler);
     let busy = worker(&mut scheduler, "busy", 8_000);
-    add(
+    add_job(
         &mut scheduler,
         7,
         1,
-        &spec(vec![lasting(1, 2_000, "red")]),
+        &spec(vec![long_running_step(1, 2_000, "red")]),
         None,
     );
     let orders = scheduler.place(at(0));
-    start_all(&mut scheduler, &orders, at(0));
-    scheduler.merge_interference("red", "heavy", known(0.5));
+    record_all_starts(&mut scheduler, &orders, at(0));
+    scheduler.merge_interference("red", "heavy", likely_interference(0.5));
     scheduler.set_headroom(busy, "red", 0.1);
-    add(
+    add_job(
         &mut scheduler,
         8,
         1,
-        &spec(vec![filling(1, 2_000, "heavy")]),
+        &spec(vec![best_effort_step(1, 2_000, "heavy")]),
         None,
     );
     assert!(scheduler.place(at(100)).is_empty());
-    scheduler.merge_interference("red", "light", known(0.01));
-    add(
+    scheduler.merge_interference("red", "light", likely_interference(0.01));
+    add_job(
         &mut scheduler,
         9,
         1,
-        &spec(vec![filling(1, 2_000, "light")]),
+        &spec(vec![best_effort_step(1, 2_000, "light")]),
         None,
     );
     assert_eq!(
@@ -190,27 +190,27 @@
 
 /// The agent tells its room before it has seen what was placed a moment ago.
 #[test]
-fn what_was_just_placed_is_not_forgotten_when_the_room_is_told_again() {
+fn recent_placements_still_count_after_a_headroom_update() {
     let mut scheduler = scheduler(1);
     let busy = worker(&mut scheduler, "busy", 16_000);
-    add(
+    add_job(
         &mut scheduler,
         7,
         1,
-        &spec(vec![lasting(1, 2_000, "red")]),
+        &spec(vec![long_running_step(1, 2_000, "red")]),
         None,
     );
     let orders = scheduler.place(at(0));
-    start_all(&mut scheduler, &orders, at(0));
-    scheduler.merge_interference("red", "heavy", sure(0.1));
+    record_all_starts(&mut scheduler, &orders, at(0));
+    scheduler.merge_interference("red", "heavy", certain_interference(0.1));
     let mut placed = 0;
     for (number, name) in [8, 9, 10, 11].into_iter().enumerate() {
         scheduler.set_headroom(busy, "red", 0.5);
-        add(
+        add_job(
             &mut scheduler,
             name,
             1,
-            &spec(vec![filling(1, 2_000, "heavy")]),
+            &spec(vec![best_effort_step(1, 2_000, "heavy")]),
             None,
         );
         placed += scheduler.place(at(100 * number as u64)).len();
@@ -219,25 +219,25 @@
 }
 
 #[test]
-fn an_old_job_of_which_nothing_runs_gets_one_task_placed_however_full_it_is() {
+fn an_old_job_without_placed_tasks_gets_one_task_placed_on_a_full_worker() {
     let mut scheduler = scheduler(1);
-    keep_busy(&mut scheduler);
+    reserve_most_capacity(&mut scheduler);
     worker(&mut scheduler, "w", 4_000);
-    add(
+    add_job(
         &mut scheduler,
         7,
         1,
-        &spec(vec![filling(4, 1_000, "a")]),
+        &spec(vec![best_effort_step(4, 1_000, "a")]),
         None,
     );
     let orders = scheduler.place(at(0));
     assert_eq!(orders.len(), 4, "all processors are asked for");
-    start_all(&mut scheduler, &orders, at(0));
-    add(
+    record_all_starts(&mut scheduler, &orders, at(0));
+    add_job(
         &mut scheduler,
         8,
         1,
-        &spec(vec![filling(3, 1_000, "a")]),
+        &spec(vec![best_effort_step(3, 1_000, "a")]),
         None,
     );
     assert!(scheduler.place(at(5_000)).is_empty());
@@ -248,24 +248,24 @@
 
 /// LOST on riveneige scale-1: with most processors not booked, jobs of any age must not stand still.
 #[test]
-fn in_a_calm_service_a_young_job_of_which_nothing_runs_gets_one_task_placed() {
+fn in_a_lightly_loaded_service_a_young_job_without_placed_tasks_gets_one_task_placed() {
     let mut scheduler = scheduler(1);
     worker(&mut scheduler, "w", 4_000);
-    add(
+    add_job(
         &mut scheduler,
         7,
         1,
-        &spec(vec![filling(4, 1_200, "a")]),
+        &spec(vec![best_effort_step(4, 1_200, "a")]),
         None,
     );
     let orders = scheduler.place(at(0));
     assert_eq!(orders.len(), 4, "all processors are asked for");
-    start_all(&mut scheduler, &orders, at(0));
-    add(
+    record_all_starts(&mut scheduler, &orders, at(0));
+    add_job(
         &mut scheduler,
         8,
         1,
-        &spec(vec![filling(3, 1_200, "a")]),
+        &spec(vec![best_effort_step(3, 1_200, "a")]),
         None,
     );
     assert!(scheduler.place(at(1_000)).is_empty());
@@ -276,18 +276,18 @@
 }
 
 #[test]
-fn a_run_that_stands_still_is_moved_if_another_worker_bears_it() {
+fn a_stalled_run_is_moved_if_another_worker_can_run_it() {
     let mut scheduler = scheduler(1);
     let first = worker(&mut scheduler, "first", 4_000);
-    add(
+    add_job(
         &mut scheduler,
         7,
         1,
-        &spec(vec![filling(1, 1_000, "a")]),
+        &spec(vec![best_effort_step(1, 1_000, "a")]),
         None,
     );
     let orders = scheduler.place(at(0));
-    start_all(&mut scheduler, &orders, at(0));
+    record_all_starts(&mut scheduler, &orders, at(0));
     scheduler.move_stalled(at(5_000));
     assert!(
         scheduler.take_stops().is_empty(),
@@ -308,22 +308,22 @@
 }
 
 #[test]
-fn the_job_with_the_least_work_left_goes_first() {
+fn the_job_with_the_least_remaining_work_is_placed_first() {
     let mut scheduler = scheduler(1);
     worker(&mut scheduler, "w", 1_000);
-    add(&mut scheduler, 7, 1, &spec(vec![step(9, 1_000)]), None);
-    add(&mut scheduler, 8, 1, &spec(vec![step(1, 1_000)]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(9, 1_000)]), None);
+    add_job(&mut scheduler, 8, 1, &spec(vec![step(1, 1_000)]), None);
     let orders = scheduler.place(at(0));
     assert_eq!(orders[0].run_id.task.job.0, 8);
 }
 
 #[test]
-fn a_worker_that_fails_all_it_starts_gets_no_work_for_a_while() {
+fn a_worker_on_which_all_tasks_fail_is_excluded_for_a_while() {
     let mut scheduler = scheduler(1);
     let bad = worker(&mut scheduler, "bad", 1_000);
     let mut now = 0;
     for number in 1..=3 {
-        add(&mut scheduler, number, 1, &spec(vec![step(1, 1_000)]), None);
+        add_job(&mut scheduler, number, 1, &spec(vec![step(1, 1_000)]), None);
         let orders = scheduler.place(at(now));
         assert_eq!(orders.len(), 1);
         scheduler.record_end(
@@ -343,27 +343,27 @@
 }
 
 #[test]
-fn a_worker_that_leaves_is_emptied_of_what_would_be_lost() {
+fn evacuation_stops_runs_that_a_draining_worker_would_lose() {
     let mut scheduler = scheduler(1);
     let leaving = worker(&mut scheduler, "leaving", 8_000);
-    add(
+    add_job(
         &mut scheduler,
         7,
         1,
-        &spec(vec![lasting(1, 1_000, "red")]),
+        &spec(vec![long_running_step(1, 1_000, "red")]),
         None,
     );
-    add(
+    add_job(
         &mut scheduler,
         8,
         1,
-        &spec(vec![filling(1, 1_000, "a")]),
+        &spec(vec![best_effort_step(1, 1_000, "a")]),
         None,
     );
-    add(&mut scheduler, 9, 1, &spec(vec![step(1, 1_000)]), None);
+    add_job(&mut scheduler, 9, 1, &spec(vec![step(1, 1_000)]), None);
     let orders = scheduler.place(at(0));
     assert_eq!(orders.len(), 3);
-    start_all(&mut scheduler, &orders, at(0));
+    record_all_starts(&mut scheduler, &orders, at(0));
     let view = wax_batch::WorkerView {
         boot: "leaving".into(),
         service: "svc".into(),
@@ -401,7 +401,7 @@
     scheduler.set_config(advised.into());
     let allowed = worker(&mut scheduler, "allowed", 1_000);
     worker(&mut scheduler, "other", 4_000);
-    add(&mut scheduler, 7, 1, &spec(vec![step(2, 1_000)]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(2, 1_000)]), None);
     assert!(scheduler.place(at(0)).is_empty(), "nobody has approved it");
     let request = scheduler
         .next_advice_request(at(0))
@@ -438,10 +438,10 @@
 }
 
 #[test]
-fn a_task_does_not_go_back_at_once_to_the_worker_on_which_it_failed() {
+fn a_task_does_not_return_at_once_to_the_worker_on_which_it_failed() {
     let mut scheduler = scheduler(1);
     let only = worker(&mut scheduler, "only", 4_000);
-    add(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
     let orders = scheduler.place(at(0));
     scheduler.record_end(
         only,
@@ -458,23 +458,23 @@
 }
 
 #[test]
-fn a_refused_start_does_not_begin_the_wait_anew() {
+fn a_refused_start_does_not_reset_the_waiting_time() {
     let mut scheduler = scheduler(1);
     let only = worker(&mut scheduler, "w", 4_000);
-    add(
+    add_job(
         &mut scheduler,
         7,
         1,
-        &spec(vec![filling(4, 1_000, "a")]),
+        &spec(vec![best_effort_step(4, 1_000, "a")]),
         None,
     );
     let orders = scheduler.place(at(0));
-    start_all(&mut scheduler, &orders, at(0));
-    add(
+    record_all_starts(&mut scheduler, &orders, at(0));
+    add_job(
         &mut scheduler,
         8,
         1,
-        &spec(vec![filling(1, 1_000, "a")]),
+        &spec(vec![best_effort_step(1, 1_000, "a")]),
         None,
     );
     let starved = scheduler.place(at(10_500));
@@ -500,7 +500,7 @@
         .expect("a worker on a rack")
 }
 
-fn racked(scheduler: &mut JobScheduler, id: &str, rack: &str, cpu_milli: u32) {
+fn add_worker_on_rack(scheduler: &mut JobScheduler, id: &str, rack: &str, cpu_milli: u32) {
     scheduler.add_worker(
         wax_batch::WorkerView {
             boot: id.into(),
@@ -519,20 +519,20 @@
 
 /// Two small workers on one rack, a larger one alone on another.
 macro_rules! one_rack {
-    ($($name:ident: $gang:literal, $apart:literal => $rack:literal;)*) => {$(
+    ($($name:ident: $gang:literal, $spread_out:literal => $rack:literal;)*) => {$(
         #[test]
         fn $name() {
             let mut scheduler = scheduler(1);
-            racked(&mut scheduler, "a", "r1", 2_000);
-            racked(&mut scheduler, "b", "r2", 3_000);
-            racked(&mut scheduler, "c", "r1", 2_000);
+            add_worker_on_rack(&mut scheduler, "a", "r1", 2_000);
+            add_worker_on_rack(&mut scheduler, "b", "r2", 3_000);
+            add_worker_on_rack(&mut scheduler, "c", "r1", 2_000);
             let together = StepSpec {
                 one_rack: true,
                 gang: $gang,
-                max_per_worker: $apart,
+                max_per_worker: $spread_out,
                 ..step(3, 1_000)
             };
-            add(&mut scheduler, 7, 1, &spec(vec![together]), None);
+            add_job(&mut scheduler, 7, 1, &spec(vec![together]), None);
             let orders = scheduler.place(at(0));
             assert_eq!(orders.len(), 3);
             let mut racks: Vec<_> = orders.iter().map(|order| rack_of(&scheduler, order.worker)).collect();
@@ -543,7 +543,7 @@
 }
 
 one_rack! {
-    a_step_of_one_rack_goes_where_most_of_it_fits: false, 0 => "r1";
-    a_gang_of_one_rack_goes_where_most_of_it_fits: true, 0 => "r1";
-    tasks_kept_apart_still_keep_to_one_rack: false, 2 => "r1";
+    a_one_rack_step_is_placed_on_the_rack_with_most_capacity: false, 0 => "r1";
+    a_one_rack_gang_is_placed_on_the_rack_with_most_capacity: true, 0 => "r1";
+    a_one_rack_step_with_a_limit_per_worker_stays_on_one_rack: false, 2 => "r1";
 }
--- a/crates/wax-batch/tests/support/mod.rs
+++ b/crates/wax-batch/tests/support/mod.rs
@@ -76,7 +76,7 @@
     scheduler
 }
 
-pub(crate) fn add(
+pub(crate) fn add_job(
     scheduler: &mut JobScheduler,
     job: u64,
     epoch: u64,
@@ -137,7 +137,11 @@
 }
 
 /// Tells the book that all orders were carried out.
-pub(crate) fn start_all(scheduler: &mut JobScheduler, orders: &[StartOrder], now: TimePoint) {
+pub(crate) fn record_all_starts(
+    scheduler: &mut JobScheduler,
+    orders: &[StartOrder],
+    now: TimePoint,
+) {
     for order in orders {
         scheduler.record_start(order.worker, order.run_id, now);
     }
--- a/crates/wax-batch/tests/takeover.rs
+++ b/crates/wax-batch/tests/takeover.rs
@@ -14,9 +14,9 @@
 }
 
 #[test]
-fn a_task_that_was_heard_to_run_starts_again_though_others_are_unheard() {
+fn a_task_reported_as_running_may_restart_before_all_workers_are_reconciled() {
     let (mut scheduler, worker) = new_owner();
-    add(&mut scheduler, 7, 1, &spec(vec![step(2, 1_000)]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(2, 1_000)]), None);
     scheduler.reconcile_worker(
         worker,
         &[running(run_id(7, 0, 0, 1))],
@@ -37,9 +37,9 @@
 }
 
 #[test]
-fn a_run_that_may_only_begin_yet_does_not_show_where_the_task_is() {
+fn a_run_that_may_not_have_started_does_not_locate_its_task() {
     let (mut scheduler, worker) = new_owner();
-    add(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
     let sent = RunReport {
         confirmed_by_worker: false,
         ..running(run_id(7, 0, 0, 1))
@@ -56,23 +56,23 @@
 }
 
 #[test]
-fn an_end_alone_does_not_show_that_no_later_run_was_started() {
+fn a_reported_end_does_not_locate_its_task() {
     let (mut scheduler, worker) = new_owner();
-    add(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
     let failed = end(1, run_id(7, 0, 0, 1), RunEndKind::Failed);
     scheduler.reconcile_worker(worker, &[], &[failed], at(0), unix_ms(0));
     assert!(scheduler.place(at(2_000)).is_empty());
 }
 
 #[test]
-fn a_step_after_tasks_that_were_heard_to_run_is_new_in_the_term() {
+fn a_step_after_tasks_reported_in_this_term_is_new_in_the_term() {
     let (mut scheduler, worker) = new_owner();
     let mut second = step(3, 1_000);
     second.after = [0].into();
     let mut third = step(2, 1_000);
     third.after = [1].into();
     let job_spec = spec(vec![step(2, 1_000), second, third]);
-    add(&mut scheduler, 7, 1, &job_spec, None);
+    add_job(&mut scheduler, 7, 1, &job_spec, None);
     let runs = [running(run_id(7, 0, 1, 1))];
     let ends = [end(1, run_id(7, 0, 0, 1), RunEndKind::Done)];
     scheduler.reconcile_worker(worker, &runs, &ends, at(0), unix_ms(0));
@@ -93,11 +93,11 @@
 }
 
 #[test]
-fn a_step_whose_earlier_tasks_had_all_ended_may_run_unheard() {
+fn a_step_may_be_running_unreconciled_if_its_prerequisites_had_ended_before() {
     let (mut scheduler, worker) = new_owner();
     let mut second = step(1, 1_000);
     second.after = [0].into();
-    add(
+    add_job(
         &mut scheduler,
         7,
         1,
@@ -113,10 +113,10 @@
 }
 
 #[test]
-fn only_jobs_that_an_unheard_worker_may_run_are_held_back() {
+fn only_jobs_that_an_unreconciled_worker_may_run_are_held_back() {
     let (mut scheduler, _) = new_owner();
     for job in [7, 8] {
-        add(&mut scheduler, job, 1, &spec(vec![step(1, 1_000)]), None);
+        add_job(&mut scheduler, job, 1, &spec(vec![step(1, 1_000)]), None);
     }
     scheduler.set_unreconciled(UnreconciledRuns::Only([JobName(7)].into()));
     let orders = scheduler.place(at(0));
@@ -127,11 +127,11 @@
 }
 
 #[test]
-fn a_gang_waits_until_all_its_members_were_heard() {
+fn a_gang_waits_until_all_its_members_are_reconciled() {
     let (mut scheduler, worker) = new_owner();
     let mut gang = step(2, 1_000);
     gang.gang = true;
-    add(&mut scheduler, 7, 1, &spec(vec![gang]), None);
+    add_job(&mut scheduler, 7, 1, &spec(vec![gang]), None);
     scheduler.reconcile_worker(
         worker,
         &[running(run_id(7, 0, 0, 1))],
