--- a/crates/wax-batch/tests/crash_storm.rs
+++ b/crates/wax-batch/tests/crash_storm.rs
@@ -1,5 +1,6 @@
-//! Many tasks that take their workers with them, among others that do not, and workers that end by
-//! themselves, played in small steps on one book, with an agent's view of each worker.
+//! Simulates a service with many tasks that crash their workers, other tasks, and workers that
+//! crash on their own. One scheduler is driven in small time steps, with an agent's delayed view of
+//! each worker.
 
 mod support;
 
@@ -11,33 +12,34 @@
     WorkerState, WorkerView,
 };
 
-/// Length of a step, milliseconds.
+/// Length of a simulation step.
 const STEP_MS: u64 = 10;
-/// A worker that has ended is back after this, milliseconds.
+/// Time after which a crashed worker has restarted.
 const RESTART_DELAY_MS: u64 = 3_000;
-/// A worker's agent has an answer at least this often, milliseconds.
+/// Maximum interval between two answers of a worker to its agent.
 const ANSWER_INTERVAL_MS: u64 = 250;
-/// How long after its end a worker counts as silent, milliseconds.
+/// Time after a crash at which the worker is reported as silent.
 const SILENT_AFTER_MS: u64 = 100;
-/// A task ends its worker so long after its start, milliseconds.
+/// Time between the start of a crashing task and the crash of its worker.
 const CRASH_DELAY_MS: u64 = 10;
-/// Three workers may end before it must be known, and two more starts may follow.
+/// Up to three workers may crash before the task is identified, and two more starts may already be
+/// on their way.
 const MAX_STARTS: u32 = 5;
-/// When workers go down by themselves, milliseconds.
+/// Time range in which flapping workers crash on their own.
 const FLAPPING_MS: std::ops::Range<u64> = 0..15_000;
 const WORKERS: usize = 11;
 const PROCESSORS_MILLI: u32 = 32_000;
 
-/// What is played.
+/// Parameters of a simulated storm.
 #[derive(Debug, Clone, Copy)]
 struct StormPlan {
-    /// Of so many jobs one has a task that ends its workers; 0 for none.
+    /// One in this many jobs has a task that crashes its workers; 0 for none.
     crashing_one_in: u64,
-    /// How many workers go down and up by turns.
+    /// Number of workers that crash and restart repeatedly.
     flapping: usize,
-    /// How long such a worker is up, milliseconds.
+    /// Mean time between the restart and the next crash of such a worker, milliseconds.
     up_ms: u64,
-    /// A job comes this often, milliseconds.
+    /// Interval between two new jobs, milliseconds.
     period_ms: u64,
 }
 
@@ -45,22 +47,22 @@
 struct Vm {
     key: Option<WorkerKey>,
     boot: u32,
-    /// Starts of runs by their marks.
+    /// Running tasks, with the time at which each start was sent.
     runs: HashMap<RunId, u64>,
     last_answer: u64,
     ended_at: Option<u64>,
     reported_silent: bool,
     end_count: u64,
-    /// When it ends by itself.
+    /// Time at which a flapping worker crashes on its own.
     crashes_at: Option<u64>,
 }
 
 #[derive(Debug, Default)]
 struct StormReport {
-    /// Starts of tasks that end their workers.
+    /// Number of starts of each task that crashes its workers, by job.
     starts: BTreeMap<u64, u32>,
     crashes: u32,
-    /// Jobs without such a task that failed.
+    /// Failed jobs without a task that crashes its workers.
     wrongly_failed: Vec<u64>,
     completed: u32,
     open: u32,
@@ -72,7 +74,7 @@
     scheduler: JobScheduler,
     vms: Vec<Vm>,
     crashing: HashSet<u64>,
-    /// How long the tasks of a job work, milliseconds.
+    /// Run time of the tasks of each job, milliseconds.
     work_ms: HashMap<u64, u64>,
     report: StormReport,
     next_job: u64,
@@ -162,7 +164,8 @@
         }
     }
 
-    /// A new boot: its agent tells of the crash of the one before, then that it is gone.
+    /// Boots a worker. Its agent first reports the crash of the previous boot, then removes that
+    /// boot.
     fn boot(&mut self, number: usize, now: u64) {
         let vm = &mut self.vms[number];
         let runs: Vec<LostRun> = vm
@@ -193,7 +196,7 @@
 
     fn run_machine(&mut self, number: usize, now: u64) {
         let vm = &mut self.vms[number];
-        let key = vm.key.expect("every machine has a worker");
+        let key = vm.key.expect("every VM has a worker");
         if let Some(ended_at) = vm.ended_at {
             if now >= ended_at + RESTART_DELAY_MS {
                 self.boot(number, now);
@@ -303,8 +306,8 @@
     let report = Storm::new(plan, seed).run_storm(15_000, 45_000);
     let max_starts = report.starts.values().copied().max().unwrap_or(0);
     println!(
-        "{plan:?}, seed {seed}: {} tasks that end workers, {max_starts} starts of one at most; {} workers ended, {} jobs \
-         completed, {} open, wronged {:?}",
+        "{plan:?}, seed {seed}: {} crashing tasks, at most {max_starts} starts of one; {} workers crashed, {} jobs \
+         completed, {} open, wrongly failed {:?}",
         report.starts.len(),
         report.crashes,
         report.completed,
@@ -314,14 +317,14 @@
     report
 }
 
-/// No task that ends its workers is started too often, and no other job fails for it.
+/// Checks that no crashing task is started too often, and that no other job fails.
 fn check_attribution(report: &StormReport) {
     let starts = report.starts.values();
     assert!(starts.into_iter().all(|starts| *starts <= MAX_STARTS));
-    assert_eq!(report.wrongly_failed, [], "jobs that ended no worker");
+    assert_eq!(report.wrongly_failed, [], "jobs that crashed no worker");
 }
 
-/// Of what was accepted and can be done, 95 of 100 jobs have ended.
+/// Checks that at least 95 of 100 accepted jobs that can end have ended.
 fn check_completion(report: &StormReport) {
     assert!(report.completed * 5 >= report.open * 95);
 }
--- a/crates/wax-batch/tests/crashes.rs
+++ b/crates/wax-batch/tests/crashes.rs
@@ -1,4 +1,5 @@
-//! Tasks that take their workers with them are found, and nobody else is blamed for it.
+//! Crash attribution: tasks that crash their workers are found, and no other task is taken for the
+//! cause.
 
 mod support;
 
@@ -9,7 +10,7 @@
     WorkerView,
 };
 
-/// A run that was lost `ran_ms` milliseconds after its start.
+/// Returns a run that was lost `ran_ms` milliseconds after its start.
 fn lost_run(run_id: RunId, ran_ms: u64) -> LostRun {
     LostRun {
         run_id,
@@ -17,7 +18,7 @@
     }
 }
 
-/// The worker of a machine crashes under these runs, which are all that it has.
+/// Crashes the worker of a VM. `runs` are all runs on the worker.
 fn crash_worker(
     scheduler: &mut JobScheduler,
     (worker, vm): (WorkerKey, &str),
@@ -35,17 +36,18 @@
     job_info.expect("the job is known").outcome
 }
 
-/// The only order for a task.
+/// Returns the only order for a job.
 fn only_order_of(orders: &[StartOrder], job: u64) -> &StartOrder {
     let mut of_job = orders
         .iter()
         .filter(|order| order.run_id.task.job == wax_batch::JobName(job));
     let order = of_job.next().expect("an order for the job");
-    assert!(of_job.next().is_none(), "one order");
+    assert!(of_job.next().is_none(), "more than one order for the job");
     order
 }
 
-/// The worker of a machine has the only task, and crashes under it so long after its start.
+/// Starts the only task on a new worker of a VM, and crashes the worker `ran_ms` milliseconds after
+/// the start.
 fn crash_on_vm(scheduler: &mut JobScheduler, vm: &str, ran_ms: u64, millis: u64) -> CrashVerdict {
     let worker = worker(scheduler, vm, 4_000);
     let run_id = only_order_of(&scheduler.place(at(millis)), 7).run_id;
@@ -75,7 +77,7 @@
     worker(&mut scheduler, "z", 4_000);
     assert!(
         scheduler.place(at(5_000)).is_empty(),
-        "it is not started again"
+        "the task is given up and not started again"
     );
 }
 
@@ -106,7 +108,7 @@
     let mut scheduler = scheduler(1);
     add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
     let vms = ["u", "v", "x", "y"];
-    // Four machines have workers for it, so that four must have shown it.
+    // With four VMs in the service, crashes on four VMs are required as evidence.
     let _small_workers: Vec<WorkerKey> = (0..3)
         .map(|nth| worker(&mut scheduler, &format!("o{nth}"), 10))
         .collect();
@@ -147,14 +149,15 @@
         1_000,
     );
     assert_eq!(stored_outcome(&mut scheduler, 7), JobOutcome::Open);
-    // Its next start keeps no worker: others start beside it.
+    // The next start of the task isolates no worker, so other tasks start next to it.
     let next = worker(&mut scheduler, "x", 1_000);
     assert_eq!(only_order_of(&scheduler.place(at(1_300)), 7).worker, next);
     worker(&mut scheduler, "y", 4_000);
     assert_eq!(only_order_of(&scheduler.place(at(1_310)), 8).run_id.run, 2);
 }
 
-/// Each time exactly one other task has just started: by itself the crash points to that one.
+/// At each crash exactly one other task has just started. Each crash by itself would point to that
+/// other task.
 #[test]
 fn a_task_with_late_crashes_is_given_up_though_others_have_just_started() {
     let mut scheduler = scheduler(1);
@@ -215,7 +218,7 @@
     add_job(&mut new, 7, 1, &crashing, Some(progress));
     let second = worker(&mut new, "w", 4_000);
     let run_id = only_order_of(&new.place(at(2_000)), 7).run_id;
-    assert!(run_id.run > 1, "run numbers rise");
+    assert!(run_id.run > 1, "run numbers increase across terms");
     let verdicts = crash_worker(&mut new, (second, "w"), &[lost_run(run_id, 3)], 2_010);
     assert_eq!(verdicts, [CrashVerdict::GivenUp]);
 }
@@ -240,7 +243,7 @@
     let only = worker(&mut scheduler, "x", 4_000);
     add_job(&mut scheduler, 8, 1, &spec(vec![step(1, 1_000)]), None);
     let orders = scheduler.place(at(1_000));
-    // Whichever goes first, the other one is not started beside it.
+    // Whichever task is placed first, the other one must not start next to it.
     assert_eq!(orders.len(), 1);
     let mut started = vec![orders[0].run_id.task.job.0];
     let other = worker(&mut scheduler, "y", 4_000);
@@ -265,7 +268,10 @@
     worker(&mut scheduler, "x", 4_000);
     assert_eq!(scheduler.place(at(1_000)).len(), 1);
     add_job(&mut scheduler, 8, 1, &spec(vec![step(1, 1_000)]), None);
-    assert!(scheduler.place(at(1_400)).is_empty(), "it is on trial");
+    assert!(
+        scheduler.place(at(1_400)).is_empty(),
+        "the worker is isolated for the suspected task"
+    );
     assert_eq!(scheduler.place(at(1_600)).len(), 1);
 }
 
@@ -276,7 +282,7 @@
     add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
     let run_id = only_order_of(&scheduler.place(at(0)), 7).run_id;
     crash_worker(&mut scheduler, (first, "w"), &[lost_run(run_id, 3)], 10);
-    // Of two workers one may be kept.
+    // With two workers at most one may be isolated.
     let isolated = worker(&mut scheduler, "x", 4_000);
     worker(&mut scheduler, "y", 4_000);
     add_job(&mut scheduler, 8, 1, &spec(vec![step(1, 1_000)]), None);
@@ -297,7 +303,10 @@
         ..Default::default()
     };
     scheduler.update_worker(worker, silent);
-    assert!(scheduler.place(at(3_000)).is_empty(), "one trial at a time");
+    assert!(
+        scheduler.place(at(3_000)).is_empty(),
+        "at most one worker is isolated"
+    );
     let run_id = orders[0].run_id;
     let vm = if worker == isolated { "x" } else { "y" };
     crash_worker(&mut scheduler, (worker, vm), &[lost_run(run_id, 3)], 4_000);
@@ -342,7 +351,7 @@
     for nth in 0..6 {
         let vm = ["x", "y"][nth as usize % 2];
         let verdict = crash_on_vm(&mut scheduler, vm, 900, nth * 5_000);
-        assert_eq!(verdict, CrashVerdict::Suspected, "the {nth}th");
+        assert_eq!(verdict, CrashVerdict::Suspected, "crash {nth}");
     }
 }
 
@@ -378,10 +387,13 @@
     crash_worker(&mut scheduler, (first, "x"), &[lost_run(run_id, 3)], 1_010);
     assert!(
         scheduler.place(at(1_020)).is_empty(),
-        "another start is near"
+        "another start on the worker is recent"
     );
     add_job(&mut scheduler, 9, 1, &spec(vec![step(1, 1_000)]), None);
-    assert!(scheduler.place(at(1_100)).is_empty(), "the place is kept");
+    assert!(
+        scheduler.place(at(1_100)).is_empty(),
+        "the worker is reserved for the suspected task"
+    );
     assert_eq!(only_order_of(&scheduler.place(at(1_260)), 7).run_id.run, 2);
 }
 
@@ -396,7 +408,7 @@
     assert_eq!(
         scheduler.place(at(3_100)).len(),
         1,
-        "there is no other room"
+        "no other worker has capacity"
     );
 }
 
@@ -405,7 +417,7 @@
     let mut scheduler = scheduler(1);
     add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
     crash_on_vm(&mut scheduler, "x", 900, 0);
-    // Another machine has crashed since, under something else.
+    // Another VM has had a crash since then, under other tasks.
     let other = worker(&mut scheduler, "y", 4_000);
     scheduler.record_crash("y", &[], at(3_000), unix_ms(3_000));
     scheduler.remove_lost_worker(other, at(3_000), unix_ms(3_000));
@@ -416,7 +428,7 @@
     assert_eq!(
         only_order_of(&orders, 7).worker,
         steady,
-        "though it is fuller"
+        "preferred though more of it is reserved"
     );
 }
 
@@ -452,10 +464,15 @@
     assert_eq!(runs.len(), 6);
     crash_worker(&mut scheduler, (first, "w"), &runs, 10);
     worker(&mut scheduler, "x", 8_000);
-    assert_eq!(scheduler.place(at(1_000)).len(), 6, "they start together");
+    assert_eq!(
+        scheduler.place(at(1_000)).len(),
+        6,
+        "all members start together"
+    );
 }
 
-/// A crash is told again on a new link, after a newer one: what the newer one showed stands.
+/// A new link repeats the report of a crash after a newer one. The evidence from the newer crash
+/// must stand.
 #[test]
 fn a_repeated_report_of_an_older_crash_does_not_undo_a_newer_one() {
     let mut scheduler = scheduler(1);
--- a/crates/wax-batch/tests/drained_domains.rs
+++ b/crates/wax-batch/tests/drained_domains.rs
@@ -1,4 +1,5 @@
-//! Failure domains that are drained: what runs there goes on, nothing new comes, and waits say why.
+//! Drained failure domains: running tasks continue, no new tasks are placed, and waiting steps
+//! report the drain as the reason.
 
 mod support;
 
@@ -28,7 +29,7 @@
     scheduler.set_drained(&domains.iter().map(|domain| (*domain).into()).collect());
 }
 
-/// A book with a worker in each of two domains, of which the second is drained.
+/// Returns a scheduler with a worker in each of two domains, the second of which is drained.
 fn half_drained() -> (JobScheduler, WorkerKey, WorkerKey) {
     let mut scheduler = scheduler(1);
     let open = worker_in(&mut scheduler, "open", "a");
@@ -52,7 +53,7 @@
     assert_eq!(
         reasons(&mut scheduler),
         [WaitReason::Capacity],
-        "the open one is only full"
+        "the worker that is not drained is full"
     );
     drain(&mut scheduler, &[]);
     let orders = scheduler.place(at(1_500));
@@ -138,7 +139,8 @@
     assert_eq!(scheduler.place(at(2_000)).len(), 6);
 }
 
-/// A member is refused by its agent, which knew of the drain first: the others do not wait in vain.
+/// An agent that learns of a drain before the owner refuses one member. The others are stopped,
+/// because they cannot work without it.
 #[test]
 fn the_members_of_a_gang_are_stopped_when_one_is_refused() {
     let mut scheduler = scheduler(1);
@@ -152,7 +154,9 @@
     let orders = scheduler.place(at(0));
     assert_eq!(orders.len(), 6);
     let refused = orders.iter().find(|order| order.worker == drained);
-    let refused = refused.expect("it is needed").run_id;
+    let refused = refused
+        .expect("a member is placed in the drained domain")
+        .run_id;
     let reason = wax_batch::StartRefusal::Drained;
     scheduler.record_refusal(drained, refused, reason, at(10), unix_ms(10));
     assert_eq!(scheduler.take_stops().len(), 5);
@@ -184,7 +188,7 @@
     assert!(orders.iter().all(|order| order.worker == open));
 }
 
-/// Two domains at once, all of them, and each taken back by itself.
+/// Several domains, or all of them, can be drained at once, and each drain ends independently.
 #[test]
 fn drains_of_several_domains_do_not_depend_on_each_other() {
     let mut scheduler = scheduler(1);
@@ -196,7 +200,7 @@
     for (nth, left) in [&["a", "b"][..], &["b"], &[]].into_iter().enumerate() {
         drain(&mut scheduler, left);
         let orders = scheduler.place(at(2_000 * (nth as u64 + 1)));
-        assert_eq!(orders.len(), 4, "{left:?} are left");
+        assert_eq!(orders.len(), 4, "domains still drained: {left:?}");
     }
     let full = |(_, record): (WorkerKey, &wax_batch::WorkerRecord)| record.runs.len() == 4;
     assert_eq!(
@@ -205,8 +209,8 @@
     );
 }
 
-/// Workers that join, come back, or change their word while their domain is drained get nothing, cold
-/// or not.
+/// Workers that join, restart or send a new description while their domain is drained get no tasks,
+/// whether they are cold or not.
 #[test]
 fn workers_that_join_a_drained_domain_get_no_tasks() {
     let mut scheduler = scheduler(1);
--- a/crates/wax-batch/tests/job_lifecycle.rs
+++ b/crates/wax-batch/tests/job_lifecycle.rs
@@ -1,4 +1,5 @@
-//! The life of jobs in their owner's book: ends count once, and are forgotten only when stored.
+//! Life cycle of jobs in the scheduler: each end counts once, and is acknowledged only after it is
+//! stored.
 
 mod support;
 
@@ -19,7 +20,7 @@
         None,
     );
     let orders = scheduler.place(at(0));
-    assert_eq!(orders.len(), 2, "the second step waits");
+    assert_eq!(orders.len(), 2, "the second step waits for the first");
     for (number, order) in (1..).zip(&orders) {
         assert_eq!(order.run_id.run, 1);
         scheduler.record_end(
@@ -38,10 +39,14 @@
         unix_ms(30),
     );
     let info = scheduler.job_info(job).expect("the job is known");
-    assert_eq!(info.outcome, JobOutcome::Open, "not before it is stored");
+    assert_eq!(
+        info.outcome,
+        JobOutcome::Open,
+        "the outcome is shown only after it is stored"
+    );
     store_all(&mut scheduler);
     assert_eq!(
-        scheduler.job_info(job).expect("known").outcome,
+        scheduler.job_info(job).expect("the job is known").outcome,
         JobOutcome::Completed
     );
 }
@@ -60,7 +65,7 @@
     );
     assert_eq!(scheduler.advance_ack_cursors(), vec![]);
     let updates = scheduler.take_updates(10);
-    // An end that comes while the write is under way is not covered by it.
+    // An end that is reported during a write is not covered by that write.
     scheduler.record_end(
         worker,
         &end(2, orders[1].run_id, RunEndKind::Done),
@@ -92,7 +97,8 @@
         at(5_010),
         unix_ms(5_010),
     );
-    // The other task ends well after the job has failed: forgotten unstored, it could run again.
+    // The other task ends after the job has failed. If this end were acknowledged before the
+    // failure is stored, the task could run again after a restart of the owner.
     scheduler.record_end(
         worker,
         &end(3, first[1].run_id, RunEndKind::Done),
@@ -114,14 +120,14 @@
     let failed = end(1, orders[0].run_id, RunEndKind::Failed);
     first.record_end(worker_key, &failed, at(10), unix_ms(10));
     let stored = store_all(&mut first);
-    // The owner lets go before the worker hears that the end may be forgotten.
+    // The first owner releases its term before the worker learns that the end is acknowledged.
     let mut second = scheduler(2);
     let job = add_job(&mut second, 7, 1, &job_spec, Some(&stored[0].1));
     let worker_key = worker(&mut second, "w", 4_000);
     second.reconcile_worker(worker_key, &[], &[failed], at(20), unix_ms(20));
     store_all(&mut second);
     assert_eq!(
-        second.job_info(job).expect("known").outcome,
+        second.job_info(job).expect("the job is known").outcome,
         JobOutcome::Open
     );
     let orders = second.place(at(4_000));
@@ -135,7 +141,7 @@
     );
     store_all(&mut second);
     assert_eq!(
-        second.job_info(job).expect("known").outcome,
+        second.job_info(job).expect("the job is known").outcome,
         JobOutcome::Failed
     );
 }
@@ -164,10 +170,13 @@
     );
     store_all(&mut scheduler);
     assert_eq!(
-        scheduler.job_info(job).expect("known").outcome,
+        scheduler.job_info(job).expect("the job is known").outcome,
         JobOutcome::Failed
     );
-    assert!(scheduler.place(at(20_000)).is_empty(), "no third attempt");
+    assert!(
+        scheduler.place(at(20_000)).is_empty(),
+        "the maximum number of attempts is two"
+    );
 }
 
 #[test]
@@ -190,7 +199,7 @@
     assert_eq!(stops[0].run_id, repeated[0].run_id);
     store_all(&mut scheduler);
     assert_eq!(
-        scheduler.job_info(job).expect("known").outcome,
+        scheduler.job_info(job).expect("the job is known").outcome,
         JobOutcome::Completed
     );
 }
@@ -206,7 +215,7 @@
     let orders = scheduler.place(at(0));
     assert!(
         orders.iter().all(|order| order.run_id.task.job.0 == 8),
-        "only the new job"
+        "only the job of this term may start"
     );
     assert_eq!(orders.len(), 2);
     let adopted = running(run_id(7, 0, 1, 1));
@@ -220,7 +229,7 @@
     assert_eq!(orders[0].run_id.task.index, 0);
     assert!(
         orders[0].run_id.run > 1,
-        "above any run of the earlier term"
+        "run numbers are above those of the earlier term"
     );
 }
 
@@ -237,7 +246,10 @@
     );
     assert_eq!(scheduler.take_stops().len(), 1);
     add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
-    assert!(scheduler.place(at(0)).is_empty(), "its size is not known");
+    assert!(
+        scheduler.place(at(0)).is_empty(),
+        "the reservation of the orphan run is unknown"
+    );
     scheduler.record_end(
         worker,
         &end(1, run_id(9, 0, 0, 1), RunEndKind::Stopped),
@@ -265,7 +277,7 @@
     assert!(scheduler.place(at(30)).is_empty());
     store_all(&mut scheduler);
     assert_eq!(
-        scheduler.job_info(job).expect("known").outcome,
+        scheduler.job_info(job).expect("the job is known").outcome,
         JobOutcome::Cancelled
     );
 }
@@ -295,12 +307,13 @@
     }
     store_all(&mut scheduler);
     assert_eq!(
-        scheduler.job_info(job).expect("known").outcome,
+        scheduler.job_info(job).expect("the job is known").outcome,
         JobOutcome::Open
     );
 }
 
-/// It is the task that fails, not its worker: other work was kept away for 3 s, again and again.
+/// The task is at fault, not its worker. Excluding the worker would keep other tasks away for 3 s
+/// again and again.
 #[test]
 fn a_long_running_task_that_always_fails_does_not_exclude_its_worker() {
     let mut scheduler = scheduler(1);
@@ -331,10 +344,7 @@
     let mut gang = step(2, 1_000);
     gang.gang = true;
     add_job(&mut scheduler, 7, 1, &spec(vec![gang]), None);
-    assert!(
-        scheduler.place(at(0)).is_empty(),
-        "there is room for one member only"
-    );
+    assert!(scheduler.place(at(0)).is_empty(), "only one member fits");
     let other = worker(&mut scheduler, "other", 1_000);
     let orders = scheduler.place(at(10));
     assert_eq!(orders.len(), 2);
@@ -344,14 +354,14 @@
         orders
             .iter()
             .find(|order| order.worker == small)
-            .expect("one there")
+            .expect("a member is placed on the small worker")
             .run_id,
         StartRefusal::Room,
         at(20),
         unix_ms(20),
     );
     let stops = scheduler.take_stops();
-    assert_eq!(stops.len(), 1, "the other member would wait in vain");
+    assert_eq!(stops.len(), 1, "the other member is stopped");
     assert_eq!(stops[0].worker, other);
 }
 
@@ -373,14 +383,15 @@
     }
     store_all(&mut scheduler);
     assert_eq!(
-        scheduler.job_info(job).expect("known").outcome,
+        scheduler.job_info(job).expect("the job is known").outcome,
         JobOutcome::Completed
     );
     assert_eq!(scheduler.advance_ack_cursors(), vec![(worker, 3)]);
 }
 
-/// TWICE on a site of our own: all lost power before the store had the first member's end, and the
-/// other ends had been acknowledged already.
+/// Guards against running a gang twice: if the other members' ends are acknowledged before the
+/// first member's end is stored, and all processes then lose power, no record of the completion is
+/// left.
 #[test]
 fn no_end_of_a_gang_is_acknowledged_before_the_first_end_is_stored() {
     let mut scheduler = scheduler(1);
@@ -406,7 +417,8 @@
     assert_eq!(cursors, vec![(one, 1), (other, 1)]);
 }
 
-/// The same for two runs of one task, of which the first had been given up.
+/// Guards against running a task twice, as in the test above, with two runs of one task of which
+/// the first was given up as lost.
 #[test]
 fn a_second_end_of_a_done_task_is_acknowledged_only_after_it_is_stored() {
     let mut scheduler = scheduler(1);
@@ -455,7 +467,10 @@
         scheduler.start_due_occurrences(at(900), unix_ms(900)),
         Some(unix_ms(1_000))
     );
-    assert!(scheduler.place(at(900)).is_empty(), "not before its time");
+    assert!(
+        scheduler.place(at(900)).is_empty(),
+        "the first occurrence is not due yet"
+    );
     assert_eq!(
         scheduler.start_due_occurrences(at(1_000), unix_ms(1_000)),
         Some(unix_ms(1_500))
@@ -475,7 +490,7 @@
         unix_ms(1_600),
     );
     assert_eq!(
-        scheduler.job_info(job).expect("known").outcome,
+        scheduler.job_info(job).expect("the job is known").outcome,
         JobOutcome::Open
     );
     scheduler.record_end(
@@ -486,7 +501,7 @@
     );
     store_all(&mut scheduler);
     assert_eq!(
-        scheduler.job_info(job).expect("known").outcome,
+        scheduler.job_info(job).expect("the job is known").outcome,
         JobOutcome::Completed
     );
 }
@@ -526,7 +541,7 @@
     assert_eq!(stops[0].run_id, members[1].run_id);
 }
 
-/// The order may have been lost with its link: the run would go on for ever.
+/// The first order may have been lost with its link, and the run would then never stop.
 #[test]
 fn the_stop_order_for_an_orphan_run_is_repeated_on_the_next_link() {
     let mut scheduler = scheduler(1);
@@ -550,13 +565,14 @@
     scheduler.record_end(worker, &done, at(10), unix_ms(10));
     store_all(&mut scheduler);
     assert_eq!(scheduler.advance_ack_cursors(), vec![(worker, 1)]);
-    // The worker still lists the end on its next link, and no cursor moves any more.
+    // The worker lists the end again on its next link. The cursor stays where it is.
     scheduler.reconcile_worker(worker, &[], &[done], at(20), unix_ms(20));
     assert_eq!(scheduler.advance_ack_cursors(), vec![]);
     assert_eq!(scheduler.acknowledged_end(worker), 1);
 }
 
-/// The share of late jobs counts those that fill, are open, and are enough to say anything.
+/// The share of late jobs only counts open best-effort jobs, and is 0 unless enough of them are
+/// open.
 #[test]
 fn overload_is_the_share_of_open_best_effort_jobs_that_are_late() {
     let mut scheduler = scheduler(1);
@@ -583,5 +599,9 @@
     assert_eq!(scheduler.overload(at(0)), 0.0);
     assert_eq!(scheduler.overload(at(60_000)), 1.0);
     scheduler.cancel(wax_batch::JobName(13), unix_ms(60_000));
-    assert_eq!(scheduler.overload(at(60_000)), 0.0, "again too few");
+    assert_eq!(
+        scheduler.overload(at(60_000)),
+        0.0,
+        "three open jobs are too few"
+    );
 }
--- a/crates/wax-batch/tests/placement.rs
+++ b/crates/wax-batch/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where tasks are placed: never over a worker's capacity, and so that nobody starves.
+//! Placement of tasks: the capacity of workers is never exceeded, and no job starves.
 
 mod support;
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// Books most of the service's processors by what neither fills nor serves.
+/// Reserves most of the service's processors for tasks that are neither best-effort nor serving.
 fn reserve_most_capacity(scheduler: &mut JobScheduler) {
     worker(scheduler, "full", 40_000);
     add_job(scheduler, 99, 1, &spec(vec![step(4, 10_000)]), None);
@@ -136,7 +136,7 @@
         .workers()
         .filter(|(_, record)| record.runs.is_empty())
         .count();
-    assert_eq!(empty, 2, "two workers stay free for what presses on them");
+    assert_eq!(empty, 2, "two workers stay free for tasks that interfere");
     let mixed = scheduler
         .workers()
         .filter(|(_, record)| record.interference.serving().len() > 1);
@@ -178,17 +178,17 @@
     assert_eq!(
         scheduler.place(at(200)).len(),
         1,
-        "what does not press is placed"
+        "a task without interference is placed"
     );
     assert!(scheduler.place(at(9_900)).is_empty());
     assert_eq!(
         scheduler.place(at(10_100)).len(),
         1,
-        "of an old job one task takes any worker"
+        "one task of an old job accepts any worker"
     );
 }
 
-/// The agent tells its room before it has seen what was placed a moment ago.
+/// The agent reports a headroom that does not account yet for tasks placed a moment ago.
 #[test]
 fn recent_placements_still_count_after_a_headroom_update() {
     let mut scheduler = scheduler(1);
@@ -215,7 +215,7 @@
         );
         placed += scheduler.place(at(100 * number as u64)).len();
     }
-    assert_eq!(placed, 2, "each presses by 0.2");
+    assert_eq!(placed, 2, "each task interferes by 0.2");
 }
 
 #[test]
@@ -231,7 +231,7 @@
         None,
     );
     let orders = scheduler.place(at(0));
-    assert_eq!(orders.len(), 4, "all processors are asked for");
+    assert_eq!(orders.len(), 4, "all processors are requested");
     record_all_starts(&mut scheduler, &orders, at(0));
     add_job(
         &mut scheduler,
@@ -246,7 +246,8 @@
     assert_eq!(orders[0].run_id.task.job.0, 8);
 }
 
-/// LOST on riveneige scale-1: with most processors not booked, jobs of any age must not stand still.
+/// Guards against losing jobs that never start: while most processors are not reserved, a job must
+/// make progress whatever its age.
 #[test]
 fn in_a_lightly_loaded_service_a_young_job_without_placed_tasks_gets_one_task_placed() {
     let mut scheduler = scheduler(1);
@@ -259,7 +260,7 @@
         None,
     );
     let orders = scheduler.place(at(0));
-    assert_eq!(orders.len(), 4, "all processors are asked for");
+    assert_eq!(orders.len(), 4, "all processors are requested");
     record_all_starts(&mut scheduler, &orders, at(0));
     add_job(
         &mut scheduler,
@@ -272,7 +273,10 @@
     let orders = scheduler.place(at(1_300));
     assert_eq!(orders.len(), 1);
     assert_eq!(orders[0].run_id.task.job.0, 8);
-    assert!(scheduler.place(at(3_000)).is_empty(), "one is enough");
+    assert!(
+        scheduler.place(at(3_000)).is_empty(),
+        "only one task is placed this way"
+    );
 }
 
 #[test]
@@ -338,7 +342,7 @@
     assert_eq!(
         scheduler.place(at(now + 3_100)).len(),
         1,
-        "then one is tried again"
+        "the worker is tried again after the exclusion"
     );
 }
 
@@ -373,7 +377,10 @@
     };
     scheduler.update_worker(leaving, view);
     scheduler.evacuate(at(100));
-    assert!(scheduler.take_stops().is_empty(), "there is nowhere to go");
+    assert!(
+        scheduler.take_stops().is_empty(),
+        "no other worker can take the runs"
+    );
     worker(&mut scheduler, "other", 8_000);
     scheduler.evacuate(at(200));
     let mut jobs: Vec<u64> = scheduler
@@ -382,9 +389,12 @@
         .map(|stop| stop.run_id.task.job.0)
         .collect();
     jobs.sort_unstable();
-    assert_eq!(jobs, [7, 8], "what cannot resume is left to end by itself");
+    assert_eq!(jobs, [7, 8], "a task without checkpoints runs to its end");
     scheduler.evacuate(at(300));
-    assert!(scheduler.take_stops().is_empty(), "once");
+    assert!(
+        scheduler.take_stops().is_empty(),
+        "each stop is ordered once"
+    );
 }
 
 #[test]
@@ -402,7 +412,10 @@
     let allowed = worker(&mut scheduler, "allowed", 1_000);
     worker(&mut scheduler, "other", 4_000);
     add_job(&mut scheduler, 7, 1, &spec(vec![step(2, 1_000)]), None);
-    assert!(scheduler.place(at(0)).is_empty(), "nobody has approved it");
+    assert!(
+        scheduler.place(at(0)).is_empty(),
+        "no worker is approved yet"
+    );
     let request = scheduler
         .next_advice_request(at(0))
         .expect("the advisor is asked");
@@ -411,7 +424,7 @@
     assert_eq!(
         scheduler.next_advice_request(at(10)),
         None,
-        "one question at a time"
+        "no second request right after the first"
     );
     scheduler.record_advice(&request, &[("allowed".into(), "t-1".into())], at(2_000));
     let orders = scheduler.place(at(100));
@@ -425,15 +438,15 @@
     );
     assert!(
         scheduler.place(at(1_900)).is_empty(),
-        "the ticket ends too soon"
+        "the ticket expires too soon"
     );
     let repeated = scheduler
         .next_advice_request(at(1_900))
-        .expect("it is asked again");
+        .expect("the advisor is asked again");
     assert_eq!(
         repeated.workers.len(),
         1,
-        "a worker that may not run the step never may"
+        "a denied worker is not asked about again"
     );
 }
 
@@ -451,7 +464,7 @@
     );
     assert!(
         scheduler.place(at(20)).is_empty(),
-        "others may yet register"
+        "the task waits for another worker"
     );
     let other = worker(&mut scheduler, "other", 4_000);
     assert_eq!(scheduler.place(at(30))[0].worker, other);
@@ -489,7 +502,7 @@
     assert_eq!(
         scheduler.place(at(10_700)).len(),
         1,
-        "it has waited long enough already"
+        "the refused start did not reset the waiting time"
     );
 }
 
@@ -517,7 +530,7 @@
     );
 }
 
-/// Two small workers on one rack, a larger one alone on another.
+/// Two small workers share one rack; a larger worker is alone on another.
 macro_rules! one_rack {
     ($($name:ident: $gang:literal, $spread_out:literal => $rack:literal;)*) => {$(
         #[test]
--- a/crates/wax-batch/tests/support/mod.rs
+++ b/crates/wax-batch/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A book with workers and jobs for tests.
+//! Scheduler, workers and jobs for tests.
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 
@@ -9,7 +9,7 @@
 use wax_policy::PlaceRules;
 use wax_types::TimePoint;
 
-/// Unix milliseconds at [`at`] zero.
+/// Unix time in milliseconds that corresponds to `at(0)`.
 pub(crate) const EPOCH_MS: u64 = 1_000_000;
 
 pub(crate) fn at(millis: u64) -> TimePoint {
@@ -68,7 +68,7 @@
     }
 }
 
-/// A settled book of term `epoch`.
+/// Returns a fully reconciled scheduler of term `epoch`.
 pub(crate) fn scheduler(epoch: u64) -> JobScheduler {
     let mut scheduler = JobScheduler::new(epoch, PlaceRules::default());
     scheduler.set_config(config(2).into());
@@ -136,7 +136,7 @@
     }
 }
 
-/// Tells the book that all orders were carried out.
+/// Records the starts of all ordered runs.
 pub(crate) fn record_all_starts(
     scheduler: &mut JobScheduler,
     orders: &[StartOrder],
@@ -147,7 +147,7 @@
     }
 }
 
-/// Writes everything to the store and returns what was written.
+/// Confirms all pending updates as stored, and returns what was written.
 pub(crate) fn store_all(scheduler: &mut JobScheduler) -> Vec<(JobName, JobProgress)> {
     let updates = scheduler.take_updates(1_000);
     scheduler.confirm_updates(&updates);
--- a/crates/wax-batch/tests/takeover.rs
+++ b/crates/wax-batch/tests/takeover.rs
@@ -1,11 +1,11 @@
-//! What a new owner may start before every worker was heard.
+//! Tasks that a new owner may start before it has reconciled with all workers.
 
 mod support;
 
 use support::*;
 use wax_batch::{JobName, JobScheduler, RunEndKind, RunReport, UnreconciledRuns};
 
-/// A book of term 2 that has heard nobody yet, with one worker.
+/// Returns a scheduler of term 2 with one worker and no reconciliation yet.
 fn new_owner() -> (JobScheduler, wax_batch::WorkerKey) {
     let mut scheduler = JobScheduler::new(2, Default::default());
     scheduler.set_config(config(2).into());
@@ -26,12 +26,12 @@
     );
     assert!(
         scheduler.place(at(10)).is_empty(),
-        "the other task may run unheard"
+        "the other task may be running on an unreconciled worker"
     );
     let failed = end(1, run_id(7, 0, 0, 1), RunEndKind::Failed);
     scheduler.record_end(worker, &failed, at(20), unix_ms(20));
     let orders = scheduler.place(at(2_000));
-    assert_eq!(orders.len(), 1, "it was its only run");
+    assert_eq!(orders.len(), 1, "the task had no other run");
     assert_eq!(orders[0].run_id.task.index, 0);
     assert_eq!(scheduler.held_back_task_count(), 1);
 }
@@ -49,7 +49,7 @@
     scheduler.record_end(worker, &never, at(20), unix_ms(20));
     assert!(
         scheduler.place(at(2_000)).is_empty(),
-        "a later run may be on a worker that was not heard"
+        "a later run may be on an unreconciled worker"
     );
     scheduler.mark_all_reconciled();
     assert_eq!(scheduler.place(at(2_100)).len(), 1);
@@ -80,7 +80,11 @@
     let done = end(2, run_id(7, 0, 1, 1), RunEndKind::Done);
     scheduler.record_end(worker, &done, at(20), unix_ms(20));
     let orders = scheduler.place(at(30));
-    assert_eq!(orders.len(), 3, "no earlier owner can have opened it");
+    assert_eq!(
+        orders.len(),
+        3,
+        "no earlier owner can have opened the second step"
+    );
     for (number, order) in (3..).zip(&orders) {
         scheduler.record_end(
             worker,
@@ -89,7 +93,11 @@
             unix_ms(40),
         );
     }
-    assert_eq!(scheduler.place(at(50)).len(), 2, "nor what comes after it");
+    assert_eq!(
+        scheduler.place(at(50)).len(),
+        2,
+        "no earlier owner can have opened the third step"
+    );
 }
 
 #[test]
@@ -108,7 +116,7 @@
     scheduler.reconcile_worker(worker, &[], &ends, at(0), unix_ms(0));
     assert!(
         scheduler.place(at(10)).is_empty(),
-        "the owner before may have opened the second step"
+        "the earlier owner may have opened the second step"
     );
 }
 
@@ -143,7 +151,7 @@
     scheduler.record_end(worker, &broken, at(20), unix_ms(20));
     assert!(
         scheduler.place(at(2_000)).is_empty(),
-        "the other member may run unheard"
+        "the other member may be running on an unreconciled worker"
     );
     scheduler.mark_all_reconciled();
     assert_eq!(scheduler.place(at(2_100)).len(), 2);
