--- a/crates/wax-batch/src/crash_history.rs
+++ b/crates/wax-batch/src/crash_history.rs
@@ -76,7 +76,7 @@
     /// Whether no other affected run started at about the same time or later.
     pub(crate) is_only_recent_start: bool,
     /// Number of workers of the task's service, each on its own VM.
-    pub(crate) vms: usize,
+    pub(crate) service_vms: usize,
     /// Whether the task is long-running.
     pub(crate) long_running: bool,
 }
@@ -171,7 +171,7 @@
 
     fn verdict(&self, crashed: RunInCrash, repeated: bool, early: bool) -> CrashVerdict {
         // A service with fewer VMs than required cannot provide more evidence.
-        let enough = |vms: usize, required: usize| vms >= required.min(crashed.vms);
+        let enough = |vms: usize, required: usize| vms >= required.min(crashed.service_vms);
         let vms = count_vms(self.runs.iter());
         // A VM with another crash shortly before is weaker evidence, so one more early crash is
         // required.
--- a/crates/wax-batch/src/crashes.rs
+++ b/crates/wax-batch/src/crashes.rs
@@ -70,12 +70,12 @@
         &self,
         task_ref: TaskRef,
         is_suspected: bool,
-        crashed: Option<TimePoint>,
+        last_crash: Option<TimePoint>,
         now: TimePoint,
     ) -> f64 {
         let mut cost = 0.0;
-        if let Some(task_ref) = crashed {
-            let age = now.since(task_ref).div_duration_f64(RECENT_CRASH_WINDOW);
+        if let Some(crashed_at) = last_crash {
+            let age = now.since(crashed_at).div_duration_f64(RECENT_CRASH_WINDOW);
             cost += RECENT_CRASH_COST * (1.0 - age.min(1.0));
         }
         if is_suspected {
@@ -142,7 +142,7 @@
             run: run_id.run,
             min_run_time,
             is_only_recent_start,
-            vms: self.worker_count(&job.queue.service),
+            service_vms: self.worker_count(&job.queue.service),
             long_running: job.spec.steps[usize::from(task_ref.step.step)].long_running,
         };
         let task = self.task_mut(task_ref)?;
@@ -255,8 +255,8 @@
             return;
         };
         record.last_start = now;
-        if let Some(span) = isolation {
-            let until = now + span;
+        if let Some(duration) = isolation {
+            let until = now + duration;
             record.isolation = Some(WorkerIsolation::Running { run_id, until });
         }
     }
--- a/crates/wax-batch/src/ends.rs
+++ b/crates/wax-batch/src/ends.rs
@@ -198,7 +198,7 @@
         now: TimePoint,
     ) {
         let job = &mut self.jobs[task_ref.step.job];
-        let over = job.is_over();
+        let is_over = job.is_over();
         let Some(occurrence) = job.occurrences.get_mut(&task_ref.step.occurrence) else {
             return;
         };
@@ -216,7 +216,7 @@
         if let Some(tasks) = step.spread.get_mut(&worker) {
             *tasks = tasks.saturating_sub(1);
         }
-        if step.open && !over {
+        if step.open && !is_over {
             self.ready_steps.insert(task_ref.step);
         }
     }
@@ -378,11 +378,11 @@
             };
             let before = record.ack_cursor;
             while let Some(first) = record.pending_ends.front() {
-                let known = first.covered.is_none_or(|(job, changes)| {
+                let is_stored = first.covered.is_none_or(|(job, changes)| {
                     jobs.get(job)
                         .is_none_or(|job| job.stored_changes >= changes)
                 });
-                if !known {
+                if !is_stored {
                     break;
                 }
                 record.ack_cursor = first.number;
--- a/crates/wax-batch/src/placement.rs
+++ b/crates/wax-batch/src/placement.rs
@@ -130,7 +130,7 @@
             .filter_map(|step_ref| self.step_record(*step_ref));
         let checks = steps.filter_map(|step| step.next_check);
         let next = checks.filter(|time| *time > now).min();
-        next.map_or(limit, |step_ref| step_ref.since(now).min(limit))
+        next.map_or(limit, |time| time.since(now).min(limit))
     }
 
     /// Returns a new scan position for each step, so that the first workers are not evaluated more
@@ -160,15 +160,15 @@
         let Some(step) = self.step_record(step_ref) else {
             return false;
         };
-        if step.next_check.is_some_and(|step_ref| now < step_ref) {
+        if step.next_check.is_some_and(|time| now < time) {
             return false;
         }
         match self.eligibility(step_ref, step) {
             StepEligibility::All => true,
-            located => step
+            limited => step
                 .tasks
                 .iter()
-                .any(|task| task.is_waiting() && located.includes(task)),
+                .any(|task| task.is_waiting() && limited.includes(task)),
         }
     }
 
@@ -302,10 +302,10 @@
             return;
         };
         let record = &mut occurrence.steps[usize::from(task_ref.step.step)];
-        let last_reported = record.reported_wait;
-        if last_reported
-            .is_some_and(|(last, when)| last == reason || now.since(when) < WAIT_REPORT_INTERVAL)
-        {
+        let last_report = record.reported_wait;
+        if last_report.is_some_and(|(last_reason, reported_at)| {
+            last_reason == reason || now.since(reported_at) < WAIT_REPORT_INTERVAL
+        }) {
             return;
         }
         record.reported_wait = Some((reason, now));
@@ -400,7 +400,7 @@
     ) -> Option<Box<str>> {
         let max_tasks = match step.max_per_worker {
             0 => u32::MAX,
-            best => best,
+            max_tasks => max_tasks,
         };
         let mut racks: BTreeMap<&str, u32> = BTreeMap::new();
         for worker in self.workers.values() {
@@ -408,15 +408,15 @@
                 continue;
             };
             if worker.accepts(service, step, now) {
-                let fits = step
+                let count = step
                     .reserved()
                     .count_that_fit(worker.free_capacity())
                     .min(max_tasks);
-                let fitting = racks.entry(rack).or_default();
-                *fitting = fitting.saturating_add(fits);
+                let total = racks.entry(rack).or_default();
+                *total = total.saturating_add(count);
             }
         }
-        let best = racks.into_iter().max_by_key(|(_, fitting)| *fitting);
+        let best = racks.into_iter().max_by_key(|(_, total)| *total);
         best.map(|(rack, _)| rack.into())
     }
 
@@ -436,7 +436,10 @@
         if task.excluded_worker.is_some() || !task.crash_history.is_empty() {
             return self.choose_after_failures(task_ref, request, relaxation, now);
         }
-        let mut offers = match cached.take().filter(|(of, _)| *of == relaxation) {
+        let mut offers = match cached
+            .take()
+            .filter(|(cached_for, _)| *cached_for == relaxation)
+        {
             Some((_, offers)) => offers,
             None => self.collect_offers(None, task_ref.step, request, relaxation, now),
         };
@@ -553,9 +556,9 @@
     ) -> Result<f64, WaitReason> {
         let step = request.step;
         let best_effort_limit = match relaxation {
-            PlacementRelaxation::Careful | PlacementRelaxation::Late | PlacementRelaxation::Any => {
-                request.best_effort_limit
-            }
+            PlacementRelaxation::PreferredPace
+            | PlacementRelaxation::RelaxedPace
+            | PlacementRelaxation::AnyPace => request.best_effort_limit,
             PlacementRelaxation::Starved => f64::INFINITY,
         };
         if let Some(placement_obstacle) =
@@ -616,8 +619,8 @@
             cost += self.rules.shun_cost;
         }
         if !task.record.crash_history.is_empty() {
-            let crashed = self.last_vm_crash.get(&worker.vm).copied();
-            cost += worker.crash_cost(task.task_ref, task.is_suspected, crashed, now);
+            let last_crash = self.last_vm_crash.get(&worker.vm).copied();
+            cost += worker.crash_cost(task.task_ref, task.is_suspected, last_crash, now);
         }
         cost
     }
--- a/crates/wax-batch/src/rank.rs
+++ b/crates/wax-batch/src/rank.rs
@@ -11,7 +11,7 @@
 /// Returns the critical path from each step to the end of the job, in milliseconds: the longest
 /// chain of estimated run times, including the step itself.
 pub fn critical_path_ms(spec: &JobSpec) -> Vec<u64> {
-    let mut chain: Vec<u64> = spec
+    let mut path_ms: Vec<u64> = spec
         .steps
         .iter()
         .map(|step| step.estimate_ms.into())
@@ -19,11 +19,11 @@
     for number in (0..spec.steps.len()).rev() {
         for earlier in &spec.steps[number].after {
             let earlier = usize::from(*earlier);
-            let through = u64::from(spec.steps[earlier].estimate_ms) + chain[number];
-            chain[earlier] = chain[earlier].max(through);
+            let length = u64::from(spec.steps[earlier].estimate_ms) + path_ms[number];
+            path_ms[earlier] = path_ms[earlier].max(length);
         }
     }
-    chain
+    path_ms
 }
 
 /// A job that misses its objective still counts as late, rather than too late, up to this multiple
@@ -59,10 +59,10 @@
 ///
 /// In milliseconds after the occurrence was due; 0 if even an immediate start would be too late.
 pub fn latest_start_ms(job: &JobRecord, step: u16, factor: f64) -> u64 {
-    let chain = critical_path_ms(&job.spec);
-    let objective = objective_of(&chain, &job.queue);
-    let remaining_chain = chain.get(usize::from(step)).copied().unwrap_or(0) as f64;
-    (objective * factor - remaining_chain).max(0.0) as u64
+    let path_ms = critical_path_ms(&job.spec);
+    let objective = objective_of(&path_ms, &job.queue);
+    let remaining_path = path_ms.get(usize::from(step)).copied().unwrap_or(0) as f64;
+    (objective * factor - remaining_path).max(0.0) as u64
 }
 
 /// Minimum number of open best-effort jobs for the share of late jobs to be meaningful.
@@ -98,15 +98,15 @@
     objective_of(&critical_path_ms(spec), queue) as u64
 }
 
-fn objective_of(chain: &[u64], queue: &QueueRules) -> f64 {
-    let longest = chain.iter().copied().max().unwrap_or(0) as f64;
+fn objective_of(path_ms: &[u64], queue: &QueueRules) -> f64 {
+    let longest = path_ms.iter().copied().max().unwrap_or(0) as f64;
     queue.stretch * longest + f64::from(queue.target_latency_ms)
 }
 
 impl JobRank {
     /// Returns the rank of a step of occurrence `number`.
-    pub fn new(job: &JobRecord, number: u32, step: u16, now: TimePoint) -> Self {
-        let occurrence = job.occurrences.get(&number);
+    pub fn new(job: &JobRecord, occurrence_number: u32, step: u16, now: TimePoint) -> Self {
+        let occurrence = job.occurrences.get(&occurrence_number);
         let due = occurrence.map_or(job.accepted, |record| record.due);
         let start = |factor| due + Duration::from_millis(latest_start_ms(job, step, factor));
         let (finish, latest_start) = if now <= start(1.0) {
--- a/crates/wax-batch/src/relaxation.rs
+++ b/crates/wax-batch/src/relaxation.rs
@@ -9,11 +9,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PlacementRelaxation {
     /// Requires spare processors and the full pace that `careful_pace` demands.
-    Careful,
+    PreferredPace,
     /// Requires spare processors and only the pace that `late_pace` demands.
-    Late,
+    RelaxedPace,
     /// Requires only spare processors.
-    Any,
+    AnyPace,
     /// Requires no spare processors either, so that the job makes progress somewhere.
     Starved,
 }
@@ -33,20 +33,20 @@
         if is_old && waited >= rules.starvation && !job.has_placed() {
             Self::Starved
         } else if waited < rules.fill_patience {
-            Self::Careful
+            Self::PreferredPace
         } else if waited < rules.last_patience {
-            Self::Late
+            Self::RelaxedPace
         } else {
-            Self::Any
+            Self::AnyPace
         }
     }
 
     /// Returns the minimum pace that the task requires of a worker, 0 to 1.
     pub(crate) fn min_pace(self, rules: &PlaceRules) -> f64 {
         match self {
-            Self::Careful => rules.careful_pace,
-            Self::Late => rules.late_pace,
-            Self::Any | Self::Starved => 0.0,
+            Self::PreferredPace => rules.careful_pace,
+            Self::RelaxedPace => rules.late_pace,
+            Self::AnyPace | Self::Starved => 0.0,
         }
     }
 }
--- a/crates/wax-batch/src/reports.rs
+++ b/crates/wax-batch/src/reports.rs
@@ -77,7 +77,7 @@
         for end in ends {
             self.record_end(worker, end, now, now_ms);
         }
-        let confirmed_by_worker: HashSet<RunId> = runs.iter().map(|run| run.run_id).collect();
+        let reported_runs: HashSet<RunId> = runs.iter().map(|run| run.run_id).collect();
         for run in runs {
             let is_orphan = self.is_orphan(worker, run.run_id);
             self.adopt_run(worker, run, now);
@@ -96,7 +96,7 @@
         let missing: Vec<RunId> = record
             .runs
             .keys()
-            .filter(|run_id| !confirmed_by_worker.contains(run_id))
+            .filter(|run_id| !reported_runs.contains(run_id))
             .copied()
             .collect();
         for run_id in missing {
@@ -107,11 +107,11 @@
     /// Adopts a run that a worker lists, or orders its stop if its task has another placement or is
     /// not needed.
     pub fn adopt_run(&mut self, worker: WorkerKey, run: &RunReport, now: TimePoint) {
-        let known = self
+        let is_known = self
             .workers
             .get(worker)
             .is_some_and(|record| record.runs.contains_key(&run.run_id));
-        if known {
+        if is_known {
             self.record_progress(worker, run, now);
             return;
         }
--- a/crates/wax-batch/src/scheduler.rs
+++ b/crates/wax-batch/src/scheduler.rs
@@ -313,10 +313,10 @@
         if let Some(progress) = progress {
             job.restore(progress);
         }
-        let over = job.is_over();
+        let is_over = job.is_over();
         let key = self.jobs.insert(job);
         self.names.insert(name, key);
-        if !over {
+        if !is_over {
             self.start_due_occurrences_of(key, now, now_ms);
             self.open_ready_steps(key, now);
             self.close_finished(key, now_ms);
@@ -324,12 +324,12 @@
     }
 
     fn queue_rules(&self, row: &JobRow) -> Rc<QueueRules> {
-        let known = self
+        let found = self
             .config
             .queues
             .iter()
             .find(|queue| *queue.name == *row.queue);
-        known.cloned().unwrap_or_else(|| {
+        found.cloned().unwrap_or_else(|| {
             Rc::new(QueueRules {
                 name: row.queue.as_str().into(),
                 host: "".into(),
--- a/crates/wax-batch/src/spec.rs
+++ b/crates/wax-batch/src/spec.rs
@@ -41,10 +41,10 @@
 
     /// Returns how many tasks of this size fit into `available`.
     pub fn count_that_fit(self, available: Self) -> u32 {
-        let times = |need: u32, have: u32| have.checked_div(need).unwrap_or(u32::MAX);
-        times(self.cpu_milli, available.cpu_milli)
-            .min(times(self.memory_mb, available.memory_mb))
-            .min(times(self.accelerators, available.accelerators))
+        let count = |needed: u32, available: u32| available.checked_div(needed).unwrap_or(u32::MAX);
+        count(self.cpu_milli, available.cpu_milli)
+            .min(count(self.memory_mb, available.memory_mb))
+            .min(count(self.accelerators, available.accelerators))
     }
 }
 
--- a/crates/wax-batch/tests/crash_storm.rs
+++ b/crates/wax-batch/tests/crash_storm.rs
@@ -118,7 +118,7 @@
                 self.submit_random_job();
             }
             for number in 0..WORKERS {
-                self.run_machine(number, now);
+                self.run_vm(number, now);
             }
             self.place(now);
             if now.is_multiple_of(500) {
@@ -194,7 +194,7 @@
         self.vms[number].key = Some(self.scheduler.add_worker(view, &format!("m{number}")));
     }
 
-    fn run_machine(&mut self, number: usize, now: u64) {
+    fn run_vm(&mut self, number: usize, now: u64) {
         let vm = &mut self.vms[number];
         let key = vm.key.expect("every VM has a worker");
         if let Some(ended_at) = vm.ended_at {
--- a/crates/wax-batch/tests/crashes.rs
+++ b/crates/wax-batch/tests/crashes.rs
@@ -25,9 +25,9 @@
     runs: &[LostRun],
     millis: u64,
 ) -> Vec<CrashVerdict> {
-    let updates = scheduler.record_crash(vm, runs, at(millis), unix_ms(millis));
+    let findings = scheduler.record_crash(vm, runs, at(millis), unix_ms(millis));
     scheduler.remove_lost_worker(worker, at(millis), unix_ms(millis));
-    updates.iter().map(|update| update.verdict).collect()
+    findings.iter().map(|finding| finding.verdict).collect()
 }
 
 fn stored_outcome(scheduler: &mut JobScheduler, job: u64) -> JobOutcome {
@@ -96,8 +96,8 @@
 fn a_start_that_its_worker_survives_clears_earlier_early_crashes() {
     let mut scheduler = scheduler(1);
     add_job(&mut scheduler, 7, 1, &spec(vec![step(1, 1_000)]), None);
-    let min_run_time = [("x", 3), ("y", 700), ("z", 3)];
-    for (nth, (vm, ran_ms)) in (0..).zip(min_run_time) {
+    let run_times = [("x", 3), ("y", 700), ("z", 3)];
+    for (nth, (vm, ran_ms)) in (0..).zip(run_times) {
         let verdict = crash_on_vm(&mut scheduler, vm, ran_ms, nth * 1_000);
         assert_eq!(verdict, CrashVerdict::Suspected);
     }
@@ -227,9 +227,9 @@
 fn a_crash_that_was_not_stored_is_reported_to_the_next_owner() {
     let mut new = scheduler(2);
     add_job(&mut new, 7, 1, &spec(vec![step(1, 1_000)]), None);
-    let updates = new.record_crash("w", &[lost_run(run_id(7, 0, 0, 1), 3)], at(0), unix_ms(0));
-    assert_eq!(updates.len(), 1);
-    assert_eq!(updates[0].verdict, CrashVerdict::Suspected);
+    let findings = new.record_crash("w", &[lost_run(run_id(7, 0, 0, 1), 3)], at(0), unix_ms(0));
+    assert_eq!(findings.len(), 1);
+    assert_eq!(findings[0].verdict, CrashVerdict::Suspected);
 }
 
 #[test]
@@ -362,14 +362,14 @@
     let _small_workers: Vec<WorkerKey> = (0..3)
         .map(|nth| worker(&mut scheduler, &format!("o{nth}"), 10))
         .collect();
-    let min_run_time = [
+    let run_times = [
         ("u", 900),
         ("v", 900),
         ("x", 900),
         ("y", 12_000),
         ("z", 900),
     ];
-    for (nth, (vm, ran_ms)) in (0..).zip(min_run_time) {
+    for (nth, (vm, ran_ms)) in (0..).zip(run_times) {
         let verdict = crash_on_vm(&mut scheduler, vm, ran_ms, nth * 20_000);
         assert_ne!(verdict, CrashVerdict::GivenUp, "{vm}");
     }
--- a/crates/wax-batch/tests/job_lifecycle.rs
+++ b/crates/wax-batch/tests/job_lifecycle.rs
@@ -90,10 +90,10 @@
         at(10),
         unix_ms(10),
     );
-    let repeated = scheduler.place(at(5_000));
+    let retry = scheduler.place(at(5_000));
     scheduler.record_end(
         worker,
-        &end(2, repeated[0].run_id, RunEndKind::Failed),
+        &end(2, retry[0].run_id, RunEndKind::Failed),
         at(5_010),
         unix_ms(5_010),
     );
@@ -154,8 +154,8 @@
     let orders = scheduler.place(at(0));
     scheduler.remove_lost_worker(lost, at(10_000), unix_ms(10_000));
     let back = worker(&mut scheduler, "lost", 4_000);
-    let repeated = scheduler.place(at(10_010));
-    assert_eq!(repeated.len(), 1);
+    let retry = scheduler.place(at(10_010));
+    assert_eq!(retry.len(), 1);
     scheduler.record_end(
         back,
         &end(1, orders[0].run_id, RunEndKind::Failed),
@@ -164,7 +164,7 @@
     );
     scheduler.record_end(
         back,
-        &end(2, repeated[0].run_id, RunEndKind::Failed),
+        &end(2, retry[0].run_id, RunEndKind::Failed),
         at(10_030),
         unix_ms(10_030),
     );
@@ -187,7 +187,7 @@
     let orders = scheduler.place(at(0));
     scheduler.remove_lost_worker(lost, at(10_000), unix_ms(10_000));
     let back = worker(&mut scheduler, "lost", 4_000);
-    let repeated = scheduler.place(at(10_010));
+    let retry = scheduler.place(at(10_010));
     scheduler.record_end(
         back,
         &end(1, orders[0].run_id, RunEndKind::Done),
@@ -196,7 +196,7 @@
     );
     let stops = scheduler.take_stops();
     assert_eq!(stops.len(), 1);
-    assert_eq!(stops[0].run_id, repeated[0].run_id);
+    assert_eq!(stops[0].run_id, retry[0].run_id);
     store_all(&mut scheduler);
     assert_eq!(
         scheduler.job_info(job).expect("the job is known").outcome,
@@ -429,15 +429,15 @@
     scheduler.remove_lost_worker(lost, at(10), unix_ms(10));
     let one = worker(&mut scheduler, "one", 1_000);
     let other = worker(&mut scheduler, "other", 1_000);
-    let repeated = scheduler.place(at(20));
-    assert_eq!(repeated.len(), 1);
-    let (runs, idle) = match repeated[0].worker == one {
+    let retry = scheduler.place(at(20));
+    assert_eq!(retry.len(), 1);
+    let (runs, idle) = match retry[0].worker == one {
         true => (one, other),
         false => (other, one),
     };
     scheduler.record_end(
         runs,
-        &end(1, repeated[0].run_id, RunEndKind::Done),
+        &end(1, retry[0].run_id, RunEndKind::Done),
         at(30),
         unix_ms(30),
     );
--- a/crates/wax-batch/tests/placement.rs
+++ b/crates/wax-batch/tests/placement.rs
@@ -96,7 +96,7 @@
         },
         ..Default::default()
     };
-    let failed = scheduler.add_worker(view, "special");
+    let labelled_worker = scheduler.add_worker(view, "special");
     let labelled = StepSpec {
         label: Some("gpu".into()),
         ..step(1, 1_000)
@@ -108,7 +108,7 @@
     add_job(&mut scheduler, 7, 1, &spec(vec![labelled, near]), None);
     let orders = scheduler.place(at(0));
     assert_eq!(orders.len(), 2);
-    assert!(orders.iter().all(|order| order.worker == failed));
+    assert!(orders.iter().all(|order| order.worker == labelled_worker));
 }
 
 #[test]
@@ -306,8 +306,8 @@
         ..end(1, stops[0].run_id, wax_batch::RunEndKind::Stopped)
     };
     scheduler.record_end(first, &stopped, at(5_100), unix_ms(5_100));
-    let repeated = scheduler.place(at(5_200));
-    assert_eq!(&*repeated[0].checkpoint, "saved");
+    let retry = scheduler.place(at(5_200));
+    assert_eq!(&*retry[0].checkpoint, "saved");
     let _ = other;
 }
 
@@ -440,11 +440,11 @@
         scheduler.place(at(1_900)).is_empty(),
         "the ticket expires too soon"
     );
-    let repeated = scheduler
+    let retry = scheduler
         .next_advice_request(at(1_900))
         .expect("the advisor is asked again");
     assert_eq!(
-        repeated.workers.len(),
+        retry.workers.len(),
         1,
         "a denied worker is not asked about again"
     );
