--- a/crates/wax-batch/src/placement.rs
+++ b/crates/wax-batch/src/placement.rs
@@ -454,7 +454,7 @@
                     == self
                         .collect_offers(None, task_ref.step, request, relaxation, now)
                         .best(),
-            "a worker has changed unseen"
+            "a worker changed without a new offer"
         );
         *cached = Some((relaxation, offers));
         match best {
--- a/crates/wax-batch/src/relaxation.rs
+++ b/crates/wax-batch/src/relaxation.rs
@@ -8,11 +8,11 @@
 /// How far a waiting best-effort task has lowered its demands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PlacementRelaxation {
-    /// Requires spare processors and the full pace that `careful_pace` demands.
+    /// Requires spare processors and the preferred pace. Holds at the start of the wait.
     PreferredPace,
-    /// Requires spare processors and only the pace that `late_pace` demands.
+    /// Requires spare processors and a lower pace.
     RelaxedPace,
-    /// Requires only spare processors.
+    /// Requires spare processors, at any pace.
     AnyPace,
     /// Requires no spare processors either, so that the job makes progress somewhere.
     Starved,
--- a/crates/wax-batch/src/reports.rs
+++ b/crates/wax-batch/src/reports.rs
@@ -138,7 +138,7 @@
         placement.is_some_and(|placement| placement.stop_ordered && placement.run == run_id.run)
     }
 
-    /// Returns whether the run belongs to no known job. A stop was then ordered when it was first
+    /// Returns whether the run is one that no job needs. Its stop was ordered when it was first
     /// reported.
     fn is_orphan(&self, worker: WorkerKey, run_id: RunId) -> bool {
         let record = self.workers.get(worker);
--- a/crates/wax-batch/src/scheduler.rs
+++ b/crates/wax-batch/src/scheduler.rs
@@ -145,7 +145,7 @@
 /// Resources that one run reserves on a worker.
 #[derive(Debug, Clone, Copy)]
 pub struct RunReservation {
-    /// Task of the run; `None` if no known job requested the run.
+    /// Task of the run; `None` for a run that no job needs.
     pub task: Option<TaskRef>,
     /// Resources reserved until the run has ended.
     pub reserved: TaskSize,
--- a/crates/wax-batch/tests/support/mod.rs
+++ b/crates/wax-batch/tests/support/mod.rs
@@ -12,10 +12,12 @@
 /// Unix time in milliseconds that corresponds to `at(0)`.
 pub(crate) const EPOCH_MS: u64 = 1_000_000;
 
+/// Returns the monotonic time `millis` after the start of a test.
 pub(crate) fn at(millis: u64) -> TimePoint {
     TimePoint::from_millis(100_000 + millis)
 }
 
+/// Returns the Unix time in milliseconds at `at(millis)`.
 pub(crate) fn unix_ms(millis: u64) -> u64 {
     EPOCH_MS + millis
 }
