--- a/crates/wax-batch/tests/crash_storm.rs
+++ b/crates/wax-batch/tests/crash_storm.rs
@@ -286,7 +286,7 @@
             let outcome = self
                 .scheduler
                 .job_info(JobName(job))
-                .expect("known")
+                .expect("the job is known")
                 .outcome;
             let long_running = self.work_ms[&job] == u64::MAX;
             match outcome {
