--- a/crates/wax-batch/src/crash_history.rs
+++ b/crates/wax-batch/src/crash_history.rs
@@ -88,7 +88,7 @@
     pub run: u64,
     /// VM of the worker.
     pub vm: Box<str>,
-    /// Whether the worker crashed within [`EARLY_CRASH_LIMIT`] of the start.
+    /// Whether the worker crashed so soon after the start that the start may have been the cause.
     pub early: bool,
 }
 
--- a/crates/wax-batch/src/rank.rs
+++ b/crates/wax-batch/src/rank.rs
@@ -70,7 +70,7 @@
 
 impl JobScheduler {
     /// Returns the share of open best-effort jobs that have missed their objective, 0 to 1; 0 if
-    /// fewer than [`MIN_OPEN_JOBS`] are open.
+    /// fewer than `MIN_OPEN_JOBS` are open.
     pub fn overload(&self, now: TimePoint) -> f64 {
         let best_effort = |job: &&JobRecord| job.spec.steps.iter().any(|step| step.best_effort);
         let open: Vec<&JobRecord> = self.jobs.values().filter(|job| !job.is_over()).collect();
