--- a/crates/wax-agent/src/pace.rs
+++ b/crates/wax-agent/src/pace.rs
@@ -8,7 +8,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
-use wax_batch::RunMark;
+use wax_batch::RunId;
 use wax_policy::{
     CoresByImage, InterferenceTable, LoadChange, LoadSample, PaceRules, PairInterference,
 };
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServingSample {
     /// The run.
-    pub mark: RunMark,
+    pub mark: RunId,
     /// Its image.
     pub image: Box<str>,
     /// Its tail as a share of its target.
@@ -128,7 +128,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PaceCause {
     /// The run.
-    pub run: RunMark,
+    pub run: RunId,
     /// Its tail as a share of its target, by the last look.
     pub tail: f64,
     /// Its load without what fills.
@@ -143,7 +143,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct PaceControl {
     pairs: InterferenceTable,
-    loads: HashMap<RunMark, ServingLoad>,
+    loads: HashMap<RunId, ServingLoad>,
     /// The least tail of each serving image, as a share of its target.
     idle: HashMap<Box<str>, f64>,
     paces: BTreeMap<Box<str>, u32>,
--- a/crates/wax-batch/src/progress.rs
+++ b/crates/wax-batch/src/progress.rs
@@ -1,45 +1,46 @@
-//! What the store keeps of a job, as protobuf.
+//! Protobuf messages in which jobs and their progress are stored.
 
-use crate::blame::CrashedRun;
+use crate::crash_history::CrashedRun;
 use crate::spec::{JobSpec, RepeatPlan, StepSpec, TaskSize};
 use prost::Message;
 
-/// A job as it was accepted; written once, by the entry that accepted it.
+/// Job as accepted. Written once, by the front that accepted the job.
 #[derive(Clone, PartialEq, Message)]
 pub struct JobRow {
-    /// The term of ownership in which it was accepted: owners of earlier terms never saw it.
+    /// Term in which the job was accepted. Owners of earlier terms never knew the job.
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
-    /// The queue's name.
+    /// Name of the queue.
     #[prost(string, tag = "2")]
     pub queue: String,
-    /// The queue's service at that time.
+    /// Service of the queue at the time of acceptance.
     #[prost(string, tag = "3")]
     pub service: String,
-    /// When it was accepted, Unix milliseconds by the entry's clock.
+    /// Time of acceptance, Unix milliseconds by the front's clock.
     #[prost(uint64, tag = "4")]
     pub accepted_ms: u64,
-    /// Passed on to the worker.
+    /// Text that is passed on to the workers unchanged.
     #[prost(string, tag = "5")]
     pub text: String,
-    /// The steps.
+    /// Steps in the order of the specification.
     #[prost(message, repeated, tag = "6")]
     pub steps: Vec<StepRow>,
-    /// Occurrences; 0 for a job that runs once.
+    /// Number of occurrences; 0 for a job that runs once.
     #[prost(uint32, tag = "7")]
     pub repeat_count: u32,
-    /// When the first occurrence is due, Unix milliseconds.
+    /// Time at which the first occurrence is due, Unix milliseconds.
     #[prost(uint64, tag = "8")]
     pub repeat_first_ms: u64,
-    /// Between two occurrences, milliseconds.
+    /// Interval between two occurrences, milliseconds.
     #[prost(uint64, tag = "9")]
     pub repeat_interval_ms: u64,
-    /// The entry that wrote the row and the time it did, to know its own write again.
+    /// Identifies the front that wrote the row and the time of the write, so that the front
+    /// recognizes its own write.
     #[prost(fixed64, tag = "10")]
     pub nonce: u64,
 }
 
-/// A step of a [`JobRow`].
+/// One step of a [`JobRow`].
 #[derive(Clone, PartialEq, Message)]
 pub struct StepRow {
     #[prost(uint32, tag = "1")]
@@ -65,19 +66,19 @@
     #[prost(string, optional, tag = "11")]
     data_rack: Option<String>,
     #[prost(uint32, tag = "12")]
-    most_per_worker: u32,
+    max_per_worker: u32,
     #[prost(bool, tag = "13")]
-    copies: bool,
+    speculative: bool,
     #[prost(bool, tag = "14")]
-    lasts: bool,
+    long_running: bool,
     #[prost(string, tag = "15")]
     image: String,
     #[prost(uint32, tag = "16")]
     tail_target_ms: u32,
     #[prost(bool, tag = "17")]
-    fills: bool,
+    best_effort: bool,
     #[prost(uint32, optional, tag = "18")]
-    may_be_away: Option<u32>,
+    max_unavailable: Option<u32>,
 }
 
 impl From<&StepSpec> for StepRow {
@@ -94,13 +95,13 @@
             one_rack: step.one_rack,
             label: step.label.as_deref().map(Into::into),
             data_rack: step.data_rack.as_deref().map(Into::into),
-            most_per_worker: step.most_per_worker,
-            copies: step.copies,
-            lasts: step.lasts,
+            max_per_worker: step.max_per_worker,
+            speculative: step.speculative,
+            long_running: step.long_running,
             image: step.image.to_string(),
             tail_target_ms: step.tail_target_ms,
-            fills: step.fills,
-            may_be_away: step.may_be_away,
+            best_effort: step.best_effort,
+            max_unavailable: step.max_unavailable,
         }
     }
 }
@@ -121,19 +122,19 @@
             one_rack: row.one_rack,
             label: row.label.map(Into::into),
             data_rack: row.data_rack.map(Into::into),
-            most_per_worker: row.most_per_worker,
-            copies: row.copies,
-            lasts: row.lasts,
+            max_per_worker: row.max_per_worker,
+            speculative: row.speculative,
+            long_running: row.long_running,
             image: row.image.into(),
             tail_target_ms: row.tail_target_ms,
-            fills: row.fills,
-            may_be_away: row.may_be_away,
+            best_effort: row.best_effort,
+            max_unavailable: row.max_unavailable,
         }
     }
 }
 
 impl JobRow {
-    /// The row of a job that is accepted now.
+    /// Returns the row of a newly accepted job. The term is left at 0.
     pub fn new(spec: &JobSpec, queue: &str, service: &str, accepted_ms: u64, nonce: u64) -> Self {
         Self {
             epoch: 0,
@@ -149,7 +150,7 @@
         }
     }
 
-    /// The job as its caller submitted it.
+    /// Returns the job as its caller submitted it.
     pub fn into_spec(self) -> JobSpec {
         let repeat = (self.repeat_count > 0).then_some(RepeatPlan {
             count: self.repeat_count,
@@ -164,83 +165,84 @@
     }
 }
 
-/// How a job ended, if it has.
+/// Outcome of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum JobOutcome {
-    /// It has not ended.
+    /// The job has not ended.
     Open = 0,
-    /// All tasks ended with their result.
+    /// All tasks have completed.
     Completed = 1,
-    /// A task failed too often, or no worker can ever run it.
+    /// A task failed too often or crashed its workers, or no worker can ever run it.
     Failed = 2,
-    /// Its caller cancelled it.
+    /// The caller has cancelled the job.
     Cancelled = 3,
 }
 
-/// What has been taken note of in a job; written by the owner of its shard only.
+/// Stored progress of a job. Written only by the owner of the job's shard.
 #[derive(Clone, PartialEq, Message)]
 pub struct JobProgress {
-    /// How it ended.
+    /// Outcome of the job, as a [`JobOutcome`].
     #[prost(enumeration = "JobOutcome", tag = "1")]
     pub outcome: i32,
-    /// Occurrences before this one are done.
+    /// Number of the first occurrence that is not done.
     #[prost(uint32, tag = "2")]
     pub done_before: u32,
-    /// Occurrences from `done_before` on with something done or failed.
+    /// Occurrences from `done_before` on that have been started.
     #[prost(message, repeated, tag = "3")]
     pub occurrences: Vec<OccurrenceProgress>,
-    /// When it ended, Unix milliseconds by the owner's clock; 0 while open.
+    /// Time of the end, Unix milliseconds by the owner's clock; 0 while the job is open.
     #[prost(uint64, tag = "4")]
     pub ended_ms: u64,
 }
 
-/// One occurrence of a [`JobProgress`].
+/// Progress of one occurrence in a [`JobProgress`].
 #[derive(Clone, PartialEq, Message)]
 pub struct OccurrenceProgress {
-    /// Its number.
+    /// Number of the occurrence.
     #[prost(uint32, tag = "1")]
     pub number: u32,
-    /// Its steps, in order.
+    /// Steps in the order of the specification.
     #[prost(message, repeated, tag = "2")]
     pub steps: Vec<StepProgress>,
 }
 
-/// One step of an [`OccurrenceProgress`].
+/// Progress of one step in an [`OccurrenceProgress`].
 #[derive(Clone, PartialEq, Message)]
 pub struct StepProgress {
-    /// Whether all tasks are done; then `done` is empty.
+    /// Whether all tasks are done; `done` is then empty.
     #[prost(bool, tag = "1")]
     pub all_done: bool,
-    /// A bit for each task that is done, lowest first.
+    /// Bit set of the tasks that are done, lowest bit first.
     #[prost(bytes = "vec", tag = "2")]
     pub done: Vec<u8>,
-    /// Tasks with runs that failed or that ended with their workers.
+    /// Tasks with failed runs or with runs that ended in a crash of their worker.
     #[prost(message, repeated, tag = "3")]
     pub failures: Vec<TaskFailures>,
 }
 
-/// Runs of a task that failed or that ended with their workers.
+/// Failed and crashed runs of one task.
 #[derive(Clone, PartialEq, Message)]
 pub struct TaskFailures {
-    /// The task's index.
+    /// Index of the task within its step.
     #[prost(uint32, tag = "1")]
     pub index: u32,
-    /// The numbers of its runs that have failed; a list, so that an end heard twice counts once.
+    /// Numbers of the failed runs. A list rather than a count, so that an end that is reported
+    /// twice counts once.
     #[prost(uint64, repeated, tag = "2")]
     pub runs: Vec<u64>,
-    /// Its runs that ended with their workers.
+    /// Runs that ended in a crash of their worker.
     #[prost(message, repeated, tag = "3")]
     pub crashes: Vec<TaskCrash>,
 }
 
-/// A run that ended with its worker.
+/// Run that ended in a crash of its worker.
 #[derive(Clone, PartialEq, Message)]
 pub struct TaskCrash {
     #[prost(uint64, tag = "1")]
     run: u64,
     #[prost(string, tag = "2")]
-    machine: String,
+    vm: String,
     #[prost(bool, tag = "3")]
     early: bool,
 }
@@ -249,7 +251,7 @@
     fn from(crashed: &CrashedRun) -> Self {
         Self {
             run: crashed.run,
-            machine: crashed.machine.to_string(),
+            vm: crashed.vm.to_string(),
             early: crashed.early,
         }
     }
@@ -259,14 +261,14 @@
     fn from(row: &TaskCrash) -> Self {
         Self {
             run: row.run,
-            machine: row.machine.as_str().into(),
+            vm: row.vm.as_str().into(),
             early: row.early,
         }
     }
 }
 
 impl StepProgress {
-    /// Whether the task is done.
+    /// Returns whether the task is done.
     pub fn is_done(&self, index: u32) -> bool {
         let byte = self.done.get(index as usize / 8).copied().unwrap_or(0);
         self.all_done || byte >> (index % 8) & 1 == 1
--- a/crates/wax-batch/src/rank.rs
+++ b/crates/wax-batch/src/rank.rs
@@ -1,16 +1,17 @@
-//! In which order waiting steps are served.
+//! Order in which waiting steps are placed, and the objectives of jobs that it depends on.
 
-use crate::book::JobBook;
-use crate::life::{JobLife, OccurrenceLife};
 use crate::queue::QueueRules;
+use crate::records::{JobRecord, OccurrenceRecord};
+use crate::scheduler::JobScheduler;
 use crate::spec::JobSpec;
 use std::time::Duration;
 use wax_policy::ExpectedFinish;
 use wax_types::TimePoint;
 
-/// Longest chain of estimated work from each step to the end, milliseconds, that step included.
-pub fn longest_chain_ms(spec: &JobSpec) -> Vec<u64> {
-    let mut chain: Vec<u64> = spec
+/// Returns the critical path from each step to the end of the job, in milliseconds: the longest
+/// chain of estimated run times, including the step itself.
+pub fn critical_path_ms(spec: &JobSpec) -> Vec<u64> {
+    let mut path_ms: Vec<u64> = spec
         .steps
         .iter()
         .map(|step| step.estimate_ms.into())
@@ -18,60 +19,63 @@
     for number in (0..spec.steps.len()).rev() {
         for earlier in &spec.steps[number].after {
             let earlier = usize::from(*earlier);
-            let through = u64::from(spec.steps[earlier].estimate_ms) + chain[number];
-            chain[earlier] = chain[earlier].max(through);
+            let length = u64::from(spec.steps[earlier].estimate_ms) + path_ms[number];
+            path_ms[earlier] = path_ms[earlier].max(length);
         }
     }
-    chain
+    path_ms
 }
 
-/// An objective counts as late, but still for something, up to this many times its length.
+/// A job that misses its objective still counts as late, rather than too late, up to this multiple
+/// of the objective.
 const LATE_FACTOR: f64 = 3.0;
 
-/// How urgent a waiting step is; the least goes first.
+/// Urgency of a waiting step. Steps with lower ranks are placed first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct JobRank {
-    /// When its job is expected to finish.
+    /// Whether the job is expected to finish in time, late or too late.
     pub finish: ExpectedFinish,
-    /// The queue's priority.
+    /// Priority of the queue; 0 is the highest.
     pub priority: u32,
-    /// What is left of the job, core milliseconds: the least goes first, since under overload it
-    /// earns most for its work, and what is nearly done is not kept from its end.
-    pub left: u64,
-    /// The latest start that still makes it.
+    /// Remaining work of the occurrence, core milliseconds. The least remaining work goes first:
+    /// under overload it yields the most value for its cost, and nearly finished jobs are not
+    /// delayed.
+    pub remaining_work_ms: u64,
+    /// Latest start with which the expected finish can still be reached.
     pub latest_start: TimePoint,
 }
 
-/// The work that is left of an occurrence, in core milliseconds by the caller's guess.
-fn work_left(job: &JobLife, occurrence: Option<&OccurrenceLife>) -> u64 {
+/// Returns the remaining work of an occurrence, core milliseconds by the caller's estimates.
+fn remaining_work_ms(job: &JobRecord, occurrence: Option<&OccurrenceRecord>) -> u64 {
     let steps = job.spec.steps.iter().enumerate();
     let work = steps.map(|(number, step)| {
-        let done = occurrence.map_or(0, |life| life.steps[number].done);
+        let done = occurrence.map_or(0, |record| record.steps[number].done);
         u64::from(step.count.saturating_sub(done)) * step.task_work_ms()
     });
     work.sum()
 }
 
-/// The latest start of a step that keeps `stretch` times the job's chain and the target latency.
+/// Returns the latest start of a step that still meets `factor` times the job's objective.
 ///
-/// Milliseconds after the job's (or occurrence's) beginning; negative values become 0.
-pub fn latest_start_ms(job: &JobLife, step: u16, factor: f64) -> u64 {
-    let chain = longest_chain_ms(&job.spec);
-    let objective = objective_of(&chain, &job.queue);
-    let left = chain.get(usize::from(step)).copied().unwrap_or(0) as f64;
-    (objective * factor - left).max(0.0) as u64
+/// In milliseconds after the occurrence was due; 0 if even an immediate start would be too late.
+pub fn latest_start_ms(job: &JobRecord, step: u16, factor: f64) -> u64 {
+    let path_ms = critical_path_ms(&job.spec);
+    let objective = objective_of(&path_ms, &job.queue);
+    let remaining_path = path_ms.get(usize::from(step)).copied().unwrap_or(0) as f64;
+    (objective * factor - remaining_path).max(0.0) as u64
 }
 
-/// Fewer open jobs say nothing of how such jobs fare.
-const LEAST_JOBS: usize = 4;
+/// Minimum number of open best-effort jobs for the share of late jobs to be meaningful.
+const MIN_OPEN_JOBS: usize = 4;
 
-impl JobBook {
-    /// The share of the open jobs that fill whose objective has passed, 0 to 1.
+impl JobScheduler {
+    /// Returns the share of open best-effort jobs that have missed their objective, 0 to 1; 0 if
+    /// fewer than `MIN_OPEN_JOBS` are open.
     pub fn overload(&self, now: TimePoint) -> f64 {
-        let fills = |job: &&JobLife| job.spec.steps.iter().any(|step| step.fills);
-        let open: Vec<&JobLife> = self.jobs.values().filter(|job| !job.is_over()).collect();
-        let open: Vec<&JobLife> = open.into_iter().filter(fills).collect();
-        if open.len() < LEAST_JOBS {
+        let best_effort = |job: &&JobRecord| job.spec.steps.iter().any(|step| step.best_effort);
+        let open: Vec<&JobRecord> = self.jobs.values().filter(|job| !job.is_over()).collect();
+        let open: Vec<&JobRecord> = open.into_iter().filter(best_effort).collect();
+        if open.len() < MIN_OPEN_JOBS {
             return 0.0;
         }
         let late = open.iter().filter(|job| job.is_late(now)).count();
@@ -79,8 +83,8 @@
     }
 }
 
-impl JobLife {
-    /// Whether the objective of an occurrence under way has passed.
+impl JobRecord {
+    /// Returns whether an occurrence in progress has missed its objective.
     fn is_late(&self, now: TimePoint) -> bool {
         let objective = Duration::from_millis(objective_ms(&self.spec, &self.queue));
         let mut occurrences = self.occurrences.values();
@@ -88,22 +92,22 @@
     }
 }
 
-/// The time within which a job should end, milliseconds: `stretch` times its longest chain of
-/// estimated work, and the queue's target latency.
+/// Returns the time within which a job should end, milliseconds: `stretch` times its critical path,
+/// plus the queue's target latency.
 pub fn objective_ms(spec: &JobSpec, queue: &QueueRules) -> u64 {
-    objective_of(&longest_chain_ms(spec), queue) as u64
+    objective_of(&critical_path_ms(spec), queue) as u64
 }
 
-fn objective_of(chain: &[u64], queue: &QueueRules) -> f64 {
-    let whole = chain.iter().copied().max().unwrap_or(0) as f64;
-    queue.stretch * whole + f64::from(queue.target_latency_ms)
+fn objective_of(path_ms: &[u64], queue: &QueueRules) -> f64 {
+    let longest = path_ms.iter().copied().max().unwrap_or(0) as f64;
+    queue.stretch * longest + f64::from(queue.target_latency_ms)
 }
 
 impl JobRank {
-    /// Ranks a step of an occurrence.
-    pub fn new(job: &JobLife, number: u32, step: u16, now: TimePoint) -> Self {
-        let occurrence = job.occurrences.get(&number);
-        let due = occurrence.map_or(job.accepted, |life| life.due);
+    /// Returns the rank of a step of occurrence `number`.
+    pub fn new(job: &JobRecord, occurrence_number: u32, step: u16, now: TimePoint) -> Self {
+        let occurrence = job.occurrences.get(&occurrence_number);
+        let due = occurrence.map_or(job.accepted, |record| record.due);
         let start = |factor| due + Duration::from_millis(latest_start_ms(job, step, factor));
         let (finish, latest_start) = if now <= start(1.0) {
             (ExpectedFinish::InTime, start(1.0))
@@ -112,19 +116,19 @@
         } else {
             (ExpectedFinish::TooLate, start(LATE_FACTOR))
         };
-        let lasts = job
+        let long_running = job
             .spec
             .steps
             .get(usize::from(step))
-            .is_some_and(|step| step.lasts);
+            .is_some_and(|step| step.long_running);
         Self {
-            finish: if lasts {
+            finish: if long_running {
                 ExpectedFinish::InTime
             } else {
                 finish
             },
             priority: job.queue.priority,
-            left: work_left(job, occurrence),
+            remaining_work_ms: remaining_work_ms(job, occurrence),
             latest_start,
         }
     }
--- /dev/null
+++ b/crates/wax-batch/src/records.rs
@@ -0,0 +1,325 @@
+//! State that the owner keeps in memory of jobs, their occurrences, steps and tasks.
+
+use crate::crash_history::{CrashHistory, CrashedRun};
+use crate::names::JobName;
+use crate::progress::{JobOutcome, JobProgress, OccurrenceProgress, StepProgress, TaskFailures};
+use crate::queue::QueueRules;
+use crate::reasons::WaitReason;
+use crate::spec::{JobSpec, StepSpec};
+use crate::worker::WorkerKey;
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use wax_types::TimePoint;
+
+/// Life-cycle state of a task.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
+pub enum TaskState {
+    /// The task waits for a worker.
+    #[default]
+    Waiting,
+    /// A start was sent to a worker, where the task may be running.
+    Placed(TaskPlacement),
+    /// A run of the task has completed.
+    Done,
+}
+
+/// Placement of a task on a worker.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct TaskPlacement {
+    /// Worker that the task was placed on.
+    pub worker: WorkerKey,
+    /// Number of the start.
+    pub run: u64,
+    /// Time at which the start was sent, or the run was adopted.
+    pub sent_at: TimePoint,
+    /// Whether the worker has reported that the task runs.
+    pub running: bool,
+    /// Whether a stop of the run was ordered.
+    pub stop_ordered: bool,
+    /// Share of the work that is done, in percent, as last reported by the worker.
+    pub percent: u32,
+    /// Time of the last increase of `percent`, or of the start before the first increase.
+    pub progressed_at: TimePoint,
+}
+
+/// State of one task.
+#[derive(Debug, Clone, Default)]
+pub struct TaskRecord {
+    /// Life-cycle state.
+    pub state: TaskState,
+    /// Numbers of the failed runs. Not kept for long-running tasks.
+    pub failed_runs: Vec<u64>,
+    /// Runs that ended in a crash of their worker.
+    pub crash_history: CrashHistory,
+    /// Number of the last start; 0 before the first.
+    pub last_run: u64,
+    /// Checkpoint to resume from; empty for none.
+    pub checkpoint: Box<str>,
+    /// Worker of the last failed run, and the time until which the task may not return there.
+    pub excluded_worker: Option<(WorkerKey, TimePoint)>,
+    /// Whether a worker has listed a run of the task as running in this term. No other worker then
+    /// has a run of it.
+    pub located_in_term: bool,
+}
+
+impl TaskRecord {
+    /// Returns whether the task waits for a worker.
+    pub fn is_waiting(&self) -> bool {
+        matches!(self.state, TaskState::Waiting)
+    }
+
+    /// Returns the task's placement, if it has one.
+    pub fn placement(&self) -> Option<&TaskPlacement> {
+        match &self.state {
+            TaskState::Placed(placement) => Some(placement),
+            _ => None,
+        }
+    }
+
+    /// Returns the task's placement for changes, if it has one.
+    pub fn placement_mut(&mut self) -> Option<&mut TaskPlacement> {
+        match &mut self.state {
+            TaskState::Placed(placement) => Some(placement),
+            _ => None,
+        }
+    }
+}
+
+/// State of one step of an occurrence.
+#[derive(Debug, Clone, Default)]
+pub struct StepRecord {
+    /// Whether all steps that this step depends on are done.
+    pub open: bool,
+    /// Tasks of the step; empty until they are needed, and again once all are done.
+    pub tasks: Vec<TaskRecord>,
+    /// Time since which a task of the step that could be placed has waited.
+    pub waiting_since: TimePoint,
+    /// Number of tasks that wait.
+    pub waiting: u32,
+    /// Number of tasks that are done.
+    pub done: u32,
+    /// Last reported reason of the wait, and the time of the report.
+    pub reported_wait: Option<(WaitReason, TimePoint)>,
+    /// Earliest time of the next search for a worker, set after a search on a large pool found
+    /// none.
+    pub next_check: Option<TimePoint>,
+    /// Number of the step's tasks on each worker.
+    pub spread: BTreeMap<WorkerKey, u32>,
+    /// Whether a run of the step was listed as running in this term, or the step was opened after
+    /// such a step.
+    pub confirmed_in_term: bool,
+    /// Whether no owner of an earlier term can have started tasks of this step.
+    pub is_new_in_term: bool,
+}
+
+impl StepRecord {
+    /// Returns whether all tasks are done.
+    pub fn is_done(&self, spec: &StepSpec) -> bool {
+        self.done >= spec.count
+    }
+
+    /// Opens the step, so that its tasks may be placed.
+    pub fn open(&mut self, spec: &StepSpec, now: TimePoint) {
+        self.open = true;
+        self.waiting_since = now;
+        if self.tasks.is_empty() && !self.is_done(spec) {
+            self.tasks = vec![TaskRecord::default(); spec.count as usize];
+            self.waiting = spec.count;
+        }
+    }
+
+    fn progress(&self, spec: &StepSpec) -> StepProgress {
+        let mut progress = StepProgress::default();
+        if self.is_done(spec) {
+            progress.all_done = true;
+            return progress;
+        }
+        for (index, task) in self.tasks.iter().enumerate() {
+            if matches!(task.state, TaskState::Done) {
+                progress.mark_done(index as u32);
+            }
+            let counts_failures = !task.failed_runs.is_empty() && !spec.long_running;
+            if counts_failures || !task.crash_history.is_empty() {
+                progress.failures.push(TaskFailures {
+                    index: index as u32,
+                    runs: task.failed_runs.clone(),
+                    crashes: task.crash_history.runs.iter().map(Into::into).collect(),
+                });
+            }
+        }
+        progress
+    }
+
+    fn restore(&mut self, spec: &StepSpec, progress: &StepProgress) {
+        if progress.all_done {
+            self.done = spec.count;
+            return;
+        }
+        if progress.done.is_empty() && progress.failures.is_empty() {
+            return;
+        }
+        self.tasks = vec![TaskRecord::default(); spec.count as usize];
+        self.waiting = spec.count;
+        for (index, task) in self.tasks.iter_mut().enumerate() {
+            if progress.is_done(index as u32) {
+                task.state = TaskState::Done;
+                self.done += 1;
+                self.waiting -= 1;
+            }
+        }
+        for failure in &progress.failures {
+            if let Some(task) = self.tasks.get_mut(failure.index as usize) {
+                let failed = failure.runs.iter().copied().max().unwrap_or(0);
+                task.failed_runs.clone_from(&failure.runs);
+                task.crash_history.runs = failure.crashes.iter().map(CrashedRun::from).collect();
+                task.last_run = failed.max(task.crash_history.last_run());
+            }
+        }
+    }
+}
+
+/// State of one occurrence of a job.
+#[derive(Debug, Clone)]
+pub struct OccurrenceRecord {
+    /// State of the steps, in the order of the specification.
+    pub steps: Vec<StepRecord>,
+    /// Time at which the occurrence was due; the time of acceptance for a job that runs once.
+    pub due: TimePoint,
+}
+
+impl OccurrenceRecord {
+    pub(crate) fn new(spec: &JobSpec, due: TimePoint) -> Self {
+        Self {
+            steps: vec![StepRecord::default(); spec.steps.len()],
+            due,
+        }
+    }
+
+    /// Opens the steps whose prerequisites are done. Returns their indexes.
+    pub(crate) fn open_steps(&mut self, spec: &JobSpec, now: TimePoint) -> Vec<u16> {
+        let mut opened = Vec::new();
+        for (number, step_spec) in spec.steps.iter().enumerate() {
+            if self.steps[number].open {
+                continue;
+            }
+            let can_open = step_spec.after.iter().all(|earlier| {
+                let earlier = usize::from(*earlier);
+                self.steps[earlier].is_done(&spec.steps[earlier])
+            });
+            if can_open {
+                // A prerequisite was still running in this term, so no earlier owner can have
+                // opened this step.
+                let mut earlier = step_spec.after.iter().map(|step| usize::from(*step));
+                let is_new = self.steps[number].tasks.is_empty()
+                    && earlier.any(|step| self.steps[step].confirmed_in_term);
+                self.steps[number].is_new_in_term = is_new;
+                self.steps[number].confirmed_in_term |= is_new;
+                self.steps[number].open(step_spec, now);
+                opened.push(number as u16);
+            }
+        }
+        opened
+    }
+
+    pub(crate) fn is_done(&self, spec: &JobSpec) -> bool {
+        let mut pairs = self.steps.iter().zip(spec.steps.iter());
+        pairs.all(|(step, step_spec)| step.is_done(step_spec))
+    }
+}
+
+/// State of one job.
+#[derive(Debug, Clone)]
+pub struct JobRecord {
+    /// Name of the job.
+    pub name: JobName,
+    /// Specification as the caller submitted it.
+    pub spec: Rc<JobSpec>,
+    /// Rules of the job's queue, from the newest config that has the queue.
+    pub queue: Rc<QueueRules>,
+    /// Service at the time of acceptance. Placement uses the service of the queue's newest rules.
+    pub service: Box<str>,
+    /// Term in which the job was accepted.
+    pub epoch: u64,
+    /// Time of acceptance, converted from the wall clock of the front that accepted the job.
+    pub accepted: TimePoint,
+    /// Occurrences in progress, by number.
+    pub occurrences: BTreeMap<u32, OccurrenceRecord>,
+    /// Number of the first occurrence that has not been started yet.
+    pub next_occurrence: u32,
+    /// Outcome in memory; it may not be stored yet.
+    pub outcome: JobOutcome,
+    /// Time of the end, Unix milliseconds; 0 while the job is open.
+    pub ended_ms: u64,
+    /// Outcome in the store. Only this outcome is shown to callers.
+    pub stored_outcome: JobOutcome,
+    /// Whether any task of the job has started.
+    pub started: bool,
+    /// Reason of a failure.
+    pub reason: Option<Box<str>>,
+    /// Number of changes that must be stored.
+    pub changes: u64,
+    /// Value of `changes` at the last successful write to the store.
+    pub stored_changes: u64,
+}
+
+impl JobRecord {
+    /// Returns whether the job has ended in memory.
+    pub fn is_over(&self) -> bool {
+        self.outcome != JobOutcome::Open
+    }
+
+    /// Returns whether any task of the job is placed on a worker.
+    pub fn has_placed(&self) -> bool {
+        let steps = self
+            .occurrences
+            .values()
+            .flat_map(|occurrence| &occurrence.steps);
+        let mut tasks = steps.flat_map(|step| &step.tasks);
+        tasks.any(|task| task.placement().is_some())
+    }
+
+    /// Returns the progress to be stored.
+    pub fn progress(&self) -> JobProgress {
+        let mut progress = JobProgress {
+            outcome: self.outcome.into(),
+            ended_ms: self.ended_ms,
+            ..Default::default()
+        };
+        if self.is_over() {
+            return progress;
+        }
+        progress.done_before = self
+            .occurrences
+            .keys()
+            .next()
+            .copied()
+            .unwrap_or(self.next_occurrence);
+        for (number, occurrence) in &self.occurrences {
+            let steps = occurrence.steps.iter().zip(self.spec.steps.iter());
+            progress.occurrences.push(OccurrenceProgress {
+                number: *number,
+                steps: steps.map(|(step, spec)| step.progress(spec)).collect(),
+            });
+        }
+        progress
+    }
+
+    /// Restores the stored progress.
+    pub(crate) fn restore(&mut self, progress: &JobProgress) {
+        self.outcome = progress.outcome();
+        self.stored_outcome = self.outcome;
+        self.ended_ms = progress.ended_ms;
+        self.next_occurrence = progress.done_before;
+        for kept in &progress.occurrences {
+            let mut occurrence = OccurrenceRecord::new(&self.spec, self.accepted);
+            for (number, step) in kept.steps.iter().enumerate() {
+                if let Some(spec) = self.spec.steps.get(number) {
+                    occurrence.steps[number].restore(spec, step);
+                }
+            }
+            self.started = true;
+            self.occurrences.insert(kept.number, occurrence);
+            self.next_occurrence = self.next_occurrence.max(kept.number + 1);
+        }
+    }
+}
--- /dev/null
+++ b/crates/wax-batch/src/unreconciled.rs
@@ -0,0 +1,140 @@
+//! Runs of earlier terms on workers that have not been reconciled with the owner in this term.
+//!
+//! The store does not record where a task runs. A new owner learns it from the workers. Until all
+//! workers are reconciled, a task of an earlier term may be running on one that is not. This module
+//! determines which tasks cannot be, and so may be started.
+
+use crate::names::JobName;
+use crate::records::{StepRecord, TaskRecord};
+use crate::scheduler::{JobScheduler, StepRef, TaskRef};
+use std::collections::{BTreeSet, HashSet};
+
+/// Jobs of earlier terms that may have runs on unreconciled workers.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum UnreconciledRuns {
+    /// Any job of an earlier term.
+    Any,
+    /// Only these jobs.
+    Only(HashSet<JobName>),
+}
+
+impl UnreconciledRuns {
+    /// Returns the state in which every worker is reconciled or known to run nothing of earlier
+    /// terms.
+    pub fn none() -> Self {
+        Self::Only(HashSet::new())
+    }
+
+    /// Returns whether every worker is reconciled or known to run nothing of earlier terms.
+    pub fn is_none(&self) -> bool {
+        matches!(self, Self::Only(jobs) if jobs.is_empty())
+    }
+
+    fn may_run(&self, job: JobName) -> bool {
+        match self {
+            Self::Any => true,
+            Self::Only(jobs) => jobs.contains(&job),
+        }
+    }
+}
+
+/// Tasks of a step that cannot be running on an unreconciled worker.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum StepEligibility {
+    /// All tasks of the step.
+    All,
+    /// Tasks of which a worker listed a run in this term. A task has no second run.
+    Located,
+}
+
+impl StepEligibility {
+    pub(crate) fn includes(self, task: &TaskRecord) -> bool {
+        match self {
+            Self::All => true,
+            Self::Located => task.located_in_term,
+        }
+    }
+}
+
+impl JobScheduler {
+    /// Sets which jobs may have runs on unreconciled workers.
+    pub fn set_unreconciled(&mut self, unreconciled: UnreconciledRuns) {
+        self.unreconciled = unreconciled;
+    }
+
+    /// Returns which jobs may have runs on unreconciled workers.
+    pub fn unreconciled(&self) -> &UnreconciledRuns {
+        &self.unreconciled
+    }
+
+    /// Records that every worker that may run tasks of earlier terms is reconciled, or that its
+    /// leases have expired.
+    pub fn mark_all_reconciled(&mut self) {
+        self.unreconciled = UnreconciledRuns::none();
+    }
+
+    /// Returns whether all tasks of earlier terms may be started.
+    pub fn is_reconciled(&self) -> bool {
+        self.unreconciled.is_none()
+    }
+
+    /// Returns the jobs of which a run is placed on a worker.
+    pub fn jobs_on(&self, worker: crate::WorkerKey) -> BTreeSet<JobName> {
+        let record = self.workers.get(worker);
+        let runs = record.into_iter().flat_map(|record| record.runs.keys());
+        runs.map(|run_id| run_id.task.job).collect()
+    }
+
+    /// Returns the number of waiting tasks that are held back until more workers are reconciled.
+    pub fn held_back_task_count(&self) -> usize {
+        let held = self
+            .ready_steps
+            .iter()
+            .map(|step_ref| self.held_back_tasks_in(*step_ref));
+        held.sum()
+    }
+
+    fn held_back_tasks_in(&self, step_ref: StepRef) -> usize {
+        let Some(step) = self.step_record(step_ref) else {
+            return 0;
+        };
+        let eligibility = self.eligibility(step_ref, step);
+        let held = step
+            .tasks
+            .iter()
+            .filter(|task| task.is_waiting() && !eligibility.includes(task));
+        held.count()
+    }
+
+    pub(crate) fn step_record(&self, step_ref: StepRef) -> Option<&StepRecord> {
+        let occurrence = self
+            .jobs
+            .get(step_ref.job)?
+            .occurrences
+            .get(&step_ref.occurrence)?;
+        occurrence.steps.get(usize::from(step_ref.step))
+    }
+
+    pub(crate) fn eligibility(&self, step_ref: StepRef, step: &StepRecord) -> StepEligibility {
+        let job = &self.jobs[step_ref.job];
+        let may_be_unreconciled = job.epoch < self.epoch && self.unreconciled.may_run(job.name);
+        if may_be_unreconciled && !step.is_new_in_term {
+            StepEligibility::Located
+        } else {
+            StepEligibility::All
+        }
+    }
+
+    /// Marks a task as located, after the worker itself has listed a run of it. The task has no
+    /// other run: an owner starts a task again only once its last run is known to have ended.
+    pub(crate) fn mark_located(&mut self, task_ref: TaskRef) {
+        if let Some(task) = self.task_mut(task_ref) {
+            task.located_in_term = true;
+        }
+        let job = self.jobs.get_mut(task_ref.step.job);
+        let occurrence = job.and_then(|job| job.occurrences.get_mut(&task_ref.step.occurrence));
+        if let Some(occurrence) = occurrence {
+            occurrence.steps[usize::from(task_ref.step.step)].confirmed_in_term = true;
+        }
+    }
+}
