--- a/crates/wax-front/src/accept.rs
+++ b/crates/wax-front/src/accept.rs
@@ -5,7 +5,7 @@
 use platform::{RowWrite, TxRequest};
 use prost::Message;
 use wax_batch::{JobName, JobRow, JobSpec, QueueRules};
-use wax_owner::{TxFate, job_key, note_owner_row, owner_key};
+use wax_owner::{TxResolution, job_key, owner_key, record_owner_row};
 use wax_types::{ErrorKind, Step, TimePoint, WaxError, wall_clock_ms};
 
 /// How a job came to be stored.
@@ -54,8 +54,8 @@
             remove: Vec::new(),
         };
         match transact_any_way(state, &tx, deadline).await {
-            TxFate::Committed(_) => return Ok(AcceptOutcome::Stored),
-            TxFate::Conflict(rows) => {
+            TxResolution::Committed(_) => return Ok(AcceptOutcome::Stored),
+            TxResolution::Conflict(rows) => {
                 if let Some(stored) = rows.iter().find(|row| row.key == job_key(job)) {
                     let ours = JobRow::decode(&*stored.value)
                         .is_ok_and(|stored| stored.nonce == row.nonce);
@@ -66,22 +66,22 @@
                     });
                 }
                 // The owner has changed meanwhile; its row is taken from the answer.
-                if !note_owner_row(shared, &rows) {
+                if !record_owner_row(shared, &rows) {
                     shared.owner.borrow_mut().take();
                 }
                 if shared.now() >= deadline {
                     return Err(not_stored("the owner changes again and again"));
                 }
             }
-            TxFate::NotSent(error) => return Err(not_stored(&error.label)),
-            TxFate::Refused(error) => {
+            TxResolution::NotSent(error) => return Err(not_stored(&error.label)),
+            TxResolution::Refused(error) => {
                 let text = format!("the store takes no such job: {}", error.label);
                 return Err(
                     WaxError::new(ErrorKind::Invalid, Step::SubmitJob, "store", text)
                         .with_help("submit a smaller job"),
                 );
             }
-            TxFate::Unknown(error) => {
+            TxResolution::Unknown(error) => {
                 let text = format!("it is not known whether the job is stored: {}", error.label);
                 return Err(
                     WaxError::new(ErrorKind::Timeout, Step::SubmitJob, "store", text)
--- a/crates/wax-front/src/cancel.rs
+++ b/crates/wax-front/src/cancel.rs
@@ -4,7 +4,7 @@
 use platform::{RowWrite, StoredRow, TxRequest};
 use std::time::Duration;
 use wax_batch::JobName;
-use wax_owner::{JOB_TABLE, TxFate, cancel_key, job_key, transact};
+use wax_owner::{JOB_TABLE, TxResolution, cancel_key, job_key, transact};
 use wax_types::{ErrorKind, Step, TimePoint, WaxError};
 use wax_wire::{JobCancelled, PoolBody};
 
@@ -63,13 +63,15 @@
             remove: Vec::new(),
         };
         match transact(&shared.store, shared.clock, &tx, deadline).await {
-            TxFate::Committed(_) => {
+            TxResolution::Committed(_) => {
                 tell_owner(state, job);
                 return Ok(CancelOutcome::Cancelled);
             }
             // Another cancel was first, or the job was forgotten: the rows tell.
-            TxFate::Conflict(_) => {}
-            TxFate::NotSent(error) | TxFate::Unknown(error) | TxFate::Refused(error) => {
+            TxResolution::Conflict(_) => {}
+            TxResolution::NotSent(error)
+            | TxResolution::Unknown(error)
+            | TxResolution::Refused(error) => {
                 state.note_store(false);
                 let kind = ErrorKind::Timeout;
                 return Err(WaxError::new(kind, Step::SubmitJob, "store", error.label)
@@ -90,8 +92,8 @@
 
 /// Tells the owner at once: its own feed may be cut off while callers are served.
 fn tell_owner(state: &FrontState, job: JobName) {
-    if let Some(tenure) = state.shared.current_tenure() {
-        tenure.cancel(job);
+    if let Some(term) = state.shared.current_term() {
+        term.cancel(job);
     } else if let Some(outbox) = &*state.outbox.borrow() {
         // Without a link the feed of the owner brings it.
         let _ = outbox.unbounded_send(PoolBody::Cancelled(JobCancelled { job: job.0 }));
--- a/crates/wax-front/src/handler.rs
+++ b/crates/wax-front/src/handler.rs
@@ -100,7 +100,7 @@
     fn no_queue(&self, host: Option<&str>, path: &str, config: u64) -> WaxError {
         let shared = &self.state.shared;
         let age_ms = shared.config_age().map(|age| age.as_millis() as u64);
-        let unsure = shared.may_config_be_old();
+        let unsure = shared.may_config_be_stale();
         tracing::info!(host, path, config, age_ms, unsure, "no such queue");
         if !unsure {
             let text = "no such queue";
--- a/crates/wax-front/src/owner_link.rs
+++ b/crates/wax-front/src/owner_link.rs
@@ -46,21 +46,21 @@
         let pause = RETRY_PAUSE + RETRY_PAUSE.mul_f64(fastrand::f64());
         let began = state.shared.now();
         sleep(pause).await;
-        state.shared.note_timer(pause, began);
+        state.shared.record_timer(pause, began);
     }
 }
 
 /// The seeds by turns, and the fronts that were ever linked to this process.
 fn nth_seed(state: &FrontState, seeds: &[SocketAddr], round: usize) -> Option<SocketAddr> {
-    let fronts = state.shared.fronts.borrow();
+    let fronts = state.shared.front_addresses.borrow();
     let all: Vec<SocketAddr> = seeds.iter().chain(fronts.iter()).copied().collect();
     all.get(round % all.len().max(1)).copied()
 }
 
 /// An owner looks for another only once its store is silent: it cannot know that it was replaced.
 fn looks_for_owner(state: &FrontState) -> bool {
-    let tenure = state.shared.current_tenure();
-    tenure.is_none_or(|tenure| tenure.is_in_doubt(state.shared.now()))
+    let term = state.shared.current_term();
+    term.is_none_or(|term| term.may_be_superseded(state.shared.now()))
 }
 
 /// The owner as the store had it last, if it is another process than this one.
@@ -96,7 +96,7 @@
         owner.address == Some(address) && error.kind() == io::ErrorKind::ConnectionRefused
     });
     if let Some(owner) = refused
-        && state.shared.owner_refused.replace(owner.epoch) != owner.epoch
+        && state.shared.refused_epoch.replace(owner.epoch) != owner.epoch
     {
         tracing::info!(owner = %address, epoch = owner.epoch, "nobody listens at the owner's address");
         state.shared.owner_changed.notify(usize::MAX);
@@ -120,8 +120,8 @@
     writer.write(PoolBody::EntryHello(hello)).await?;
     match reader.read().await? {
         Some(PoolBody::Welcome(welcome)) => {
-            let tenure = state.shared.current_tenure();
-            if tenure.is_some_and(|tenure| !tenure.give_way(welcome.epoch)) {
+            let term = state.shared.current_term();
+            if term.is_some_and(|term| !term.end_if_superseded(welcome.epoch)) {
                 let error = "it is of an earlier term than this process";
                 return Err(io::Error::new(io::ErrorKind::InvalidData, error));
             }
@@ -135,7 +135,7 @@
 async fn run_link(state: &Rc<FrontState>, epoch: u64, reader: PoolReader, writer: PoolWriter) {
     let (outbox, inbox) = unbounded();
     *state.outbox.borrow_mut() = Some(outbox.clone());
-    state.shared.owner_heard.set(state.shared.now());
+    state.shared.owner_heard_at.set(state.shared.now());
     tell_dead(state, &outbox);
     let writing = spawn(write_link(writer, inbox));
     let pinging = spawn(ping(state.clone(), outbox));
@@ -145,7 +145,7 @@
         select(read, replaced).await;
     }
     // What was heard on the link says no more than a heartbeat at the usual period would.
-    state.shared.heartbeat.set(FRONT_PERIOD);
+    state.shared.heartbeat_interval.set(FRONT_PERIOD);
     *state.outbox.borrow_mut() = None;
     state.asks.borrow_mut().clear();
     state.relays.borrow_mut().clear();
@@ -162,7 +162,7 @@
         .rank
         .get()
         .is_none_or(|turn| is_watcher(turn.rank));
-    let gone = state.shared.gone.borrow();
+    let gone = state.shared.ended_boots.borrow();
     let mut told = if is_watcher { 0 } else { gone.count() };
     loop {
         let page = BootsDead::new(gone.after(told, MOST_DEAD_TOLD));
@@ -177,7 +177,7 @@
 
 async fn read_link(state: &Rc<FrontState>, mut reader: PoolReader) {
     loop {
-        let limit = state.shared.heard_within(LINK_LIMIT);
+        let limit = state.shared.allowed_silence(LINK_LIMIT);
         match timeout(limit, reader.read()).await {
             Ok(Ok(Some(body))) => take_message(state, body),
             _ => return,
@@ -220,9 +220,9 @@
         if outbox.unbounded_send(PoolBody::Ping(ping)).is_err() {
             return;
         }
-        let period = state.shared.heartbeat.get();
+        let period = state.shared.heartbeat_interval.get();
         sleep(period).await;
-        state.shared.note_timer(period, now);
+        state.shared.record_timer(period, now);
     }
 }
 
@@ -250,16 +250,19 @@
             } else {
                 state.shared.now()
             };
-            state.shared.owner_heard.set(heard);
-            state.shared.link_heard.set(state.shared.now());
-            state.shared.heartbeat.set(grant.period(FRONT_PERIOD));
+            state.shared.owner_heard_at.set(heard);
+            state.shared.link_heard_at.set(state.shared.now());
+            state
+                .shared
+                .heartbeat_interval
+                .set(grant.period(FRONT_PERIOD));
             state.shared.rank.set(Some(CandidateRank {
                 rank: grant.rank,
-                best: OwnerFitness(grant.best),
+                best_fitness: OwnerFitness(grant.best),
             }));
             if let Some(age_ms) = grant.config_age_ms {
                 let (sent, age) = (TimePoint(grant.sent_us), Duration::from_millis(age_ms));
-                state.shared.note_owners_config(grant.config, sent, age);
+                state.shared.record_owner_config(grant.config, sent, age);
             }
             if grant.config < state.shared.config_version() {
                 let text = state.shared.config_text.borrow().clone();
@@ -283,9 +286,9 @@
         }
         PoolBody::Relay(ask) => send_for_owner(state, ask),
         PoolBody::BootsDead(dead) => {
-            let mut gone = state.shared.gone.borrow_mut();
+            let mut gone = state.shared.ended_boots.borrow_mut();
             for boot in &dead.boots {
-                gone.note(&boot.into());
+                gone.record(&boot.into());
             }
         }
         PoolBody::Config(push) => {
--- a/crates/wax-front/src/process.rs
+++ b/crates/wax-front/src/process.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wax_http::{HttpServer, ShutdownSignal, bind_listener};
-use wax_owner::{MachineStrength, PoolShared, keep_operator_rows, keep_ownership, serve_peers};
+use wax_owner::{PoolShared, VmCapacity, follow_operator_rows, run_ownership, serve_peers};
 use wax_settings::{DaemonSettings, MachineSettings};
 use wax_types::{ErrorKind, Step, WaxError};
 
@@ -42,7 +42,7 @@
     let readiness: SocketAddr = pool.readiness.ok_or_else(|| missing("readiness"))?;
     let store = StoreClient::new(settings.platform.address);
     let keep_ended = Duration::from_secs(pool.keep_ended_s.into());
-    let mut shared = PoolShared::on_machine(
+    let mut shared = PoolShared::with_vm_capacity(
         &settings.name,
         pool.peers,
         store,
@@ -73,10 +73,10 @@
     spawn(serve_peers(shared.clone(), bind_listener(pool.peers)?)).detach();
     spawn(apply_changes(shared.clone(), changes)).detach();
     spawn(readiness_server.run()).detach();
-    spawn(keep_operator_rows(shared.clone())).detach();
+    spawn(follow_operator_rows(shared.clone())).detach();
     spawn(keep_owner_link(state.clone(), pool.peer_seeds())).detach();
     spawn(look_after_store(state)).detach();
-    let ownership = spawn(keep_ownership(shared, shutdown.clone()));
+    let ownership = spawn(run_ownership(shared, shutdown.clone()));
     tracing::info!(name = %settings.name, %callers, peers = %pool.peers, "front started");
     spawn(close_later(shutdown, closed)).detach();
     callers_server.run().await;
@@ -89,9 +89,9 @@
 }
 
 /// What the settings leave open counts as that of a common machine.
-fn strength(machine: &MachineSettings) -> MachineStrength {
-    let common = MachineStrength::default();
-    MachineStrength {
+fn strength(machine: &MachineSettings) -> VmCapacity {
+    let common = VmCapacity::default();
+    VmCapacity {
         cores: machine.cpu_share.unwrap_or(common.cores) * machine.cores.unwrap_or(1.0),
         link_mbps: machine.link_mbps.unwrap_or(common.link_mbps),
         memory_mb: machine.memory_mb.unwrap_or(common.memory_mb),
--- a/crates/wax-front/src/show.rs
+++ b/crates/wax-front/src/show.rs
@@ -8,7 +8,7 @@
 use prost::Message;
 use std::time::Duration;
 use wax_batch::{JobName, JobOutcome, JobProgress};
-use wax_owner::{JobWord, cancel_key, job_key, progress_key};
+use wax_owner::{JobStatus, cancel_key, job_key, progress_key};
 use wax_types::{ErrorKind, Step, TimePoint, WaxError};
 use wax_wire::{JobAsk, JobTold, PoolBody};
 
@@ -62,10 +62,10 @@
 }
 
 async fn ask_owner(state: &FrontState, job: JobName) -> Option<(JobOutcome, bool)> {
-    if let Some(tenure) = state.shared.current_tenure() {
-        return match tenure.job_word(job) {
-            JobWord::Known { outcome, begun } => Some((outcome, begun)),
-            JobWord::Unknown => None,
+    if let Some(term) = state.shared.current_term() {
+        return match term.job_status(job) {
+            JobStatus::Known { outcome, begun } => Some((outcome, begun)),
+            JobStatus::Unknown => None,
         };
     }
     let told = ask(state, job.0, "").await.filter(|told| told.known)?;
@@ -79,8 +79,8 @@
 ///
 /// The owner does not answer.
 pub(crate) async fn queue_pending(state: &FrontState, queue: &str) -> Result<u64, WaxError> {
-    let pending = match state.shared.current_tenure() {
-        Some(tenure) => tenure.pending(queue, state.shared.now()),
+    let pending = match state.shared.current_term() {
+        Some(term) => term.pending(queue, state.shared.now()),
         None => ask(state, 0, queue)
             .await
             .filter(|told| told.known)
--- a/crates/wax-front/src/state.rs
+++ b/crates/wax-front/src/state.rs
@@ -52,8 +52,8 @@
 
     /// Whether an owner whose store answers was heard lately: it sends what this front cannot.
     pub(crate) fn hears_owner(&self) -> bool {
-        let lately = self.shared.heard_within(HEARD_LATELY);
-        self.shared.now().since(self.shared.owner_heard.get()) < lately
+        let lately = self.shared.allowed_silence(HEARD_LATELY);
+        self.shared.now().since(self.shared.owner_heard_at.get()) < lately
     }
 
     /// Whether neither the store nor an owner that has it was heard for a while: what is asked for now
@@ -66,7 +66,7 @@
 
     /// Whether the store should have answered by now.
     pub(crate) fn is_store_overdue(&self) -> bool {
-        let silent = self.shared.now().since(self.shared.store_heard.get());
+        let silent = self.shared.now().since(self.shared.store_answered_at.get());
         self.unanswered.get() > 0 && silent >= OVERDUE_AFTER
     }
 
@@ -88,7 +88,7 @@
             _ => {}
         }
         if answered {
-            self.shared.store_heard.set(now);
+            self.shared.store_answered_at.set(now);
         }
     }
 }
--- a/crates/wax-front/src/store_way.rs
+++ b/crates/wax-front/src/store_way.rs
@@ -10,7 +10,7 @@
 use platform::TxRequest;
 use std::pin::pin;
 use std::time::Duration;
-use wax_owner::{AskOutcome, RelayDoubt, TxFate, encode_ask, transact};
+use wax_owner::{RelayAttempt, RelayTracker, TxResolution, encode_relay_request, transact};
 use wax_types::TimePoint;
 use wax_wire::PoolBody;
 
@@ -27,7 +27,7 @@
     state: &FrontState,
     tx: &TxRequest,
     deadline: TimePoint,
-) -> TxFate {
+) -> TxResolution {
     let _under_way = UnderWay::new(state);
     let shared = &state.shared;
     // While the store is lost to this front, the owner's way goes first.
@@ -79,24 +79,24 @@
 }
 
 /// What the own way says counts if it is certain; else the other way is waited for.
-async fn settle(own: TxFate, relayed: impl Future<Output = TxFate>) -> TxFate {
+async fn settle(own: TxResolution, relayed: impl Future<Output = TxResolution>) -> TxResolution {
     match own.is_known() {
         true => own,
         false => own.join(relayed.await),
     }
 }
 
-fn note_direct(state: &FrontState, fate: &TxFate) {
+fn note_direct(state: &FrontState, fate: &TxResolution) {
     state.note_store(fate.is_known());
 }
 
 /// Has the owner send the transaction.
-async fn relay(state: &FrontState, tx: &TxRequest, deadline: TimePoint) -> TxFate {
-    let mut doubt = RelayDoubt::default();
+async fn relay(state: &FrontState, tx: &TxRequest, deadline: TimePoint) -> TxResolution {
+    let mut tracker = RelayTracker::default();
     loop {
         let left = deadline.since(state.shared.now());
         if left.is_zero() {
-            return doubt.end();
+            return tracker.finish();
         }
         if !state.hears_owner() {
             // The owner has lost the store as well, or there is none.
@@ -104,30 +104,30 @@
             continue;
         }
         let outcome = ask_owner(state, tx, left).await;
-        if let Some(fate) = doubt.take(outcome) {
+        if let Some(fate) = tracker.record(outcome) {
             return fate;
         }
         sleep(RELAY_PAUSE.min(left)).await;
     }
 }
 
-async fn ask_owner(state: &FrontState, tx: &TxRequest, wait: Duration) -> AskOutcome {
+async fn ask_owner(state: &FrontState, tx: &TxRequest, wait: Duration) -> RelayAttempt {
     let number = state.next_ask.get();
     state.next_ask.set(number + 1);
     let (sender, answer) = oneshot::channel();
-    let ask = PoolBody::Relay(encode_ask(number, tx, wait, state.shared.now()));
+    let ask = PoolBody::Relay(encode_relay_request(number, tx, wait, state.shared.now()));
     let handed = match &*state.outbox.borrow() {
         Some(outbox) => outbox.unbounded_send(ask).is_ok(),
         None => false,
     };
     if !handed {
-        return AskOutcome::NotAsked;
+        return RelayAttempt::NoLink;
     }
     state.relays.borrow_mut().insert(number, sender);
     let told = timeout(wait, answer).await;
     state.relays.borrow_mut().remove(&number);
     match told {
-        Ok(Ok(told)) => AskOutcome::Told(told),
-        _ => AskOutcome::NoAnswer,
+        Ok(Ok(told)) => RelayAttempt::Answered(told),
+        _ => RelayAttempt::NoAnswer,
     }
 }
--- a/crates/wax-owner/src/advice.rs
+++ b/crates/wax-owner/src/advice.rs
@@ -1,7 +1,7 @@
 //! Asks the platform's advisor which workers may run steps of queues that it advises.
 
+use crate::owner_term::OwnerTerm;
 use crate::shared::PoolShared;
-use crate::tenure::Tenure;
 use compio::time::{sleep, timeout};
 use platform::AdviceClient;
 use std::rc::Rc;
@@ -10,51 +10,56 @@
 use wax_trace::FailureStreak;
 
 /// Without a change the book is looked through this often.
-const LOOK_PERIOD: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Longest time for an answer: the advisor takes calls in turn.
-const ASK_LIMIT: Duration = Duration::from_millis(2_500);
+const ADVICE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// After a call without an answer.
-const RETRY_PAUSE: Duration = Duration::from_millis(250);
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// Asks, one question at a time, until the term ends.
-pub(crate) async fn ask_advisor(shared: Rc<PoolShared>, tenure: Rc<Tenure>, advisor: AdviceClient) {
+pub(crate) async fn query_advisor(
+    shared: Rc<PoolShared>,
+    term: Rc<OwnerTerm>,
+    advisor: AdviceClient,
+) {
     let streak = FailureStreak::new("placement advisor");
-    while !tenure.over.is_raised() {
-        let listener = tenure.dispatch.listen();
-        let ask = tenure.book.borrow_mut().advice_wanted(shared.now());
-        let Some(ask) = ask else {
+    while !term.ended.is_raised() {
+        let listener = term.dispatch.listen();
+        let request = term.scheduler.borrow_mut().advice_wanted(shared.now());
+        let Some(request) = request else {
             // Either a change or the time; both lead to another look.
-            let _ = timeout(LOOK_PERIOD, listener).await;
+            let _ = timeout(CHECK_INTERVAL, listener).await;
             continue;
         };
-        if let Err(error) = ask_once(&shared, &tenure, &advisor, &ask).await {
+        if let Err(error) = query_once(&shared, &term, &advisor, &request).await {
             streak.fail(&error);
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_DELAY).await;
         } else {
             streak.succeed();
         }
     }
 }
 
-async fn ask_once(
+async fn query_once(
     shared: &PoolShared,
-    tenure: &Tenure,
+    term: &OwnerTerm,
     advisor: &AdviceClient,
-    ask: &AdviceAsk,
+    request: &AdviceAsk,
 ) -> Result<(), wax_types::WaxError> {
-    let asked = shared.now();
-    let workers: Vec<Box<str>> = ask.workers.iter().map(|(_, id)| id.clone()).collect();
-    let (tickets, validity) = advisor.advise(&ask.name, &workers, ASK_LIMIT).await?;
-    tracing::info!(step = %ask.name, asked = workers.len(), approved = tickets.len(), "advice given");
+    let requested_at = shared.now();
+    let workers: Vec<Box<str>> = request.workers.iter().map(|(_, id)| id.clone()).collect();
+    let (tickets, validity) = advisor
+        .advise(&request.name, &workers, ADVICE_TIMEOUT)
+        .await?;
+    tracing::info!(step = %request.name, asked = workers.len(), approved = tickets.len(), "advice given");
     let approved: Vec<(Box<str>, Box<str>)> = tickets
         .into_iter()
         .map(|ticket| (ticket.worker, ticket.ticket))
         .collect();
     // The validity is counted from the question, which came before the answer.
-    tenure
-        .book
+    term.scheduler
         .borrow_mut()
-        .advice_given(ask, &approved, asked + validity);
-    tenure.dispatch.notify(usize::MAX);
+        .advice_given(request, &approved, requested_at + validity);
+    term.dispatch.notify(usize::MAX);
     Ok(())
 }
--- /dev/null
+++ b/crates/wax-owner/src/agent_links.rs
@@ -0,0 +1,405 @@
+//! The owner's side of a link with an agent.
+
+use crate::dispatch::placement_frame;
+use crate::interference_log::PendingInterference;
+use crate::owner_term::OwnerTerm;
+use crate::shared::PoolShared;
+use crate::writer::store_silence;
+use compio::runtime::spawn;
+use compio::time::timeout;
+use futures_channel::mpsc::{UnboundedReceiver, UnboundedSender, unbounded};
+use futures_util::future::{Either, select};
+use std::cell::Cell;
+use std::pin::pin;
+use std::rc::Rc;
+use std::time::Duration;
+use wax_batch::{BootId, CrashVerdict, LostRun, RunEnd, RunMark, RunReport, WorkerKey, WorkerView};
+use wax_trace::{Counter, count_many};
+use wax_types::{TimePoint, wall_clock_ms};
+use wax_wire::{
+    AckEnds, AgentHello, BootCrashed, DrainFrame, LeaseGrant, LinkPing, OwnerWelcome, PoolBody,
+    PoolReader, PoolWriter, PressFrame, PressNews, RunNews, WorkerGone, WorkerKept, WorkerUp,
+};
+
+/// Serves one link until it breaks, falls silent, or the term ends.
+pub(crate) async fn serve_agent(
+    shared: &PoolShared,
+    term: &Rc<OwnerTerm>,
+    hello: AgentHello,
+    reader: PoolReader,
+    writer: PoolWriter,
+) {
+    let node: Box<str> = hello.node.into();
+    let (link, token) = term.next_fencing_token();
+    let (outbox, inbox) = unbounded();
+    let welcome = OwnerWelcome {
+        epoch: term.epoch,
+        token,
+    };
+    // The queue is new: it takes the first message.
+    let _ = outbox.unbounded_send(PoolBody::Welcome(welcome));
+    open_link(shared, term, &node, link, &outbox);
+    let ended_boots: Vec<BootId> = hello.dead.iter().map(BootId::from).collect();
+    for boot in &ended_boots {
+        // The word of its end may have been lost with the link before.
+        term.worker_ended(&node, boot, shared.now());
+    }
+    term.record_ended_boots(shared, ended_boots);
+    let writer_task = spawn(write_link(writer, inbox));
+    let agent_link = AgentLink {
+        shared,
+        term,
+        node: &node,
+        link,
+        outbox,
+        is_reconciled: Cell::new(false),
+        rounds_sent: Cell::new(term.interference_log.borrow().closed_rounds()),
+    };
+    let reason = {
+        let read = pin!(agent_link.read(reader));
+        let ended = pin!(term.ended.wait());
+        match select(read, ended).await {
+            Either::Left((reason, _)) => reason,
+            Either::Right(_) => "the term has ended",
+        }
+    };
+    drop(writer_task);
+    close_link(shared, term, &node, link, reason);
+}
+
+pub(crate) async fn write_link(mut writer: PoolWriter, mut inbox: UnboundedReceiver<PoolBody>) {
+    if let Err(error) = writer.drain(&mut inbox).await {
+        tracing::info!(%error, "writing to a peer failed");
+    }
+}
+
+fn open_link(
+    shared: &PoolShared,
+    term: &OwnerTerm,
+    node: &str,
+    link: u64,
+    outbox: &UnboundedSender<PoolBody>,
+) {
+    let now = shared.now();
+    let known = term
+        .agents
+        .borrow_mut()
+        .open(node, link, outbox, now, &shared.timeouts);
+    if let Some(worker) = known {
+        term.scheduler.borrow_mut().worker_reachable(worker, false);
+    }
+    tracing::info!(agent = node, link, epoch = term.epoch, "agent linked");
+}
+
+fn close_link(shared: &PoolShared, term: &OwnerTerm, node: &str, link: u64, reason: &str) {
+    let now = shared.now();
+    let closed = term
+        .agents
+        .borrow_mut()
+        .close(node, link, now, &shared.timeouts);
+    let Some(known) = closed else {
+        return;
+    };
+    if let Some(worker) = known {
+        term.scheduler.borrow_mut().worker_reachable(worker, false);
+    }
+    tracing::warn!(agent = node, link, why = reason, "agent unlinked");
+}
+
+struct AgentLink<'a> {
+    shared: &'a PoolShared,
+    term: &'a Rc<OwnerTerm>,
+    node: &'a str,
+    link: u64,
+    outbox: UnboundedSender<PoolBody>,
+    /// Whether all that is on the worker was told on this link.
+    is_reconciled: Cell<bool>,
+    /// How many rounds of changed presses it was told.
+    rounds_sent: Cell<u64>,
+}
+
+impl AgentLink<'_> {
+    async fn read(&self, mut reader: PoolReader) -> &'static str {
+        loop {
+            let body = match timeout(self.shared.timeouts.link, reader.read()).await {
+                Ok(Ok(Some(body))) => body,
+                Ok(Ok(None)) => return "the agent closed it",
+                Ok(Err(_)) => return "it broke",
+                Err(_) => return "the agent is silent",
+            };
+            if !self.is_current() {
+                return "the agent has a newer link";
+            }
+            self.record_contact();
+            self.handle(body).await;
+        }
+    }
+
+    fn is_current(&self) -> bool {
+        self.term.agents.borrow().is_current(self.node, self.link)
+    }
+
+    fn record_contact(&self) {
+        if let Some(worker) = self.worker() {
+            let now = self.shared.now();
+            self.term.scheduler.borrow_mut().worker_heard(worker, now);
+        }
+    }
+
+    fn send(&self, body: PoolBody) {
+        // A writer that has failed ends the link at its next read.
+        let _ = self.outbox.unbounded_send(body);
+    }
+
+    async fn handle(&self, body: PoolBody) {
+        match body {
+            PoolBody::Ping(ping) => self.grant_lease(&ping),
+            PoolBody::WorkerUp(up) => self.worker_up(up).await,
+            PoolBody::WorkerChanged(frame) => self.worker_changed(frame.into()),
+            PoolBody::BootCrashed(crash) => self.boot_crashed(&crash).await,
+            PoolBody::WorkerGone(message) => self.worker_ended(&message),
+            PoolBody::News(updates) => self.apply_run_updates(&updates),
+            PoolBody::Presses(updates) => self.merge_interference(&updates),
+            other => tracing::warn!(?other, agent = self.node, "unexpected message of an agent"),
+        }
+    }
+
+    fn grant_lease(&self, ping: &LinkPing) {
+        let now = self.shared.now();
+        let timeouts = &self.shared.timeouts;
+        let validity_left = (self.term.confirmed_at.get() + timeouts.term_validity).since(now);
+        let valid = if self.term.releasing.is_raised() {
+            Duration::ZERO
+        } else {
+            validity_left.min(timeouts.grant)
+        };
+        // The heartbeat was sent before now, so that the grant ends before this.
+        self.term
+            .agents
+            .borrow_mut()
+            .extend_grant(self.node, now + valid);
+        self.send_interference(now);
+        self.send(PoolBody::Grant(LeaseGrant {
+            sent_us: ping.sent_us,
+            valid_ms: valid.as_millis() as u64,
+            store_lost: store_silence(self.term, now) > timeouts.takeover_if_reachable,
+            overload: self.term.overload.get() as f32,
+            period_ms: self.term.agents.borrow().heartbeat_interval().as_millis() as u32,
+            drains: DrainFrame::new(&self.shared.drains.borrow(), now),
+            ..Default::default()
+        }));
+    }
+
+    /// Presses that have changed go with the answer to a heartbeat: the agent wakes up once for both.
+    fn send_interference(&self, now: TimePoint) {
+        let mut log = self.term.interference_log.borrow_mut();
+        let pending = log.updates_after(self.rounds_sent.get(), now);
+        self.rounds_sent.set(log.closed_rounds());
+        drop(log);
+        match pending {
+            PendingInterference::Nothing => {}
+            PendingInterference::Changes(updates) => self.send(PoolBody::Presses(updates)),
+            PendingInterference::All => {
+                self.send(PoolBody::Presses(self.term.interference_snapshot()))
+            }
+        }
+    }
+
+    /// Takes over a worker's runs, once the store knows that this agent may be given orders.
+    async fn worker_up(&self, up: WorkerUp) {
+        self.term.loaded.wait().await;
+        self.wait_row_stored(&up.worker.boot()).await;
+        if self.term.ended.is_raised() || !self.is_current() {
+            return;
+        }
+        let (now, now_ms) = (self.shared.now(), wall_clock_ms());
+        let view: WorkerView = up.worker.into();
+        let runs: Vec<RunReport> = up.runs.iter().map(Into::into).collect();
+        let ends: Vec<RunEnd> = up.ends.iter().map(Into::into).collect();
+        let boot = view.boot.clone();
+        let worker = self.register_worker(view, now);
+        let mut scheduler = self.term.scheduler.borrow_mut();
+        scheduler.sync_worker(worker, &runs, &ends, now, now_ms);
+        self.is_reconciled.set(true);
+        let mut placements = Vec::with_capacity(runs.len());
+        for run in &runs {
+            let task = run.mark.task;
+            let step = scheduler
+                .job(task.job)
+                .and_then(|job| job.spec.steps.get(usize::from(task.step)));
+            placements.extend(step.map(|step| placement_frame(run.mark, step)));
+        }
+        let cursor = scheduler.acknowledged(worker);
+        drop(scheduler);
+        tracing::info!(agent = self.node, worker = %boot, runs = runs.len(), ends = ends.len(), "worker taken over");
+        let kept = WorkerKept {
+            worker: boot.worker_id().into(),
+            seats: placements,
+            started_ms: boot.started_ms(),
+        };
+        self.send(PoolBody::WorkerKept(kept));
+        if self.term.needs_all_pairs(up.known_pairs) {
+            self.send(PoolBody::Presses(self.term.interference_snapshot()));
+        }
+        // An acknowledgement may have been lost with the link before.
+        self.send(PoolBody::Ack(AckEnds::new(&boot, cursor)));
+        self.term.dispatch.notify(usize::MAX);
+    }
+
+    fn register_worker(&self, view: WorkerView, now: TimePoint) -> WorkerKey {
+        let before = self.term.agents.borrow().worker(self.node);
+        let boot = view.boot.clone();
+        let key = match before {
+            Some((key, known)) if known == boot => {
+                let mut scheduler = self.term.scheduler.borrow_mut();
+                scheduler.worker_changed(key, view);
+                scheduler.worker_reachable(key, true);
+                key
+            }
+            Some((key, _)) => {
+                self.term.remove_worker(key, now);
+                self.term
+                    .scheduler
+                    .borrow_mut()
+                    .worker_joined(view, self.node)
+            }
+            None => self
+                .term
+                .scheduler
+                .borrow_mut()
+                .worker_joined(view, self.node),
+        };
+        self.term
+            .agents
+            .borrow_mut()
+            .set_reconciled(self.node, key, &boot);
+        key
+    }
+
+    /// Waits until the store says that the worker may be given orders.
+    async fn wait_row_stored(&self, boot: &BootId) {
+        loop {
+            let is_stored = self.term.agents.borrow_mut().ensure_row(self.node, boot);
+            if is_stored || self.term.ended.is_raised() || !self.is_current() {
+                return;
+            }
+            let Some(listener) = self.term.agents.borrow().listen_row(self.node) else {
+                return;
+            };
+            self.term.write.notify(usize::MAX);
+            listener.await;
+        }
+    }
+
+    fn worker(&self) -> Option<WorkerKey> {
+        let known = self.term.agents.borrow().worker(self.node);
+        known.map(|(key, _)| key)
+    }
+
+    fn worker_changed(&self, view: WorkerView) {
+        let known = self.term.agents.borrow().worker(self.node);
+        if let Some((key, _)) = known.filter(|(_, boot)| *boot == view.boot) {
+            self.term.scheduler.borrow_mut().worker_changed(key, view);
+            self.term.dispatch.notify(usize::MAX);
+        }
+    }
+
+    /// A worker crashed: the tasks that ran there may have ended it.
+    async fn boot_crashed(&self, crash: &BootCrashed) {
+        self.term.loaded.wait().await;
+        if self.term.ended.is_raised() {
+            return;
+        }
+        let runs: Vec<LostRun> = crash.runs.iter().map(Into::into).collect();
+        let (now, now_ms) = (self.shared.now(), wall_clock_ms());
+        let ended_runs = self
+            .term
+            .scheduler
+            .borrow_mut()
+            .worker_crashed(self.node, &runs, now, now_ms);
+        for ended_run in ended_runs {
+            let given_up = ended_run.verdict == CrashVerdict::GivenUp;
+            count_many(Counter::TasksGivenUp, given_up.into());
+            tracing::info!(
+                task = %ended_run.mark.task,
+                run = ended_run.mark.run,
+                worker = %crash.boot(),
+                ran_ms = ended_run.ran.as_millis() as u64,
+                crashes = ended_run.crashes,
+                verdict = ?ended_run.verdict,
+                "run ended with its worker"
+            );
+        }
+        self.term.write.notify(usize::MAX);
+    }
+
+    fn worker_ended(&self, message: &WorkerGone) {
+        let boot = message.boot();
+        tracing::warn!(agent = self.node, worker = %boot, dead = message.dead, "worker is gone");
+        self.term.worker_ended(self.node, &boot, self.shared.now());
+        if message.dead {
+            self.term.record_ended_boots(self.shared, [boot]);
+        }
+    }
+
+    /// Gathers what the agents have learned; all are told of what has changed.
+    fn merge_interference(&self, updates: &PressNews) {
+        let Some(worker) = self.worker() else {
+            return;
+        };
+        let mut scheduler = self.term.scheduler.borrow_mut();
+        for update in &updates.rooms {
+            scheduler.set_press_room(worker, &update.serving, f64::from(update.room));
+        }
+        let mut merged = Vec::with_capacity(updates.pairs.len());
+        for pair in &updates.pairs {
+            let known = scheduler.merge_press(&pair.serving, &pair.filling, pair.press());
+            merged.push(PressFrame::new(&pair.serving, &pair.filling, known));
+        }
+        drop(scheduler);
+        self.term
+            .interference_unstored
+            .set(!merged.is_empty() || self.term.interference_unstored.get());
+        let now = self.shared.now();
+        let mut log = self.term.interference_log.borrow_mut();
+        for pair in merged {
+            log.record(pair, now);
+        }
+    }
+
+    fn apply_run_updates(&self, updates: &RunNews) {
+        let Some(worker) = self.worker() else {
+            return;
+        };
+        if !self.is_reconciled.get() {
+            // Ends that were lost with the link before have lower numbers: counted after a later one, they
+            // would be passed over, and their tasks started again. The worker's list has this one too.
+            tracing::info!(
+                agent = self.node,
+                ends = updates.ends.len(),
+                "news before the worker's list"
+            );
+            return;
+        }
+        let (now, now_ms) = (self.shared.now(), wall_clock_ms());
+        let mut scheduler = self.term.scheduler.borrow_mut();
+        for mark in &updates.started {
+            scheduler.run_started(worker, RunMark::from(mark), now);
+        }
+        for refusal in &updates.refused {
+            let (mark, reason) = refusal.decode();
+            tracing::info!(task = %mark.task, run = mark.run, agent = self.node, why = ?reason, "start refused");
+            scheduler.run_refused(worker, mark, reason, now, now_ms);
+        }
+        for report in &updates.going {
+            scheduler.adopt(worker, &report.into(), now);
+        }
+        for end in &updates.ends {
+            let end = RunEnd::from(end);
+            tracing::info!(task = %end.mark.task, run = end.mark.run, agent = self.node, how = ?end.kind, "run ended");
+            scheduler.run_ended(worker, &end, now, now_ms);
+        }
+        drop(scheduler);
+        self.term.dispatch.notify(usize::MAX);
+    }
+}
--- a/crates/wax-owner/src/candidates.rs
+++ b/crates/wax-owner/src/candidates.rs
@@ -8,21 +8,21 @@
 use wax_types::TimePoint;
 
 /// Between two ranks: a takeover and word of it take less.
-const RANK_STEP: Duration = Duration::from_millis(100);
+const RANK_DELAY: Duration = Duration::from_millis(100);
 /// Higher ranks wait no longer: those before them may all be gone.
-const MOST_RANK: u32 = 6;
+const MAX_RANK: u32 = 6;
 /// How much longer a front waits that is far weaker than the strongest one known: by then a strong
 /// one that lives has tried.
-const WEAK_WAIT: Duration = Duration::from_millis(500);
+const WEAK_FRONT_DELAY: Duration = Duration::from_millis(500);
 /// A front without a rank draws its turn from this.
-const DRAWN_WAIT: Duration = Duration::from_millis(300);
+const MAX_RANDOM_DELAY: Duration = Duration::from_millis(300);
 /// Where nobody has ever owned: a front of a whole core waits this long, one of half a core twice as
 /// long, since all machines start within some tenths of a second.
-const FIRST_WAIT: Duration = Duration::from_millis(40);
+const INITIAL_DELAY_PER_CORE: Duration = Duration::from_millis(40);
 /// The longest such wait: traffic starts seconds later.
-const MOST_FIRST_WAIT: Duration = Duration::from_millis(800);
+const MAX_INITIAL_DELAY: Duration = Duration::from_millis(800);
 /// A front is weak beside one that is this many times as strong.
-const FAR_STRONGER: u32 = 2;
+const FAR_STRONGER_FACTOR: u32 = 2;
 /// Timers that are late by this much halve what a machine is good for.
 const HALVING_LATENESS: Duration = Duration::from_millis(100);
 /// An owner of a whole core sends as much, megabits a second.
@@ -30,15 +30,15 @@
 /// An owner of a whole core holds as much, mebibytes.
 const MEMORY_PER_CORE: f64 = 256.0;
 /// A term lasts this long before it is handed over to a stronger machine.
-const SETTLE_IN: Duration = Duration::from_millis(2_000);
+const MIN_TERM_AGE: Duration = Duration::from_millis(2_000);
 /// The same where the owner's machine is strong and only late: it may be so for a moment.
-const LATE_SETTLE_IN: Duration = Duration::from_millis(8_000);
+const MIN_TERM_AGE_IF_LATE: Duration = Duration::from_millis(8_000);
 /// A front that was heard this lately is there to take over.
-const HEARD_LATELY: Duration = Duration::from_millis(600);
+const CANDIDATE_MAX_SILENCE: Duration = Duration::from_millis(600);
 
 /// What the platform says of a machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct MachineStrength {
+pub struct VmCapacity {
     /// Cores, or the share of one.
     pub cores: f64,
     /// Its link, megabits a second.
@@ -47,7 +47,7 @@
     pub memory_mb: f64,
 }
 
-impl Default for MachineStrength {
+impl Default for VmCapacity {
     fn default() -> Self {
         Self {
             cores: 1.0,
@@ -57,15 +57,15 @@
     }
 }
 
-impl MachineStrength {
+impl VmCapacity {
     /// How well the machine would carry an owner, its timers being late by `lateness`.
     pub fn fitness(&self, lateness: Duration) -> OwnerFitness {
         let bound = self
             .cores
             .min(self.link_mbps / MBPS_PER_CORE)
             .min(self.memory_mb / MEMORY_PER_CORE);
-        let late = lateness.as_secs_f64() / HALVING_LATENESS.as_secs_f64();
-        OwnerFitness((1_000.0 * bound.max(0.0) / (1.0 + late)) as u32)
+        let late_ratio = lateness.as_secs_f64() / HALVING_LATENESS.as_secs_f64();
+        OwnerFitness((1_000.0 * bound.max(0.0) / (1.0 + late_ratio)) as u32)
     }
 }
 
@@ -75,8 +75,8 @@
 
 impl OwnerFitness {
     /// Whether this machine is far weaker than another.
-    pub fn is_weak_beside(self, other: Self) -> bool {
-        self.0.saturating_mul(FAR_STRONGER) <= other.0 && self < other
+    pub fn is_far_weaker_than(self, other: Self) -> bool {
+        self.0.saturating_mul(FAR_STRONGER_FACTOR) <= other.0 && self < other
     }
 }
 
@@ -88,9 +88,9 @@
 
 impl TimerLateness {
     /// Notes a timer of `span` that took `took`.
-    pub fn note(&mut self, span: Duration, took: Duration) {
-        let late = took.saturating_sub(span);
-        self.mean = (self.mean * 4 + late) / 5;
+    pub fn record(&mut self, span: Duration, took: Duration) {
+        let late_ratio = took.saturating_sub(span);
+        self.mean = (self.mean * 4 + late_ratio) / 5;
     }
 
     /// The mean of the last ones.
@@ -105,46 +105,48 @@
     /// How many go before it.
     pub rank: u32,
     /// The strongest front.
-    pub best: OwnerFitness,
+    pub best_fitness: OwnerFitness,
 }
 
 impl CandidateRank {
     /// The turn of a front that has let go.
-    pub fn last(best: OwnerFitness) -> Self {
-        let rank = MOST_RANK;
-        Self { rank, best }
+    pub fn last(best_fitness: OwnerFitness) -> Self {
+        let rank = MAX_RANK;
+        Self { rank, best_fitness }
     }
 }
 
 /// What a front knows when nobody owns the shard.
 #[derive(Debug, Clone, Copy)]
-pub struct TakeoverChance {
+pub struct TakeoverDelay {
     /// Its own machine.
-    pub own: OwnerFitness,
+    pub own_fitness: OwnerFitness,
     /// What the last owner has told it.
-    pub told: Option<CandidateRank>,
+    pub last_rank: Option<CandidateRank>,
     /// The strongest front, by the last owner's row; `None` if nobody has ever owned.
-    pub row_best: Option<OwnerFitness>,
+    pub last_best: Option<OwnerFitness>,
     /// A number from 0 to 1.
-    pub draw: f64,
+    pub random: f64,
 }
 
-impl TakeoverChance {
+impl TakeoverDelay {
     /// How long the front lets others go first.
-    pub fn wait(&self) -> Duration {
-        let Some(row_best) = self.row_best else {
-            let cores = f64::from(self.own.0.max(1)) / 1_000.0;
-            return FIRST_WAIT.div_f64(cores).min(MOST_FIRST_WAIT);
+    pub fn duration(&self) -> Duration {
+        let Some(last_best) = self.last_best else {
+            let cores = f64::from(self.own_fitness.0.max(1)) / 1_000.0;
+            return INITIAL_DELAY_PER_CORE.div_f64(cores).min(MAX_INITIAL_DELAY);
         };
-        let best = self.told.map_or(row_best, |told| told.best);
-        let turn = match self.told {
-            Some(told) => RANK_STEP * told.rank.min(MOST_RANK),
-            None => DRAWN_WAIT.mul_f64(self.draw),
+        let best_fitness = self
+            .last_rank
+            .map_or(last_best, |last_rank| last_rank.best_fitness);
+        let delay = match self.last_rank {
+            Some(last_rank) => RANK_DELAY * last_rank.rank.min(MAX_RANK),
+            None => MAX_RANDOM_DELAY.mul_f64(self.random),
         };
-        if self.own.is_weak_beside(best) {
-            turn + WEAK_WAIT
+        if self.own_fitness.is_far_weaker_than(best_fitness) {
+            delay + WEAK_FRONT_DELAY
         } else {
-            turn
+            delay
         }
     }
 }
@@ -159,7 +161,7 @@
     /// Whether the store turns it away.
     pub store_lost: bool,
     /// When it was last heard.
-    pub heard_at: TimePoint,
+    pub last_heartbeat_at: TimePoint,
 }
 
 impl Candidate<'_> {
@@ -170,7 +172,7 @@
 }
 
 /// The candidates, the one that goes first at the next takeover in front.
-pub fn rank_all<'a>(all: impl Iterator<Item = Candidate<'a>>) -> Vec<Candidate<'a>> {
+pub fn rank_candidates<'a>(all: impl Iterator<Item = Candidate<'a>>) -> Vec<Candidate<'a>> {
     let mut ranked: Vec<Candidate<'a>> = all.collect();
     ranked.sort_unstable_by(|one, other| one.order().cmp(&other.order()));
     ranked
@@ -178,29 +180,32 @@
 
 /// The owner as it sees itself.
 #[derive(Debug, Clone, Copy)]
-pub struct OwnerStanding {
+pub struct HandoverCheck {
     /// Its machine, timers in time.
-    pub machine: OwnerFitness,
+    pub nominal: OwnerFitness,
     /// Its machine as late as its timers are.
-    pub present: OwnerFitness,
+    pub current: OwnerFitness,
     /// How long its term has lasted.
-    pub age: Duration,
+    pub term_age: Duration,
 }
 
-impl OwnerStanding {
+impl HandoverCheck {
     /// Whether a front that is there carries the shard far better.
-    pub fn gives_way<'a>(
+    pub fn should_hand_over<'a>(
         &self,
         mut all: impl Iterator<Item = Candidate<'a>>,
         now: TimePoint,
     ) -> bool {
         all.any(|front| {
-            let is_there = !front.store_lost && now.since(front.heard_at) <= HEARD_LATELY;
-            let settle_in = match self.machine.is_weak_beside(front.fitness) {
-                true => SETTLE_IN,
-                false => LATE_SETTLE_IN,
+            let is_available =
+                !front.store_lost && now.since(front.last_heartbeat_at) <= CANDIDATE_MAX_SILENCE;
+            let min_term_age = match self.nominal.is_far_weaker_than(front.fitness) {
+                true => MIN_TERM_AGE,
+                false => MIN_TERM_AGE_IF_LATE,
             };
-            is_there && self.age >= settle_in && self.present.is_weak_beside(front.fitness)
+            is_available
+                && self.term_age >= min_term_age
+                && self.current.is_far_weaker_than(front.fitness)
         })
     }
 }
--- /dev/null
+++ b/crates/wax-owner/src/chain_write.rs
@@ -0,0 +1,205 @@
+//! One transaction of the chain: what it carries, within the store's bounds.
+
+use crate::owner_term::OwnerTerm;
+use crate::roster::AgentUpdate;
+use crate::rows::{
+    AgentRow, HeartbeatRow, OwnerRow, agent_key, cancel_key, heartbeat_key, interference_key,
+    job_key, owner_key, progress_key,
+};
+use crate::shared::PoolShared;
+use platform::{RowWrite, TX_BYTES, TX_ENTRIES, TxRequest, encoded_bytes};
+use prost::Message;
+use std::time::Duration;
+use wax_batch::{BookNote, JobName};
+use wax_types::wall_clock_ms;
+
+/// Jobs whose progress goes into one transaction.
+const JOBS_PER_TX: usize = 32;
+/// Agents whose rows go into one transaction.
+const AGENTS_PER_TX: usize = 32;
+/// Jobs whose rows are removed in one transaction.
+const REMOVED_JOBS_PER_TX: usize = 8;
+/// Rows of one job: its own, its cancel, its progress.
+const ROWS_PER_JOB: usize = 3;
+/// Entries of each transaction beside the above: both conditions, the beat, presses, the owner.
+const OTHER_ENTRIES: usize = 5;
+/// Above the store's bound a transaction is refused for ever.
+const _: () = assert!(
+    OTHER_ENTRIES + JOBS_PER_TX + AGENTS_PER_TX + ROWS_PER_JOB * REMOVED_JOBS_PER_TX <= TX_ENTRIES
+);
+/// Bytes of progress in one transaction, as encoded; the other half is left to all else.
+const PROGRESS_BYTES: usize = TX_BYTES / 2;
+/// What is known of pairs of images is written this often, with what is written anyway.
+const INTERFERENCE_WRITE_INTERVAL: Duration = Duration::from_secs(3);
+
+/// How much goes into one transaction: less after the store has refused one.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) struct ChainLimits {
+    updates: usize,
+    agents: usize,
+}
+
+impl Default for ChainLimits {
+    fn default() -> Self {
+        Self {
+            updates: JOBS_PER_TX,
+            agents: AGENTS_PER_TX,
+        }
+    }
+}
+
+impl ChainLimits {
+    /// After a transaction that was taken.
+    pub(crate) fn grow(self) -> Self {
+        Self {
+            updates: (self.updates * 2).clamp(1, JOBS_PER_TX),
+            agents: (self.agents * 2).clamp(1, AGENTS_PER_TX),
+        }
+    }
+
+    fn shrink(self) -> Self {
+        Self {
+            updates: self.updates / 2,
+            agents: self.agents / 2,
+        }
+    }
+}
+
+/// One transaction of the chain and what it carries.
+pub(crate) struct ChainWrite {
+    pub(crate) tx: TxRequest,
+    pub(crate) updates: Vec<BookNote>,
+    pub(crate) agents: Vec<(Box<str>, AgentUpdate)>,
+    pub(crate) removed_jobs: Vec<JobName>,
+    pub(crate) releases: bool,
+}
+
+impl ChainWrite {
+    /// Gathers what is to be written, number `count` of the term.
+    pub(crate) fn next(
+        shared: &PoolShared,
+        term: &OwnerTerm,
+        heartbeat_version: u64,
+        count: u64,
+        limits: ChainLimits,
+    ) -> Self {
+        let epoch = term.epoch;
+        let mut tx = TxRequest {
+            expect: vec![
+                (owner_key(), term.owner_version.get()),
+                (heartbeat_key(), heartbeat_version),
+            ],
+            ..Default::default()
+        };
+        put(&mut tx, heartbeat_key(), &HeartbeatRow { epoch, count });
+        let updates = put_progress(&mut tx, term, limits.updates);
+        let agents = put_agents(&mut tx, term, limits.agents);
+        put_interference(&mut tx, shared, term);
+        let removed_jobs = remove_ended_jobs(&mut tx, shared, term);
+        let releases = term.releasing.is_raised() && !term.scheduler.borrow().has_notes();
+        if releases {
+            let row = OwnerRow {
+                released: true,
+                ..term.owner_row.clone()
+            };
+            put(&mut tx, owner_key(), &row);
+        }
+        debug_assert!(tx.fits(), "{} entries, {} bytes", tx.entries(), tx.bytes());
+        Self {
+            tx,
+            updates,
+            agents,
+            removed_jobs,
+            releases,
+        }
+    }
+
+    /// The store takes no such transaction: what it carried is due again, in smaller parts. What is
+    /// refused by itself is given up, so that the rest goes on; it is due anew when it changes.
+    pub(crate) fn requeue(self, term: &OwnerTerm, limits: ChainLimits) -> ChainLimits {
+        if self.updates.len() > 1 || self.agents.len() > 1 {
+            term.scheduler.borrow_mut().notes_failed(&self.updates);
+            term.agents.borrow_mut().updates_failed(self.agents);
+            return limits.shrink();
+        }
+        for update in &self.updates {
+            tracing::error!(job = %update.name, "its progress is not stored");
+        }
+        for (node, _) in &self.agents {
+            tracing::error!(agent = %node, "its row is not stored");
+        }
+        ChainLimits::default()
+    }
+}
+
+/// Progress of jobs, as much as fits; the rest is due again.
+fn put_progress(tx: &mut TxRequest, term: &OwnerTerm, limit: usize) -> Vec<BookNote> {
+    let mut scheduler = term.scheduler.borrow_mut();
+    let mut updates = scheduler.take_notes(limit);
+    let mut bytes = 0;
+    let fitting = updates.iter().take_while(|update| {
+        let is_first = bytes == 0;
+        bytes += encoded_bytes(update.progress.encoded_len());
+        is_first || bytes <= PROGRESS_BYTES
+    });
+    let fitting = fitting.count();
+    let rest = updates.split_off(fitting);
+    scheduler.notes_failed(&rest);
+    for update in &updates {
+        put(tx, progress_key(update.name), &update.progress);
+    }
+    updates
+}
+
+fn put_agents(tx: &mut TxRequest, term: &OwnerTerm, limit: usize) -> Vec<(Box<str>, AgentUpdate)> {
+    let agents = term.agents.borrow_mut().take_updates(limit);
+    for (node, update) in &agents {
+        match agent_row(node, update) {
+            Some(row) => put(tx, agent_key(node), &row),
+            None => tx.remove.push(agent_key(node)),
+        }
+    }
+    agents
+}
+
+/// What an agent's row is to hold; `None` if it is to go.
+fn agent_row(node: &str, update: &AgentUpdate) -> Option<AgentRow> {
+    match update {
+        AgentUpdate::Linked { boot } => Some(AgentRow::linked(node, boot)),
+        AgentUpdate::Unlinked { boot, jobs } => Some(AgentRow {
+            unlinked: true,
+            jobs: jobs.iter().map(|job| job.0).collect(),
+            ..AgentRow::linked(node, boot)
+        }),
+        AgentUpdate::Removed => None,
+    }
+}
+
+fn put_interference(tx: &mut TxRequest, shared: &PoolShared, term: &OwnerTerm) {
+    let now = shared.now();
+    if term.interference_unstored.get()
+        && now.since(term.interference_stored_at.get()) >= INTERFERENCE_WRITE_INTERVAL
+    {
+        term.interference_unstored.set(false);
+        term.interference_stored_at.set(now);
+        put(tx, interference_key(), &term.interference_snapshot());
+    }
+}
+
+fn remove_ended_jobs(tx: &mut TxRequest, shared: &PoolShared, term: &OwnerTerm) -> Vec<JobName> {
+    let before_ms = wall_clock_ms().saturating_sub(shared.ended_job_retention.as_millis() as u64);
+    let removed_jobs = term
+        .scheduler
+        .borrow()
+        .forgettable(before_ms, REMOVED_JOBS_PER_TX);
+    for job in &removed_jobs {
+        tx.remove
+            .extend([job_key(*job), cancel_key(*job), progress_key(*job)]);
+    }
+    removed_jobs
+}
+
+fn put(tx: &mut TxRequest, key: platform::RowKey, row: &impl Message) {
+    let value = row.encode_to_vec();
+    tx.writes.push(RowWrite { key, value });
+}
--- a/crates/wax-owner/src/dispatch.rs
+++ b/crates/wax-owner/src/dispatch.rs
@@ -1,7 +1,7 @@
 //! Gives out orders: starts, stops and acknowledgements.
 
+use crate::owner_term::OwnerTerm;
 use crate::shared::PoolShared;
-use crate::tenure::Tenure;
 use compio::time::timeout;
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,113 +11,113 @@
 use wax_wire::{AckEnds, PoolBody, SeatFrame, StartRun, StopRun};
 
 /// Without a change the book is looked through this often: times pass, too.
-const IDLE_PERIOD: Duration = Duration::from_millis(100);
+const IDLE_INTERVAL: Duration = Duration::from_millis(100);
 /// A gap between two rounds beyond this means that this process was stalled, not the workers.
 const PROCESS_STALL: Duration = Duration::from_millis(500);
 /// After that, progress comes in anew within this time.
-const BLIND_AFTER: Duration = Duration::from_millis(2_000);
+const PROGRESS_CATCH_UP: Duration = Duration::from_millis(2_000);
 /// Changes that come together are dispatched together.
-const GATHER: Duration = Duration::from_millis(2);
+const COALESCE_DELAY: Duration = Duration::from_millis(2);
 
 /// Dispatches until the term ends.
-pub(crate) async fn dispatch_orders(shared: Rc<PoolShared>, tenure: Rc<Tenure>) {
-    while !tenure.over.is_raised() {
-        let listener = tenure.dispatch.listen();
+pub(crate) async fn dispatch_orders(shared: Rc<PoolShared>, term: Rc<OwnerTerm>) {
+    while !term.ended.is_raised() {
+        let listener = term.dispatch.listen();
         // Either a change or the time; both lead to another look.
-        let wait = tenure.book.borrow().next_look(shared.now(), IDLE_PERIOD);
+        let wait = term
+            .scheduler
+            .borrow()
+            .next_look(shared.now(), IDLE_INTERVAL);
         if timeout(wait, listener).await.is_ok() {
-            compio::time::sleep(GATHER).await;
+            compio::time::sleep(COALESCE_DELAY).await;
         }
-        dispatch_once(&shared, &tenure);
+        dispatch_once(&shared, &term);
     }
 }
 
-fn dispatch_once(shared: &PoolShared, tenure: &Tenure) {
+fn dispatch_once(shared: &PoolShared, term: &OwnerTerm) {
     let now = shared.now();
-    if !tenure.loaded.is_raised() || tenure.over.is_raised() {
+    if !term.loaded.is_raised() || term.ended.is_raised() {
         return;
     }
-    if now.since(tenure.dispatched.replace(now)) > PROCESS_STALL {
-        tenure.blind_until.set(now + BLIND_AFTER);
-    }
-    drop_lapsed(tenure, now);
-    note_unlinked(tenure, now);
-    settle(tenure, now);
-    if tenure.may_act(now, shared.spans.acting) {
-        if now.since(tenure.looked_through.get()) >= IDLE_PERIOD {
-            tenure.looked_through.set(now);
-            look_through(tenure, now);
-            tenure.look_for_stronger(shared, now);
+    if now.since(term.dispatched_at.replace(now)) > PROCESS_STALL {
+        term.progress_unreliable_until.set(now + PROGRESS_CATCH_UP);
+    }
+    remove_expired(term, now);
+    queue_unlinked(term, now);
+    update_unreconciled(term, now);
+    if term.can_act(now, shared.timeouts.term_validity) {
+        if now.since(term.checked_at.get()) >= IDLE_INTERVAL {
+            term.checked_at.set(now);
+            run_periodic_checks(term, now);
+            term.release_to_stronger_front(shared, now);
         }
-        if knows_drains(shared, tenure, now) {
-            let orders = tenure.book.borrow_mut().place(now);
+        if are_drains_fresh(shared, term, now) {
+            let orders = term.scheduler.borrow_mut().place(now);
             for order in orders {
-                send_start(tenure, &order);
+                send_start(term, &order);
             }
-            log_waits(tenure);
+            log_waits(term);
         }
     }
     count_many(
         Counter::WorkersAsked,
-        tenure.book.borrow().take_workers_asked(),
+        term.scheduler.borrow().take_workers_asked(),
     );
-    count_many(
-        Counter::AgentsLookedAt,
-        tenure.agents.borrow().take_looked_at(),
-    );
-    let stops = tenure.book.borrow_mut().take_stops();
+    count_many(Counter::AgentsLookedAt, term.agents.borrow().take_visited());
+    let stops = term.scheduler.borrow_mut().take_stops();
     for stop in stops {
         tracing::info!(task = %stop.mark.task, run = stop.mark.run, why = %stop.why, "stop ordered");
         count(Counter::StopsOrdered);
         let mark = stop.mark.into();
-        tenure.tell_worker(stop.worker, PoolBody::Stop(StopRun { mark }));
+        term.send_to_worker(stop.worker, PoolBody::Stop(StopRun { mark }));
     }
-    let cursors = tenure.book.borrow_mut().take_cursors();
+    let cursors = term.scheduler.borrow_mut().take_cursors();
     for (worker, cursor) in cursors {
-        let boot = worker_boot(tenure, worker);
+        let boot = worker_boot(term, worker);
         let ack = AckEnds::new(&boot, cursor);
-        tenure.tell_worker(worker, PoolBody::Ack(ack));
+        term.send_to_worker(worker, PoolBody::Ack(ack));
     }
-    if tenure.book.borrow().has_notes() {
-        tenure.write.notify(usize::MAX);
+    if term.scheduler.borrow().has_notes() {
+        term.write.notify(usize::MAX);
     }
 }
 
 /// Whether what is known of drains is fresh enough to order starts by it: the agents would refuse them.
-fn knows_drains(shared: &PoolShared, tenure: &Tenure, now: TimePoint) -> bool {
+fn are_drains_fresh(shared: &PoolShared, term: &OwnerTerm, now: TimePoint) -> bool {
     let view = shared.drains.borrow();
-    let is_unsure = !view.is_fresh(now, shared.drain_rules.order_age());
-    if tenure.drains_unsure.replace(is_unsure) != is_unsure {
+    let is_stale = !view.is_fresh(now, shared.drain_rules.order_age());
+    if term.drains_stale.replace(is_stale) != is_stale {
         tracing::info!(
-            epoch = tenure.epoch,
-            waits = is_unsure,
+            epoch = term.epoch,
+            waits = is_stale,
             age_ms = view.age(now).map(millis),
             version = view.version(),
             "starts wait for a reading of the drains"
         );
     }
-    !is_unsure
+    !is_stale
 }
 
 /// What depends on time more than on any one change: due occurrences, runs to move.
-fn look_through(tenure: &Tenure, now: TimePoint) {
-    let mut book = tenure.book.borrow_mut();
-    book.open_due(now, wall_clock_ms());
-    if now >= tenure.blind_until.get() {
-        book.move_stalled(now);
-    }
-    book.evacuate(now);
-    tenure.overload.set(book.overload(now));
+fn run_periodic_checks(term: &OwnerTerm, now: TimePoint) {
+    let mut scheduler = term.scheduler.borrow_mut();
+    scheduler.open_due(now, wall_clock_ms());
+    if now >= term.progress_unreliable_until.get() {
+        scheduler.move_stalled(now);
+    }
+    scheduler.evacuate(now);
+    term.overload.set(scheduler.overload(now));
 }
 
-fn worker_boot(tenure: &Tenure, worker: WorkerKey) -> BootId {
-    let agents = tenure.agents.borrow();
+fn worker_boot(term: &OwnerTerm, worker: WorkerKey) -> BootId {
+    let agents = term.agents.borrow();
     agents.boot(worker).cloned().unwrap_or_default()
 }
 
 /// Each step that waits for a new reason, at most once a second a step.
-fn log_waits(tenure: &Tenure) {
-    for wait in tenure.book.borrow_mut().take_waits() {
+fn log_waits(term: &OwnerTerm) {
+    for wait in term.scheduler.borrow_mut().take_waits() {
         tracing::info!(
             task = %wait.task,
             waiting = wait.waiting,
@@ -137,10 +137,10 @@
     (value * 1_000.0).round() / 1_000.0
 }
 
-fn send_start(tenure: &Tenure, order: &StartOrder) {
+fn send_start(term: &OwnerTerm, order: &StartOrder) {
     count(Counter::StartsOrdered);
     let step = &order.spec.steps[usize::from(order.mark.task.step)];
-    let boot = worker_boot(tenure, order.worker);
+    let boot = worker_boot(term, order.worker);
     tracing::info!(
         task = %order.mark.task,
         run = order.mark.run,
@@ -156,18 +156,18 @@
         "start ordered"
     );
     let start = StartRun {
-        seat: seat_frame(order.mark, step),
+        seat: placement_frame(order.mark, step),
         text: order.spec.text.to_string(),
         checkpoint: order.checkpoint.to_string(),
         ticket: order.ticket.to_string(),
         worker: boot.worker_id().into(),
         started_ms: boot.started_ms(),
     };
-    tenure.tell_worker(order.worker, PoolBody::Start(start));
+    term.send_to_worker(order.worker, PoolBody::Start(start));
 }
 
 /// What an agent must know of a run.
-pub(crate) fn seat_frame(mark: wax_batch::RunMark, step: &wax_batch::StepSpec) -> SeatFrame {
+pub(crate) fn placement_frame(mark: wax_batch::RunMark, step: &wax_batch::StepSpec) -> SeatFrame {
     SeatFrame {
         mark: mark.into(),
         cpu_milli: step.size.cpu_milli,
@@ -180,61 +180,61 @@
 }
 
 /// Takes out workers of which nothing was heard until all their leases had lapsed.
-fn drop_lapsed(tenure: &Tenure, now: TimePoint) {
-    let lapsed = tenure
+fn remove_expired(term: &OwnerTerm, now: TimePoint) {
+    let expired = term
         .agents
         .borrow_mut()
-        .drop_lapsed(now, tenure.confirmed.get());
-    for node in &lapsed.nodes {
+        .remove_expired(now, term.confirmed_at.get());
+    for node in &expired.nodes {
         tracing::warn!(agent = %node, "leases have lapsed unheard");
     }
-    if !lapsed.nodes.is_empty() {
-        tenure.write.notify(usize::MAX);
+    if !expired.nodes.is_empty() {
+        term.write.notify(usize::MAX);
     }
-    for worker in lapsed.workers {
-        tenure.lose_worker(worker, now);
+    for worker in expired.workers {
+        term.remove_worker(worker, now);
     }
 }
 
 /// Writes down which agents cannot be reached, and what may run there.
-fn note_unlinked(tenure: &Tenure, now: TimePoint) {
-    let book = tenure.book.borrow();
-    let mut agents = tenure.agents.borrow_mut();
-    agents.note_unlinked(now, |worker| book.jobs_on(worker));
-    if agents.has_notes() {
-        tenure.write.notify(usize::MAX);
+fn queue_unlinked(term: &OwnerTerm, now: TimePoint) {
+    let scheduler = term.scheduler.borrow();
+    let mut agents = term.agents.borrow_mut();
+    agents.queue_unlinked(now, |worker| scheduler.jobs_on(worker));
+    if agents.has_updates() {
+        term.write.notify(usize::MAX);
     }
 }
 
 /// Tasks of earlier terms may start as far as no agent that was not heard may run them.
-fn settle(tenure: &Tenure, now: TimePoint) {
-    if tenure.book.borrow().is_settled() {
+fn update_unreconciled(term: &OwnerTerm, now: TimePoint) {
+    if term.scheduler.borrow().is_settled() {
         return;
     }
-    let agents = tenure.agents.borrow();
-    let changes = Some(agents.unheard_changes());
-    if tenure.unheard_seen.replace(changes) == changes {
+    let agents = term.agents.borrow();
+    let changes = Some(agents.unreconciled_changes());
+    if term.unreconciled_seen.replace(changes) == changes {
         return;
     }
-    let unheard = agents.unheard();
-    let mut book = tenure.book.borrow_mut();
-    if *book.unheard() == unheard {
+    let runs = agents.unreconciled_runs();
+    let mut scheduler = term.scheduler.borrow_mut();
+    if *scheduler.unheard() == runs {
         return;
     }
-    let bound = match &unheard {
+    let bound = match &runs {
         UnheardRuns::Any => None,
         UnheardRuns::Only(jobs) => Some(jobs.len()),
     };
-    book.set_unheard(unheard);
+    scheduler.set_unheard(runs);
     tracing::info!(
-        epoch = tenure.epoch,
-        agents = agents.unheard_agents(),
+        epoch = term.epoch,
+        agents = agents.unreconciled_agents(),
         jobs = bound,
-        held_back = book.held_back(),
+        held_back = scheduler.held_back(),
         "runs of earlier terms that were not heard"
     );
-    if book.is_settled() {
-        note_latency(Latency::Settle, now.since(tenure.began));
-        tracing::info!(epoch = tenure.epoch, "all workers heard or lapsed");
+    if scheduler.is_settled() {
+        note_latency(Latency::Settle, now.since(term.began_at));
+        tracing::info!(epoch = term.epoch, "all workers heard or lapsed");
     }
 }
--- a/crates/wax-owner/src/gone.rs
+++ b/crates/wax-owner/src/ended_boots.rs
@@ -9,46 +9,46 @@
 
 /// Boots that are remembered: a release of all workers of a pool of twice the size to design for, and another one
 /// before the longest wait for leases is over.
-const MOST_BOOTS: usize = 4_096;
+const MAX_BOOTS: usize = 4_096;
 
 /// Boots that are dead.
 #[derive(Debug, Default)]
-pub struct GoneBoots {
+pub struct EndedBoots {
     known: HashSet<BootId>,
     order: VecDeque<BootId>,
     /// How many have been forgotten.
-    forgotten: u64,
+    evicted: u64,
 }
 
-impl GoneBoots {
+impl EndedBoots {
     /// Notes a dead boot; says whether it is news.
-    pub fn note(&mut self, boot: &BootId) -> bool {
+    pub fn record(&mut self, boot: &BootId) -> bool {
         if boot.worker_id().is_empty() || !self.known.insert(boot.clone()) {
             return false;
         }
         self.order.push_back(boot.clone());
-        if self.order.len() > MOST_BOOTS
+        if self.order.len() > MAX_BOOTS
             && let Some(oldest) = self.order.pop_front()
         {
             self.known.remove(&oldest);
-            self.forgotten += 1;
+            self.evicted += 1;
         }
         true
     }
 
     /// Whether a boot is known to be dead.
-    pub fn has(&self, boot: &BootId) -> bool {
+    pub fn contains(&self, boot: &BootId) -> bool {
         self.known.contains(boot)
     }
 
     /// How many were ever noted.
     pub fn count(&self) -> u64 {
-        self.forgotten + self.order.len() as u64
+        self.evicted + self.order.len() as u64
     }
 
     /// Up to `most` boots that were noted after the first `count`, in their order.
-    pub fn after(&self, count: u64, most: usize) -> impl Iterator<Item = &BootId> {
-        let passed = count.saturating_sub(self.forgotten) as usize;
-        self.order.iter().skip(passed).take(most)
+    pub fn after(&self, count: u64, limit: usize) -> impl Iterator<Item = &BootId> {
+        let passed = count.saturating_sub(self.evicted) as usize;
+        self.order.iter().skip(passed).take(limit)
     }
 }
--- /dev/null
+++ b/crates/wax-owner/src/front_links.rs
@@ -0,0 +1,191 @@
+//! The owner's side of a link with another front.
+
+use crate::agent_links::write_link;
+use crate::candidates::OwnerFitness;
+use crate::fronts::FrontRecord;
+use crate::owner_term::{JobStatus, OwnerTerm};
+use crate::relay::{TransitDelay, relay_transaction};
+use crate::shared::PoolShared;
+use crate::writer::store_silence;
+use compio::runtime::spawn;
+use compio::time::timeout;
+use futures_channel::mpsc::{UnboundedSender, unbounded};
+use futures_util::future::{Either, select};
+use std::pin::pin;
+use std::rc::Rc;
+use std::time::Duration;
+use wax_batch::{BootId, JobName};
+use wax_policy::front_period;
+use wax_types::TimePoint;
+use wax_wire::{
+    ConfigPush, JobAsk, JobTold, LeaseGrant, LinkPing, OwnerWelcome, PoolBody, PoolReader,
+    PoolWriter, RelayAsk,
+};
+
+/// Serves one link until it breaks, falls silent, or the term ends.
+pub(crate) async fn serve_front(
+    shared: &Rc<PoolShared>,
+    term: &Rc<OwnerTerm>,
+    node: &str,
+    mut reader: PoolReader,
+    writer: PoolWriter,
+) {
+    let (outbox, inbox) = unbounded();
+    let welcome = OwnerWelcome {
+        epoch: term.epoch,
+        token: 0,
+    };
+    // The queue is new: it takes the first message.
+    let _ = outbox.unbounded_send(PoolBody::Welcome(welcome));
+    let link = term.next_front_id();
+    let ended_boots_sent = shared.ended_boots.borrow().count();
+    let front = FrontRecord::new(link, outbox.clone(), ended_boots_sent, shared.now());
+    term.fronts.borrow_mut().insert(node, front);
+    let writer_task = spawn(write_link(writer, inbox));
+    let mut transit_delay = TransitDelay::default();
+    let serving = async {
+        while let Ok(Ok(Some(body))) = timeout(shared.timeouts.link, reader.read()).await {
+            let body = match body {
+                PoolBody::Relay(request) => {
+                    let delay = transit_delay.delay_of(request.sent_us, shared.now());
+                    spawn_relay(shared.clone(), outbox.clone(), request, delay);
+                    continue;
+                }
+                PoolBody::Ping(ping) => {
+                    transit_delay.record_heartbeat(ping.sent_us, shared.now());
+                    PoolBody::Ping(ping)
+                }
+                body => body,
+            };
+            for answer in handle_message(shared, term, node, body) {
+                if outbox.unbounded_send(answer).is_err() {
+                    return;
+                }
+            }
+        }
+    };
+    let serving = pin!(serving);
+    let ended = pin!(term.ended.wait());
+    match select(serving, ended).await {
+        Either::Left(_) => tracing::info!(front = node, "front unlinked"),
+        Either::Right(_) => tracing::info!(front = node, "front unlinked with the term"),
+    }
+    drop(writer_task);
+    term.fronts.borrow_mut().remove(node, link);
+}
+
+/// The answer waits for the store; other messages do not wait for it.
+fn spawn_relay(
+    shared: Rc<PoolShared>,
+    outbox: UnboundedSender<PoolBody>,
+    request: RelayAsk,
+    transit_delay: Duration,
+) {
+    spawn(async move {
+        let reply = relay_transaction(&shared, request, transit_delay).await;
+        // A link that has closed leaves the front in doubt, which it settles by asking again.
+        let _ = outbox.unbounded_send(PoolBody::Relayed(reply));
+    })
+    .detach();
+}
+
+fn handle_message(
+    shared: &PoolShared,
+    term: &OwnerTerm,
+    node: &str,
+    body: PoolBody,
+) -> Vec<PoolBody> {
+    match body {
+        PoolBody::Ping(ping) => answer_heartbeat(shared, term, node, &ping),
+        PoolBody::Ask(request) => vec![PoolBody::Told(answer_job_query(
+            term,
+            &request,
+            shared.now(),
+        ))],
+        PoolBody::Cancelled(cancel) => {
+            term.cancel(JobName(cancel.job));
+            Vec::new()
+        }
+        PoolBody::Relayed(reply) => {
+            if let Some(waiter) = term.pending_relays.borrow_mut().remove(&reply.ask) {
+                // An asker that has given up asks anew.
+                let _ = waiter.send(reply);
+            }
+            Vec::new()
+        }
+        PoolBody::BootsDead(ended) => {
+            term.record_ended_boots(shared, ended.boots.iter().map(BootId::from));
+            Vec::new()
+        }
+        PoolBody::Config(push) => {
+            if let Err(error) = shared.offer_config(&push.text, node) {
+                tracing::error!(%error, "config of a peer refused");
+            }
+            Vec::new()
+        }
+        other => {
+            tracing::warn!(?other, front = node, "unexpected message of a front");
+            Vec::new()
+        }
+    }
+}
+
+fn answer_heartbeat(
+    shared: &PoolShared,
+    term: &OwnerTerm,
+    node: &str,
+    ping: &LinkPing,
+) -> Vec<PoolBody> {
+    let now = shared.now();
+    let version = shared.config_version();
+    let mut fronts = term.fronts.borrow_mut();
+    let mut pushes_config = false;
+    if let Some(front) = fronts.get_mut(node) {
+        front.record_heartbeat(OwnerFitness(ping.fitness), ping.store_lost, now);
+        pushes_config = front.should_push_config(ping.config, version, now);
+    }
+    let rank = fronts.rank(node, now);
+    fronts.notify_watchers(&shared.ended_boots.borrow());
+    let period = front_period(fronts.len(), rank.rank, &shared.config_rules);
+    drop(fronts);
+    let mut answers = vec![PoolBody::Grant(LeaseGrant {
+        sent_us: ping.sent_us,
+        valid_ms: 0,
+        store_lost: store_silence(term, now) > shared.timeouts.store_suspected,
+        config: version,
+        overload: 0.0,
+        rank: rank.rank,
+        best: rank.best_fitness.0,
+        period_ms: period.as_millis() as u32,
+        drains: None,
+        config_age_ms: shared
+            .config_view
+            .get()
+            .read_age(now)
+            .map(|transit_delay| transit_delay.as_millis() as u64),
+    })];
+    if pushes_config {
+        let text = shared.config_text.borrow().clone();
+        answers.push(PoolBody::Config(ConfigPush { text }));
+    }
+    answers
+}
+
+fn answer_job_query(term: &OwnerTerm, request: &JobAsk, now: TimePoint) -> JobTold {
+    let mut reply = JobTold {
+        ask: request.ask,
+        ..Default::default()
+    };
+    if !request.queue.is_empty() {
+        let pending = term.pending(&request.queue, now);
+        reply.known = pending.is_some();
+        reply.pending = pending.unwrap_or(0);
+        return reply;
+    }
+    if let JobStatus::Known { outcome, begun } = term.job_status(JobName(request.job)) {
+        reply.known = true;
+        reply.outcome = outcome.into();
+        reply.begun = begun;
+    }
+    reply
+}
--- a/crates/wax-owner/src/fronts.rs
+++ b/crates/wax-owner/src/fronts.rs
@@ -1,7 +1,7 @@
 //! The fronts of a term: how well each would own the shard, and which config it has.
 
-use crate::candidates::{Candidate, CandidateRank, OwnerFitness, rank_all};
-use crate::gone::GoneBoots;
+use crate::candidates::{Candidate, CandidateRank, OwnerFitness, rank_candidates};
+use crate::ended_boots::EndedBoots;
 use futures_channel::mpsc::UnboundedSender;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,37 +11,37 @@
 
 /// A front that is linked to the owner.
 #[derive(Debug)]
-pub struct FrontLife {
+pub struct FrontRecord {
     /// The number of its link.
     pub(crate) link: u64,
     pub(crate) outbox: UnboundedSender<PoolBody>,
     pub(crate) fitness: OwnerFitness,
     /// Whether the store turns it away.
     pub(crate) store_lost: bool,
-    pub(crate) heard_at: TimePoint,
+    pub(crate) last_heartbeat_at: TimePoint,
     /// Since when it has an older config than the owner.
-    pub(crate) behind_since: Option<TimePoint>,
+    pub(crate) outdated_since: Option<TimePoint>,
     /// The version of the config that it was sent last.
     pub(crate) config_sent: u64,
     /// How many of the dead boots it has been told.
-    pub(crate) dead_told: u64,
+    pub(crate) ended_boots_sent: u64,
     /// Its turn at the next takeover, by the last ranking; a new one goes last.
     pub(crate) rank: u32,
 }
 
 /// A front follows the store itself: only one that stays behind for this long is sent the config, which may take
 /// seconds of a small link.
-const CONFIG_PATIENCE: Duration = Duration::from_millis(600);
+const CONFIG_PUSH_DELAY: Duration = Duration::from_millis(600);
 
 /// Dead boots that one message names: some kilobytes.
-const MOST_DEAD_TOLD: usize = 256;
+const MAX_BOOTS_PER_MESSAGE: usize = 256;
 
-impl FrontLife {
+impl FrontRecord {
     /// A front that has just linked, and knows the first `dead_told` of the dead boots.
     pub fn new(
         link: u64,
         outbox: UnboundedSender<PoolBody>,
-        dead_told: u64,
+        ended_boots_sent: u64,
         now: TimePoint,
     ) -> Self {
         Self {
@@ -49,40 +49,48 @@
             outbox,
             fitness: OwnerFitness::default(),
             store_lost: false,
-            heard_at: now,
-            behind_since: None,
+            last_heartbeat_at: now,
+            outdated_since: None,
             config_sent: 0,
-            dead_told,
+            ended_boots_sent,
             rank: u32::MAX,
         }
     }
 
     /// Takes what a heartbeat says of the front.
-    pub fn heard(&mut self, fitness: OwnerFitness, store_lost: bool, now: TimePoint) {
+    pub fn record_heartbeat(&mut self, fitness: OwnerFitness, store_lost: bool, now: TimePoint) {
         self.fitness = fitness;
         self.store_lost = store_lost;
-        self.heard_at = now;
+        self.last_heartbeat_at = now;
     }
 
     /// Whether the front is to be sent the config: it has `theirs`, the owner `ours`.
-    pub fn is_due(&mut self, theirs: u64, ours: u64, now: TimePoint) -> bool {
-        if theirs >= ours {
-            self.behind_since = None;
+    pub fn should_push_config(
+        &mut self,
+        front_version: u64,
+        owner_version: u64,
+        now: TimePoint,
+    ) -> bool {
+        if front_version >= owner_version {
+            self.outdated_since = None;
             return false;
         }
-        let since = *self.behind_since.get_or_insert(now);
-        let is_due = now.since(since) >= CONFIG_PATIENCE && self.config_sent < ours;
+        let since = *self.outdated_since.get_or_insert(now);
+        let is_due = now.since(since) >= CONFIG_PUSH_DELAY && self.config_sent < owner_version;
         if is_due {
-            self.config_sent = ours;
+            self.config_sent = owner_version;
         }
         is_due
     }
 
     /// The dead boots that the front was not told yet, some kilobytes of them.
-    fn dead_news(&mut self, gone: &GoneBoots) -> Option<BootsDead> {
-        let news = BootsDead::new(gone.after(self.dead_told, MOST_DEAD_TOLD));
-        self.dead_told = gone.count().min(self.dead_told + news.boots.len() as u64);
-        (!news.boots.is_empty()).then_some(news)
+    fn next_ended_boots(&mut self, ended_boots: &EndedBoots) -> Option<BootsDead> {
+        let message =
+            BootsDead::new(ended_boots.after(self.ended_boots_sent, MAX_BOOTS_PER_MESSAGE));
+        self.ended_boots_sent = ended_boots
+            .count()
+            .min(self.ended_boots_sent + message.boots.len() as u64);
+        (!message.boots.is_empty()).then_some(message)
     }
 
     pub(crate) fn candidate<'a>(&self, node: &'a str) -> Candidate<'a> {
@@ -90,20 +98,20 @@
             node,
             fitness: self.fitness,
             store_lost: self.store_lost,
-            heard_at: self.heard_at,
+            last_heartbeat_at: self.last_heartbeat_at,
         }
     }
 }
 
 /// All fronts are ranked anew after this: a rank decides only who tries first.
-const RANK_PERIOD: Duration = Duration::from_millis(200);
+const RANK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The fronts that are linked.
 #[derive(Debug, Default)]
 pub struct FrontRoster {
-    lives: HashMap<Box<str>, FrontLife>,
+    records: HashMap<Box<str>, FrontRecord>,
     ranked_at: Option<TimePoint>,
-    best: OwnerFitness,
+    best_fitness: OwnerFitness,
     /// How many fronts rankings have gone through.
     ranked: u64,
     /// The fronts that go first at a takeover, and those that were not ranked yet.
@@ -112,42 +120,46 @@
 
 impl FrontRoster {
     /// Takes a new link of a front, in place of an earlier one.
-    pub fn insert(&mut self, node: &str, life: FrontLife) {
+    pub fn insert(&mut self, node: &str, front: FrontRecord) {
         self.watchers.push(node.into());
-        self.lives.insert(node.into(), life);
+        self.records.insert(node.into(), front);
     }
 
     /// A link has ended; a newer one of the same front stays.
     pub fn remove(&mut self, node: &str, link: u64) {
-        if self.lives.get(node).is_some_and(|front| front.link == link) {
-            self.lives.remove(node);
+        if self
+            .records
+            .get(node)
+            .is_some_and(|front| front.link == link)
+        {
+            self.records.remove(node);
         }
     }
 
     /// A front that is linked.
-    pub fn get_mut(&mut self, node: &str) -> Option<&mut FrontLife> {
-        self.lives.get_mut(node)
+    pub fn get_mut(&mut self, node: &str) -> Option<&mut FrontRecord> {
+        self.records.get_mut(node)
     }
 
     /// All fronts.
-    pub(crate) fn values(&self) -> impl Iterator<Item = &FrontLife> {
-        self.lives.values()
+    pub(crate) fn values(&self) -> impl Iterator<Item = &FrontRecord> {
+        self.records.values()
     }
 
     /// Whether no front is linked.
     pub fn is_empty(&self) -> bool {
-        self.lives.is_empty()
+        self.records.is_empty()
     }
 
     /// How many fronts are linked.
     pub fn len(&self) -> usize {
-        self.lives.len()
+        self.records.len()
     }
 
     /// All fronts, as candidates.
     pub(crate) fn candidates(&self) -> impl Iterator<Item = Candidate<'_>> {
-        let lives = self.lives.iter();
-        lives.map(|(node, front)| front.candidate(node))
+        let records = self.records.iter();
+        records.map(|(node, front)| front.candidate(node))
     }
 
     /// How many fronts rankings have gone through since the last call.
@@ -157,16 +169,16 @@
 
     /// Tells the fronts that may take over next which boots are dead; returns how many messages that took. All
     /// fronts would make a release of all workers cost the square of the pool.
-    pub fn tell_watchers(&mut self, gone: &GoneBoots) -> usize {
+    pub fn notify_watchers(&mut self, ended_boots: &EndedBoots) -> usize {
         let mut messages = 0;
         for node in &self.watchers {
-            let Some(front) = self.lives.get_mut(node) else {
+            let Some(front) = self.records.get_mut(node) else {
                 continue;
             };
-            while let Some(news) = front.dead_news(gone) {
+            while let Some(message) = front.next_ended_boots(ended_boots) {
                 messages += 1;
                 // A link that has just closed is replaced; the next owner then waits for leases instead.
-                let _ = front.outbox.unbounded_send(PoolBody::BootsDead(news));
+                let _ = front.outbox.unbounded_send(PoolBody::BootsDead(message));
             }
         }
         messages
@@ -174,30 +186,33 @@
 
     /// The turn of a front at the next takeover.
     pub fn rank(&mut self, node: &str, now: TimePoint) -> CandidateRank {
-        if self.ranked_at.is_none_or(|at| now.since(at) >= RANK_PERIOD) {
-            self.rank_again(now);
+        if self
+            .ranked_at
+            .is_none_or(|at| now.since(at) >= RANK_INTERVAL)
+        {
+            self.update_ranks(now);
         }
-        let front = self.lives.get(node);
+        let front = self.records.get(node);
         CandidateRank {
             rank: front.map_or(u32::MAX, |front| front.rank),
-            best: self
-                .best
-                .max(front.map_or(self.best, |front| front.fitness)),
+            best_fitness: self
+                .best_fitness
+                .max(front.map_or(self.best_fitness, |front| front.fitness)),
         }
     }
 
-    fn rank_again(&mut self, now: TimePoint) {
+    fn update_ranks(&mut self, now: TimePoint) {
         self.ranked_at = Some(now);
-        self.ranked += self.lives.len() as u64;
-        let ranked = rank_all(self.candidates());
+        self.ranked += self.records.len() as u64;
+        let ranked = rank_candidates(self.candidates());
         let names: Vec<Box<str>> = ranked.iter().map(|front| front.node.into()).collect();
-        self.best = ranked
+        self.best_fitness = ranked
             .iter()
             .map(|front| front.fitness)
             .max()
             .unwrap_or_default();
         for (rank, node) in (0..).zip(&names) {
-            if let Some(front) = self.lives.get_mut(node) {
+            if let Some(front) = self.records.get_mut(node) {
                 front.rank = rank;
             }
         }
--- a/crates/wax-owner/src/press_log.rs
+++ b/crates/wax-owner/src/interference_log.rs
@@ -8,11 +8,11 @@
 /// Changes of a pair within this are told as one.
 const ROUND_PERIOD: Duration = Duration::from_millis(1_000);
 /// Rounds that are kept: an agent that has missed more is told of all pairs.
-const MOST_ROUNDS: usize = 4;
+const MAX_ROUNDS: usize = 4;
 
 /// What an agent is to be told.
 #[derive(Debug, Clone, PartialEq)]
-pub enum PressStep {
+pub enum PendingInterference {
     /// Nothing has changed.
     Nothing,
     /// These pairs have changed.
@@ -23,39 +23,39 @@
 
 /// Changes of pairs, in rounds.
 #[derive(Debug, Default)]
-pub struct PressLog {
+pub struct InterferenceLog {
     open: BTreeMap<(String, String), PressFrame>,
     opened_at: Option<TimePoint>,
     rounds: VecDeque<Vec<PressFrame>>,
     /// How many rounds were ever closed.
-    closed: u64,
+    closed_rounds: u64,
 }
 
-impl PressLog {
+impl InterferenceLog {
     /// A pair has changed.
-    pub fn note(&mut self, pair: PressFrame, now: TimePoint) {
+    pub fn record(&mut self, pair: PressFrame, now: TimePoint) {
         self.opened_at.get_or_insert(now);
         let names = (pair.serving.clone(), pair.filling.clone());
         self.open.insert(names, pair);
     }
 
     /// How many rounds were ever closed: what an agent knows that is told of all pairs now.
-    pub fn closed(&self) -> u64 {
-        self.closed
+    pub fn closed_rounds(&self) -> u64 {
+        self.closed_rounds
     }
 
     /// What an agent is to be told that knows the first `seen` rounds.
-    pub fn news_after(&mut self, seen: u64, now: TimePoint) -> PressStep {
+    pub fn updates_after(&mut self, seen: u64, now: TimePoint) -> PendingInterference {
         self.close_round(now);
-        let missed = self.closed.saturating_sub(seen) as usize;
+        let missed = self.closed_rounds.saturating_sub(seen) as usize;
         if missed == 0 {
-            return PressStep::Nothing;
+            return PendingInterference::Nothing;
         }
         if missed > self.rounds.len() {
-            return PressStep::All;
+            return PendingInterference::All;
         }
         let rounds = self.rounds.iter().skip(self.rounds.len() - missed);
-        PressStep::Changes(PressNews {
+        PendingInterference::Changes(PressNews {
             pairs: rounds.flatten().cloned().collect(),
             rooms: Vec::new(),
         })
@@ -71,8 +71,8 @@
         self.opened_at = None;
         let pairs = std::mem::take(&mut self.open).into_values();
         self.rounds.push_back(pairs.collect());
-        self.closed += 1;
-        if self.rounds.len() > MOST_ROUNDS {
+        self.closed_rounds += 1;
+        if self.rounds.len() > MAX_ROUNDS {
             self.rounds.pop_front();
         }
     }
--- a/crates/wax-owner/src/lib.rs
+++ b/crates/wax-owner/src/lib.rs
@@ -5,48 +5,50 @@
 //! its fencing token.
 
 mod advice;
-mod agents;
+mod agent_links;
 mod candidates;
-mod chain;
+mod chain_write;
 mod dispatch;
-mod entries;
-mod fate;
-mod front_way;
+mod ended_boots;
+mod front_links;
+mod front_relay;
 mod fronts;
-mod gone;
+mod interference_log;
 mod job_feed;
 mod listener;
 mod load;
 mod operator_rows;
-mod press_log;
+mod owner_term;
 mod relay;
 mod roster;
 mod rows;
 mod shared;
-mod spans;
-mod tenure;
-mod turn;
+mod takeover_delay;
+mod timeouts;
+mod tx_resolution;
 mod watch;
 mod waves;
 mod writer;
 
 pub use candidates::{
-    Candidate, CandidateRank, MachineStrength, OwnerFitness, OwnerStanding, TakeoverChance,
-    TimerLateness, rank_all,
+    Candidate, CandidateRank, HandoverCheck, OwnerFitness, TakeoverDelay, TimerLateness,
+    VmCapacity, rank_candidates,
 };
-pub use fate::{TxFate, transact};
-pub use fronts::{FrontLife, FrontRoster};
-pub use gone::GoneBoots;
+pub use ended_boots::EndedBoots;
+pub use fronts::{FrontRecord, FrontRoster};
+pub use interference_log::{InterferenceLog, PendingInterference};
 pub use listener::serve_peers;
-pub use operator_rows::{keep_operator_rows, read_operator_rows};
-pub use press_log::{PressLog, PressStep};
-pub use relay::{AskOutcome, PeerAge, RelayDoubt, encode_ask, relay_transaction};
-pub use roster::{AgentNote, AgentRoster, LapsedAgents};
+pub use operator_rows::{follow_operator_rows, read_operator_rows};
+pub use owner_term::{JobStatus, OwnerTerm};
+pub use relay::{
+    RelayAttempt, RelayTracker, TransitDelay, encode_relay_request, relay_transaction,
+};
+pub use roster::{AgentRoster, AgentUpdate, ExpiredAgents};
 pub use rows::{
     AgentRow, CANCEL_SUFFIX, JOB_TABLE, OWNER_TABLE, OwnerRow, PROGRESS_TABLE, cancel_key, job_key,
     owner_key, progress_key,
 };
 pub use shared::{KnownOwner, PoolShared};
-pub use spans::OwnerSpans;
-pub use tenure::{JobWord, Tenure};
-pub use watch::{keep_ownership, note_owner_row};
+pub use timeouts::OwnerTimeouts;
+pub use tx_resolution::{TxResolution, transact};
+pub use watch::{record_owner_row, run_ownership};
--- a/crates/wax-owner/src/listener.rs
+++ b/crates/wax-owner/src/listener.rs
@@ -1,9 +1,9 @@
 //! Accepts links of agents and of other fronts.
 
-use crate::agents::serve_agent;
-use crate::entries::serve_entry;
+use crate::agent_links::serve_agent;
+use crate::front_links::serve_front;
+use crate::owner_term::OwnerTerm;
 use crate::shared::PoolShared;
-use crate::tenure::Tenure;
 use compio::net::{TcpListener, TcpStream};
 use compio::runtime::spawn;
 use compio::time::{sleep, timeout};
@@ -12,11 +12,11 @@
 use wax_wire::{NotOwner, PoolBody, PoolWriter, split_stream};
 
 /// A peer must say who it is within this time.
-const HELLO_LIMIT: Duration = Duration::from_millis(1_000);
+const HELLO_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// A peer waits this long for word of the next owner, less than it waits for an answer.
 const OWNER_WAIT: Duration = Duration::from_millis(300);
 /// After a failed accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Accepts links for the life of the process.
 pub async fn serve_peers(shared: Rc<PoolShared>, listener: TcpListener) {
@@ -28,7 +28,7 @@
             }
             Err(error) => {
                 tracing::warn!(%error, "accepting a link failed");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -38,20 +38,20 @@
     // Without it, small messages may wait for the peer's delayed acknowledgement.
     let _ = stream.set_nodelay(true);
     let (mut reader, writer) = split_stream(stream);
-    let Ok(Ok(Some(hello))) = timeout(HELLO_LIMIT, reader.read()).await else {
+    let Ok(Ok(Some(hello))) = timeout(HELLO_TIMEOUT, reader.read()).await else {
         return;
     };
-    let Some(tenure) = wait_owner(shared).await else {
-        refuse(shared, writer).await;
+    let Some(term) = wait_for_owner(shared).await else {
+        reply_not_owner(shared, writer).await;
         return;
     };
     match hello {
         PoolBody::AgentHello(hello) => {
-            serve_agent(shared, &tenure, hello, reader, writer).await;
+            serve_agent(shared, &term, hello, reader, writer).await;
         }
         PoolBody::EntryHello(hello) => {
-            shared.note_front(&hello.address);
-            serve_entry(shared, &tenure, &hello.node, reader, writer).await
+            shared.record_front(&hello.address);
+            serve_front(shared, &term, &hello.node, reader, writer).await
         }
         other => tracing::warn!(?other, "a peer that does not say who it is"),
     }
@@ -59,18 +59,18 @@
 
 /// The term of this process, if it owns the shard. While nobody does, word of the next owner is waited
 /// for: it comes soon, and no agent need search for it.
-async fn wait_owner(shared: &PoolShared) -> Option<Rc<Tenure>> {
+async fn wait_for_owner(shared: &PoolShared) -> Option<Rc<OwnerTerm>> {
     let listener = shared.owner_changed.listen();
-    let tenure = shared.current_tenure();
-    if tenure.is_some() || shared.has_owner() {
-        return tenure;
+    let term = shared.current_term();
+    if term.is_some() || shared.has_owner() {
+        return term;
     }
     // Either the word or the limit; both lead to another look.
     let _ = timeout(OWNER_WAIT, listener).await;
-    shared.current_tenure()
+    shared.current_term()
 }
 
-async fn refuse(shared: &PoolShared, mut writer: PoolWriter) {
+async fn reply_not_owner(shared: &PoolShared, mut writer: PoolWriter) {
     let answer = {
         let owner = shared.owner.borrow();
         let owner = owner.as_ref().filter(|owner| !owner.released);
@@ -84,5 +84,5 @@
         }
     };
     // The peer asks elsewhere, whether or not it has read this.
-    let _ = timeout(HELLO_LIMIT, writer.write(PoolBody::NotOwner(answer))).await;
+    let _ = timeout(HELLO_TIMEOUT, writer.write(PoolBody::NotOwner(answer))).await;
 }
--- a/crates/wax-owner/src/load.rs
+++ b/crates/wax-owner/src/load.rs
@@ -1,10 +1,10 @@
 //! Fills the book from the store at a takeover, and follows jobs from there on.
 
+use crate::owner_term::OwnerTerm;
 use crate::rows::{
-    AGENT_TABLE, AgentRow, CANCEL_SUFFIX, JOB_TABLE, PART, PROGRESS_TABLE, press_key,
+    AGENT_TABLE, AgentRow, CANCEL_SUFFIX, JOB_TABLE, PART, PROGRESS_TABLE, interference_key,
 };
 use crate::shared::PoolShared;
-use crate::tenure::Tenure;
 use platform::StoredRow;
 use prost::Message;
 use std::collections::HashMap;
@@ -15,32 +15,35 @@
 use wax_wire::PressNews;
 
 /// Longest time for one page.
-const PAGE_LIMIT: Duration = Duration::from_millis(1_500);
+const PAGE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Reads everything; returns the version from which jobs are followed.
-pub(crate) async fn load(shared: &PoolShared, tenure: &Tenure) -> Result<u64, WaxError> {
-    let (agents, _) = shared.store.read_all(AGENT_TABLE, PART, PAGE_LIMIT).await?;
+pub(crate) async fn load_shard(shared: &PoolShared, term: &OwnerTerm) -> Result<u64, WaxError> {
+    let (agents, _) = shared
+        .store
+        .read_all(AGENT_TABLE, PART, PAGE_TIMEOUT)
+        .await?;
     let (progress, _) = shared
         .store
-        .read_all(PROGRESS_TABLE, PART, PAGE_LIMIT)
+        .read_all(PROGRESS_TABLE, PART, PAGE_TIMEOUT)
         .await?;
-    let (jobs, version) = shared.store.read_all(JOB_TABLE, PART, PAGE_LIMIT).await?;
-    shared.store_heard.set(shared.now());
-    load_presses(shared, tenure).await;
-    let span = if tenure.after_release {
-        shared.spans.lapse_after_release()
+    let (jobs, version) = shared.store.read_all(JOB_TABLE, PART, PAGE_TIMEOUT).await?;
+    shared.store_answered_at.set(shared.now());
+    load_interference(shared, term).await;
+    let expiry = if term.former_owner_ended {
+        shared.timeouts.expiry_after_release()
     } else {
-        shared.spans.lapse_after_takeover()
+        shared.timeouts.expiry_after_takeover()
     };
-    let lapse_at = tenure.began + span;
+    let expires_at = term.began_at + expiry;
     for row in &agents {
-        add_agent(shared, tenure, row, lapse_at);
+        add_agent(shared, term, row, expires_at);
     }
     let progress = decode_progress(&progress);
-    add_jobs(shared, tenure, &jobs, &progress);
-    note_latency(Latency::Load, shared.now().since(tenure.began));
+    add_jobs(shared, term, &jobs, &progress);
+    note_latency(Latency::Load, shared.now().since(term.began_at));
     tracing::info!(
-        epoch = tenure.epoch,
+        epoch = term.epoch,
         jobs = jobs.len(),
         agents = agents.len(),
         "shard loaded"
@@ -49,8 +52,12 @@
 }
 
 /// Takes what the owner before knew of pairs of images; without it all is learned anew.
-async fn load_presses(shared: &PoolShared, tenure: &Tenure) {
-    let row = match shared.store.read_row(&press_key(), PAGE_LIMIT).await {
+async fn load_interference(shared: &PoolShared, term: &OwnerTerm) {
+    let row = match shared
+        .store
+        .read_row(&interference_key(), PAGE_TIMEOUT)
+        .await
+    {
         Ok(Some(row)) => row,
         Ok(None) => return,
         Err(error) => {
@@ -60,9 +67,9 @@
     };
     match PressNews::decode(&*row.value) {
         Ok(news) => {
-            let mut book = tenure.book.borrow_mut();
+            let mut scheduler = term.scheduler.borrow_mut();
             for pair in &news.pairs {
-                book.restore_press(&pair.serving, &pair.filling, pair.press());
+                scheduler.restore_press(&pair.serving, &pair.filling, pair.press());
             }
         }
         Err(error) => tracing::error!(%error, "the row of presses does not decode"),
@@ -70,16 +77,15 @@
 }
 
 /// A row that cannot be read may stand for any run.
-fn add_agent(shared: &PoolShared, tenure: &Tenure, row: &StoredRow, lapse_at: TimePoint) {
+fn add_agent(shared: &PoolShared, term: &OwnerTerm, row: &StoredRow, expires_at: TimePoint) {
     let agent = AgentRow::decode(&*row.value).unwrap_or_else(|error| {
         tracing::error!(%error, key = %row.key.key, "the row of an agent does not decode");
         AgentRow::default()
     });
-    let gone = shared.gone.borrow();
-    tenure
-        .agents
+    let ended_boots = shared.ended_boots.borrow();
+    term.agents
         .borrow_mut()
-        .load(&row.key.key, &agent, lapse_at, &gone);
+        .load(&row.key.key, &agent, expires_at, &ended_boots);
 }
 
 fn decode_progress(rows: &[StoredRow]) -> HashMap<JobName, JobProgress> {
@@ -99,12 +105,12 @@
 /// Takes rows of the job table, cancels included, into the book.
 pub(crate) fn add_jobs(
     shared: &PoolShared,
-    tenure: &Tenure,
+    term: &OwnerTerm,
     rows: &[StoredRow],
     progress: &HashMap<JobName, JobProgress>,
 ) {
     let (now, now_ms) = (shared.now(), wall_clock_ms());
-    let mut book = tenure.book.borrow_mut();
+    let mut scheduler = term.scheduler.borrow_mut();
     let mut cancels = Vec::new();
     for row in rows {
         if let Some(name) = row.key.key.strip_suffix(CANCEL_SUFFIX) {
@@ -112,16 +118,18 @@
             continue;
         }
         match (row.key.key.parse::<JobName>(), JobRow::decode(&*row.value)) {
-            (Ok(_), Ok(value)) if value.epoch > tenure.epoch => {
+            (Ok(_), Ok(value)) if value.epoch > term.epoch => {
                 // It was accepted under another owner, whose alone it is.
-                tenure.end("a job of a later term was accepted");
+                term.end("a job of a later term was accepted");
                 return;
             }
-            (Ok(name), Ok(value)) => book.add_job(name, value, progress.get(&name), now, now_ms),
+            (Ok(name), Ok(value)) => {
+                scheduler.add_job(name, value, progress.get(&name), now, now_ms)
+            }
             _ => tracing::error!(key = %row.key.key, "a row of a job does not decode"),
         }
     }
     for name in cancels {
-        book.cancel(name, now_ms);
+        scheduler.cancel(name, now_ms);
     }
 }
--- a/crates/wax-owner/src/operator_rows.rs
+++ b/crates/wax-owner/src/operator_rows.rs
@@ -21,17 +21,17 @@
 /// How long the store may wait for a change before it answers.
 const FEED_WAIT: Duration = Duration::from_secs(8);
 /// Longest time for one page of a reading of all.
-const PAGE_LIMIT: Duration = Duration::from_millis(1_000);
+const PAGE_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// After a feed that failed, with as much again at random.
-const RETRY_PAUSE: Duration = Duration::from_millis(250);
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// Follows the operator's rows for the life of the process.
-pub async fn keep_operator_rows(shared: Rc<PoolShared>) {
+pub async fn follow_operator_rows(shared: Rc<PoolShared>) {
     let feeds = FailureStreak::new("feed of the config");
     let reads = FailureStreak::new("reading of the operator's rows");
     let mut wait = Duration::ZERO;
     loop {
-        let step = match shared.rows_taken.get() {
+        let step = match shared.rows_version.get() {
             None => read_all(&shared).await,
             Some(after) => follow(&shared, &reads, after, wait).await,
         };
@@ -44,7 +44,7 @@
                 feeds.fail(&error);
                 // The next answer comes at once, and shows whether the store is there.
                 wait = Duration::ZERO;
-                sleep(RETRY_PAUSE + RETRY_PAUSE.mul_f64(fastrand::f64())).await;
+                sleep(RETRY_DELAY + RETRY_DELAY.mul_f64(fastrand::f64())).await;
             }
         }
     }
@@ -56,18 +56,18 @@
 ///
 /// The store does not answer within `limit`, or refuses.
 pub async fn read_operator_rows(shared: &PoolShared, limit: Duration) -> Result<(), WaxError> {
-    let Some(after) = shared.rows_taken.get() else {
+    let Some(after) = shared.rows_version.get() else {
         return read_all(shared).await;
     };
-    let asked = shared.now();
+    let requested_at = shared.now();
     let reply = shared.store.read_changes(OPERATOR_TABLE, after, limit);
     match reply.await? {
         FeedReply::Changes(changes, version) if changes.is_empty() => {
             // The feed goes on from where it is: each new version of the store would end its call otherwise.
-            take_changes(shared, changes, version, asked, "a reading");
+            apply_changes(shared, changes, version, requested_at, "a reading");
         }
         reply => {
-            take_reply(shared, after, reply, asked, "a reading");
+            apply_reply(shared, after, reply, requested_at, "a reading");
             count(Counter::ConfigReadings);
         }
     }
@@ -81,14 +81,14 @@
     after: u64,
     wait: Duration,
 ) -> Result<(), WaxError> {
-    let asked = shared.now();
+    let requested_at = shared.now();
     let mut feed = pin!(shared.store.follow(OPERATOR_TABLE, after, wait));
     // Readings go on beside the call: on a connection that has gone silent it lasts for 9.5 s, several times
     // the bound. A feed that has not told of what one found is given up.
-    while shared.rows_taken.get() == Some(after) {
+    while shared.rows_version.get() == Some(after) {
         let read = pin!(read_when_due(shared, reads));
         if let Either::Left((reply, _)) = select(feed.as_mut(), read).await {
-            take_reply(shared, after, reply?, asked, "the feed");
+            apply_reply(shared, after, reply?, requested_at, "the feed");
             return Ok(());
         }
     }
@@ -96,12 +96,12 @@
 }
 
 async fn read_when_due(shared: &PoolShared, reads: &FailureStreak) {
-    let limit = wait_due(shared).await;
+    let limit = wait_until_read_due(shared).await;
     match read_operator_rows(shared, limit).await {
         Ok(()) => reads.succeed(),
         Err(error) => {
             reads.fail(&error);
-            shared.note_config(|view| view.note_failed());
+            shared.update_config_view(|view| view.note_failed());
             let pause = shared.config_rules.retry_pause();
             sleep(pause + pause.mul_f64(fastrand::f64())).await;
         }
@@ -109,10 +109,10 @@
 }
 
 /// Waits until the rows are to be read; says how long the reading may take.
-async fn wait_due(shared: &PoolShared) -> Duration {
+async fn wait_until_read_due(shared: &PoolShared) -> Duration {
     loop {
-        let sooner = shared.read_sooner.listen();
-        let reader = match shared.current_tenure() {
+        let sooner = shared.read_schedule_changed.listen();
+        let reader = match shared.current_term() {
             Some(_) => ConfigReader::Owner,
             None => ConfigReader::Front,
         };
@@ -126,24 +126,30 @@
 }
 
 async fn read_all(shared: &PoolShared) -> Result<(), WaxError> {
-    let asked = shared.now();
-    let rows = shared.store.read_all(OPERATOR_TABLE, "", PAGE_LIMIT);
+    let requested_at = shared.now();
+    let rows = shared.store.read_all(OPERATOR_TABLE, "", PAGE_TIMEOUT);
     let (rows, version) = rows.await?;
     // After a history that was dropped, a drain without a row has been taken back unseen.
     let drained = rows.iter().filter_map(|row| drained_domain(&row.key));
     let drained = drained.map(Into::into).collect();
-    shared.note_drains("a reading of all", |view| {
-        view.replace(version, drained, asked)
+    shared.update_drains("a reading of all", |view| {
+        view.replace(version, drained, requested_at)
     });
     for row in rows {
-        take_row(shared, row, "a reading of all");
+        apply_row(shared, row, "a reading of all");
     }
-    shared.rows_taken.set(Some(version));
-    note_read(shared, asked);
+    shared.rows_version.set(Some(version));
+    record_reading(shared, requested_at);
     Ok(())
 }
 
-fn take_reply(shared: &PoolShared, after: u64, reply: FeedReply, asked: TimePoint, from: &str) {
+fn apply_reply(
+    shared: &PoolShared,
+    after: u64,
+    reply: FeedReply,
+    requested_at: TimePoint,
+    from: &str,
+) {
     match reply {
         FeedReply::Forgotten => {
             tracing::info!(
@@ -151,49 +157,49 @@
                 from,
                 "the history of the operator's rows was dropped"
             );
-            shared.rows_taken.set(None);
+            shared.rows_version.set(None);
         }
         FeedReply::Changes(changes, version) => {
-            take_changes(shared, changes, version, asked, from);
+            apply_changes(shared, changes, version, requested_at, from);
             shared
-                .rows_taken
-                .set(shared.rows_taken.get().max(Some(version)));
+                .rows_version
+                .set(shared.rows_version.get().max(Some(version)));
         }
     }
 }
 
 /// Takes all changes up to `version`, asked for at `asked`.
-fn take_changes(
+fn apply_changes(
     shared: &PoolShared,
     changes: Vec<RowChange>,
     version: u64,
-    asked: TimePoint,
+    requested_at: TimePoint,
     from: &str,
 ) {
-    take_drains(shared, &changes, version, asked, from);
+    apply_drains(shared, &changes, version, requested_at, from);
     for change in changes {
         if let RowChange::Written(row) = change {
-            take_row(shared, row, from);
+            apply_row(shared, row, from);
         }
     }
-    note_read(shared, asked);
+    record_reading(shared, requested_at);
 }
 
-fn note_read(shared: &PoolShared, asked: TimePoint) {
-    shared.store_heard.set(shared.now());
-    shared.note_config(|view| view.note_read(asked));
-    let tenure = shared.current_tenure();
-    if let Some(tenure) = tenure.filter(|tenure| tenure.drains_unsure.get()) {
-        tenure.dispatch.notify(usize::MAX);
+fn record_reading(shared: &PoolShared, requested_at: TimePoint) {
+    shared.store_answered_at.set(shared.now());
+    shared.update_config_view(|view| view.note_read(requested_at));
+    let term = shared.current_term();
+    if let Some(term) = term.filter(|term| term.drains_stale.get()) {
+        term.dispatch.notify(usize::MAX);
     }
 }
 
 /// A drain lasts as long as its row.
-fn take_drains(
+fn apply_drains(
     shared: &PoolShared,
     changes: &[RowChange],
     version: u64,
-    asked: TimePoint,
+    requested_at: TimePoint,
     from: &str,
 ) {
     let drains = changes.iter().filter_map(|change| {
@@ -203,10 +209,10 @@
         };
         Some((drained_domain(key)?.into(), drained))
     });
-    shared.note_drains(from, |view| view.change(version, drains, asked));
+    shared.update_drains(from, |view| view.change(version, drains, requested_at));
 }
 
-fn take_row(shared: &PoolShared, row: StoredRow, from: &str) {
+fn apply_row(shared: &PoolShared, row: StoredRow, from: &str) {
     if !row.key.part.is_empty() {
         return;
     }
--- a/crates/wax-owner/src/relay.rs
+++ b/crates/wax-owner/src/relay.rs
@@ -1,7 +1,7 @@
 //! Sends transactions to the store for fronts that cannot reach it.
 
-use crate::fate::{TxFate, transact};
 use crate::shared::PoolShared;
+use crate::tx_resolution::{TxResolution, transact};
 use platform::{RowKey, RowWrite, StoredRow, TxRequest};
 use std::time::Duration;
 use wax_trace::{Counter, count};
@@ -9,17 +9,17 @@
 use wax_wire::{ExpectFrame, RelayAsk, RelayFate, RelayTold, RowFrame};
 
 /// No asker waits longer.
-const MOST_WAIT_MS: u32 = 10_000;
+const MAX_WAIT_MS: u32 = 10_000;
 
 /// What has become of asking another process to send a transaction.
 #[derive(Debug, Clone, PartialEq)]
-pub enum AskOutcome {
+pub enum RelayAttempt {
     /// It was handed to no link.
-    NotAsked,
+    NoLink,
     /// It was handed to a link, and no answer came.
     NoAnswer,
     /// The other process has answered.
-    Told(RelayTold),
+    Answered(RelayTold),
 }
 
 /// Whether a transaction that others were asked to send may take effect yet.
@@ -27,40 +27,40 @@
 /// A question that was handed to a link may be read and carried out at any later time, whether or not
 /// the link stands.
 #[derive(Debug, Default)]
-pub struct RelayDoubt {
+pub struct RelayTracker {
     may_be_sent: bool,
 }
 
-impl RelayDoubt {
+impl RelayTracker {
     /// Takes what has become of a question; `Some` ends the asking.
-    pub fn take(&mut self, outcome: AskOutcome) -> Option<TxFate> {
-        let told = match outcome {
-            AskOutcome::NotAsked => return None,
-            AskOutcome::NoAnswer => {
+    pub fn record(&mut self, attempt: RelayAttempt) -> Option<TxResolution> {
+        let reply = match attempt {
+            RelayAttempt::NoLink => return None,
+            RelayAttempt::NoAnswer => {
                 self.may_be_sent = true;
                 return None;
             }
-            AskOutcome::Told(told) => told,
+            RelayAttempt::Answered(reply) => reply,
         };
-        match told.fate() {
-            RelayFate::Committed => Some(TxFate::Committed(told.version)),
-            RelayFate::Conflict => Some(TxFate::Conflict(relayed_rows(told))),
+        match reply.fate() {
+            RelayFate::Committed => Some(TxResolution::Committed(reply.version)),
+            RelayFate::Conflict => Some(TxResolution::Conflict(relayed_rows(reply))),
             RelayFate::Unknown => {
                 self.may_be_sent = true;
                 None
             }
             RelayFate::NotSent => None,
             RelayFate::Refused if self.may_be_sent => None,
-            RelayFate::Refused => Some(TxFate::Refused(relay_error("the store refuses it"))),
+            RelayFate::Refused => Some(TxResolution::Refused(relay_error("the store refuses it"))),
         }
     }
 
     /// The fate when nobody is asked any more.
-    pub fn end(&self) -> TxFate {
+    pub fn finish(&self) -> TxResolution {
         let error = relay_error("neither the store nor the owner answers");
         match self.may_be_sent {
-            true => TxFate::Unknown(error),
-            false => TxFate::NotSent(error),
+            true => TxResolution::Unknown(error),
+            false => TxResolution::NotSent(error),
         }
     }
 }
@@ -71,49 +71,53 @@
 
 /// Tells how old what a peer sends is, on a link whose heartbeats carry the peer's clock.
 #[derive(Debug, Default)]
-pub struct PeerAge {
+pub struct TransitDelay {
     /// The least of our clock less the peer's at the arrival of a heartbeat, microseconds.
-    least_offset: Option<i128>,
+    min_offset_us: Option<i128>,
 }
 
-impl PeerAge {
+impl TransitDelay {
     /// Takes a heartbeat that was sent at `sent_us` of the peer's clock.
-    pub fn heartbeat(&mut self, sent_us: u64, now: TimePoint) {
+    pub fn record_heartbeat(&mut self, sent_us: u64, now: TimePoint) {
         let offset = i128::from(now.0) - i128::from(sent_us);
-        self.least_offset = Some(self.least_offset.map_or(offset, |least| least.min(offset)));
+        self.min_offset_us = Some(self.min_offset_us.map_or(offset, |min| min.min(offset)));
     }
 
     /// For how long something has been on its way beyond what the fastest heartbeat took.
-    pub fn of(&self, sent_us: u64, now: TimePoint) -> Duration {
+    pub fn delay_of(&self, sent_us: u64, now: TimePoint) -> Duration {
         let offset = i128::from(now.0) - i128::from(sent_us);
-        let age = self.least_offset.map_or(0, |least| offset - least);
-        Duration::from_micros(u64::try_from(age).unwrap_or(0))
+        let delay = self.min_offset_us.map_or(0, |min| offset - min);
+        Duration::from_micros(u64::try_from(delay).unwrap_or(0))
     }
 }
 
 /// Sends what a peer asks for, unchanged, until its fate is known or the peer waits no more.
 ///
 /// `age` is how long the question was on its way: one that came too late is not sent at all.
-pub async fn relay_transaction(shared: &PoolShared, ask: RelayAsk, age: Duration) -> RelayTold {
-    let wait = Duration::from_millis(ask.wait_ms.min(MOST_WAIT_MS).into());
-    let number = ask.ask;
-    let left = wait.saturating_sub(age);
+pub async fn relay_transaction(
+    shared: &PoolShared,
+    request: RelayAsk,
+    delay: Duration,
+) -> RelayTold {
+    let wait = Duration::from_millis(request.wait_ms.min(MAX_WAIT_MS).into());
+    let id = request.ask;
+    let left = wait.saturating_sub(delay);
     if left.is_zero() {
         tracing::info!(
-            ask = number,
-            age_ms = age.as_millis() as u64,
+            ask = id,
+            age_ms = delay.as_millis() as u64,
             "transaction of a peer came too late"
         );
-        return encode_fate(number, TxFate::NotSent(relay_error("it came too late")));
+        return encode_reply(id, TxResolution::NotSent(relay_error("it came too late")));
     }
     count(Counter::TransactionsRelayed);
-    let tx = decode_ask(ask);
-    let fate = transact(&shared.store, shared.clock, &tx, shared.now() + left).await;
-    encode_fate(number, fate)
+    let tx = decode_relay_request(request);
+    let resolution = transact(&shared.store, shared.clock, &tx, shared.now() + left).await;
+    encode_reply(id, resolution)
 }
 
 /// The question for a transaction, sent at `now`.
-pub fn encode_ask(ask: u64, tx: &TxRequest, wait: Duration, now: TimePoint) -> RelayAsk {
+pub fn encode_relay_request(id: u64, tx: &TxRequest, wait: Duration, now: TimePoint) -> RelayAsk {
     let expect = tx.expect.iter().map(|(key, version)| ExpectFrame {
         table: key.table.to_string(),
         part: key.part.to_string(),
@@ -125,7 +129,7 @@
         .iter()
         .map(|row| row_frame(&row.key, &row.value, 0));
     RelayAsk {
-        ask,
+        ask: id,
         expect: expect.collect(),
         writes: writes.collect(),
         wait_ms: wait.as_millis() as u32,
@@ -138,19 +142,19 @@
     row_frame(key, &[], 0)
 }
 
-fn decode_ask(ask: RelayAsk) -> TxRequest {
-    let expect = ask
+fn decode_relay_request(request: RelayAsk) -> TxRequest {
+    let expect = request
         .expect
         .into_iter()
         .map(|row| (RowKey::new(&row.table, &row.part, row.key), row.version));
-    let writes = ask.writes.into_iter().map(|row| RowWrite {
+    let writes = request.writes.into_iter().map(|row| RowWrite {
         key: RowKey::new(&row.table, &row.part, row.key),
         value: row.value,
     });
     TxRequest {
         expect: expect.collect(),
         writes: writes.collect(),
-        remove: ask
+        remove: request
             .remove
             .into_iter()
             .map(|row| RowKey::new(&row.table, &row.part, row.key))
@@ -158,28 +162,28 @@
     }
 }
 
-fn encode_fate(ask: u64, fate: TxFate) -> RelayTold {
-    let mut told = RelayTold {
-        ask,
+fn encode_reply(id: u64, resolution: TxResolution) -> RelayTold {
+    let mut reply = RelayTold {
+        ask: id,
         ..Default::default()
     };
-    match fate {
-        TxFate::Committed(version) => {
-            told.set_fate(RelayFate::Committed);
-            told.version = version;
+    match resolution {
+        TxResolution::Committed(version) => {
+            reply.set_fate(RelayFate::Committed);
+            reply.version = version;
         }
-        TxFate::Conflict(rows) => {
-            told.set_fate(RelayFate::Conflict);
+        TxResolution::Conflict(rows) => {
+            reply.set_fate(RelayFate::Conflict);
             let rows = rows
                 .iter()
                 .map(|row| row_frame(&row.key, &row.value, row.version));
-            told.rows = rows.collect();
+            reply.rows = rows.collect();
         }
-        TxFate::NotSent(_) => told.set_fate(RelayFate::NotSent),
-        TxFate::Unknown(_) => told.set_fate(RelayFate::Unknown),
-        TxFate::Refused(_) => told.set_fate(RelayFate::Refused),
+        TxResolution::NotSent(_) => reply.set_fate(RelayFate::NotSent),
+        TxResolution::Unknown(_) => reply.set_fate(RelayFate::Unknown),
+        TxResolution::Refused(_) => reply.set_fate(RelayFate::Refused),
     }
-    told
+    reply
 }
 
 fn row_frame(key: &RowKey, value: &[u8], version: u64) -> RowFrame {
@@ -193,8 +197,8 @@
 }
 
 /// The rows of an answer.
-fn relayed_rows(told: RelayTold) -> Vec<StoredRow> {
-    let rows = told.rows.into_iter().map(|row| StoredRow {
+fn relayed_rows(reply: RelayTold) -> Vec<StoredRow> {
+    let rows = reply.rows.into_iter().map(|row| StoredRow {
         key: RowKey::new(&row.table, &row.part, row.key),
         value: row.value,
         version: row.version,
--- a/crates/wax-owner/src/rows.rs
+++ b/crates/wax-owner/src/rows.rs
@@ -7,7 +7,7 @@
 /// Who owns the shard; changes at a takeover only.
 pub const OWNER_TABLE: &str = "owner";
 /// The owner's beat; changes with each of its transactions.
-pub(crate) const BEAT_TABLE: &str = "beat";
+pub(crate) const HEARTBEAT_TABLE: &str = "beat";
 /// Jobs as they were accepted, and cancels.
 pub const JOB_TABLE: &str = "job";
 /// What the owner has taken note of.
@@ -15,7 +15,7 @@
 /// Agents that may have been given orders.
 pub(crate) const AGENT_TABLE: &str = "agent";
 /// What is known of pairs of images; only ever a help, so that its loss is none.
-pub(crate) const PRESS_TABLE: &str = "press";
+pub(crate) const INTERFERENCE_TABLE: &str = "press";
 /// The shard's part. A pool up to the size that one owner carries has one shard.
 pub(crate) const PART: &str = "s0";
 /// The key of the cancel of a job is the job's with this behind it.
@@ -41,12 +41,12 @@
     pub nonce: u64,
     /// How well the strongest front known would carry an owner, thousandths of a core.
     #[prost(uint32, tag = "6")]
-    pub best: u32,
+    pub best_fitness: u32,
 }
 
 /// The beat row.
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct BeatRow {
+pub(crate) struct HeartbeatRow {
     /// The term.
     #[prost(uint64, tag = "1")]
     pub(crate) epoch: u64,
@@ -97,8 +97,8 @@
     RowKey::new(OWNER_TABLE, PART, "owner")
 }
 
-pub(crate) fn beat_key() -> RowKey {
-    RowKey::new(BEAT_TABLE, PART, "beat")
+pub(crate) fn heartbeat_key() -> RowKey {
+    RowKey::new(HEARTBEAT_TABLE, PART, "beat")
 }
 
 /// The key of a job's row.
@@ -116,8 +116,8 @@
     RowKey::new(PROGRESS_TABLE, PART, job.to_string())
 }
 
-pub(crate) fn press_key() -> RowKey {
-    RowKey::new(PRESS_TABLE, PART, "pairs")
+pub(crate) fn interference_key() -> RowKey {
+    RowKey::new(INTERFERENCE_TABLE, PART, "pairs")
 }
 
 pub(crate) fn agent_key(node: &str) -> RowKey {
--- a/crates/wax-owner/src/shared.rs
+++ b/crates/wax-owner/src/shared.rs
@@ -1,9 +1,9 @@
 //! What all tasks of a front share.
 
-use crate::candidates::{CandidateRank, MachineStrength, OwnerFitness, TimerLateness};
-use crate::gone::GoneBoots;
-use crate::spans::OwnerSpans;
-use crate::tenure::Tenure;
+use crate::candidates::{CandidateRank, OwnerFitness, TimerLateness, VmCapacity};
+use crate::ended_boots::EndedBoots;
+use crate::owner_term::OwnerTerm;
+use crate::timeouts::OwnerTimeouts;
 use event_listener::Event;
 use platform::{StoreClient, UpkeepWave, decode_config};
 use std::cell::{Cell, RefCell};
@@ -30,7 +30,7 @@
     /// Whether it has let go.
     pub released: bool,
     /// The strongest front that it knew of.
-    pub best: OwnerFitness,
+    pub best_fitness: OwnerFitness,
 }
 
 /// Shared by all tasks of the process.
@@ -45,19 +45,19 @@
     /// The platform's store.
     pub store: StoreClient,
     /// Spans of ownership.
-    pub spans: OwnerSpans,
+    pub timeouts: OwnerTimeouts,
     /// How long ended jobs are kept.
-    pub keep_ended: Duration,
+    pub ended_job_retention: Duration,
     /// The placement advisor, if the platform has one.
     pub advisor: Option<SocketAddr>,
     /// What the platform says of this machine.
-    pub strength: MachineStrength,
+    pub vm_capacity: VmCapacity,
     /// How late this process's timers are.
-    pub lateness: Cell<TimerLateness>,
+    pub timer_lateness: Cell<TimerLateness>,
     /// This front's turn at the next takeover, by the last owner's word.
     pub rank: Cell<Option<CandidateRank>>,
     /// The term whose owner's process is gone: nobody listens at its address.
-    pub owner_refused: Cell<u64>,
+    pub refused_epoch: Cell<u64>,
     /// Limits and weights of placement; they may change with the settings.
     place_rules: Cell<PlaceRules>,
     /// The config in force.
@@ -75,31 +75,31 @@
     /// How old that view may be for starts to be ordered.
     pub drain_rules: DrainRules,
     /// Where fronts are reached that were ever linked to this process.
-    pub fronts: RefCell<BTreeSet<SocketAddr>>,
+    pub front_addresses: RefCell<BTreeSet<SocketAddr>>,
     /// Boots of workers that are dead for good.
-    pub gone: RefCell<GoneBoots>,
+    pub ended_boots: RefCell<EndedBoots>,
     /// The owner as last heard of.
     pub owner: RefCell<Option<KnownOwner>>,
     /// Notified when another owner is heard of.
     pub owner_changed: Event,
     /// Set while this process owns the shard.
-    pub tenure: RefCell<Option<Rc<Tenure>>>,
+    pub term: RefCell<Option<Rc<OwnerTerm>>>,
     /// When an owner whose store answers was last heard by this process's link.
-    pub owner_heard: Cell<TimePoint>,
+    pub owner_heard_at: Cell<TimePoint>,
     /// When any owner was last heard by this process's link, whether or not its store answers.
-    pub link_heard: Cell<TimePoint>,
+    pub link_heard_at: Cell<TimePoint>,
     /// Between two heartbeats of that link, by the owner's last grant.
-    pub heartbeat: Cell<Duration>,
+    pub heartbeat_interval: Cell<Duration>,
     /// When the store last answered this process.
-    pub store_heard: Cell<TimePoint>,
+    pub store_answered_at: Cell<TimePoint>,
     /// Up to when the config in force is known to be the newest.
     pub config_view: Cell<ConfigView>,
     /// By when a change of the config is in force.
     pub config_rules: ConfigRules,
     /// The store's version up to which the operator's rows were taken; `None` before all were read.
-    pub(crate) rows_taken: Cell<Option<u64>>,
+    pub(crate) rows_version: Cell<Option<u64>>,
     /// Notified when the operator's rows may be due for a reading sooner than it seemed.
-    pub(crate) read_sooner: Event,
+    pub(crate) read_schedule_changed: Event,
 }
 
 impl PoolShared {
@@ -109,38 +109,38 @@
         address: SocketAddr,
         store: StoreClient,
         advisor: Option<SocketAddr>,
-        keep_ended: Duration,
+        ended_job_retention: Duration,
     ) -> Self {
-        Self::on_machine(
+        Self::with_vm_capacity(
             node,
             address,
             store,
             advisor,
-            keep_ended,
-            MachineStrength::default(),
+            ended_job_retention,
+            VmCapacity::default(),
         )
     }
 
     /// The same on a machine of which the platform has told.
-    pub fn on_machine(
+    pub fn with_vm_capacity(
         node: &str,
         address: SocketAddr,
         store: StoreClient,
         advisor: Option<SocketAddr>,
-        keep_ended: Duration,
-        strength: MachineStrength,
+        ended_job_retention: Duration,
+        vm_capacity: VmCapacity,
     ) -> Self {
         Self {
-            strength,
-            lateness: Cell::default(),
+            vm_capacity,
+            timer_lateness: Cell::default(),
             rank: Cell::new(None),
-            owner_refused: Cell::new(0),
+            refused_epoch: Cell::new(0),
             node: node.into(),
             address,
             clock: ProcessClock::start(),
             store,
-            spans: OwnerSpans::default(),
-            keep_ended,
+            timeouts: OwnerTimeouts::default(),
+            ended_job_retention,
             advisor,
             place_rules: Cell::default(),
             config: RefCell::default(),
@@ -150,19 +150,19 @@
             waves_changed: Event::new(),
             drains: RefCell::default(),
             drain_rules: DrainRules::default(),
-            fronts: RefCell::default(),
-            gone: RefCell::default(),
+            front_addresses: RefCell::default(),
+            ended_boots: RefCell::default(),
             owner: RefCell::default(),
             owner_changed: Event::new(),
-            tenure: RefCell::default(),
-            owner_heard: Cell::default(),
-            link_heard: Cell::default(),
-            heartbeat: Cell::new(FRONT_PERIOD),
-            store_heard: Cell::default(),
+            term: RefCell::default(),
+            owner_heard_at: Cell::default(),
+            link_heard_at: Cell::default(),
+            heartbeat_interval: Cell::new(FRONT_PERIOD),
+            store_answered_at: Cell::default(),
             config_view: Cell::default(),
             config_rules: ConfigRules::new(CONFIG_BOUND, DrainRules::default()),
-            rows_taken: Cell::new(None),
-            read_sooner: Event::new(),
+            rows_version: Cell::new(None),
+            read_schedule_changed: Event::new(),
         }
     }
 
@@ -174,26 +174,26 @@
 
     /// How well this machine would carry an owner now.
     pub fn fitness(&self) -> OwnerFitness {
-        self.strength.fitness(self.lateness.get().mean())
+        self.vm_capacity.fitness(self.timer_lateness.get().mean())
     }
 
     /// For how long an owner that was heard counts as there, longer by two of the heartbeats that it has done
     /// without.
-    pub fn heard_within(&self, usual: Duration) -> Duration {
-        usual + self.heartbeat.get().saturating_sub(FRONT_PERIOD) * 2
+    pub fn allowed_silence(&self, usual: Duration) -> Duration {
+        usual + self.heartbeat_interval.get().saturating_sub(FRONT_PERIOD) * 2
     }
 
     /// Notes a timer of `span` that was set at `began`.
-    pub fn note_timer(&self, span: Duration, began: TimePoint) {
-        let mut lateness = self.lateness.get();
-        lateness.note(span, self.now().since(began));
-        self.lateness.set(lateness);
+    pub fn record_timer(&self, span: Duration, began_at: TimePoint) {
+        let mut timer_lateness = self.timer_lateness.get();
+        timer_lateness.record(span, self.now().since(began_at));
+        self.timer_lateness.set(timer_lateness);
     }
 
     /// Notes a front, so that it is found should it own the shard once.
-    pub(crate) fn note_front(&self, address: &str) {
+    pub(crate) fn record_front(&self, address: &str) {
         if let Ok(address) = address.parse() {
-            self.fronts.borrow_mut().insert(address);
+            self.front_addresses.borrow_mut().insert(address);
         }
     }
 
@@ -205,8 +205,8 @@
     /// Takes other limits and weights of placement; an owner places by them from now on.
     pub fn set_place_rules(&self, rules: PlaceRules) {
         self.place_rules.set(rules);
-        if let Some(tenure) = self.current_tenure() {
-            tenure.book.borrow_mut().set_rules(rules);
+        if let Some(term) = self.current_term() {
+            term.scheduler.borrow_mut().set_rules(rules);
         }
     }
 
@@ -226,13 +226,13 @@
     }
 
     /// Whether a newer config may have been acknowledged for longer than the bound.
-    pub fn may_config_be_old(&self) -> bool {
+    pub fn may_config_be_stale(&self) -> bool {
         let view = self.config_view.get();
         view.may_be_old(self.now(), &self.config_rules)
     }
 
     /// Changes how sure this process is of its config.
-    pub(crate) fn note_config(&self, change: impl FnOnce(&mut ConfigView)) {
+    pub(crate) fn update_config_view(&self, change: impl FnOnce(&mut ConfigView)) {
         let mut view = self.config_view.get();
         change(&mut view);
         self.config_view.set(view);
@@ -240,10 +240,10 @@
 
     /// The owner has answered a heartbeat of `sent`: `version` was its config, which it knew to be the newest
     /// `age` before that.
-    pub fn note_owners_config(&self, version: u64, sent: TimePoint, age: Duration) {
+    pub fn record_owner_config(&self, version: u64, sent: TimePoint, age: Duration) {
         if version <= self.config_version() {
             let as_of = sent.min(self.now()) - age;
-            self.note_config(|view| view.note_told(as_of));
+            self.update_config_view(|view| view.note_told(as_of));
         }
     }
 
@@ -261,10 +261,10 @@
             return Ok(());
         }
         *self.config_text.borrow_mut() = text.to_vec();
-        let unheard_ms = self.config_age().map(|age| age.as_millis() as u64);
-        tracing::info!(version, from, unheard_ms, "config in force");
-        if let Some(tenure) = &*self.tenure.borrow() {
-            tenure.apply_config();
+        let age_ms = self.config_age().map(|age| age.as_millis() as u64);
+        tracing::info!(version, from, unheard_ms = age_ms, "config in force");
+        if let Some(term) = &*self.term.borrow() {
+            term.apply_config();
         }
         self.config_changed.notify(usize::MAX);
         Ok(())
@@ -284,15 +284,15 @@
     }
 
     /// Notes what is drained, by a change of the view; an owner places by it from now on.
-    pub(crate) fn note_drains(&self, from: &str, change: impl FnOnce(&mut DrainView) -> bool) {
+    pub(crate) fn update_drains(&self, from: &str, change: impl FnOnce(&mut DrainView) -> bool) {
         let mut view = self.drains.borrow_mut();
         if !change(&mut view) {
             return;
         }
         let age_ms = view.age(self.now()).map(|age| age.as_millis() as u64);
         tracing::info!(from, version = view.version(), domains = ?view.domains(), age_ms, "drained failure domains");
-        if let Some(tenure) = &*self.tenure.borrow() {
-            tenure.apply_drains(&view);
+        if let Some(term) = &*self.term.borrow() {
+            term.apply_drains(&view);
         }
     }
 
@@ -323,7 +323,7 @@
     }
 
     /// The tenure of this process, if it owns the shard.
-    pub fn current_tenure(&self) -> Option<Rc<Tenure>> {
-        self.tenure.borrow().clone()
+    pub fn current_term(&self) -> Option<Rc<OwnerTerm>> {
+        self.term.borrow().clone()
     }
 }
--- a/crates/wax-owner/src/fate.rs
+++ b/crates/wax-owner/src/tx_resolution.rs
@@ -8,13 +8,13 @@
 use wax_types::{ProcessClock, TimePoint, WaxError};
 
 /// Longest time for one try.
-const TRY_LIMIT: Duration = Duration::from_millis(1_000);
-const RETRY_FLOOR: Duration = Duration::from_millis(40);
-const RETRY_CEILING: Duration = Duration::from_millis(500);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1_000);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(40);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// What became of a transaction.
 #[derive(Debug)]
-pub enum TxFate {
+pub enum TxResolution {
     /// It took effect; its rows have this version.
     Committed(u64),
     /// It did not take effect, unless an earlier try with a lost answer did: the rows that exist tell.
@@ -27,7 +27,7 @@
     Refused(WaxError),
 }
 
-impl TxFate {
+impl TxResolution {
     /// Whether the transaction has, or surely has not, taken effect by its conditions.
     pub fn is_known(&self) -> bool {
         matches!(self, Self::Committed(_) | Self::Conflict(_))
@@ -38,7 +38,7 @@
         match (self, other) {
             (known, _) if known.is_known() => known,
             (_, known) if known.is_known() => known,
-            (doubt @ Self::Unknown(_), _) | (_, doubt @ Self::Unknown(_)) => doubt,
+            (may_apply @ Self::Unknown(_), _) | (_, may_apply @ Self::Unknown(_)) => may_apply,
             (refused @ Self::Refused(_), _) | (_, refused @ Self::Refused(_)) => refused,
             (none, _) => none,
         }
@@ -53,28 +53,30 @@
     clock: ProcessClock,
     tx: &TxRequest,
     deadline: TimePoint,
-) -> TxFate {
-    let mut doubt = false;
-    let mut backoff = BackoffPlan::new(RETRY_FLOOR, RETRY_CEILING);
+) -> TxResolution {
+    let mut may_apply = false;
+    let mut backoff = BackoffPlan::new(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
     loop {
-        let left = deadline.since(clock.now()).clamp(RETRY_FLOOR, TRY_LIMIT);
+        let left = deadline
+            .since(clock.now())
+            .clamp(MIN_RETRY_DELAY, ATTEMPT_TIMEOUT);
         let error = match store.transact(tx, left).await {
-            Ok(TxOutcome::Committed(version)) => return TxFate::Committed(version),
-            Ok(TxOutcome::Conflict(rows)) => return TxFate::Conflict(rows),
-            Ok(TxOutcome::Refused(error)) if doubt => return TxFate::Unknown(error),
-            Ok(TxOutcome::Refused(error)) => return TxFate::Refused(error),
+            Ok(TxOutcome::Committed(version)) => return TxResolution::Committed(version),
+            Ok(TxOutcome::Conflict(rows)) => return TxResolution::Conflict(rows),
+            Ok(TxOutcome::Refused(error)) if may_apply => return TxResolution::Unknown(error),
+            Ok(TxOutcome::Refused(error)) => return TxResolution::Refused(error),
             Err(CallError::NotSent(error)) => error,
             Err(CallError::Unknown(error)) => {
-                doubt = true;
+                may_apply = true;
                 error
             }
         };
         let wait = backoff.fail(&mut Rng::new());
         if clock.now() + wait >= deadline {
-            return if doubt {
-                TxFate::Unknown(error)
+            return if may_apply {
+                TxResolution::Unknown(error)
             } else {
-                TxFate::NotSent(error)
+                TxResolution::NotSent(error)
             };
         }
         sleep(wait).await;
--- a/crates/wax-owner/src/waves.rs
+++ b/crates/wax-owner/src/waves.rs
@@ -2,9 +2,9 @@
 //!
 //! Upkeep itself is not given yet, so that a wave is only ever said to be running.
 
-use crate::fate::{TxFate, transact};
+use crate::owner_term::OwnerTerm;
 use crate::shared::PoolShared;
-use crate::tenure::Tenure;
+use crate::tx_resolution::{TxResolution, transact};
 use compio::time::{sleep, timeout};
 use platform::{
     RowKey, RowWrite, STATUS_TABLE, TxRequest, UpkeepWave, WAVE_PREFIX, WaveState, wave_state_body,
@@ -13,38 +13,38 @@
 use std::time::Duration;
 
 /// A status is tried for this long, then again.
-const WRITE_LIMIT: Duration = Duration::from_secs(3);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 /// After a status that could not be written.
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Without a new wave the owner looks this often whether its term has ended.
-const LOOK_PERIOD: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Writes a status for each wave until the term ends.
-pub(crate) async fn report_waves(shared: Rc<PoolShared>, tenure: Rc<Tenure>) {
-    let mut told = Vec::new();
-    while !tenure.over.is_raised() {
+pub(crate) async fn report_waves(shared: Rc<PoolShared>, term: Rc<OwnerTerm>) {
+    let mut reported = Vec::new();
+    while !term.ended.is_raised() {
         let listener = shared.waves_changed.listen();
         let wave = shared
             .waves
             .borrow()
             .iter()
-            .find(|wave| !told.contains(&wave.wave))
+            .find(|wave| !reported.contains(&wave.wave))
             .cloned();
         let Some(wave) = wave else {
             // Either a new wave or the time; both lead to another look.
-            let _ = timeout(LOOK_PERIOD, listener).await;
+            let _ = timeout(CHECK_INTERVAL, listener).await;
             continue;
         };
-        if report(&shared, &wave).await {
-            told.push(wave.wave);
+        if report_running(&shared, &wave).await {
+            reported.push(wave.wave);
         } else {
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 }
 
 /// Writes that a wave is running, unless it has a status; says whether the store has one.
-async fn report(shared: &PoolShared, wave: &UpkeepWave) -> bool {
+async fn report_running(shared: &PoolShared, wave: &UpkeepWave) -> bool {
     let key = RowKey::new(STATUS_TABLE, "", format!("{WAVE_PREFIX}{}", wave.wave));
     let tx = TxRequest {
         expect: vec![(key.clone(), 0)],
@@ -54,9 +54,9 @@
         }],
         remove: Vec::new(),
     };
-    let deadline = shared.now() + WRITE_LIMIT;
+    let deadline = shared.now() + WRITE_TIMEOUT;
     match transact(&shared.store, shared.clock, &tx, deadline).await {
-        TxFate::Committed(_) => {
+        TxResolution::Committed(_) => {
             tracing::warn!(
                 wave = wave.wave,
                 machines = wave.machines.len(),
@@ -64,8 +64,10 @@
             );
             true
         }
-        TxFate::Conflict(_) => true,
-        TxFate::NotSent(error) | TxFate::Unknown(error) | TxFate::Refused(error) => {
+        TxResolution::Conflict(_) => true,
+        TxResolution::NotSent(error)
+        | TxResolution::Unknown(error)
+        | TxResolution::Refused(error) => {
             tracing::warn!(%error, wave = wave.wave, "the status of a wave is not written");
             false
         }
--- a/crates/wax-owner/src/writer.rs
+++ b/crates/wax-owner/src/writer.rs
@@ -1,12 +1,12 @@
 //! Writes what the owner has taken note of: one chain of transactions, each of which also renews
 //! the term.
 
-use crate::chain::{ChainItem, ItemLimits};
-use crate::fate::{TxFate, transact};
-use crate::front_way::send_by_front;
-use crate::rows::{BeatRow, beat_key};
+use crate::chain_write::{ChainLimits, ChainWrite};
+use crate::front_relay::transact_via_front;
+use crate::owner_term::OwnerTerm;
+use crate::rows::{HeartbeatRow, heartbeat_key};
 use crate::shared::PoolShared;
-use crate::tenure::Tenure;
+use crate::tx_resolution::{TxResolution, transact};
 use compio::time::{sleep, timeout};
 use futures_util::future::{Either, select};
 use platform::StoredRow;
@@ -19,50 +19,54 @@
 use wax_types::TimePoint;
 
 /// A transaction is tried for this long before the store is looked at anew.
-const TX_PATIENCE: Duration = Duration::from_secs(3_600);
+const TX_TIMEOUT: Duration = Duration::from_secs(3_600);
 /// After a transaction that the store does not take, before a smaller one.
-const REFUSED_PAUSE: Duration = Duration::from_millis(20);
+const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Urgent notes wait this long for company.
-const URGENT_PAUSE: Duration = Duration::from_millis(8);
+const URGENT_WRITE_DELAY: Duration = Duration::from_millis(8);
 
-enum ChainStep {
+enum WriteResult {
     Stored(u64),
-    Lost,
+    TermLost,
     /// The store takes no such transaction.
     Refused,
 }
 
 /// Writes until the term ends.
-pub(crate) async fn write_chain(shared: Rc<PoolShared>, tenure: Rc<Tenure>, mut beat_version: u64) {
+pub(crate) async fn write_chain(
+    shared: Rc<PoolShared>,
+    term: Rc<OwnerTerm>,
+    mut heartbeat_version: u64,
+) {
     let mut number = 0_u64;
-    let mut limits = ItemLimits::default();
+    let mut limits = ChainLimits::default();
     loop {
-        wait_work(&shared, &tenure).await;
-        if tenure.over.is_raised() {
+        wait_for_updates(&shared, &term).await;
+        if term.ended.is_raised() {
             return;
         }
         number += 1;
-        let item = ChainItem::next(&shared, &tenure, beat_version, number, limits);
-        let sent = shared.now();
-        match send_item(&shared, &tenure, &item, number).await {
-            ChainStep::Lost => {
-                tenure.end("another owner has written");
+        let write = ChainWrite::next(&shared, &term, heartbeat_version, number, limits);
+        let sent_at = shared.now();
+        match send_write(&shared, &term, &write, number).await {
+            WriteResult::TermLost => {
+                term.end("another owner has written");
                 return;
             }
-            ChainStep::Refused => {
-                limits = item.put_back(&tenure, limits);
-                sleep(REFUSED_PAUSE).await;
+            WriteResult::Refused => {
+                limits = write.requeue(&term, limits);
+                sleep(REFUSED_RETRY_DELAY).await;
             }
-            ChainStep::Stored(version) => {
+            WriteResult::Stored(version) => {
                 limits = limits.grow();
-                beat_version = version;
-                count_item(&item, shared.now().since(sent));
-                tenure.confirmed.set(sent);
-                shared.store_heard.set(shared.now());
-                log_ended(&shared, &tenure, &item);
-                note_stored(&tenure, &item);
-                if item.releases {
-                    tenure.end("let go");
+                heartbeat_version = version;
+                count_write(&write, shared.now().since(sent_at));
+                term.confirmed_at.set(sent_at);
+                shared.store_answered_at.set(shared.now());
+                log_ended_jobs(&shared, &term, &write);
+                mark_stored(&term, &write);
+                if write.releases {
+                    term.end("let go");
                     return;
                 }
             }
@@ -71,15 +75,15 @@
 }
 
 /// Waits until there is something to write, or the term must be renewed.
-async fn wait_work(shared: &PoolShared, tenure: &Tenure) {
-    let began = shared.now();
+async fn wait_for_updates(shared: &PoolShared, term: &OwnerTerm) {
+    let began_at = shared.now();
     loop {
-        let listener = tenure.write.listen();
-        if tenure.over.is_raised() || tenure.letting_go.is_raised() {
+        let listener = term.write.listen();
+        if term.ended.is_raised() || term.releasing.is_raised() {
             return;
         }
-        let waited = shared.now().since(began);
-        let due = due_in(shared, tenure);
+        let waited = shared.now().since(began_at);
+        let due = next_write_delay(shared, term);
         if waited >= due {
             return;
         }
@@ -88,94 +92,97 @@
     }
 }
 
-fn due_in(shared: &PoolShared, tenure: &Tenure) -> Duration {
-    let book = tenure.book.borrow();
-    if book.has_urgent_notes() || tenure.agents.borrow().has_notes() {
-        URGENT_PAUSE
-    } else if book.has_notes() {
-        shared.spans.flush
+fn next_write_delay(shared: &PoolShared, term: &OwnerTerm) -> Duration {
+    let scheduler = term.scheduler.borrow();
+    if scheduler.has_urgent_notes() || term.agents.borrow().has_updates() {
+        URGENT_WRITE_DELAY
+    } else if scheduler.has_notes() {
+        shared.timeouts.flush_interval
     } else {
-        shared.spans.beat
+        shared.timeouts.heartbeat_interval
     }
 }
 
 /// Sends one transaction until it is in the store or the term is lost.
-async fn send_item(
+async fn send_write(
     shared: &PoolShared,
-    tenure: &Tenure,
-    item: &ChainItem,
+    term: &OwnerTerm,
+    write: &ChainWrite,
     number: u64,
-) -> ChainStep {
+) -> WriteResult {
     loop {
-        let deadline = shared.now() + TX_PATIENCE;
-        let direct = pin!(transact(&shared.store, shared.clock, &item.tx, deadline));
-        let by_front = pin!(send_by_front(shared, tenure, &item.tx));
-        let fate = match select(direct, by_front).await {
-            Either::Left((fate, _)) => {
-                tenure.store_turns_away.set(false);
-                fate
+        let deadline = shared.now() + TX_TIMEOUT;
+        let direct = pin!(transact(&shared.store, shared.clock, &write.tx, deadline));
+        let via_front = pin!(transact_via_front(shared, term, &write.tx));
+        let resolution = match select(direct, via_front).await {
+            Either::Left((resolution, _)) => {
+                term.write_relayed.set(false);
+                resolution
             }
-            Either::Right(((fate, serves_others), _)) => {
+            Either::Right(((resolution, store_is_healthy), _)) => {
                 count(Counter::ChainRelayed);
-                tenure.store_turns_away.set(true);
-                if serves_others && !tenure.letting_go.is_raised() {
+                term.write_relayed.set(true);
+                if store_is_healthy && !term.releasing.is_raised() {
                     tracing::warn!(
-                        epoch = tenure.epoch,
+                        epoch = term.epoch,
                         "the store serves a front and not this owner: the shard is handed over"
                     );
-                    tenure.let_go();
+                    term.release();
                 }
-                fate
+                resolution
             }
         };
-        match fate {
-            TxFate::Committed(version) => return ChainStep::Stored(version),
-            TxFate::Conflict(rows) => return settle(tenure, &rows, number),
-            TxFate::Refused(error) => {
+        match resolution {
+            TxResolution::Committed(version) => return WriteResult::Stored(version),
+            TxResolution::Conflict(rows) => return resolve_conflict(term, &rows, number),
+            TxResolution::Refused(error) => {
                 wax_trace::count(Counter::ChainRefused);
-                tracing::error!(%error, entries = item.tx.entries(), bytes = item.tx.bytes(), "the store takes no such transaction");
-                return ChainStep::Refused;
+                tracing::error!(%error, entries = write.tx.entries(), bytes = write.tx.bytes(), "the store takes no such transaction");
+                return WriteResult::Refused;
             }
-            TxFate::NotSent(error) | TxFate::Unknown(error) => {
+            TxResolution::NotSent(error) | TxResolution::Unknown(error) => {
                 tracing::error!(%error, "the store has not answered for very long");
             }
         }
-        if tenure.over.is_raised() {
-            return ChainStep::Lost;
+        if term.ended.is_raised() {
+            return WriteResult::TermLost;
         }
     }
 }
 
 /// A conflict is our own write with a lost answer, or another owner's.
-fn settle(tenure: &Tenure, rows: &[StoredRow], count: u64) -> ChainStep {
-    let beat = rows.iter().find(|row| row.key == beat_key());
-    let ours = beat.and_then(|row| {
-        let beat = BeatRow::decode(&*row.value).ok()?;
-        (beat.epoch == tenure.epoch && beat.count == count).then_some(row.version)
+fn resolve_conflict(term: &OwnerTerm, rows: &[StoredRow], count: u64) -> WriteResult {
+    let heartbeat = rows.iter().find(|row| row.key == heartbeat_key());
+    let ours = heartbeat.and_then(|row| {
+        let heartbeat = HeartbeatRow::decode(&*row.value).ok()?;
+        (heartbeat.epoch == term.epoch && heartbeat.count == count).then_some(row.version)
     });
-    ours.map_or(ChainStep::Lost, ChainStep::Stored)
+    ours.map_or(WriteResult::TermLost, WriteResult::Stored)
 }
 
-fn count_item(item: &ChainItem, took: Duration) {
+fn count_write(write: &ChainWrite, took: Duration) {
     count(Counter::ChainWrites);
     note_latency(Latency::ChainWrite, took);
-    let ended = item
-        .notes
+    let ended = write
+        .updates
         .iter()
-        .filter(|note| note.progress.outcome() != JobOutcome::Open);
+        .filter(|update| update.progress.outcome() != JobOutcome::Open);
     count_many(Counter::JobsEnded, ended.count() as u64);
 }
 
 /// One line for each job that is shown as ended from now on.
-fn log_ended(shared: &PoolShared, tenure: &Tenure, item: &ChainItem) {
-    let book = tenure.book.borrow();
-    for note in &item.notes {
-        let outcome = note.progress.outcome();
-        let Some(job) = book.job(note.name).filter(|_| outcome != JobOutcome::Open) else {
+fn log_ended_jobs(shared: &PoolShared, term: &OwnerTerm, write: &ChainWrite) {
+    let scheduler = term.scheduler.borrow();
+    for update in &write.updates {
+        let outcome = update.progress.outcome();
+        let Some(job) = scheduler
+            .job(update.name)
+            .filter(|_| outcome != JobOutcome::Open)
+        else {
             continue;
         };
         tracing::info!(
-            job = %note.name,
+            job = %update.name,
             queue = %job.queue.name,
             ?outcome,
             age_ms = shared.now().since(job.accepted).as_millis() as u64,
@@ -185,18 +192,18 @@
     }
 }
 
-fn note_stored(tenure: &Tenure, item: &ChainItem) {
-    let mut book = tenure.book.borrow_mut();
-    book.notes_stored(&item.notes);
-    for job in &item.forgotten {
-        book.forget(*job);
+fn mark_stored(term: &OwnerTerm, write: &ChainWrite) {
+    let mut scheduler = term.scheduler.borrow_mut();
+    scheduler.notes_stored(&write.updates);
+    for job in &write.removed_jobs {
+        scheduler.forget(*job);
     }
-    drop(book);
-    tenure.agents.borrow_mut().notes_stored(&item.agents);
-    tenure.dispatch.notify(usize::MAX);
+    drop(scheduler);
+    term.agents.borrow_mut().updates_stored(&write.agents);
+    term.dispatch.notify(usize::MAX);
 }
 
 /// When a transaction of the term was last known to be in force.
-pub(crate) fn silent_for(tenure: &Tenure, now: TimePoint) -> Duration {
-    now.since(tenure.confirmed.get())
+pub(crate) fn store_silence(term: &OwnerTerm, now: TimePoint) -> Duration {
+    now.since(term.confirmed_at.get())
 }
--- a/crates/wax-owner/tests/candidates.rs
+++ b/crates/wax-owner/tests/candidates.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 use wax_owner::{
-    Candidate, CandidateRank, MachineStrength, OwnerFitness, OwnerStanding, TakeoverChance,
-    TimerLateness, rank_all,
+    Candidate, CandidateRank, HandoverCheck, OwnerFitness, TakeoverDelay, TimerLateness,
+    VmCapacity, rank_candidates,
 };
 use wax_types::TimePoint;
 
@@ -16,25 +16,25 @@
         node,
         fitness,
         store_lost: false,
-        heard_at: NOW,
+        last_heartbeat_at: NOW,
     }
 }
 
-fn chance(own: OwnerFitness, told: Option<CandidateRank>) -> TakeoverChance {
-    TakeoverChance {
-        own,
-        told,
-        row_best: Some(STRONG),
-        draw: 1.0,
+fn delay(own_fitness: OwnerFitness, last_rank: Option<CandidateRank>) -> TakeoverDelay {
+    TakeoverDelay {
+        own_fitness,
+        last_rank,
+        last_best: Some(STRONG),
+        random: 1.0,
     }
 }
 
-fn told(rank: u32, best: OwnerFitness) -> Option<CandidateRank> {
-    Some(CandidateRank { rank, best })
+fn last_rank(rank: u32, best_fitness: OwnerFitness) -> Option<CandidateRank> {
+    Some(CandidateRank { rank, best_fitness })
 }
 
 #[test]
-fn no_two_fronts_have_the_same_turn() {
+fn ranking_gives_each_front_a_distinct_rank() {
     let fronts = [
         front("b", STRONG),
         front("a", STRONG),
@@ -44,7 +44,7 @@
             ..front("d", STRONG)
         },
     ];
-    let ranked = rank_all(fronts.into_iter());
+    let ranked = rank_candidates(fronts.into_iter());
     let names: Vec<&str> = ranked.iter().map(|front| front.node).collect();
     assert_eq!(
         names,
@@ -54,10 +54,13 @@
 }
 
 #[test]
-fn the_first_in_rank_waits_for_nobody() {
-    assert_eq!(chance(STRONG, told(0, STRONG)).wait(), Duration::ZERO);
+fn first_ranked_front_does_not_wait() {
     assert_eq!(
-        chance(WEAK, told(0, WEAK)).wait(),
+        delay(STRONG, last_rank(0, STRONG)).duration(),
+        Duration::ZERO
+    );
+    assert_eq!(
+        delay(WEAK, last_rank(0, WEAK)).duration(),
         Duration::ZERO,
         "also where all are weak"
     );
@@ -65,103 +68,103 @@
 
 /// A front that hands over is free to take over at once, as it knows of the release first.
 #[test]
-fn a_front_that_has_let_go_tries_after_the_others() {
-    let last = chance(STRONG, Some(CandidateRank::last(STRONG))).wait();
+fn front_that_released_the_shard_waits_longer_than_others() {
+    let last = delay(STRONG, Some(CandidateRank::last(STRONG))).duration();
     assert!(last >= Duration::from_millis(600));
-    assert!(chance(STRONG, None).wait() < last);
+    assert!(delay(STRONG, None).duration() < last);
 }
 
 #[test]
-fn a_weak_front_tries_after_all_strong_ones_told_or_not() {
-    let strong = (0..40).map(|rank| chance(STRONG, told(rank, STRONG)).wait());
-    let strong_drawn = chance(STRONG, None).wait();
-    let weak_drawn = TakeoverChance {
-        draw: 0.0,
-        ..chance(WEAK, None)
+fn weak_front_waits_longer_than_strong_fronts_with_or_without_rank() {
+    let strong = (0..40).map(|rank| delay(STRONG, last_rank(rank, STRONG)).duration());
+    let strong_drawn = delay(STRONG, None).duration();
+    let weak_drawn = TakeoverDelay {
+        random: 0.0,
+        ..delay(WEAK, None)
     };
-    assert!(weak_drawn.wait() > strong_drawn);
-    let weak = chance(WEAK, told(20, STRONG)).wait();
+    assert!(weak_drawn.duration() > strong_drawn);
+    let weak = delay(WEAK, last_rank(20, STRONG)).duration();
     assert!(strong.into_iter().all(|wait| wait < weak));
     assert!(weak < Duration::from_millis(1_600), "it does try");
 }
 
 #[test]
-fn where_nobody_has_ever_owned_the_strong_go_first_and_all_go() {
-    let first = |own| TakeoverChance {
-        row_best: None,
-        ..chance(own, None)
+fn first_takeover_favors_strong_fronts_and_bounds_the_wait() {
+    let first = |own_fitness| TakeoverDelay {
+        last_best: None,
+        ..delay(own_fitness, None)
     };
-    assert!(first(STRONG).wait() < first(WEAK).wait());
-    let none = first(OwnerFitness(0)).wait();
+    assert!(first(STRONG).duration() < first(WEAK).duration());
+    let none = first(OwnerFitness(0)).duration();
     assert!(none <= Duration::from_millis(800));
 }
 
 #[test]
-fn link_and_memory_bound_what_a_core_is_worth() {
-    let machine = |cores, link_mbps, memory_mb| {
-        let strength = MachineStrength {
+fn fitness_is_bounded_by_link_and_memory() {
+    let nominal = |cores, link_mbps, memory_mb| {
+        let vm_capacity = VmCapacity {
             cores,
             link_mbps,
             memory_mb,
         };
-        strength.fitness(Duration::ZERO)
+        vm_capacity.fitness(Duration::ZERO)
     };
-    assert_eq!(machine(0.5, 200.0, 512.0), STRONG);
-    assert_eq!(machine(0.5, 2.0, 512.0), OwnerFitness(100));
-    assert_eq!(machine(0.5, 200.0, 64.0), OwnerFitness(250));
-    assert_eq!(machine(-1.0, 200.0, 64.0), OwnerFitness(0));
+    assert_eq!(nominal(0.5, 200.0, 512.0), STRONG);
+    assert_eq!(nominal(0.5, 2.0, 512.0), OwnerFitness(100));
+    assert_eq!(nominal(0.5, 200.0, 64.0), OwnerFitness(250));
+    assert_eq!(nominal(-1.0, 200.0, 64.0), OwnerFitness(0));
 }
 
 #[test]
-fn a_machine_whose_timers_are_late_is_worth_less() {
-    let machine = MachineStrength::default();
+fn late_timers_reduce_fitness() {
+    let nominal = VmCapacity::default();
     let mut lateness = TimerLateness::default();
     let span = Duration::from_millis(200);
     for _ in 0..40 {
-        lateness.note(span, Duration::from_millis(300));
+        lateness.record(span, Duration::from_millis(300));
     }
-    let late = machine.fitness(lateness.mean());
+    let late = nominal.fitness(lateness.mean());
     assert!((OwnerFitness(480)..OwnerFitness(520)).contains(&late));
     for _ in 0..40 {
-        lateness.note(span, span);
+        lateness.record(span, span);
     }
-    assert!(machine.fitness(lateness.mean()) > OwnerFitness(990));
+    assert!(nominal.fitness(lateness.mean()) > OwnerFitness(990));
 }
 
 #[test]
-fn an_owner_gives_way_only_to_a_far_stronger_front_that_is_there() {
-    let weak = OwnerStanding {
-        machine: WEAK,
-        present: WEAK,
-        age: Duration::from_secs(3),
+fn owner_hands_over_only_to_an_available_far_stronger_front() {
+    let weak = HandoverCheck {
+        nominal: WEAK,
+        current: WEAK,
+        term_age: Duration::from_secs(3),
     };
-    let gives_way = |front| weak.gives_way([front].into_iter(), NOW);
-    assert!(gives_way(front("a", STRONG)));
-    assert!(!gives_way(front("a", OwnerFitness(100))));
-    assert!(!gives_way(Candidate {
+    let should_hand_over = |front| weak.should_hand_over([front].into_iter(), NOW);
+    assert!(should_hand_over(front("a", STRONG)));
+    assert!(!should_hand_over(front("a", OwnerFitness(100))));
+    assert!(!should_hand_over(Candidate {
         store_lost: true,
         ..front("a", STRONG)
     }));
-    assert!(!gives_way(Candidate {
-        heard_at: TimePoint::from_millis(90_000),
+    assert!(!should_hand_over(Candidate {
+        last_heartbeat_at: TimePoint::from_millis(90_000),
         ..front("a", STRONG)
     }));
-    let young = OwnerStanding {
-        age: Duration::from_secs(1),
+    let young = HandoverCheck {
+        term_age: Duration::from_secs(1),
         ..weak
     };
-    assert!(!young.gives_way([front("a", STRONG)].into_iter(), NOW));
+    assert!(!young.should_hand_over([front("a", STRONG)].into_iter(), NOW));
 }
 
 /// A load that makes every owner late would else be handed round without end.
 #[test]
-fn an_owner_that_is_only_late_gives_way_less_often() {
-    let late = |seconds| OwnerStanding {
-        machine: STRONG,
-        present: WEAK,
-        age: Duration::from_secs(seconds),
+fn late_owner_on_a_strong_vm_hands_over_later() {
+    let late = |seconds| HandoverCheck {
+        nominal: STRONG,
+        current: WEAK,
+        term_age: Duration::from_secs(seconds),
     };
     let fronts = || [front("a", STRONG)].into_iter();
-    assert!(!late(3).gives_way(fronts(), NOW));
-    assert!(late(9).gives_way(fronts(), NOW));
+    assert!(!late(3).should_hand_over(fronts(), NOW));
+    assert!(late(9).should_hand_over(fronts(), NOW));
 }
--- a/crates/wax-owner/tests/config_word.rs
+++ b/crates/wax-owner/tests/config_freshness.rs
@@ -23,32 +23,32 @@
     shared
 }
 
-macro_rules! word_cases {
-    ($($name:ident: version $version:expr, age $age:expr => $is_old:expr;)*) => {
+macro_rules! freshness_cases {
+    ($($name:ident: version $version:expr, age $age:expr => $is_stale:expr;)*) => {
         $(
             #[test]
             fn $name() {
                 let front = front_with_version(7);
                 let sent = front.now();
-                front.note_owners_config($version, sent, $age);
-                assert_eq!(front.may_config_be_old(), $is_old);
+                front.record_owner_config($version, sent, $age);
+                assert_eq!(front.may_config_be_stale(), $is_stale);
             }
         )*
     };
 }
 
-word_cases! {
-    an_owner_with_the_same_config_vouches_for_it: version 7, age Duration::ZERO => false;
-    an_owner_with_an_older_config_vouches_for_a_newer_one: version 6, age Duration::ZERO => false;
-    an_owner_with_a_newer_config_vouches_for_none: version 8, age Duration::ZERO => true;
-    an_owner_that_read_too_long_ago_vouches_for_none: version 7, age BOUND * 2 => true;
+freshness_cases! {
+    owner_with_the_same_version_confirms_the_config: version 7, age Duration::ZERO => false;
+    owner_with_an_older_version_confirms_the_config: version 6, age Duration::ZERO => false;
+    owner_with_a_newer_version_does_not_confirm_the_config: version 8, age Duration::ZERO => true;
+    owner_with_a_stale_reading_does_not_confirm_the_config: version 7, age BOUND * 2 => true;
 }
 
 /// A heartbeat from the future, by a damaged frame, would vouch for a config for ever.
 #[test]
-fn a_word_counts_from_no_later_than_now() {
+fn future_timestamp_counts_as_now() {
     let front = front_with_version(7);
-    front.note_owners_config(7, TimePoint(u64::MAX), Duration::ZERO);
+    front.record_owner_config(7, TimePoint(u64::MAX), Duration::ZERO);
     let view = front.config_view.get();
     let later = front.now() + BOUND * 2;
     assert!(view.may_be_old(later, &front.config_rules));
--- a/crates/wax-owner/tests/drains.rs
+++ b/crates/wax-owner/tests/drains.rs
@@ -22,7 +22,7 @@
 
 /// What somebody sets out to do; delays in milliseconds.
 #[derive(Debug, Clone)]
-enum Deed {
+enum Action {
     /// The operator drains a domain, or takes it back.
     Operate(usize, bool),
     /// An owner reads all: until the store answers, until the answer arrives.
@@ -30,7 +30,7 @@
     /// An owner's feed asks for what has changed; as above.
     Follow(usize, u64, u64),
     /// An agent's heartbeat to an owner: its way there, the answer's way back.
-    Beat(usize, usize, u64, u64),
+    Heartbeat(usize, usize, u64, u64),
     /// An owner's order to the agent of a domain: its way, and how long the start takes.
     Order(usize, usize, u64, u64),
 }
@@ -40,33 +40,33 @@
     Operate(usize, bool),
     Serve {
         owner: usize,
-        asked: u64,
-        way: u64,
+        requested_at: u64,
+        transit: u64,
     },
     Learn {
         owner: usize,
-        asked: u64,
+        requested_at: u64,
         version: usize,
     },
     ServeFeed {
         owner: usize,
-        asked: u64,
-        way: u64,
+        requested_at: u64,
+        transit: u64,
     },
     LearnFeed {
         owner: usize,
-        asked: u64,
+        requested_at: u64,
         version: usize,
     },
-    Beat {
+    Heartbeat {
         agent: usize,
         owner: usize,
-        asked: u64,
-        way: u64,
+        requested_at: u64,
+        transit: u64,
     },
     Grant {
         agent: usize,
-        asked: u64,
+        requested_at: u64,
         version: u64,
         domains: Vec<String>,
         age_ms: u64,
@@ -74,7 +74,7 @@
     Order {
         owner: usize,
         agent: usize,
-        way: u64,
+        transit: u64,
         takes: u64,
     },
     Arrive {
@@ -94,7 +94,7 @@
 }
 
 #[derive(Default)]
-struct World {
+struct Simulation {
     queue: BinaryHeap<Reverse<(u64, usize, Event)>>,
     events: usize,
     /// Changes by the operator: when, which, whether drained. Versions count them.
@@ -106,53 +106,53 @@
     starts: Vec<(u64, usize)>,
 }
 
-impl World {
+impl Simulation {
     fn push(&mut self, at: u64, event: Event) {
         self.events += 1;
         self.queue.push(Reverse((at, self.events, event)));
     }
 
-    fn set_out(&mut self, at: u64, deed: Deed) {
-        match deed {
-            Deed::Operate(domain, drained) => self.push(at, Event::Operate(domain, drained)),
-            Deed::Read(owner, serve, way) => {
+    fn schedule(&mut self, at: u64, action: Action) {
+        match action {
+            Action::Operate(domain, drained) => self.push(at, Event::Operate(domain, drained)),
+            Action::Read(owner, serve, transit) => {
                 self.push(
                     at + serve,
                     Event::Serve {
                         owner,
-                        asked: at,
-                        way,
+                        requested_at: at,
+                        transit,
                     },
                 );
             }
-            Deed::Follow(owner, serve, way) => {
+            Action::Follow(owner, serve, transit) => {
                 self.push(
                     at + serve,
                     Event::ServeFeed {
                         owner,
-                        asked: at,
-                        way,
+                        requested_at: at,
+                        transit,
                     },
                 );
             }
-            Deed::Beat(agent, owner, to, way) => {
+            Action::Heartbeat(agent, owner, to, transit) => {
                 self.push(
                     at + to,
-                    Event::Beat {
+                    Event::Heartbeat {
                         agent,
                         owner,
-                        asked: at,
-                        way,
+                        requested_at: at,
+                        transit,
                     },
                 );
             }
-            Deed::Order(owner, agent, way, takes) => {
+            Action::Order(owner, agent, transit, takes) => {
                 self.push(
                     at,
                     Event::Order {
                         owner,
                         agent,
-                        way,
+                        transit,
                         takes,
                     },
                 );
@@ -173,39 +173,47 @@
 
     fn run(&mut self) {
         while let Some(Reverse((now, _, event))) = self.queue.pop() {
-            self.take(now, event);
+            self.handle(now, event);
         }
     }
 
-    fn take(&mut self, now: u64, event: Event) {
+    fn handle(&mut self, now: u64, event: Event) {
         let version = self.history.len();
         match event {
             Event::Operate(domain, drained) => self.history.push((now, domain, drained)),
-            Event::Serve { owner, asked, way } => {
+            Event::Serve {
+                owner,
+                requested_at,
+                transit,
+            } => {
                 self.push(
-                    now + way,
+                    now + transit,
                     Event::Learn {
                         owner,
-                        asked,
+                        requested_at,
                         version,
                     },
                 );
             }
             Event::Learn {
                 owner,
-                asked,
+                requested_at,
                 version,
             } => {
                 let drained = self.drained_at(version);
-                self.owners[owner].replace(version as u64, drained, clock(owner, asked));
+                self.owners[owner].replace(version as u64, drained, clock(owner, requested_at));
             }
-            Event::ServeFeed { owner, asked, way } => {
+            Event::ServeFeed {
+                owner,
+                requested_at,
+                transit,
+            } => {
                 if !std::mem::replace(&mut self.feeds[owner].1, true) {
                     self.push(
-                        now + way,
+                        now + transit,
                         Event::LearnFeed {
                             owner,
-                            asked,
+                            requested_at,
                             version,
                         },
                     );
@@ -213,7 +221,7 @@
             }
             Event::LearnFeed {
                 owner,
-                asked,
+                requested_at,
                 version,
             } => {
                 let from = self.feeds[owner].0;
@@ -222,13 +230,13 @@
                 let changes: Vec<_> = changes
                     .map(|(_, number, drained)| (domain(*number), *drained))
                     .collect();
-                self.owners[owner].change(version as u64, changes, clock(owner, asked));
+                self.owners[owner].change(version as u64, changes, clock(owner, requested_at));
             }
-            Event::Beat {
+            Event::Heartbeat {
                 agent,
                 owner,
-                asked,
-                way,
+                requested_at,
+                transit,
             } => {
                 if let Some(frame) = DrainFrame::new(&self.owners[owner], clock(owner, now)) {
                     let DrainFrame {
@@ -237,10 +245,10 @@
                         age_ms,
                     } = frame;
                     self.push(
-                        now + way,
+                        now + transit,
                         Event::Grant {
                             agent,
-                            asked,
+                            requested_at,
                             version,
                             domains,
                             age_ms,
@@ -250,7 +258,7 @@
             }
             Event::Grant {
                 agent,
-                asked,
+                requested_at,
                 version,
                 domains,
                 age_ms,
@@ -260,12 +268,12 @@
                     domains,
                     age_ms,
                 };
-                frame.take_into(&mut self.agents[agent], clock(OWNERS + agent, asked));
+                frame.take_into(&mut self.agents[agent], clock(OWNERS + agent, requested_at));
             }
             Event::Order {
                 owner,
                 agent,
-                way,
+                transit,
                 takes,
             } => {
                 let verdict = self.owners[owner].verdict(
@@ -274,7 +282,7 @@
                     RULES.order_age(),
                 );
                 if verdict == DrainVerdict::Open {
-                    self.push(now + way, Event::Arrive { agent, takes });
+                    self.push(now + transit, Event::Arrive { agent, takes });
                 }
             }
             Event::Arrive { agent, takes } => {
@@ -311,16 +319,16 @@
     }
 }
 
-fn deed() -> impl Strategy<Value = Deed> {
+fn any_action() -> impl Strategy<Value = Action> {
     let delay = || prop_oneof![4 => 0..60_u64, 1 => 0..9_000_u64];
     prop_oneof![
-        2 => (0..DOMAINS, any::<bool>()).prop_map(|(number, drained)| Deed::Operate(number, drained)),
-        3 => (0..OWNERS, delay(), delay()).prop_map(|(owner, serve, way)| Deed::Read(owner, serve, way)),
-        2 => (0..OWNERS, delay(), delay()).prop_map(|(owner, serve, way)| Deed::Follow(owner, serve, way)),
+        2 => (0..DOMAINS, any::<bool>()).prop_map(|(number, drained)| Action::Operate(number, drained)),
+        3 => (0..OWNERS, delay(), delay()).prop_map(|(owner, serve, transit)| Action::Read(owner, serve, transit)),
+        2 => (0..OWNERS, delay(), delay()).prop_map(|(owner, serve, transit)| Action::Follow(owner, serve, transit)),
         6 => (0..DOMAINS, 0..OWNERS, delay(), delay())
-            .prop_map(|(agent, owner, to, way)| Deed::Beat(agent, owner, to, way)),
+            .prop_map(|(agent, owner, to, transit)| Action::Heartbeat(agent, owner, to, transit)),
         6 => (0..OWNERS, 0..DOMAINS, delay(), 0..=START_LIMIT_MS)
-            .prop_map(|(owner, agent, way, takes)| Deed::Order(owner, agent, way, takes)),
+            .prop_map(|(owner, agent, transit, takes)| Action::Order(owner, agent, transit, takes)),
     ]
 }
 
@@ -328,52 +336,52 @@
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
     #[test]
-    fn nothing_starts_beyond_the_bound(deeds in prop::collection::vec((0..25_000_u64, deed()), 1..160)) {
-        let mut world = World::default();
-        for (at, deed) in deeds {
-            world.set_out(at, deed);
+    fn no_start_in_a_drained_domain_after_the_bound(actions in prop::collection::vec((0..25_000_u64, any_action()), 1..160)) {
+        let mut simulation = Simulation::default();
+        for (at, action) in actions {
+            simulation.schedule(at, action);
         }
-        world.run();
-        prop_assert_eq!(world.late_start(), None, "of {} starts", world.starts.len());
+        simulation.run();
+        prop_assert_eq!(simulation.late_start(), None, "of {} starts", simulation.starts.len());
     }
 }
 
 /// An owner that is cut off from the store reads nothing more: within the bound its orders end, and its
 /// agents refuse those that are on their way.
 #[test]
-fn an_owner_that_is_cut_off_orders_nothing_beyond_the_bound() {
-    let mut world = World::default();
-    world.set_out(0, Deed::Read(0, 5, 5));
-    world.set_out(11, Deed::Operate(1, true));
+fn owner_cut_off_from_the_store_orders_no_start_after_the_bound() {
+    let mut simulation = Simulation::default();
+    simulation.schedule(0, Action::Read(0, 5, 5));
+    simulation.schedule(11, Action::Operate(1, true));
     // Each order is long on its way, and each start takes as long as it may.
     for n in 0..800 {
-        world.set_out(10 * n, Deed::Beat(1, 0, 1, 1));
-        world.set_out(10 * n + 5, Deed::Order(0, 1, 550, START_LIMIT_MS));
+        simulation.schedule(10 * n, Action::Heartbeat(1, 0, 1, 1));
+        simulation.schedule(10 * n + 5, Action::Order(0, 1, 550, START_LIMIT_MS));
     }
-    world.run();
-    assert!(world.starts.len() > 20, "it orders on for a while");
-    assert_eq!(world.late_start(), None);
-    let last = world.starts.last().map(|(at, _)| *at);
+    simulation.run();
+    assert!(simulation.starts.len() > 20, "it orders on for a while");
+    assert_eq!(simulation.late_start(), None);
+    let last = simulation.starts.last().map(|(at, _)| *at);
     assert!(last.is_some_and(|last| last <= 11 + BOUND_MS), "{last:?}");
 }
 
 /// The word of an owner of the past comes after that of its successor.
 #[test]
-fn an_older_version_takes_no_drain_back() {
-    let mut world = World::default();
-    world.set_out(0, Deed::Read(0, 5, 5));
-    world.set_out(20, Deed::Operate(0, true));
-    world.set_out(30, Deed::Read(1, 5, 5));
-    world.set_out(50, Deed::Beat(0, 1, 1, 1));
-    world.set_out(60, Deed::Beat(0, 0, 1, 1));
-    world.set_out(70, Deed::Order(0, 0, 1, 1));
-    world.run();
-    assert!(world.starts.is_empty(), "{:?}", world.starts);
+fn older_version_does_not_lift_a_drain() {
+    let mut simulation = Simulation::default();
+    simulation.schedule(0, Action::Read(0, 5, 5));
+    simulation.schedule(20, Action::Operate(0, true));
+    simulation.schedule(30, Action::Read(1, 5, 5));
+    simulation.schedule(50, Action::Heartbeat(0, 1, 1, 1));
+    simulation.schedule(60, Action::Heartbeat(0, 0, 1, 1));
+    simulation.schedule(70, Action::Order(0, 0, 1, 1));
+    simulation.run();
+    assert!(simulation.starts.is_empty(), "{:?}", simulation.starts);
 }
 
 /// A history that was dropped is read anew: what it lacks is taken back.
 #[test]
-fn a_whole_reading_takes_back_what_it_lacks() {
+fn full_reading_lifts_drains_without_a_row() {
     let now = TimePoint::from_millis(10);
     let mut view = DrainView::default();
     assert!(view.replace(3, [domain(0), domain(1)].into(), now));
@@ -385,7 +393,7 @@
 
 /// Where the platform asks for no bound, what is known of drains holds, however old.
 #[test]
-fn without_a_bound_nothing_waits_for_a_reading() {
+fn without_a_bound_starts_do_not_wait_for_a_reading() {
     let rules = DrainRules::default();
     let now = TimePoint::from_millis(1);
     let view = DrainView::default();
--- a/crates/wax-owner/tests/fronts.rs
+++ b/crates/wax-owner/tests/fronts.rs
@@ -2,7 +2,7 @@
 
 use futures_channel::mpsc::{UnboundedReceiver, unbounded};
 use wax_batch::BootId;
-use wax_owner::{FrontLife, FrontRoster, GoneBoots, OwnerFitness};
+use wax_owner::{EndedBoots, FrontRecord, FrontRoster, OwnerFitness};
 use wax_policy::is_watcher;
 use wax_types::TimePoint;
 use wax_wire::PoolBody;
@@ -19,7 +19,7 @@
 
 struct Case {
     roster: FrontRoster,
-    gone: GoneBoots,
+    ended_boots: EndedBoots,
     inboxes: Vec<UnboundedReceiver<PoolBody>>,
 }
 
@@ -30,32 +30,32 @@
         let mut inboxes = Vec::new();
         for number in 0..FRONTS {
             let (outbox, inbox) = unbounded();
-            let mut life = FrontLife::new(number, outbox, 0, at(0));
-            life.heard(OwnerFitness(1_000 - number as u32), false, at(0));
-            roster.insert(&node(number), life);
+            let mut front = FrontRecord::new(number, outbox, 0, at(0));
+            front.record_heartbeat(OwnerFitness(1_000 - number as u32), false, at(0));
+            roster.insert(&node(number), front);
             inboxes.push(inbox);
         }
         Self {
             roster,
-            gone: GoneBoots::default(),
+            ended_boots: EndedBoots::default(),
             inboxes,
         }
     }
 
-    fn bury(&mut self, boots: std::ops::Range<usize>) {
+    fn record_ended(&mut self, boots: std::ops::Range<usize>) {
         for boot in boots {
-            self.gone.note(&BootId::from(&*format!("w{boot}")));
+            self.ended_boots.record(&BootId::from(&*format!("w{boot}")));
         }
-        self.roster.tell_watchers(&self.gone);
+        self.roster.notify_watchers(&self.ended_boots);
     }
 
     fn rank(&mut self, now: TimePoint) {
         self.roster.rank(&node(0), now);
-        self.roster.tell_watchers(&self.gone);
+        self.roster.notify_watchers(&self.ended_boots);
     }
 
     /// How many boots a front was told since the last call.
-    fn told(&mut self, number: u64) -> usize {
+    fn boots_received(&mut self, number: u64) -> usize {
         let mut boots = 0;
         while let Ok(body) = self.inboxes[number as usize].try_recv() {
             match body {
@@ -68,44 +68,44 @@
 }
 
 #[test]
-fn fronts_that_may_take_over_next_are_told_at_once_and_once() {
+fn watchers_receive_each_ended_boot_once() {
     let mut case = Case::new();
     case.rank(at(0));
-    case.bury(0..3);
+    case.record_ended(0..3);
     case.rank(at(1_000));
     for number in 0..FRONTS {
         let expected = if is_watcher(number as u32) { 3 } else { 0 };
-        assert_eq!(case.told(number), expected, "front {number}");
+        assert_eq!(case.boots_received(number), expected, "front {number}");
     }
 }
 
 #[test]
-fn a_front_that_comes_to_be_next_is_told_what_it_has_missed() {
+fn new_watcher_receives_the_ended_boots_it_missed() {
     let mut case = Case::new();
     case.rank(at(0));
-    case.bury(0..3);
+    case.record_ended(0..3);
     let last = case
         .roster
         .get_mut(&node(FRONTS - 1))
         .expect("it is linked");
-    last.heard(OwnerFitness(2_000), false, at(500));
-    assert_eq!(case.told(FRONTS - 1), 0);
+    last.record_heartbeat(OwnerFitness(2_000), false, at(500));
+    assert_eq!(case.boots_received(FRONTS - 1), 0);
     case.rank(at(500));
-    assert_eq!(case.told(FRONTS - 1), 3);
+    assert_eq!(case.boots_received(FRONTS - 1), 3);
 }
 
 /// A front that has just linked may be all that is left when the owner is lost.
 #[test]
-fn a_front_that_was_not_ranked_yet_is_told() {
+fn unranked_front_receives_ended_boots() {
     let mut case = Case::new();
-    case.bury(0..1);
-    assert!((0..FRONTS).all(|number| case.told(number) == 1));
+    case.record_ended(0..1);
+    assert!((0..FRONTS).all(|number| case.boots_received(number) == 1));
 }
 
 #[test]
-fn a_release_of_thousands_is_told_in_parts() {
+fn many_ended_boots_are_sent_in_several_messages() {
     let mut case = Case::new();
     case.rank(at(0));
-    case.bury(0..2_000);
-    assert_eq!(case.told(0), 2_000);
+    case.record_ended(0..2_000);
+    assert_eq!(case.boots_received(0), 2_000);
 }
