--- a/crates/wax-owner/tests/roster.rs
+++ b/crates/wax-owner/tests/roster.rs
@@ -5,7 +5,7 @@
 use slotmap::SlotMap;
 use std::collections::BTreeSet;
 use wax_batch::{BootId, JobName, UnheardRuns, WorkerKey};
-use wax_owner::{AgentNote, AgentRoster, AgentRow, GoneBoots, OwnerSpans};
+use wax_owner::{AgentRoster, AgentRow, AgentUpdate, EndedBoots, OwnerTimeouts};
 use wax_types::TimePoint;
 use wax_wire::PoolBody;
 
@@ -50,185 +50,197 @@
     UnheardRuns::Only(jobs.iter().map(|job| JobName(*job)).collect())
 }
 
-fn gone(node: &str) -> Vec<(Box<str>, AgentNote)> {
-    vec![(node.into(), AgentNote::Gone)]
+fn removed(node: &str) -> Vec<(Box<str>, AgentUpdate)> {
+    vec![(node.into(), AgentUpdate::Removed)]
 }
 
 struct Case {
     roster: AgentRoster,
-    spans: OwnerSpans,
+    timeouts: OwnerTimeouts,
 }
 
 impl Case {
     fn new() -> Self {
         Self {
             roster: AgentRoster::default(),
-            spans: OwnerSpans::default(),
+            timeouts: OwnerTimeouts::default(),
         }
     }
 
     fn load(&mut self, node: &str, row: &AgentRow) {
         self.roster
-            .load(node, row, at(15_000), &GoneBoots::default());
+            .load(node, row, at(15_000), &EndedBoots::default());
     }
 
     fn open(&mut self, node: &str, link: u64, millis: u64) {
         self.roster
-            .open(node, link, &outbox(), at(millis), &self.spans);
+            .open(node, link, &outbox(), at(millis), &self.timeouts);
     }
 
     fn close(&mut self, node: &str, link: u64, millis: u64) {
-        self.roster.close(node, link, at(millis), &self.spans);
+        self.roster.close(node, link, at(millis), &self.timeouts);
     }
 
     /// Links an agent, has its worker's row stored and its runs compared.
     fn join(&mut self, node: &str, link: u64, worker: (WorkerKey, &str), millis: u64) {
         self.open(node, link, millis);
-        self.roster.ask_row(node, &boot(worker.1));
-        let notes = self.roster.take_notes(100);
-        self.roster.notes_stored(&notes);
+        self.roster.ensure_row(node, &boot(worker.1));
+        let updates = self.roster.take_updates(100);
+        self.roster.updates_stored(&updates);
         assert!(
-            self.roster.ask_row(node, &boot(worker.1)),
+            self.roster.ensure_row(node, &boot(worker.1)),
             "the store knows it"
         );
-        self.roster.compared(node, worker.0, &boot(worker.1));
+        self.roster.set_reconciled(node, worker.0, &boot(worker.1));
     }
 }
 
 #[test]
-fn an_agent_without_a_worker_that_goes_is_waited_for_by_nobody() {
+fn agent_without_a_worker_is_not_awaited_after_it_disconnects() {
     let mut case = Case::new();
     case.open("side-1", 1, 0);
     case.close("side-1", 1, 1_000);
-    assert!(case.roster.unheard().is_none());
-    let lapsed = case.roster.drop_lapsed(at(60_000), at(60_000));
-    assert!(lapsed.nodes.is_empty(), "nothing was waited for");
+    assert!(case.roster.unreconciled_runs().is_none());
+    let expired = case.roster.remove_expired(at(60_000), at(60_000));
+    assert!(expired.nodes.is_empty(), "nothing was waited for");
 }
 
 #[test]
-fn an_agent_that_goes_before_its_first_order_leaves_no_row() {
+fn agent_that_disconnects_before_its_first_order_leaves_no_row() {
     let mut case = Case::new();
     case.open("side-1", 1, 0);
-    assert!(!case.roster.ask_row("side-1", &boot("w1")));
-    let asked = case.roster.take_notes(100);
-    assert_eq!(asked.len(), 1);
+    assert!(!case.roster.ensure_row("side-1", &boot("w1")));
+    let queued = case.roster.take_updates(100);
+    assert_eq!(queued.len(), 1);
     case.close("side-1", 1, 50);
-    case.roster.notes_stored(&asked);
-    assert_eq!(case.roster.take_notes(100), gone("side-1"));
+    case.roster.updates_stored(&queued);
+    assert_eq!(case.roster.take_updates(100), removed("side-1"));
 }
 
 #[test]
-fn an_agent_that_knows_nothing_of_the_worker_before_holds_its_tasks_back() {
+fn agent_that_does_not_know_the_previous_worker_leaves_its_runs_unreconciled() {
     let mut case = Case::new();
     case.load("side-1", &row("w1"));
     case.open("side-1", 1, 0);
-    assert_eq!(case.roster.unheard(), UnheardRuns::Any);
+    assert_eq!(case.roster.unreconciled_runs(), UnheardRuns::Any);
     case.close("side-1", 1, 1_000);
-    let unheard = case.roster.unheard();
-    assert_eq!(unheard, UnheardRuns::Any, "the worker may run on alone");
-    let early = case.roster.drop_lapsed(at(14_999), at(14_999));
+    let unreconciled = case.roster.unreconciled_runs();
+    assert_eq!(
+        unreconciled,
+        UnheardRuns::Any,
+        "the worker may run on alone"
+    );
+    let early = case.roster.remove_expired(at(14_999), at(14_999));
     assert!(early.nodes.is_empty());
-    case.roster.drop_lapsed(at(15_000), at(15_000));
-    assert!(case.roster.unheard().is_none());
+    case.roster.remove_expired(at(15_000), at(15_000));
+    assert!(case.roster.unreconciled_runs().is_none());
 }
 
 #[test]
-fn a_worker_that_left_is_waited_for_by_nobody_whoever_says_so() {
+fn ended_worker_is_not_awaited_whoever_reports_its_end() {
     for by_agent in [true, false] {
         let mut case = Case::new();
         case.load("side-1", &row("w1"));
         case.load("side-2", &row("w2"));
         if by_agent {
             case.open("side-1", 1, 0);
-            case.roster.worker_gone("side-1", &boot("w1"));
+            case.roster.worker_ended("side-1", &boot("w1"));
         } else {
-            let waited_for = case.roster.boot_dead(&boot("w1"));
+            let waited_for = case.roster.boot_ended(&boot("w1"));
             assert_eq!(waited_for.as_deref(), Some("side-1"));
         }
-        assert_eq!(case.roster.unheard_agents(), 1, "but for the other one");
-        assert_eq!(case.roster.take_notes(100), gone("side-1"));
+        assert_eq!(
+            case.roster.unreconciled_agents(),
+            1,
+            "but for the other one"
+        );
+        assert_eq!(case.roster.take_updates(100), removed("side-1"));
     }
 }
 
 #[test]
-fn a_worker_that_left_before_the_takeover_is_not_waited_for() {
-    let mut dead = GoneBoots::default();
-    dead.note(&boot("w1"));
+fn worker_that_ended_before_the_takeover_is_not_awaited() {
+    let mut ended_boots = EndedBoots::default();
+    ended_boots.record(&boot("w1"));
     let mut case = Case::new();
-    case.roster.load("side-1", &row("w1"), at(15_000), &dead);
-    assert!(case.roster.unheard().is_none());
-    assert_eq!(case.roster.take_notes(100), gone("side-1"));
+    case.roster
+        .load("side-1", &row("w1"), at(15_000), &ended_boots);
+    assert!(case.roster.unreconciled_runs().is_none());
+    assert_eq!(case.roster.take_updates(100), removed("side-1"));
 }
 
 #[test]
-fn word_of_an_earlier_boot_says_nothing_of_the_present_one() {
+fn end_of_an_earlier_boot_does_not_affect_the_current_boot() {
     let key = worker_key();
     let mut case = Case::new();
     case.load("side-1", &row("w1"));
     case.join("side-1", 1, (key, "w2"), 0);
-    assert_eq!(case.roster.boot_dead(&boot("w1")), None);
-    assert!(case.roster.worker_gone("side-1", &boot("w1")).is_none());
+    assert_eq!(case.roster.boot_ended(&boot("w1")), None);
+    assert!(case.roster.worker_ended("side-1", &boot("w1")).is_none());
     assert!(case.roster.outbox(key).is_some(), "it gets orders");
 }
 
 #[test]
-fn an_agent_that_is_away_is_written_down_with_what_may_run_there() {
+fn disconnected_agent_is_stored_with_the_jobs_that_may_run_there() {
     let key = worker_key();
     let mut case = Case::new();
     case.join("side-1", 1, (key, "w1"), 0);
     case.close("side-1", 1, 1_000);
     let jobs = |_| BTreeSet::from([JobName(7)]);
-    case.roster.note_unlinked(at(1_500), jobs);
-    assert!(!case.roster.has_notes(), "links break and are back");
-    case.roster.note_unlinked(at(2_100), jobs);
+    case.roster.queue_unlinked(at(1_500), jobs);
+    assert!(!case.roster.has_updates(), "links break and are back");
+    case.roster.queue_unlinked(at(2_100), jobs);
     let boot = boot("w1");
     let jobs = BTreeSet::from([JobName(7)]);
-    let note = AgentNote::Unlinked { boot, jobs };
-    assert_eq!(case.roster.take_notes(100), vec![("side-1".into(), note)]);
+    let update = AgentUpdate::Unlinked { boot, jobs };
+    assert_eq!(
+        case.roster.take_updates(100),
+        vec![("side-1".into(), update)]
+    );
 }
 
 /// An order to a worker that gets none by the store is one that no later owner reckons with.
 #[test]
-fn an_agent_that_was_written_down_gets_no_order_until_the_store_says_otherwise() {
+fn agent_stored_as_unlinked_gets_no_order_until_stored_as_linked() {
     let key = worker_key();
     let mut case = Case::new();
     case.join("side-1", 1, (key, "w1"), 0);
     case.close("side-1", 1, 1_000);
-    case.roster.note_unlinked(at(2_100), |_| BTreeSet::new());
-    let away = case.roster.take_notes(100);
+    case.roster.queue_unlinked(at(2_100), |_| BTreeSet::new());
+    let unlinked_updates = case.roster.take_updates(100);
     // The link is back while that is written.
     case.open("side-1", 2, 2_150);
-    assert!(!case.roster.ask_row("side-1", &boot("w1")));
-    case.roster.notes_stored(&away);
+    assert!(!case.roster.ensure_row("side-1", &boot("w1")));
+    case.roster.updates_stored(&unlinked_updates);
     assert!(
-        !case.roster.ask_row("side-1", &boot("w1")),
+        !case.roster.ensure_row("side-1", &boot("w1")),
         "not stored yet"
     );
     assert!(case.roster.outbox(key).is_none());
-    let back = case.roster.take_notes(100);
-    case.roster.notes_stored(&back);
-    assert!(case.roster.ask_row("side-1", &boot("w1")));
-    case.roster.compared("side-1", key, &boot("w1"));
+    let back = case.roster.take_updates(100);
+    case.roster.updates_stored(&back);
+    assert!(case.roster.ensure_row("side-1", &boot("w1")));
+    case.roster.set_reconciled("side-1", key, &boot("w1"));
     assert!(case.roster.outbox(key).is_some());
 }
 
 #[test]
-fn agents_that_were_written_down_hold_back_only_their_jobs() {
+fn unlinked_rows_hold_back_only_their_jobs() {
     let mut case = Case::new();
     case.load("side-1", &unlinked("w1", &[7]));
     case.load("side-2", &unlinked("w2", &[7, 8]));
-    assert_eq!(case.roster.unheard(), only(&[7, 8]));
+    assert_eq!(case.roster.unreconciled_runs(), only(&[7, 8]));
     case.load("side-3", &row("w3"));
-    assert_eq!(case.roster.unheard(), UnheardRuns::Any);
+    assert_eq!(case.roster.unreconciled_runs(), UnheardRuns::Any);
 }
 
 #[test]
-fn a_row_of_an_older_version_may_stand_for_any_run() {
+fn row_of_an_older_version_may_cover_any_run() {
     let mut case = Case::new();
     case.load("side-1", &AgentRow::default());
-    assert_eq!(case.roster.unheard(), UnheardRuns::Any);
+    assert_eq!(case.roster.unreconciled_runs(), UnheardRuns::Any);
     assert_eq!(
-        case.roster.boot_dead(&boot("")),
+        case.roster.boot_ended(&boot("")),
         None,
         "no boot is named so"
     );
@@ -236,89 +248,95 @@
 
 /// Another owner may have heard the agent and extended its leases while this one could not know it.
 #[test]
-fn leases_count_as_lapsed_only_once_the_store_has_confirmed_the_term_since() {
+fn leases_expire_only_after_the_store_has_confirmed_the_term() {
     let key = worker_key();
     let mut case = Case::new();
     case.join("side-1", 1, (key, "w1"), 0);
     case.close("side-1", 1, 100);
-    let unconfirmed = case.roster.drop_lapsed(at(60_000), at(2_000));
+    let unconfirmed = case.roster.remove_expired(at(60_000), at(2_000));
     assert!(unconfirmed.workers.is_empty(), "the term may be over");
-    let confirmed = case.roster.drop_lapsed(at(60_000), at(59_900));
+    let confirmed = case.roster.remove_expired(at(60_000), at(59_900));
     assert_eq!(confirmed.workers, vec![key]);
 }
 
 #[test]
-fn a_takeover_with_many_agents_writes_in_bounded_parts() {
+fn takeover_with_many_agents_writes_bounded_batches() {
     let mut case = Case::new();
     for number in 0..250 {
         let node = format!("side-{number}");
         case.open(&node, number, 0);
-        case.roster.ask_row(&node, &boot(&format!("w{number}")));
+        case.roster.ensure_row(&node, &boot(&format!("w{number}")));
     }
     let mut taken = 0;
-    while case.roster.has_notes() {
-        let notes = case.roster.take_notes(32);
-        assert!(notes.len() <= 32);
-        taken += notes.len();
-        case.roster.notes_stored(&notes);
+    while case.roster.has_updates() {
+        let updates = case.roster.take_updates(32);
+        assert!(updates.len() <= 32);
+        taken += updates.len();
+        case.roster.updates_stored(&updates);
     }
     assert_eq!(taken, 250);
 }
 
 #[test]
-fn what_an_owner_before_granted_holds_although_this_one_has_granted_nothing() {
+fn grants_of_the_former_owner_delay_the_expiry() {
     let mut case = Case::new();
     let worker = worker_key();
     case.load("side-1", &row("w1"));
     case.join("side-1", 1, (worker, "w1"), 1_000);
     case.close("side-1", 1, 2_000);
     // The owner before may have granted until the link was opened, not later.
-    let bound = at(1_000) + case.spans.lapse_after_release();
-    let early = case.roster.drop_lapsed(before(bound), before(bound));
+    let bound = at(1_000) + case.timeouts.expiry_after_release();
+    let early = case.roster.remove_expired(before(bound), before(bound));
     assert!(early.workers.is_empty(), "its leases may hold until then");
-    let lapsed = case.roster.drop_lapsed(bound, bound);
-    assert_eq!(lapsed.workers, [worker]);
+    let expired = case.roster.remove_expired(bound, bound);
+    assert_eq!(expired.workers, [worker]);
 }
 
 /// A worker that crashed and started again under its id: the next owner's row speaks of the later boot.
 #[test]
-fn the_word_that_a_boot_is_dead_says_nothing_of_the_next_boot_under_its_id() {
+fn end_of_a_boot_does_not_affect_a_later_boot_of_the_same_worker() {
     let before = BootId::new("w1", Some(1_000));
     let started = |started_ms| AgentRow {
         started_ms,
         ..row("w1")
     };
-    let mut gone = GoneBoots::default();
-    assert!(gone.note(&before));
+    let mut ended_boots = EndedBoots::default();
+    assert!(ended_boots.record(&before));
     let mut case = Case::new();
     case.roster
-        .load("side-1", &started(Some(2_000)), at(15_000), &gone);
-    assert_eq!(case.roster.boot_dead(&before), None);
+        .load("side-1", &started(Some(2_000)), at(15_000), &ended_boots);
+    assert_eq!(case.roster.boot_ended(&before), None);
     assert_eq!(
-        case.roster.unheard_agents(),
+        case.roster.unreconciled_agents(),
         1,
         "the later boot is waited for"
     );
     case.roster
-        .load("side-2", &started(None), at(15_000), &gone);
-    assert_eq!(case.roster.unheard_agents(), 2, "it may be either boot");
+        .load("side-2", &started(None), at(15_000), &ended_boots);
+    assert_eq!(
+        case.roster.unreconciled_agents(),
+        2,
+        "it may be either boot"
+    );
     case.roster
-        .load("side-3", &started(Some(1_000)), at(15_000), &gone);
-    assert_eq!(case.roster.unheard_agents(), 2, "this one is dead");
+        .load("side-3", &started(Some(1_000)), at(15_000), &ended_boots);
+    assert_eq!(case.roster.unreconciled_agents(), 2, "this one is dead");
 }
 
 /// With one event for all rows, each transaction of a takeover woke up all links that waited for a row.
 #[test]
-fn a_row_that_was_stored_wakes_only_whoever_waits_for_it() {
+fn stored_row_wakes_only_the_link_that_waits_for_it() {
     let mut case = Case::new();
     for (link, node) in (1..).zip(["side-1", "side-2"]) {
         case.open(node, link, 0);
-        assert!(!case.roster.ask_row(node, &boot(node)));
+        assert!(!case.roster.ensure_row(node, &boot(node)));
     }
     let mut waits = ["side-1", "side-2"].map(|node| case.roster.listen_row(node));
-    let notes = case.roster.take_notes(100);
-    let (first, _): (Vec<_>, Vec<_>) = notes.into_iter().partition(|(node, _)| **node == *"side-1");
-    case.roster.notes_stored(&first);
+    let updates = case.roster.take_updates(100);
+    let (first, _): (Vec<_>, Vec<_>) = updates
+        .into_iter()
+        .partition(|(node, _)| **node == *"side-1");
+    case.roster.updates_stored(&first);
     let woken = waits.each_mut().map(|wait| {
         let wait = wait.as_mut().expect("the agent is known");
         wait.now_or_never().is_some()
@@ -328,10 +346,10 @@
 
 /// A link that is replaced must not wait for ever.
 #[test]
-fn a_newer_link_wakes_whoever_waits_for_the_row() {
+fn newer_link_wakes_the_older_link_that_waits_for_the_row() {
     let mut case = Case::new();
     case.open("side-1", 1, 0);
-    assert!(!case.roster.ask_row("side-1", &boot("w1")));
+    assert!(!case.roster.ensure_row("side-1", &boot("w1")));
     let mut wait = case
         .roster
         .listen_row("side-1")
@@ -341,18 +359,18 @@
 }
 
 #[test]
-fn an_agent_whose_link_goes_while_it_is_written_down_is_written_down_again() {
+fn agent_that_disconnects_during_the_write_is_stored_as_unlinked_later() {
     let mut case = Case::new();
     let key = worker_key();
     case.join("side-1", 1, (key, "w1"), 0);
     case.open("side-1", 2, 100);
     let next = boot("w2");
-    assert!(!case.roster.ask_row("side-1", &next));
-    let linked = case.roster.take_notes(100);
+    assert!(!case.roster.ensure_row("side-1", &next));
+    let linked = case.roster.take_updates(100);
     case.close("side-1", 2, 200);
-    case.roster.note_unlinked(at(5_000), |_| BTreeSet::new());
-    assert!(!case.roster.has_notes(), "its row is on its way");
-    case.roster.notes_stored(&linked);
-    case.roster.note_unlinked(at(5_100), |_| BTreeSet::new());
-    assert!(case.roster.has_notes(), "the row says that it is linked");
+    case.roster.queue_unlinked(at(5_000), |_| BTreeSet::new());
+    assert!(!case.roster.has_updates(), "its row is on its way");
+    case.roster.updates_stored(&linked);
+    case.roster.queue_unlinked(at(5_100), |_| BTreeSet::new());
+    assert!(case.roster.has_updates(), "the row says that it is linked");
 }
--- a/crates/wax-owner/tests/scale/play.rs
+++ b/crates/wax-owner/tests/scale/simulation.rs
@@ -9,7 +9,8 @@
     RunEnd, RunEndKind, RunMark, RunReport, StepSpec, TaskSize, UnheardRuns, WorkerKey, WorkerView,
 };
 use wax_owner::{
-    AgentNote, AgentRoster, AgentRow, FrontLife, FrontRoster, GoneBoots, OwnerFitness, OwnerSpans,
+    AgentRoster, AgentRow, AgentUpdate, EndedBoots, FrontRecord, FrontRoster, OwnerFitness,
+    OwnerTimeouts,
 };
 use wax_policy::{ConfigRules, DrainRules, PlaceRules, front_period};
 use wax_types::TimePoint;
@@ -20,7 +21,7 @@
 /// Without a change the dispatcher looks again after this.
 const IDLE_TICKS: u64 = 50;
 /// How long a task runs.
-const TASK_TIME: Duration = Duration::from_millis(1_200);
+const TASK_DURATION: Duration = Duration::from_millis(1_200);
 /// Tasks of a job.
 const JOB_TASKS: u32 = 20;
 /// Agents written down by one transaction, each of which takes so many ticks.
@@ -32,7 +33,7 @@
 pub(crate) struct PoolSize {
     pub(crate) agents: usize,
     pub(crate) fronts: usize,
-    pub(crate) tasks_a_second: u32,
+    pub(crate) tasks_per_second: u32,
 }
 
 impl PoolSize {
@@ -40,30 +41,30 @@
         Self {
             agents,
             fronts: agents / 5,
-            tasks_a_second: (agents * 7 / 10) as u32,
+            tasks_per_second: (agents * 7 / 10) as u32,
         }
     }
 }
 
 /// What was counted.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct PlayedCost {
+pub(crate) struct Cost {
     heartbeats: u64,
     messages: u64,
     bytes: u64,
-    agents_looked_at: u64,
+    agents_visited: u64,
     workers_asked: u64,
     fronts_ranked: u64,
     transactions: u64,
 }
 
-impl PlayedCost {
+impl Cost {
     pub(crate) fn counts(&self) -> [(&'static str, u64); 7] {
         [
             ("heartbeats", self.heartbeats),
             ("messages", self.messages),
             ("bytes", self.bytes),
-            ("agents looked at", self.agents_looked_at),
+            ("agents looked at", self.agents_visited),
             ("workers asked", self.workers_asked),
             ("fronts ranked", self.fronts_ranked),
             ("transactions", self.transactions),
@@ -73,55 +74,55 @@
 
 /// What is to happen at a time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Deed {
-    AgentBeat(usize),
-    FrontBeat(usize),
+enum Event {
+    AgentHeartbeat(usize),
+    FrontHeartbeat(usize),
     Job,
     End(usize, RunMark),
     Link(usize),
-    Return(usize),
+    WorkerBack(usize),
     Stored,
 }
 
-struct PlayedAgent {
+struct SimulatedAgent {
     boot: u64,
     link: u64,
     worker: Option<WorkerKey>,
     runs: BTreeSet<RunMark>,
     ends: u64,
     /// Ends that no owner has heard.
-    unheard: Vec<RunEnd>,
+    unreported_ends: Vec<RunEnd>,
     is_linked: bool,
     inbox: Option<UnboundedReceiver<PoolBody>>,
 }
 
 /// An owner and its pool.
-pub(crate) struct PlayedPool {
+pub(crate) struct SimulatedPool {
     size: PoolSize,
     now: TimePoint,
     epoch: u64,
-    book: JobBook,
+    scheduler: JobBook,
     /// Open jobs as the store has them.
     jobs: BTreeMap<JobName, (JobRow, Option<JobProgress>)>,
     roster: AgentRoster,
     rows: BTreeMap<Box<str>, AgentRow>,
     fronts: FrontRoster,
-    gone: GoneBoots,
-    spans: OwnerSpans,
+    ended_boots: EndedBoots,
+    timeouts: OwnerTimeouts,
     rules: ConfigRules,
     config: u64,
-    agents: Vec<PlayedAgent>,
+    agents: Vec<SimulatedAgent>,
     front_configs: Vec<u64>,
-    deeds: BTreeSet<(TimePoint, u64, Deed)>,
-    next_deed: u64,
+    events: BTreeSet<(TimePoint, u64, Event)>,
+    next_event: u64,
     next_job: u64,
     next_link: u64,
     starts: u64,
-    cost: PlayedCost,
-    unheard_seen: Option<u64>,
-    is_storing: bool,
-    waits_row: BTreeSet<usize>,
-    changed: bool,
+    cost: Cost,
+    unreconciled_seen: Option<u64>,
+    is_write_pending: bool,
+    awaiting_row: BTreeSet<usize>,
+    has_changes: bool,
 }
 
 fn config() -> QueueConfig {
@@ -145,22 +146,22 @@
     }
 }
 
-fn new_book(epoch: u64) -> JobBook {
-    let mut book = JobBook::new(epoch, PlaceRules::default());
-    book.set_config(config().into());
-    book
+fn new_scheduler(epoch: u64) -> JobBook {
+    let mut scheduler = JobBook::new(epoch, PlaceRules::default());
+    scheduler.set_config(config().into());
+    scheduler
 }
 
-impl PlayedPool {
+impl SimulatedPool {
     /// A pool whose owner has taken over and has heard all.
     pub(crate) fn settled(size: PoolSize) -> Self {
-        let agents = (0..size.agents).map(|_| PlayedAgent {
+        let agents = (0..size.agents).map(|_| SimulatedAgent {
             boot: 1,
             link: 0,
             worker: None,
             runs: BTreeSet::new(),
             ends: 0,
-            unheard: Vec::new(),
+            unreported_ends: Vec::new(),
             is_linked: false,
             inbox: None,
         });
@@ -168,32 +169,32 @@
             size,
             now: TimePoint::from_millis(100_000),
             epoch: 1,
-            book: new_book(1),
+            scheduler: new_scheduler(1),
             jobs: BTreeMap::new(),
             roster: AgentRoster::default(),
             rows: BTreeMap::new(),
             fronts: FrontRoster::default(),
-            gone: GoneBoots::default(),
-            spans: OwnerSpans::default(),
+            ended_boots: EndedBoots::default(),
+            timeouts: OwnerTimeouts::default(),
             rules: ConfigRules::new(Duration::from_secs(5), DrainRules::default()),
             config: 1,
             agents: agents.collect(),
             front_configs: vec![1; size.fronts],
-            deeds: BTreeSet::new(),
-            next_deed: 0,
+            events: BTreeSet::new(),
+            next_event: 0,
             next_job: 0,
             next_link: 0,
             starts: 0,
-            cost: PlayedCost::default(),
-            unheard_seen: None,
-            is_storing: false,
-            waits_row: BTreeSet::new(),
-            changed: true,
+            cost: Cost::default(),
+            unreconciled_seen: None,
+            is_write_pending: false,
+            awaiting_row: BTreeSet::new(),
+            has_changes: true,
         };
         pool.link_all();
-        pool.after(Duration::from_millis(1), Deed::Job);
+        pool.after(Duration::from_millis(1), Event::Job);
         pool.run(Duration::from_secs(4));
-        assert_eq!(pool.roster.unheard_agents(), 0);
+        assert_eq!(pool.roster.unreconciled_agents(), 0);
         pool
     }
 
@@ -206,65 +207,68 @@
     }
 
     /// Tasks that wait although their jobs were handed in a while ago.
-    pub(crate) fn waiting(&self) -> usize {
-        self.book.held_back()
+    pub(crate) fn held_back_tasks(&self) -> usize {
+        self.scheduler.held_back()
     }
 
     /// What was counted since the last call.
-    pub(crate) fn take_cost(&mut self) -> PlayedCost {
-        self.cost.workers_asked += self.book.take_workers_asked();
-        self.cost.agents_looked_at += self.roster.take_looked_at();
+    pub(crate) fn take_cost(&mut self) -> Cost {
+        self.cost.workers_asked += self.scheduler.take_workers_asked();
+        self.cost.agents_visited += self.roster.take_visited();
         self.cost.fronts_ranked += self.fronts.take_ranked();
         std::mem::take(&mut self.cost)
     }
 
-    fn after(&mut self, span: Duration, deed: Deed) {
-        self.next_deed += 1;
-        self.deeds.insert((self.now + span, self.next_deed, deed));
+    fn after(&mut self, span: Duration, event: Event) {
+        self.next_event += 1;
+        self.events
+            .insert((self.now + span, self.next_event, event));
     }
 
     /// All agents and fronts link within some hundred milliseconds.
     fn link_all(&mut self) {
         for agent in 0..self.agents.len() {
             let spread = Duration::from_micros(300_000 * agent as u64 / self.size.agents as u64);
-            self.after(spread, Deed::Link(agent));
+            self.after(spread, Event::Link(agent));
         }
         for front in 0..self.size.fronts {
             self.next_link += 1;
             let (outbox, _) = unbounded();
-            let life = FrontLife::new(self.next_link, outbox, self.gone.count(), self.now);
-            self.fronts.insert(&format!("edge-{front}"), life);
+            let record =
+                FrontRecord::new(self.next_link, outbox, self.ended_boots.count(), self.now);
+            self.fronts.insert(&format!("edge-{front}"), record);
             let spread = Duration::from_micros(200_000 * front as u64 / self.size.fronts as u64);
-            self.after(spread, Deed::FrontBeat(front));
+            self.after(spread, Event::FrontHeartbeat(front));
         }
     }
 
     /// The operator writes another version, which fronts find in the store a moment later.
     pub(crate) fn change_config(&mut self) {
         self.config += 1;
-        self.book.set_config(config().into());
-        self.changed = true;
+        self.scheduler.set_config(config().into());
+        self.has_changes = true;
     }
 
     /// Another owner takes over: it knows the store's rows, and hears agents and fronts anew.
     pub(crate) fn take_over(&mut self) {
         self.epoch += 1;
-        self.book = new_book(self.epoch);
+        self.scheduler = new_scheduler(self.epoch);
         for (name, (row, progress)) in &self.jobs {
             let (now, now_ms) = (self.now, wall(self.now));
-            self.book
+            self.scheduler
                 .add_job(*name, row.clone(), progress.as_ref(), now, now_ms);
         }
         self.roster = AgentRoster::default();
-        let lapse_at = self.now + self.spans.lapse_after_takeover();
+        let expires_at = self.now + self.timeouts.expiry_after_takeover();
         for (node, row) in &self.rows {
-            self.roster.load(node, row, lapse_at, &self.gone);
+            self.roster.load(node, row, expires_at, &self.ended_boots);
         }
-        self.unheard_seen = None;
+        self.unreconciled_seen = None;
         self.fronts = FrontRoster::default();
-        let is_link = |deed: &Deed| matches!(deed, Deed::AgentBeat(_) | Deed::FrontBeat(_));
-        self.deeds.retain(|(_, _, deed)| !is_link(deed));
-        self.waits_row.clear();
+        let is_link =
+            |event: &Event| matches!(event, Event::AgentHeartbeat(_) | Event::FrontHeartbeat(_));
+        self.events.retain(|(_, _, event)| !is_link(event));
+        self.awaiting_row.clear();
         for agent in &mut self.agents {
             agent.is_linked = false;
             agent.worker = None;
@@ -273,12 +277,12 @@
     }
 
     /// A share of the workers at a time leaves and comes back as another boot, so many times.
-    pub(crate) fn release(&mut self, share: f64, times: usize) {
+    pub(crate) fn restart_workers(&mut self, share: f64, times: usize) {
         let batches = (1.0 / share) as usize;
-        for round in 0..times {
-            for agent in (round..self.agents.len()).step_by(batches) {
-                self.leave(agent);
-                self.after(Duration::from_millis(500), Deed::Return(agent));
+        for dispatch in 0..times {
+            for agent in (dispatch..self.agents.len()).step_by(batches) {
+                self.stop_worker(agent);
+                self.after(Duration::from_millis(500), Event::WorkerBack(agent));
             }
             self.run(Duration::from_millis(600));
         }
@@ -290,35 +294,35 @@
         for number in 0..killed {
             self.agents[number].is_linked = false;
             let (node, link) = (node(number), self.agents[number].link);
-            let known = self.roster.close(&node, link, self.now, &self.spans);
+            let known = self.roster.close(&node, link, self.now, &self.timeouts);
             if let Some(worker) = known.flatten() {
-                self.book.worker_reachable(worker, false);
+                self.scheduler.worker_reachable(worker, false);
             }
         }
-        self.changed = true;
+        self.has_changes = true;
     }
 
-    fn leave(&mut self, number: usize) {
+    fn stop_worker(&mut self, number: usize) {
         let boot = self.boot(number);
         let node = node(number);
         self.send(1, 40);
-        if let Some(worker) = self.roster.worker_gone(&node, &boot) {
-            self.book.worker_lost(worker, self.now, wall(self.now));
+        if let Some(worker) = self.roster.worker_ended(&node, &boot) {
+            self.scheduler.worker_lost(worker, self.now, wall(self.now));
         }
-        self.gone.note(&boot);
-        self.roster.boot_dead(&boot);
-        self.tell_watchers();
+        self.ended_boots.record(&boot);
+        self.roster.boot_ended(&boot);
+        self.notify_watchers();
         let agent = &mut self.agents[number];
         agent.worker = None;
         agent.runs.clear();
-        agent.unheard.clear();
+        agent.unreported_ends.clear();
         agent.boot += 1;
         agent.ends = 0;
-        self.changed = true;
+        self.has_changes = true;
     }
 
-    fn tell_watchers(&mut self) {
-        let messages = self.fronts.tell_watchers(&self.gone) as u64;
+    fn notify_watchers(&mut self) {
+        let messages = self.fronts.notify_watchers(&self.ended_boots) as u64;
         self.send(messages, messages * 40);
     }
 
@@ -336,29 +340,29 @@
             self.now = self.now + TICK;
             ticks += 1;
             while let Some(first) = self
-                .deeds
+                .events
                 .first()
                 .copied()
                 .filter(|(at, ..)| *at <= self.now)
             {
-                self.deeds.remove(&first);
-                self.act(first.2);
+                self.events.remove(&first);
+                self.handle(first.2);
             }
-            if std::mem::take(&mut self.changed) || ticks % IDLE_TICKS == 0 {
-                self.round();
+            if std::mem::take(&mut self.has_changes) || ticks % IDLE_TICKS == 0 {
+                self.dispatch();
             }
         }
     }
 
-    fn act(&mut self, deed: Deed) {
-        match deed {
-            Deed::AgentBeat(number) => self.agent_beat(number),
-            Deed::FrontBeat(number) => self.front_beat(number),
-            Deed::Job => self.hand_in(),
-            Deed::End(number, mark) => self.end(number, mark),
-            Deed::Link(number) => self.link(number),
-            Deed::Return(number) => self.compare(number),
-            Deed::Stored => self.stored(),
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::AgentHeartbeat(number) => self.agent_heartbeat(number),
+            Event::FrontHeartbeat(number) => self.front_heartbeat(number),
+            Event::Job => self.submit_job(),
+            Event::End(number, mark) => self.end_task(number, mark),
+            Event::Link(number) => self.link_agent(number),
+            Event::WorkerBack(number) => self.reconcile(number),
+            Event::Stored => self.finish_write(),
         }
     }
 
@@ -372,43 +376,43 @@
         self.send(1, bytes);
     }
 
-    fn agent_beat(&mut self, number: usize) {
+    fn agent_heartbeat(&mut self, number: usize) {
         if !self.agents[number].is_linked {
             return;
         }
         self.cost.heartbeats += 1;
         self.roster
-            .granted(&node(number), self.now + self.spans.grant);
+            .extend_grant(&node(number), self.now + self.timeouts.grant);
         if let Some(worker) = self.agents[number].worker {
-            self.book.worker_heard(worker, self.now);
+            self.scheduler.worker_heard(worker, self.now);
         }
-        let period = self.roster.period();
+        let period = self.roster.heartbeat_interval();
         self.answer(PoolBody::Grant(LeaseGrant {
             sent_us: self.now.0,
             valid_ms: 2_500,
             period_ms: period.as_millis() as u32,
             ..Default::default()
         }));
-        self.after(period, Deed::AgentBeat(number));
+        self.after(period, Event::AgentHeartbeat(number));
     }
 
-    fn front_beat(&mut self, number: usize) {
+    fn front_heartbeat(&mut self, number: usize) {
         self.cost.heartbeats += 1;
         let (now, name) = (self.now, format!("edge-{number}"));
-        let theirs = self.front_configs[number];
+        let front_version = self.front_configs[number];
         let Some(front) = self.fronts.get_mut(&name) else {
             return;
         };
-        front.heard(
+        front.record_heartbeat(
             OwnerFitness(if number.is_multiple_of(4) { 1_000 } else { 120 }),
             false,
             now,
         );
-        let is_due = front.is_due(theirs, self.config, now);
+        let pushes_config = front.should_push_config(front_version, self.config, now);
         let rank = self.fronts.rank(&name, now).rank;
         let period = front_period(self.fronts.len(), rank, &self.rules);
-        self.tell_watchers();
-        if is_due {
+        self.notify_watchers();
+        if pushes_config {
             self.send(1, 20_000);
         }
         self.answer(PoolBody::Grant(LeaseGrant {
@@ -418,10 +422,10 @@
             ..Default::default()
         }));
         self.front_configs[number] = self.config;
-        self.after(period, Deed::FrontBeat(number));
+        self.after(period, Event::FrontHeartbeat(number));
     }
 
-    fn hand_in(&mut self) {
+    fn submit_job(&mut self) {
         self.next_job += 1;
         let step = StepSpec {
             count: JOB_TASKS,
@@ -442,13 +446,14 @@
         row.epoch = self.epoch;
         let name = JobName(self.next_job);
         self.jobs.insert(name, (row.clone(), None));
-        self.book.add_job(name, row, None, self.now, wall(self.now));
-        self.changed = true;
-        let pause = Duration::from_secs(1) * JOB_TASKS / self.size.tasks_a_second;
-        self.after(pause, Deed::Job);
+        self.scheduler
+            .add_job(name, row, None, self.now, wall(self.now));
+        self.has_changes = true;
+        let pause = Duration::from_secs(1) * JOB_TASKS / self.size.tasks_per_second;
+        self.after(pause, Event::Job);
     }
 
-    fn end(&mut self, number: usize, mark: RunMark) {
+    fn end_task(&mut self, number: usize, mark: RunMark) {
         let agent = &mut self.agents[number];
         if !agent.runs.remove(&mark) {
             return;
@@ -461,33 +466,34 @@
             checkpoint: "".into(),
         };
         let Some(worker) = agent.worker.filter(|_| agent.is_linked) else {
-            agent.unheard.push(end);
+            agent.unreported_ends.push(end);
             return;
         };
         self.send(1, 60);
-        self.book.run_ended(worker, &end, self.now, wall(self.now));
-        self.changed = true;
+        self.scheduler
+            .run_ended(worker, &end, self.now, wall(self.now));
+        self.has_changes = true;
     }
 
-    fn link(&mut self, number: usize) {
+    fn link_agent(&mut self, number: usize) {
         self.next_link += 1;
         let (outbox, inbox) = unbounded();
         let agent = &mut self.agents[number];
         (agent.link, agent.is_linked, agent.inbox) = (self.next_link, true, Some(inbox));
         let link = agent.link;
         self.roster
-            .open(&node(number), link, &outbox, self.now, &self.spans);
+            .open(&node(number), link, &outbox, self.now, &self.timeouts);
         self.send(2, 60);
-        self.compare(number);
-        self.after(Duration::ZERO, Deed::AgentBeat(number));
+        self.reconcile(number);
+        self.after(Duration::ZERO, Event::AgentHeartbeat(number));
     }
 
     /// The worker's list is compared once the store has the agent's row.
-    fn compare(&mut self, number: usize) {
+    fn reconcile(&mut self, number: usize) {
         let (node, boot) = (node(number), self.boot(number));
-        if !self.roster.ask_row(&node, &boot) {
-            self.waits_row.insert(number);
-            self.store();
+        if !self.roster.ensure_row(&node, &boot) {
+            self.awaiting_row.insert(number);
+            self.start_write();
             return;
         }
         let agent = &self.agents[number];
@@ -495,34 +501,34 @@
         let view = view(number, boot.clone());
         let worker = match self.roster.worker(&node) {
             Some((key, known)) if known == boot => {
-                self.book.worker_reachable(key, true);
+                self.scheduler.worker_reachable(key, true);
                 key
             }
-            _ => self.book.worker_joined(view, &node),
+            _ => self.scheduler.worker_joined(view, &node),
         };
-        self.roster.compared(&node, worker, &boot);
-        let ends = std::mem::take(&mut self.agents[number].unheard);
-        self.book
+        self.roster.set_reconciled(&node, worker, &boot);
+        let ends = std::mem::take(&mut self.agents[number].unreported_ends);
+        self.scheduler
             .sync_worker(worker, &reports, &ends, self.now, wall(self.now));
         self.agents[number].worker = Some(worker);
         self.send(2, 200);
-        self.changed = true;
+        self.has_changes = true;
     }
 
-    fn store(&mut self) {
-        if !self.is_storing && self.roster.has_notes() {
-            self.is_storing = true;
-            self.after(TICK * TX_TICKS as u32, Deed::Stored);
+    fn start_write(&mut self) {
+        if !self.is_write_pending && self.roster.has_updates() {
+            self.is_write_pending = true;
+            self.after(TICK * TX_TICKS as u32, Event::Stored);
         }
     }
 
-    fn stored(&mut self) {
-        self.is_storing = false;
+    fn finish_write(&mut self) {
+        self.is_write_pending = false;
         self.cost.transactions += 1;
-        let notes = self.roster.take_notes(ROWS_PER_TX);
+        let notes = self.roster.take_updates(ROWS_PER_TX);
         for (node, note) in &notes {
             match note {
-                AgentNote::Linked { boot } => {
+                AgentUpdate::Linked { boot } => {
                     let row = AgentRow {
                         node: node.to_string(),
                         worker: boot.worker_id().into(),
@@ -530,46 +536,47 @@
                     };
                     self.rows.insert(node.clone(), row);
                 }
-                AgentNote::Unlinked { .. } => {}
-                AgentNote::Gone => {
+                AgentUpdate::Unlinked { .. } => {}
+                AgentUpdate::Removed => {
                     self.rows.remove(node);
                 }
             }
         }
-        self.roster.notes_stored(&notes);
-        for (stored, _) in &notes {
-            let number = stored.trim_start_matches("side-").parse();
+        self.roster.updates_stored(&notes);
+        for (finish_write, _) in &notes {
+            let number = finish_write.trim_start_matches("side-").parse();
             if let Ok(number) = number
-                && self.waits_row.remove(&number)
+                && self.awaiting_row.remove(&number)
             {
-                self.compare(number);
+                self.reconcile(number);
             }
         }
-        self.store();
+        self.start_write();
     }
 
     /// A round of the dispatcher.
-    fn round(&mut self) {
-        let lapsed = self.roster.drop_lapsed(self.now, self.now);
-        for worker in lapsed.workers {
-            self.book.worker_lost(worker, self.now, wall(self.now));
+    fn dispatch(&mut self) {
+        let expired = self.roster.remove_expired(self.now, self.now);
+        for worker in expired.workers {
+            self.scheduler.worker_lost(worker, self.now, wall(self.now));
         }
-        let book = &self.book;
+        let scheduler = &self.scheduler;
         self.roster
-            .note_unlinked(self.now, |worker| book.jobs_on(worker));
-        self.store();
-        self.settle();
-        for order in self.book.place(self.now) {
+            .queue_unlinked(self.now, |worker| scheduler.jobs_on(worker));
+        self.start_write();
+        self.update_unreconciled();
+        for order in self.scheduler.place(self.now) {
             self.starts += 1;
             self.send(1, 150);
             let number = self.number_of(order.worker);
             self.agents[number].runs.insert(order.mark);
-            self.book.run_started(order.worker, order.mark, self.now);
-            self.after(TASK_TIME, Deed::End(number, order.mark));
+            self.scheduler
+                .run_started(order.worker, order.mark, self.now);
+            self.after(TASK_DURATION, Event::End(number, order.mark));
         }
-        let notes = self.book.take_notes(usize::MAX);
+        let notes = self.scheduler.take_notes(usize::MAX);
         self.cost.transactions += notes.len().div_ceil(32) as u64;
-        self.book.notes_stored(&notes);
+        self.scheduler.notes_stored(&notes);
         for note in notes {
             match self.jobs.get_mut(&note.name) {
                 Some(job) if note.progress.outcome() == JobOutcome::Open => {
@@ -580,15 +587,15 @@
                 }
             }
         }
-        let cursors = self.book.take_cursors();
+        let cursors = self.scheduler.take_cursors();
         self.send(cursors.len() as u64, 20 * cursors.len() as u64);
     }
 
-    fn settle(&mut self) {
-        let changes = Some(self.roster.unheard_changes());
-        if std::mem::replace(&mut self.unheard_seen, changes) != changes {
-            let unheard: UnheardRuns = self.roster.unheard();
-            self.book.set_unheard(unheard);
+    fn update_unreconciled(&mut self) {
+        let changes = Some(self.roster.unreconciled_changes());
+        if std::mem::replace(&mut self.unreconciled_seen, changes) != changes {
+            let runs: UnheardRuns = self.roster.unreconciled_runs();
+            self.scheduler.set_unheard(runs);
         }
     }
 
