--- a/crates/wax-owner/src/advice.rs
+++ b/crates/wax-owner/src/advice.rs
@@ -1,4 +1,5 @@
-//! Asks the platform's advisor which workers may run steps of queues that it advises.
+//! Asks the platform's placement advisor which workers may run steps of the queues that require its
+//! approval.
 
 use crate::owner_term::OwnerTerm;
 use crate::shared::PoolShared;
@@ -9,14 +10,15 @@
 use wax_batch::AdviceAsk;
 use wax_trace::FailureStreak;
 
-/// Without a change the book is looked through this often.
+/// Interval at which the scheduler is checked for queries if nothing changes.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Longest time for an answer: the advisor takes calls in turn.
+/// Timeout for one query. The advisor handles queries one after another, so an answer may take
+/// long.
 const ADVICE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// After a call without an answer.
+/// Delay after a failed query.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Asks, one question at a time, until the term ends.
+/// Sends queries, one at a time, until the term ends.
 pub(crate) async fn query_advisor(
     shared: Rc<PoolShared>,
     term: Rc<OwnerTerm>,
@@ -27,7 +29,7 @@
         let listener = term.dispatch.listen();
         let request = term.scheduler.borrow_mut().advice_wanted(shared.now());
         let Some(request) = request else {
-            // Either a change or the time; both lead to another look.
+            // Either a change or the timeout ends the wait; the loop checks again.
             let _ = timeout(CHECK_INTERVAL, listener).await;
             continue;
         };
@@ -56,7 +58,8 @@
         .into_iter()
         .map(|ticket| (ticket.worker, ticket.ticket))
         .collect();
-    // The validity is counted from the question, which came before the answer.
+    // The validity is counted from when the query was sent, which is earlier than when it was
+    // answered.
     term.scheduler
         .borrow_mut()
         .advice_given(request, &approved, requested_at + validity);
--- a/crates/wax-owner/src/agent_links.rs
+++ b/crates/wax-owner/src/agent_links.rs
@@ -21,7 +21,7 @@
     PoolReader, PoolWriter, PressFrame, PressNews, RunNews, WorkerGone, WorkerKept, WorkerUp,
 };
 
-/// Serves one link until it breaks, falls silent, or the term ends.
+/// Serves one link until it breaks, becomes silent, or the term ends.
 pub(crate) async fn serve_agent(
     shared: &PoolShared,
     term: &Rc<OwnerTerm>,
@@ -36,12 +36,12 @@
         epoch: term.epoch,
         token,
     };
-    // The queue is new: it takes the first message.
+    // The queue is new and accepts the first message.
     let _ = outbox.unbounded_send(PoolBody::Welcome(welcome));
     open_link(shared, term, &node, link, &outbox);
     let ended_boots: Vec<BootId> = hello.dead.iter().map(BootId::from).collect();
     for boot in &ended_boots {
-        // The word of its end may have been lost with the link before.
+        // The report of the end may have been lost with the previous link.
         term.worker_ended(&node, boot, shared.now());
     }
     term.record_ended_boots(shared, ended_boots);
@@ -69,7 +69,7 @@
 
 pub(crate) async fn write_link(mut writer: PoolWriter, mut inbox: UnboundedReceiver<PoolBody>) {
     if let Err(error) = writer.drain(&mut inbox).await {
-        tracing::info!(%error, "writing to a peer failed");
+        tracing::info!(%error, "could not write to a peer");
     }
 }
 
@@ -112,9 +112,9 @@
     node: &'a str,
     link: u64,
     outbox: UnboundedSender<PoolBody>,
-    /// Whether all that is on the worker was told on this link.
+    /// Whether the worker's runs have been reconciled on this link.
     is_reconciled: Cell<bool>,
-    /// How many rounds of changed presses it was told.
+    /// Number of rounds of interference updates that the agent has received.
     rounds_sent: Cell<u64>,
 }
 
@@ -123,9 +123,9 @@
         loop {
             let body = match timeout(self.shared.timeouts.link, reader.read()).await {
                 Ok(Ok(Some(body))) => body,
-                Ok(Ok(None)) => return "the agent closed it",
-                Ok(Err(_)) => return "it broke",
-                Err(_) => return "the agent is silent",
+                Ok(Ok(None)) => return "the agent closed the link",
+                Ok(Err(_)) => return "the link broke",
+                Err(_) => return "the agent was silent",
             };
             if !self.is_current() {
                 return "the agent has a newer link";
@@ -147,7 +147,7 @@
     }
 
     fn send(&self, body: PoolBody) {
-        // A writer that has failed ends the link at its next read.
+        // If the writer has failed, the next read ends the link.
         let _ = self.outbox.unbounded_send(body);
     }
 
@@ -160,7 +160,11 @@
             PoolBody::WorkerGone(message) => self.worker_ended(&message),
             PoolBody::News(updates) => self.apply_run_updates(&updates),
             PoolBody::Presses(updates) => self.merge_interference(&updates),
-            other => tracing::warn!(?other, agent = self.node, "unexpected message of an agent"),
+            other => tracing::warn!(
+                ?other,
+                agent = self.node,
+                "unexpected message from an agent"
+            ),
         }
     }
 
@@ -173,7 +177,8 @@
         } else {
             validity_left.min(timeouts.grant)
         };
-        // The heartbeat was sent before now, so that the grant ends before this.
+        // The agent counts the grant from when it sent the heartbeat, so its authority ends before
+        // this time.
         self.term
             .agents
             .borrow_mut()
@@ -190,7 +195,8 @@
         }));
     }
 
-    /// Presses that have changed go with the answer to a heartbeat: the agent wakes up once for both.
+    /// Sends changed interference estimates together with the answer to a heartbeat, so that the
+    /// agent wakes up only once.
     fn send_interference(&self, now: TimePoint) {
         let mut log = self.term.interference_log.borrow_mut();
         let pending = log.updates_after(self.rounds_sent.get(), now);
@@ -205,7 +211,7 @@
         }
     }
 
-    /// Takes over a worker's runs, once the store knows that this agent may be given orders.
+    /// Takes over a worker's runs once the store has a row that permits orders to the worker.
     async fn worker_up(&self, up: WorkerUp) {
         self.term.loaded.wait().await;
         self.wait_row_stored(&up.worker.boot()).await;
@@ -241,7 +247,7 @@
         if self.term.needs_all_pairs(up.known_pairs) {
             self.send(PoolBody::Presses(self.term.interference_snapshot()));
         }
-        // An acknowledgement may have been lost with the link before.
+        // An acknowledgement may have been lost with the previous link.
         self.send(PoolBody::Ack(AckEnds::new(&boot, cursor)));
         self.term.dispatch.notify(usize::MAX);
     }
@@ -276,7 +282,7 @@
         key
     }
 
-    /// Waits until the store says that the worker may be given orders.
+    /// Waits until the store has a row that permits orders to the worker.
     async fn wait_row_stored(&self, boot: &BootId) {
         loop {
             let is_stored = self.term.agents.borrow_mut().ensure_row(self.node, boot);
@@ -304,7 +310,7 @@
         }
     }
 
-    /// A worker crashed: the tasks that ran there may have ended it.
+    /// Handles the crash of a worker, which may have been caused by the tasks that ran there.
     async fn boot_crashed(&self, crash: &BootCrashed) {
         self.term.loaded.wait().await;
         if self.term.ended.is_raised() {
@@ -342,7 +348,7 @@
         }
     }
 
-    /// Gathers what the agents have learned; all are told of what has changed.
+    /// Merges the interference estimates of an agent, and queues the changed ones for all agents.
     fn merge_interference(&self, updates: &PressNews) {
         let Some(worker) = self.worker() else {
             return;
@@ -372,12 +378,13 @@
             return;
         };
         if !self.is_reconciled.get() {
-            // Ends that were lost with the link before have lower numbers: counted after a later one, they
-            // would be passed over, and their tasks started again. The worker's list has this one too.
+            // Ends that were lost with the previous link have lower numbers. If this end were
+            // counted first, those would be skipped and their tasks started again. The worker's
+            // list of runs contains this end, too.
             tracing::info!(
                 agent = self.node,
                 ends = updates.ends.len(),
-                "news before the worker's list"
+                "ignored run updates before the worker's runs were reconciled"
             );
             return;
         }
--- a/crates/wax-owner/src/candidates.rs
+++ b/crates/wax-owner/src/candidates.rs
@@ -1,49 +1,52 @@
-//! Which front is to own the shard next, and how long the others wait.
+//! Ranks the fronts as candidates for ownership and computes how long each waits before a takeover.
 //!
-//! A rank is only a turn: who owns is decided by the store's condition, whoever tries. A weak front that owns a
-//! large pool is late, counts as silent and is replaced by the next one, so that strong ones go first.
+//! A rank only orders the attempts: the condition in the store decides which front owns the shard.
+//! A weak front that owns a large pool is slow, is taken for silent and gets replaced, so strong
+//! fronts try first.
 
 use std::cmp::Reverse;
 use std::time::Duration;
 use wax_types::TimePoint;
 
-/// Between two ranks: a takeover and word of it take less.
+/// Delay between two ranks, long enough for the first to take over and for others to learn of it.
 const RANK_DELAY: Duration = Duration::from_millis(100);
-/// Higher ranks wait no longer: those before them may all be gone.
+/// Highest rank that adds delay. Fronts of higher ranks wait no longer, because all fronts ranked
+/// before them may have ended.
 const MAX_RANK: u32 = 6;
-/// How much longer a front waits that is far weaker than the strongest one known: by then a strong
-/// one that lives has tried.
+/// Additional delay of a front that is far weaker than the strongest one known. By then, every
+/// strong front that is running has tried to take over.
 const WEAK_FRONT_DELAY: Duration = Duration::from_millis(500);
-/// A front without a rank draws its turn from this.
+/// Longest random delay of a front without a rank.
 const MAX_RANDOM_DELAY: Duration = Duration::from_millis(300);
-/// Where nobody has ever owned: a front of a whole core waits this long, one of half a core twice as
-/// long, since all machines start within some tenths of a second.
+/// Delay of a front with one core before the first takeover of a shard; a front with half a core
+/// waits twice as long. The delay covers the start of all VMs within some tenths of a second.
 const INITIAL_DELAY_PER_CORE: Duration = Duration::from_millis(40);
-/// The longest such wait: traffic starts seconds later.
+/// Longest delay before the first takeover; traffic starts some seconds later.
 const MAX_INITIAL_DELAY: Duration = Duration::from_millis(800);
-/// A front is weak beside one that is this many times as strong.
+/// A front is far weaker than one whose fitness is at least this many times its own.
 const FAR_STRONGER_FACTOR: u32 = 2;
-/// Timers that are late by this much halve what a machine is good for.
+/// Mean timer lateness that halves the fitness of a VM.
 const HALVING_LATENESS: Duration = Duration::from_millis(100);
-/// An owner of a whole core sends as much, megabits a second.
+/// Outgoing traffic of an owner that fully uses one core, in megabits per second.
 const MBPS_PER_CORE: f64 = 20.0;
-/// An owner of a whole core holds as much, mebibytes.
+/// Memory of an owner that fully uses one core, in mebibytes.
 const MEMORY_PER_CORE: f64 = 256.0;
-/// A term lasts this long before it is handed over to a stronger machine.
+/// Minimum age of a term before it is handed over to a stronger VM.
 const MIN_TERM_AGE: Duration = Duration::from_millis(2_000);
-/// The same where the owner's machine is strong and only late: it may be so for a moment.
+/// Minimum age of a term before a handover if the owner's VM is strong but its timers are late,
+/// since the lateness may be brief.
 const MIN_TERM_AGE_IF_LATE: Duration = Duration::from_millis(8_000);
-/// A front that was heard this lately is there to take over.
+/// A front whose last heartbeat is at most this old is available for a takeover.
 const CANDIDATE_MAX_SILENCE: Duration = Duration::from_millis(600);
 
-/// What the platform says of a machine.
+/// Capacity of a VM as declared by the platform.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct VmCapacity {
-    /// Cores, or the share of one.
+    /// Number of cores; may be a fraction.
     pub cores: f64,
-    /// Its link, megabits a second.
+    /// Bandwidth of the network link in megabits per second.
     pub link_mbps: f64,
-    /// Its memory, mebibytes.
+    /// Memory in mebibytes.
     pub memory_mb: f64,
 }
 
@@ -58,7 +61,7 @@
 }
 
 impl VmCapacity {
-    /// How well the machine would carry an owner, its timers being late by `lateness`.
+    /// Returns the VM's fitness for ownership when its timers are late by `lateness` on average.
     pub fn fitness(&self, lateness: Duration) -> OwnerFitness {
         let bound = self
             .cores
@@ -69,68 +72,70 @@
     }
 }
 
-/// How well a machine would carry an owner: thousandths of a core that it has for it.
+/// Fitness of a VM for ownership, in thousandths of a core. The scarcest of processor, network and
+/// memory determines the value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct OwnerFitness(pub u32);
 
 impl OwnerFitness {
-    /// Whether this machine is far weaker than another.
+    /// Returns whether this VM is far weaker than another.
     pub fn is_far_weaker_than(self, other: Self) -> bool {
         self.0.saturating_mul(FAR_STRONGER_FACTOR) <= other.0 && self < other
     }
 }
 
-/// How late timers fire lately.
+/// Moving average of how late the timers of this process fire.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TimerLateness {
     mean: Duration,
 }
 
 impl TimerLateness {
-    /// Notes a timer of `span` that took `took`.
+    /// Records a timer that was set for `span` and fired after `took`.
     pub fn record(&mut self, span: Duration, took: Duration) {
         let late_ratio = took.saturating_sub(span);
         self.mean = (self.mean * 4 + late_ratio) / 5;
     }
 
-    /// The mean of the last ones.
+    /// Returns the moving average.
     pub fn mean(&self) -> Duration {
         self.mean
     }
 }
 
-/// What an owner has told a front of its turn.
+/// Rank of a front as a candidate for ownership, as the owner has reported it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CandidateRank {
-    /// How many go before it.
+    /// Number of fronts that try to take over before this one.
     pub rank: u32,
-    /// The strongest front.
+    /// Fitness of the strongest front.
     pub best_fitness: OwnerFitness,
 }
 
 impl CandidateRank {
-    /// The turn of a front that has let go.
+    /// Returns the rank of a front that has released the shard itself.
     pub fn last(best_fitness: OwnerFitness) -> Self {
         let rank = MAX_RANK;
         Self { rank, best_fitness }
     }
 }
 
-/// What a front knows when nobody owns the shard.
+/// Inputs for the delay of a front before it tries to take over a shard without an owner.
 #[derive(Debug, Clone, Copy)]
 pub struct TakeoverDelay {
-    /// Its own machine.
+    /// Fitness of this front.
     pub own_fitness: OwnerFitness,
-    /// What the last owner has told it.
+    /// Rank reported by the last owner; `None` if no owner has reported one.
     pub last_rank: Option<CandidateRank>,
-    /// The strongest front, by the last owner's row; `None` if nobody has ever owned.
+    /// Fitness of the strongest front according to the last owner's row; `None` if the shard has
+    /// never had an owner.
     pub last_best: Option<OwnerFitness>,
-    /// A number from 0 to 1.
+    /// Random number from 0 to 1.
     pub random: f64,
 }
 
 impl TakeoverDelay {
-    /// How long the front lets others go first.
+    /// Returns how long the front waits before it tries to take over.
     pub fn duration(&self) -> Duration {
         let Some(last_best) = self.last_best else {
             let cores = f64::from(self.own_fitness.0.max(1)) / 1_000.0;
@@ -151,46 +156,47 @@
     }
 }
 
-/// A front that is linked to the owner, as a candidate.
+/// A front that is linked to the owner, seen as a candidate for ownership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate<'a> {
-    /// Its name.
+    /// Name of the front's VM.
     pub node: &'a str,
-    /// Its machine.
+    /// Fitness of the front.
     pub fitness: OwnerFitness,
-    /// Whether the store turns it away.
+    /// Whether the front cannot reach the store.
     pub store_lost: bool,
-    /// When it was last heard.
+    /// When the owner received the front's last heartbeat.
     pub last_heartbeat_at: TimePoint,
 }
 
 impl Candidate<'_> {
-    /// The least goes first; equal machines have an order, too, so that they do not race.
+    /// Returns the sort key; the smallest goes first. Names break ties, so that equal VMs do not
+    /// race.
     fn order(&self) -> (bool, Reverse<OwnerFitness>, &str) {
         (self.store_lost, Reverse(self.fitness), self.node)
     }
 }
 
-/// The candidates, the one that goes first at the next takeover in front.
+/// Sorts the candidates by the order in which they try to take over.
 pub fn rank_candidates<'a>(all: impl Iterator<Item = Candidate<'a>>) -> Vec<Candidate<'a>> {
     let mut ranked: Vec<Candidate<'a>> = all.collect();
     ranked.sort_unstable_by(|one, other| one.order().cmp(&other.order()));
     ranked
 }
 
-/// The owner as it sees itself.
+/// Inputs for the decision whether the owner hands the shard over.
 #[derive(Debug, Clone, Copy)]
 pub struct HandoverCheck {
-    /// Its machine, timers in time.
+    /// Fitness of the owner's VM if its timers were on time.
     pub nominal: OwnerFitness,
-    /// Its machine as late as its timers are.
+    /// Fitness of the owner's VM at the present timer lateness.
     pub current: OwnerFitness,
-    /// How long its term has lasted.
+    /// Age of the owner's term.
     pub term_age: Duration,
 }
 
 impl HandoverCheck {
-    /// Whether a front that is there carries the shard far better.
+    /// Returns whether an available front could serve the shard far better.
     pub fn should_hand_over<'a>(
         &self,
         mut all: impl Iterator<Item = Candidate<'a>>,
--- a/crates/wax-owner/src/chain_write.rs
+++ b/crates/wax-owner/src/chain_write.rs
@@ -1,4 +1,4 @@
-//! One transaction of the chain: what it carries, within the store's bounds.
+//! Builds one transaction of the write chain within the store's limits.
 
 use crate::owner_term::OwnerTerm;
 use crate::roster::AgentUpdate;
@@ -13,26 +13,28 @@
 use wax_batch::{BookNote, JobName};
 use wax_types::wall_clock_ms;
 
-/// Jobs whose progress goes into one transaction.
+/// Largest number of jobs whose progress goes into one transaction.
 const JOBS_PER_TX: usize = 32;
-/// Agents whose rows go into one transaction.
+/// Largest number of agents whose rows go into one transaction.
 const AGENTS_PER_TX: usize = 32;
-/// Jobs whose rows are removed in one transaction.
+/// Largest number of jobs whose rows are removed in one transaction.
 const REMOVED_JOBS_PER_TX: usize = 8;
-/// Rows of one job: its own, its cancel, its progress.
+/// Rows of one job: the job, its cancel request and its progress.
 const ROWS_PER_JOB: usize = 3;
-/// Entries of each transaction beside the above: both conditions, the beat, presses, the owner.
+/// Entries of a transaction besides progress, agents and removed jobs: two conditions, the
+/// heartbeat row, the interference row and the owner's row.
 const OTHER_ENTRIES: usize = 5;
-/// Above the store's bound a transaction is refused for ever.
+/// The store always refuses a transaction that exceeds its limit on entries.
 const _: () = assert!(
     OTHER_ENTRIES + JOBS_PER_TX + AGENTS_PER_TX + ROWS_PER_JOB * REMOVED_JOBS_PER_TX <= TX_ENTRIES
 );
-/// Bytes of progress in one transaction, as encoded; the other half is left to all else.
+/// Encoded bytes of progress in one transaction; the other half is left for the other rows.
 const PROGRESS_BYTES: usize = TX_BYTES / 2;
-/// What is known of pairs of images is written this often, with what is written anyway.
+/// Shortest time between two writes of the interference row, which is added to a transaction that
+/// is sent anyway.
 const INTERFERENCE_WRITE_INTERVAL: Duration = Duration::from_secs(3);
 
-/// How much goes into one transaction: less after the store has refused one.
+/// Limits on the items of one transaction; reduced after the store has refused one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ChainLimits {
     updates: usize,
@@ -49,7 +51,7 @@
 }
 
 impl ChainLimits {
-    /// After a transaction that was taken.
+    /// Returns the limits after a transaction that the store accepted.
     pub(crate) fn grow(self) -> Self {
         Self {
             updates: (self.updates * 2).clamp(1, JOBS_PER_TX),
@@ -65,7 +67,7 @@
     }
 }
 
-/// One transaction of the chain and what it carries.
+/// One transaction of the write chain and the updates that it contains.
 pub(crate) struct ChainWrite {
     pub(crate) tx: TxRequest,
     pub(crate) updates: Vec<BookNote>,
@@ -75,7 +77,7 @@
 }
 
 impl ChainWrite {
-    /// Gathers what is to be written, number `count` of the term.
+    /// Builds transaction number `count` of the term from the pending updates.
     pub(crate) fn next(
         shared: &PoolShared,
         term: &OwnerTerm,
@@ -114,8 +116,9 @@
         }
     }
 
-    /// The store takes no such transaction: what it carried is due again, in smaller parts. What is
-    /// refused by itself is given up, so that the rest goes on; it is due anew when it changes.
+    /// Makes the updates of a refused transaction pending again, with smaller limits for the next
+    /// one. An update that was refused alone is dropped, so that others are still written; it
+    /// becomes pending again when it changes.
     pub(crate) fn requeue(self, term: &OwnerTerm, limits: ChainLimits) -> ChainLimits {
         if self.updates.len() > 1 || self.agents.len() > 1 {
             term.scheduler.borrow_mut().notes_failed(&self.updates);
@@ -123,16 +126,16 @@
             return limits.shrink();
         }
         for update in &self.updates {
-            tracing::error!(job = %update.name, "its progress is not stored");
+            tracing::error!(job = %update.name, "could not store the progress of a job");
         }
         for (node, _) in &self.agents {
-            tracing::error!(agent = %node, "its row is not stored");
+            tracing::error!(agent = %node, "could not store the row of an agent");
         }
         ChainLimits::default()
     }
 }
 
-/// Progress of jobs, as much as fits; the rest is due again.
+/// Adds as much progress as fits; the rest stays pending.
 fn put_progress(tx: &mut TxRequest, term: &OwnerTerm, limit: usize) -> Vec<BookNote> {
     let mut scheduler = term.scheduler.borrow_mut();
     let mut updates = scheduler.take_notes(limit);
@@ -162,7 +165,7 @@
     agents
 }
 
-/// What an agent's row is to hold; `None` if it is to go.
+/// Returns the content of an agent's row; `None` if the row is to be removed.
 fn agent_row(node: &str, update: &AgentUpdate) -> Option<AgentRow> {
     match update {
         AgentUpdate::Linked { boot } => Some(AgentRow::linked(node, boot)),
--- a/crates/wax-owner/src/dispatch.rs
+++ b/crates/wax-owner/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Gives out orders: starts, stops and acknowledgements.
+//! Sends orders to agents: starts, stops and acknowledgements.
 
 use crate::owner_term::OwnerTerm;
 use crate::shared::PoolShared;
@@ -10,20 +10,20 @@
 use wax_types::{TimePoint, wall_clock_ms};
 use wax_wire::{AckEnds, PoolBody, SeatFrame, StartRun, StopRun};
 
-/// Without a change the book is looked through this often: times pass, too.
+/// Longest time between two dispatch rounds without a change; some decisions depend on time alone.
 const IDLE_INTERVAL: Duration = Duration::from_millis(100);
-/// A gap between two rounds beyond this means that this process was stalled, not the workers.
+/// A longer gap between two rounds means that this process was stalled, not the workers.
 const PROCESS_STALL: Duration = Duration::from_millis(500);
-/// After that, progress comes in anew within this time.
+/// After such a stall, new progress reports arrive within this time.
 const PROGRESS_CATCH_UP: Duration = Duration::from_millis(2_000);
-/// Changes that come together are dispatched together.
+/// Delay that lets changes which arrive together share a dispatch round.
 const COALESCE_DELAY: Duration = Duration::from_millis(2);
 
-/// Dispatches until the term ends.
+/// Runs dispatch rounds until the term ends.
 pub(crate) async fn dispatch_orders(shared: Rc<PoolShared>, term: Rc<OwnerTerm>) {
     while !term.ended.is_raised() {
         let listener = term.dispatch.listen();
-        // Either a change or the time; both lead to another look.
+        // Either a change or the timeout starts the next round.
         let wait = term
             .scheduler
             .borrow()
@@ -83,7 +83,8 @@
     }
 }
 
-/// Whether what is known of drains is fresh enough to order starts by it: the agents would refuse them.
+/// Returns whether the known drains are fresh enough to order starts; agents would refuse orders
+/// based on an older view.
 fn are_drains_fresh(shared: &PoolShared, term: &OwnerTerm, now: TimePoint) -> bool {
     let view = shared.drains.borrow();
     let is_stale = !view.is_fresh(now, shared.drain_rules.order_age());
@@ -93,13 +94,14 @@
             waits = is_stale,
             age_ms = view.age(now).map(millis),
             version = view.version(),
-            "starts wait for a reading of the drains"
+            "start orders depend on a fresh reading of the drains"
         );
     }
     !is_stale
 }
 
-/// What depends on time more than on any one change: due occurrences, runs to move.
+/// Runs the checks that depend on time rather than on a change: due occurrences, stalled runs and
+/// evacuations.
 fn run_periodic_checks(term: &OwnerTerm, now: TimePoint) {
     let mut scheduler = term.scheduler.borrow_mut();
     scheduler.open_due(now, wall_clock_ms());
@@ -115,7 +117,7 @@
     agents.boot(worker).cloned().unwrap_or_default()
 }
 
-/// Each step that waits for a new reason, at most once a second a step.
+/// Logs each step that waits for a new reason, at most once per second and step.
 fn log_waits(term: &OwnerTerm) {
     for wait in term.scheduler.borrow_mut().take_waits() {
         tracing::info!(
@@ -132,7 +134,7 @@
     span.as_millis() as u64
 }
 
-/// To three digits after the point, for logs.
+/// Rounds to three decimal places for the log.
 fn rounded(value: f64) -> f64 {
     (value * 1_000.0).round() / 1_000.0
 }
@@ -166,7 +168,7 @@
     term.send_to_worker(order.worker, PoolBody::Start(start));
 }
 
-/// What an agent must know of a run.
+/// Describes a run's reservation to its agent.
 pub(crate) fn placement_frame(mark: wax_batch::RunMark, step: &wax_batch::StepSpec) -> SeatFrame {
     SeatFrame {
         mark: mark.into(),
@@ -179,7 +181,7 @@
     }
 }
 
-/// Takes out workers of which nothing was heard until all their leases had lapsed.
+/// Removes workers whose leases expired before their agents reported to this owner.
 fn remove_expired(term: &OwnerTerm, now: TimePoint) {
     let expired = term
         .agents
@@ -196,7 +198,7 @@
     }
 }
 
-/// Writes down which agents cannot be reached, and what may run there.
+/// Queues row changes for agents that have no link, with the jobs that may run there.
 fn queue_unlinked(term: &OwnerTerm, now: TimePoint) {
     let scheduler = term.scheduler.borrow();
     let mut agents = term.agents.borrow_mut();
@@ -206,7 +208,8 @@
     }
 }
 
-/// Tasks of earlier terms may start as far as no agent that was not heard may run them.
+/// Updates which tasks of earlier terms are held back, because an agent that has not been
+/// reconciled may still run them.
 fn update_unreconciled(term: &OwnerTerm, now: TimePoint) {
     if term.scheduler.borrow().is_settled() {
         return;
@@ -231,7 +234,7 @@
         agents = agents.unreconciled_agents(),
         jobs = bound,
         held_back = scheduler.held_back(),
-        "runs of earlier terms that were not heard"
+        "runs of earlier terms not reconciled yet"
     );
     if scheduler.is_settled() {
         note_latency(Latency::Settle, now.since(term.began_at));
--- a/crates/wax-owner/src/front_links.rs
+++ b/crates/wax-owner/src/front_links.rs
@@ -22,7 +22,7 @@
     PoolWriter, RelayAsk,
 };
 
-/// Serves one link until it breaks, falls silent, or the term ends.
+/// Serves one link until it breaks, becomes silent, or the term ends.
 pub(crate) async fn serve_front(
     shared: &Rc<PoolShared>,
     term: &Rc<OwnerTerm>,
@@ -35,7 +35,7 @@
         epoch: term.epoch,
         token: 0,
     };
-    // The queue is new: it takes the first message.
+    // The queue is new and accepts the first message.
     let _ = outbox.unbounded_send(PoolBody::Welcome(welcome));
     let link = term.next_front_id();
     let ended_boots_sent = shared.ended_boots.borrow().count();
@@ -68,13 +68,13 @@
     let ended = pin!(term.ended.wait());
     match select(serving, ended).await {
         Either::Left(_) => tracing::info!(front = node, "front unlinked"),
-        Either::Right(_) => tracing::info!(front = node, "front unlinked with the term"),
+        Either::Right(_) => tracing::info!(front = node, "front unlinked at the end of the term"),
     }
     drop(writer_task);
     term.fronts.borrow_mut().remove(node, link);
 }
 
-/// The answer waits for the store; other messages do not wait for it.
+/// Relays a transaction in a task of its own, so that other messages do not wait for the store.
 fn spawn_relay(
     shared: Rc<PoolShared>,
     outbox: UnboundedSender<PoolBody>,
@@ -83,7 +83,8 @@
 ) {
     spawn(async move {
         let reply = relay_transaction(&shared, request, transit_delay).await;
-        // A link that has closed leaves the front in doubt, which it settles by asking again.
+        // If the link has closed, the front does not know the transaction's effect and sends the
+        // request again.
         let _ = outbox.unbounded_send(PoolBody::Relayed(reply));
     })
     .detach();
@@ -108,7 +109,7 @@
         }
         PoolBody::Relayed(reply) => {
             if let Some(waiter) = term.pending_relays.borrow_mut().remove(&reply.ask) {
-                // An asker that has given up asks anew.
+                // A waiter that has timed out sends a new request.
                 let _ = waiter.send(reply);
             }
             Vec::new()
@@ -119,12 +120,12 @@
         }
         PoolBody::Config(push) => {
             if let Err(error) = shared.offer_config(&push.text, node) {
-                tracing::error!(%error, "config of a peer refused");
+                tracing::error!(%error, "rejected a peer's config");
             }
             Vec::new()
         }
         other => {
-            tracing::warn!(?other, front = node, "unexpected message of a front");
+            tracing::warn!(?other, front = node, "unexpected message from a front");
             Vec::new()
         }
     }
--- a/crates/wax-owner/src/front_relay.rs
+++ b/crates/wax-owner/src/front_relay.rs
@@ -1,8 +1,10 @@
-//! The owner's way to the store through a front, while the store turns its own machine away.
+//! Sends the owner's transactions through a front while the store does not answer the owner's VM.
 //!
-//! The chain's conditions let each transaction take effect once, whichever way it goes. An owner that
-//! can write only so has no feed of jobs: it lets go, orderly, and a front with the store takes over at
-//! once, instead of after 2.2 s of a still row and with 15 s for what was not heard.
+//! The conditions of the write chain ensure that each transaction takes effect at most once,
+//! whichever path it takes. An owner that can write only through a front has no job feed. It
+//! therefore releases the term, and a front that reaches the store takes over at once. Without the
+//! release, the takeover would start only after the heartbeat row has been unchanged for 2.2 s, and
+//! unreconciled runs would be held back for 15 s.
 
 use crate::owner_term::OwnerTerm;
 use crate::relay::{RelayAttempt, RelayTracker, encode_relay_request};
@@ -14,21 +16,22 @@
 use std::time::Duration;
 use wax_wire::PoolBody;
 
-/// A front is asked once the own way has led to no answer for this long: a slow store suffers from
-/// each transaction that comes twice.
+/// Time without an answer on the direct path after which a front is asked to relay. A slow store
+/// suffers from each transaction that is sent twice.
 const RELAY_DELAY: Duration = Duration::from_millis(1_200);
-/// How long a front may take.
+/// Timeout for one relay request to a front.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Between two tries.
+/// Delay between two relay requests.
 const RELAY_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// An answer sooner than this shows that the store serves others well.
+/// A relayed transaction that is answered within this time shows that the store serves other VMs
+/// well.
 const STORE_HEALTHY_LATENCY: Duration = Duration::from_millis(400);
-/// A front that was heard this lately can be asked.
+/// A front whose last heartbeat is at most this old can be asked to relay.
 const FRONT_MAX_SILENCE: Duration = Duration::from_millis(600);
 
-/// Has fronts send a transaction until one of them knows its fate.
+/// Asks fronts to send a transaction until one of them reports a known result.
 ///
-/// Second: whether the store serves others well.
+/// Also returns whether the store answered the front quickly.
 pub(crate) async fn transact_via_front(
     shared: &PoolShared,
     term: &OwnerTerm,
@@ -67,7 +70,7 @@
     }
 }
 
-/// Hands a message to the strongest front that has the store; says whether there is one.
+/// Sends a message to the strongest front that reaches the store; returns whether there is one.
 fn send_to_best_front(shared: &PoolShared, term: &OwnerTerm, request: PoolBody) -> bool {
     if term.ended.is_raised() {
         return false;
--- a/crates/wax-owner/src/fronts.rs
+++ b/crates/wax-owner/src/fronts.rs
@@ -1,4 +1,4 @@
-//! The fronts of a term: how well each would own the shard, and which config it has.
+//! The fronts of a term: their ranks as candidates for ownership and the versions of their configs.
 
 use crate::candidates::{Candidate, CandidateRank, OwnerFitness, rank_candidates};
 use crate::ended_boots::EndedBoots;
@@ -9,35 +9,36 @@
 use wax_types::TimePoint;
 use wax_wire::{BootsDead, PoolBody};
 
-/// A front that is linked to the owner.
+/// What the owner keeps of a linked front.
 #[derive(Debug)]
 pub struct FrontRecord {
-    /// The number of its link.
+    /// Number of the front's link.
     pub(crate) link: u64,
     pub(crate) outbox: UnboundedSender<PoolBody>,
     pub(crate) fitness: OwnerFitness,
-    /// Whether the store turns it away.
+    /// Whether the front cannot reach the store.
     pub(crate) store_lost: bool,
     pub(crate) last_heartbeat_at: TimePoint,
-    /// Since when it has an older config than the owner.
+    /// Since when the front has had an older config than the owner.
     pub(crate) outdated_since: Option<TimePoint>,
-    /// The version of the config that it was sent last.
+    /// Version of the config that was last sent to the front.
     pub(crate) config_sent: u64,
-    /// How many of the dead boots it has been told.
+    /// How many of the recorded ended boots the front has received.
     pub(crate) ended_boots_sent: u64,
-    /// Its turn at the next takeover, by the last ranking; a new one goes last.
+    /// Rank of the front at the last ranking; `u32::MAX` before the first.
     pub(crate) rank: u32,
 }
 
-/// A front follows the store itself: only one that stays behind for this long is sent the config, which may take
-/// seconds of a small link.
+/// A front reads its config from the store itself. The owner sends the config, which may occupy a
+/// slow link for seconds, only to a front that has been outdated for this long.
 const CONFIG_PUSH_DELAY: Duration = Duration::from_millis(600);
 
-/// Dead boots that one message names: some kilobytes.
+/// Largest number of ended boots in one message, which takes some kilobytes.
 const MAX_BOOTS_PER_MESSAGE: usize = 256;
 
 impl FrontRecord {
-    /// A front that has just linked, and knows the first `dead_told` of the dead boots.
+    /// Creates the record of a front that has just linked and knows the first `ended_boots_sent`
+    /// ended boots.
     pub fn new(
         link: u64,
         outbox: UnboundedSender<PoolBody>,
@@ -57,14 +58,15 @@
         }
     }
 
-    /// Takes what a heartbeat says of the front.
+    /// Records what a heartbeat reports of the front.
     pub fn record_heartbeat(&mut self, fitness: OwnerFitness, store_lost: bool, now: TimePoint) {
         self.fitness = fitness;
         self.store_lost = store_lost;
         self.last_heartbeat_at = now;
     }
 
-    /// Whether the front is to be sent the config: it has `theirs`, the owner `ours`.
+    /// Returns whether to send the config to the front, and counts it as sent if so.
+    /// `front_version` is the config that the front has, `owner_version` that of the owner.
     pub fn should_push_config(
         &mut self,
         front_version: u64,
@@ -83,7 +85,8 @@
         is_due
     }
 
-    /// The dead boots that the front was not told yet, some kilobytes of them.
+    /// Returns the next ended boots that the front has not received, up to the limit of one
+    /// message.
     fn next_ended_boots(&mut self, ended_boots: &EndedBoots) -> Option<BootsDead> {
         let message =
             BootsDead::new(ended_boots.after(self.ended_boots_sent, MAX_BOOTS_PER_MESSAGE));
@@ -103,29 +106,30 @@
     }
 }
 
-/// All fronts are ranked anew after this: a rank decides only who tries first.
+/// Age at which the ranking of all fronts is renewed. A stale rank is harmless, because it only
+/// decides which front tries first.
 const RANK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The fronts that are linked.
+/// The fronts that are linked to the owner.
 #[derive(Debug, Default)]
 pub struct FrontRoster {
     records: HashMap<Box<str>, FrontRecord>,
     ranked_at: Option<TimePoint>,
     best_fitness: OwnerFitness,
-    /// How many fronts rankings have gone through.
+    /// Number of fronts processed by rankings.
     ranked: u64,
-    /// The fronts that go first at a takeover, and those that were not ranked yet.
+    /// Fronts that go first at a takeover, and fronts that have not been ranked yet.
     watchers: Vec<Box<str>>,
 }
 
 impl FrontRoster {
-    /// Takes a new link of a front, in place of an earlier one.
+    /// Adds a front's new link in place of an earlier one.
     pub fn insert(&mut self, node: &str, front: FrontRecord) {
         self.watchers.push(node.into());
         self.records.insert(node.into(), front);
     }
 
-    /// A link has ended; a newer one of the same front stays.
+    /// Removes a front whose link has ended, unless the front has a newer link.
     pub fn remove(&mut self, node: &str, link: u64) {
         if self
             .records
@@ -136,39 +140,40 @@
         }
     }
 
-    /// A front that is linked.
+    /// Returns a linked front.
     pub fn get_mut(&mut self, node: &str) -> Option<&mut FrontRecord> {
         self.records.get_mut(node)
     }
 
-    /// All fronts.
+    /// Returns all linked fronts.
     pub(crate) fn values(&self) -> impl Iterator<Item = &FrontRecord> {
         self.records.values()
     }
 
-    /// Whether no front is linked.
+    /// Returns whether no front is linked.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// How many fronts are linked.
+    /// Returns the number of linked fronts.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// All fronts, as candidates.
+    /// Returns all linked fronts as candidates.
     pub(crate) fn candidates(&self) -> impl Iterator<Item = Candidate<'_>> {
         let records = self.records.iter();
         records.map(|(node, front)| front.candidate(node))
     }
 
-    /// How many fronts rankings have gone through since the last call.
+    /// Returns the number of fronts processed by rankings since the last call.
     pub fn take_ranked(&mut self) -> u64 {
         std::mem::take(&mut self.ranked)
     }
 
-    /// Tells the fronts that may take over next which boots are dead; returns how many messages that took. All
-    /// fronts would make a release of all workers cost the square of the pool.
+    /// Sends new ended boots to the fronts that may take over next; returns the number of messages.
+    /// If all fronts were notified, the cost of restarting all workers would grow with the square
+    /// of the pool's size.
     pub fn notify_watchers(&mut self, ended_boots: &EndedBoots) -> usize {
         let mut messages = 0;
         for node in &self.watchers {
@@ -177,14 +182,15 @@
             };
             while let Some(message) = front.next_ended_boots(ended_boots) {
                 messages += 1;
-                // A link that has just closed is replaced; the next owner then waits for leases instead.
+                // If the link has just closed, the message is lost, and this front would wait for
+                // leases to expire after a takeover.
                 let _ = front.outbox.unbounded_send(PoolBody::BootsDead(message));
             }
         }
         messages
     }
 
-    /// The turn of a front at the next takeover.
+    /// Returns the rank of a front as a candidate for ownership.
     pub fn rank(&mut self, node: &str, now: TimePoint) -> CandidateRank {
         if self
             .ranked_at
--- a/crates/wax-owner/src/interference_log.rs
+++ b/crates/wax-owner/src/interference_log.rs
@@ -1,50 +1,52 @@
-//! What has changed of what filling images press on serving ones, for agents to be told with their heartbeats.
+//! Collects changes of interference estimates in rounds, which agents receive with the answers to
+//! their heartbeats.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 use wax_types::TimePoint;
 use wax_wire::{PressFrame, PressNews};
 
-/// Changes of a pair within this are told as one.
+/// Length of a round; changes of one pair within a round are merged.
 const ROUND_PERIOD: Duration = Duration::from_millis(1_000);
-/// Rounds that are kept: an agent that has missed more is told of all pairs.
+/// Number of rounds that are kept. An agent that has missed more receives all pairs.
 const MAX_ROUNDS: usize = 4;
 
-/// What an agent is to be told.
+/// What is to be sent to an agent.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PendingInterference {
-    /// Nothing has changed.
+    /// No pair has changed.
     Nothing,
     /// These pairs have changed.
     Changes(PressNews),
-    /// It has missed too much.
+    /// The agent has missed more rounds than are kept and must receive all pairs.
     All,
 }
 
-/// Changes of pairs, in rounds.
+/// Changes of interference estimates, grouped into rounds.
 #[derive(Debug, Default)]
 pub struct InterferenceLog {
     open: BTreeMap<(String, String), PressFrame>,
     opened_at: Option<TimePoint>,
     rounds: VecDeque<Vec<PressFrame>>,
-    /// How many rounds were ever closed.
+    /// Number of rounds closed so far.
     closed_rounds: u64,
 }
 
 impl InterferenceLog {
-    /// A pair has changed.
+    /// Records a changed pair.
     pub fn record(&mut self, pair: PressFrame, now: TimePoint) {
         self.opened_at.get_or_insert(now);
         let names = (pair.serving.clone(), pair.filling.clone());
         self.open.insert(names, pair);
     }
 
-    /// How many rounds were ever closed: what an agent knows that is told of all pairs now.
+    /// Returns the number of rounds closed so far. An agent that receives all pairs now has seen
+    /// all of them.
     pub fn closed_rounds(&self) -> u64 {
         self.closed_rounds
     }
 
-    /// What an agent is to be told that knows the first `seen` rounds.
+    /// Returns what to send to an agent that has seen the first `seen` rounds.
     pub fn updates_after(&mut self, seen: u64, now: TimePoint) -> PendingInterference {
         self.close_round(now);
         let missed = self.closed_rounds.saturating_sub(seen) as usize;
--- a/crates/wax-owner/src/job_feed.rs
+++ b/crates/wax-owner/src/job_feed.rs
@@ -1,4 +1,5 @@
-//! Follows the table of jobs: new ones and cancels reach the book within milliseconds.
+//! Follows the job table, so that new jobs and cancel requests reach the scheduler within
+//! milliseconds.
 
 use crate::load::{add_jobs, load_shard};
 use crate::owner_term::OwnerTerm;
@@ -14,21 +15,24 @@
 use wax_trace::FailureStreak;
 use wax_types::WaxError;
 
-/// How long the store may wait for a change before it answers.
+/// Longest time for which the store holds a feed request without a change.
 ///
-/// An answer without changes is word, too: it shows that no job is missing. On a connection that has gone
-/// silent the call lasts for the store's slack longer, and jobs and cancels wait for it.
+/// An answer without changes is useful, too: it shows that no job is missing. On a connection that
+/// has become silent, the call lasts longer by the store's slack, and jobs and cancel requests wait
+/// that long.
 const FEED_WAIT: Duration = Duration::from_millis(500);
-/// Longest time for one page of a read.
+/// Timeout for one page of a read.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// After a failure.
+/// Delay after a failure.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
-/// Nothing of a cancelled job starts so long after the cancel was acknowledged: the users' shortest bound.
+/// Time after the acknowledgement of a cancel request within which the job's tasks must stop
+/// starting; the shortest such bound that users set.
 const CANCEL_BOUND: Duration = Duration::from_millis(3_000);
-/// For the answer to the call after a silent one, of a store that is well.
+/// Time for a healthy store to answer the call that follows a silent one.
 const ANSWER_MARGIN: Duration = Duration::from_millis(350);
 
-// An owner that does not hear of a cancel in time would start what was cancelled.
+// If a cancel request reached the owner later than this, the owner would start tasks of the
+// cancelled job.
 const _: () = assert!(
     FEED_WAIT.as_millis()
         + FEED_SLACK.as_millis()
@@ -43,7 +47,7 @@
     let follow = pin!(load_and_follow(shared, term));
     let stop = pin!(ended.wait());
     if let Either::Left(((), _)) = select(follow, stop).await {
-        tracing::error!("the feed of jobs has ended before its term");
+        tracing::error!("the job feed ended before its term");
     }
 }
 
@@ -90,7 +94,8 @@
             Ok(version)
         }
         FeedReply::Forgotten => {
-            // The history was dropped: what is known already is left as it is.
+            // The store has dropped the history of changes, so all rows are read again. Jobs that
+            // are known already are not changed.
             let (rows, version) = shared.store.read_all(JOB_TABLE, PART, PAGE_TIMEOUT).await?;
             add_jobs(shared, term, &rows, &HashMap::new());
             term.dispatch.notify(usize::MAX);
--- a/crates/wax-owner/src/lib.rs
+++ b/crates/wax-owner/src/lib.rs
@@ -1,8 +1,9 @@
-//! Owns a shard: its term, its jobs, the workers that run them, and what the store keeps.
+//! Ownership of a shard: the owner's term, its jobs, the workers that run them, and the rows it
+//! keeps in the store.
 //!
-//! Every front is a candidate. Who owns is decided by a conditional write in the platform's store
-//! alone; an owner of the past is fenced there by the versions of two rows, and at each agent by
-//! its fencing token.
+//! Every front is a candidate for ownership. Only a conditional write in the platform's store
+//! decides which front owns the shard. A former owner is fenced in the store by the versions of two
+//! rows (owner and heartbeat), and at each agent by its fencing token.
 
 mod advice;
 mod agent_links;
--- a/crates/wax-owner/src/listener.rs
+++ b/crates/wax-owner/src/listener.rs
@@ -11,11 +11,12 @@
 use std::time::Duration;
 use wax_wire::{NotOwner, PoolBody, PoolWriter, split_stream};
 
-/// A peer must say who it is within this time.
+/// Timeout for a peer's first message, with which it identifies itself.
 const HELLO_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// A peer waits this long for word of the next owner, less than it waits for an answer.
+/// Longest time for which a peer is kept waiting for the next owner; shorter than the peer's own
+/// timeout.
 const OWNER_WAIT: Duration = Duration::from_millis(300);
-/// After a failed accept.
+/// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Accepts links for the life of the process.
@@ -27,7 +28,7 @@
                 spawn(async move { serve_stream(&shared, stream).await }).detach();
             }
             Err(error) => {
-                tracing::warn!(%error, "accepting a link failed");
+                tracing::warn!(%error, "could not accept a link");
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -35,7 +36,7 @@
 }
 
 async fn serve_stream(shared: &Rc<PoolShared>, stream: TcpStream) {
-    // Without it, small messages may wait for the peer's delayed acknowledgement.
+    // Without this option, small messages may wait for the peer's delayed acknowledgement.
     let _ = stream.set_nodelay(true);
     let (mut reader, writer) = split_stream(stream);
     let Ok(Ok(Some(hello))) = timeout(HELLO_TIMEOUT, reader.read()).await else {
@@ -53,19 +54,19 @@
             shared.record_front(&hello.address);
             serve_front(shared, &term, &hello.node, reader, writer).await
         }
-        other => tracing::warn!(?other, "a peer that does not say who it is"),
+        other => tracing::warn!(?other, "a peer's first message does not identify it"),
     }
 }
 
-/// The term of this process, if it owns the shard. While nobody does, word of the next owner is waited
-/// for: it comes soon, and no agent need search for it.
+/// Returns the term of this process if it owns the shard. If the shard has no owner, waits briefly
+/// for the next one, so that agents need not search for it.
 async fn wait_for_owner(shared: &PoolShared) -> Option<Rc<OwnerTerm>> {
     let listener = shared.owner_changed.listen();
     let term = shared.current_term();
     if term.is_some() || shared.has_owner() {
         return term;
     }
-    // Either the word or the limit; both lead to another look.
+    // Either a new owner or the timeout ends the wait; the term is checked again.
     let _ = timeout(OWNER_WAIT, listener).await;
     shared.current_term()
 }
@@ -83,6 +84,6 @@
             epoch: owner.map_or(0, |owner| owner.epoch),
         }
     };
-    // The peer asks elsewhere, whether or not it has read this.
+    // The peer tries another front, whether or not it receives this answer.
     let _ = timeout(HELLO_TIMEOUT, writer.write(PoolBody::NotOwner(answer))).await;
 }
--- a/crates/wax-owner/src/load.rs
+++ b/crates/wax-owner/src/load.rs
@@ -1,4 +1,4 @@
-//! Fills the book from the store at a takeover, and follows jobs from there on.
+//! Loads the shard's jobs and agents from the store at a takeover.
 
 use crate::owner_term::OwnerTerm;
 use crate::rows::{
@@ -14,10 +14,10 @@
 use wax_types::{TimePoint, WaxError, wall_clock_ms};
 use wax_wire::PressNews;
 
-/// Longest time for one page.
+/// Timeout for one page of a read.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Reads everything; returns the version from which jobs are followed.
+/// Reads all rows of the shard; returns the store version after which to follow the jobs.
 pub(crate) async fn load_shard(shared: &PoolShared, term: &OwnerTerm) -> Result<u64, WaxError> {
     let (agents, _) = shared
         .store
@@ -51,7 +51,7 @@
     Ok(version)
 }
 
-/// Takes what the owner before knew of pairs of images; without it all is learned anew.
+/// Loads the interference estimates of the former owner; without them, all are learned again.
 async fn load_interference(shared: &PoolShared, term: &OwnerTerm) {
     let row = match shared
         .store
@@ -61,7 +61,7 @@
         Ok(Some(row)) => row,
         Ok(None) => return,
         Err(error) => {
-            tracing::warn!(%error, "presses were not read");
+            tracing::warn!(%error, "could not read the interference estimates");
             return;
         }
     };
@@ -72,14 +72,14 @@
                 scheduler.restore_press(&pair.serving, &pair.filling, pair.press());
             }
         }
-        Err(error) => tracing::error!(%error, "the row of presses does not decode"),
+        Err(error) => tracing::error!(%error, "could not decode the interference row"),
     }
 }
 
-/// A row that cannot be read may stand for any run.
+/// Adds an agent from its row. A row that cannot be decoded may stand for any run.
 fn add_agent(shared: &PoolShared, term: &OwnerTerm, row: &StoredRow, expires_at: TimePoint) {
     let agent = AgentRow::decode(&*row.value).unwrap_or_else(|error| {
-        tracing::error!(%error, key = %row.key.key, "the row of an agent does not decode");
+        tracing::error!(%error, key = %row.key.key, "could not decode the row of an agent");
         AgentRow::default()
     });
     let ended_boots = shared.ended_boots.borrow();
@@ -96,13 +96,13 @@
             (Ok(name), Ok(value)) => {
                 progress.insert(name, value);
             }
-            _ => tracing::error!(key = %row.key.key, "a row of progress does not decode"),
+            _ => tracing::error!(key = %row.key.key, "could not decode a progress row"),
         }
     }
     progress
 }
 
-/// Takes rows of the job table, cancels included, into the book.
+/// Adds rows of the job table, including cancel requests, to the scheduler.
 pub(crate) fn add_jobs(
     shared: &PoolShared,
     term: &OwnerTerm,
@@ -119,14 +119,14 @@
         }
         match (row.key.key.parse::<JobName>(), JobRow::decode(&*row.value)) {
             (Ok(_), Ok(value)) if value.epoch > term.epoch => {
-                // It was accepted under another owner, whose alone it is.
-                term.end("a job of a later term was accepted");
+                // The job was accepted under a later owner, so this term is over.
+                term.end("a job was accepted in a later term");
                 return;
             }
             (Ok(name), Ok(value)) => {
                 scheduler.add_job(name, value, progress.get(&name), now, now_ms)
             }
-            _ => tracing::error!(key = %row.key.key, "a row of a job does not decode"),
+            _ => tracing::error!(key = %row.key.key, "could not decode a job row"),
         }
     }
     for name in cancels {
--- a/crates/wax-owner/src/operator_rows.rs
+++ b/crates/wax-owner/src/operator_rows.rs
@@ -1,8 +1,9 @@
-//! Follows what the operator writes in the store: the config, waves of upkeep, drains.
+//! Follows the rows that the operator writes to the store: the config, maintenance waves and
+//! drains.
 //!
-//! The feed tells of a change at once, but its silence shows nothing: a connection that has gone silent looks
-//! like a store in which nothing changes. So the age of what is known is bounded by readings beside it, on
-//! connections of their own.
+//! The feed reports a change at once, but its silence proves nothing: a silent connection looks
+//! like a store without changes. Separate readings, each on a connection of its own, therefore
+//! bound the age of what is known.
 
 use crate::shared::PoolShared;
 use compio::time::{sleep, timeout};
@@ -18,11 +19,11 @@
 use wax_trace::{Counter, FailureStreak, count};
 use wax_types::{TimePoint, WaxError};
 
-/// How long the store may wait for a change before it answers.
+/// Longest time for which the store holds a feed request without a change.
 const FEED_WAIT: Duration = Duration::from_secs(8);
-/// Longest time for one page of a reading of all.
+/// Timeout for one page of a full reading.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// After a feed that failed, with as much again at random.
+/// Delay after a failed feed request, plus up to as much again at random.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// Follows the operator's rows for the life of the process.
@@ -42,7 +43,7 @@
             }
             Err(error) => {
                 feeds.fail(&error);
-                // The next answer comes at once, and shows whether the store is there.
+                // The next request is answered at once and shows whether the store is reachable.
                 wait = Duration::ZERO;
                 sleep(RETRY_DELAY + RETRY_DELAY.mul_f64(fastrand::f64())).await;
             }
@@ -50,11 +51,11 @@
     }
 }
 
-/// Reads what the operator has written since the last time, and puts it in force.
+/// Reads what the operator has written since the last reading and applies it.
 ///
 /// # Errors
 ///
-/// The store does not answer within `limit`, or refuses.
+/// The store does not answer within `limit`, or refuses the request.
 pub async fn read_operator_rows(shared: &PoolShared, limit: Duration) -> Result<(), WaxError> {
     let Some(after) = shared.rows_version.get() else {
         return read_all(shared).await;
@@ -63,7 +64,8 @@
     let reply = shared.store.read_changes(OPERATOR_TABLE, after, limit);
     match reply.await? {
         FeedReply::Changes(changes, version) if changes.is_empty() => {
-            // The feed goes on from where it is: each new version of the store would end its call otherwise.
+            // The version is not advanced, so that the pending feed request continues. Otherwise,
+            // each new version of the store would end it.
             apply_changes(shared, changes, version, requested_at, "a reading");
         }
         reply => {
@@ -74,7 +76,8 @@
     Ok(())
 }
 
-/// Waits for one answer of the feed, and reads beside it whenever what is known gets too old.
+/// Waits for one answer of the feed, and meanwhile reads the rows whenever the last reading becomes
+/// too old.
 async fn follow(
     shared: &PoolShared,
     reads: &FailureStreak,
@@ -83,8 +86,9 @@
 ) -> Result<(), WaxError> {
     let requested_at = shared.now();
     let mut feed = pin!(shared.store.follow(OPERATOR_TABLE, after, wait));
-    // Readings go on beside the call: on a connection that has gone silent it lasts for 9.5 s, several times
-    // the bound. A feed that has not told of what one found is given up.
+    // Readings continue during the feed request, because a request on a silent connection lasts 9.5
+    // s, several times the bound. The feed request is abandoned if a reading finds a change that
+    // the feed has not reported.
     while shared.rows_version.get() == Some(after) {
         let read = pin!(read_when_due(shared, reads));
         if let Either::Left((reply, _)) = select(feed.as_mut(), read).await {
@@ -108,7 +112,7 @@
     }
 }
 
-/// Waits until the rows are to be read; says how long the reading may take.
+/// Waits until the rows are due to be read; returns how long the reading may take.
 async fn wait_until_read_due(shared: &PoolShared) -> Duration {
     loop {
         let sooner = shared.read_schedule_changed.listen();
@@ -119,7 +123,7 @@
         let view = shared.config_view.get();
         match view.next_read(shared.now(), &shared.config_rules, reader) {
             ReadChoice::Read(limit) => return limit,
-            // Either the wait is over or there is a reason to look again.
+            // The wait is over, or a notification requires the schedule to be checked again.
             ReadChoice::Wait(left) => drop(timeout(left, sooner).await),
         }
     }
@@ -129,7 +133,7 @@
     let requested_at = shared.now();
     let rows = shared.store.read_all(OPERATOR_TABLE, "", PAGE_TIMEOUT);
     let (rows, version) = rows.await?;
-    // After a history that was dropped, a drain without a row has been taken back unseen.
+    // After the history was dropped, a known drain without a row has been lifted unnoticed.
     let drained = rows.iter().filter_map(|row| drained_domain(&row.key));
     let drained = drained.map(Into::into).collect();
     shared.update_drains("a reading of all", |view| {
@@ -155,7 +159,7 @@
             tracing::info!(
                 after,
                 from,
-                "the history of the operator's rows was dropped"
+                "the store has dropped the history of the operator's rows"
             );
             shared.rows_version.set(None);
         }
@@ -168,7 +172,7 @@
     }
 }
 
-/// Takes all changes up to `version`, asked for at `asked`.
+/// Applies all changes up to `version`, which were requested at `requested_at`.
 fn apply_changes(
     shared: &PoolShared,
     changes: Vec<RowChange>,
@@ -194,7 +198,7 @@
     }
 }
 
-/// A drain lasts as long as its row.
+/// Updates the drained domains: a domain is drained as long as its row exists.
 fn apply_drains(
     shared: &PoolShared,
     changes: &[RowChange],
@@ -218,12 +222,14 @@
     }
     if *row.key.key == *CONFIG_KEY {
         if let Err(error) = shared.offer_config(&row.value, from) {
-            tracing::error!(%error, "config refused");
+            tracing::error!(%error, "rejected the config");
         }
     } else if row.key.key.starts_with(WAVE_PREFIX) {
         match decode_wave(&row.value) {
             Ok(wave) => shared.offer_wave(wave),
-            Err(error) => tracing::error!(%error, key = %row.key.key, "a wave does not decode"),
+            Err(error) => {
+                tracing::error!(%error, key = %row.key.key, "could not decode a maintenance wave")
+            }
         }
     }
 }
--- a/crates/wax-owner/src/owner_term.rs
+++ b/crates/wax-owner/src/owner_term.rs
@@ -1,4 +1,4 @@
-//! One term of ownership: the book, the agents, and whether it still holds.
+//! One term of ownership: its jobs, agents and fronts, and whether the term is still in force.
 
 use crate::candidates::HandoverCheck;
 use crate::fronts::FrontRoster;
@@ -19,82 +19,88 @@
 use wax_types::{TimePoint, wall_clock_ms};
 use wax_wire::{PoolBody, PressFrame, PressNews, RelayTold};
 
-/// What a caller may be told of a job.
+/// What the owner knows of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobStatus {
-    /// The owner knows it.
+    /// The owner has the job.
     Known {
-        /// How it ended, by the store.
+        /// Outcome of the job as stored; `JobOutcome::Open` until it has ended.
         outcome: JobOutcome,
-        /// Whether any task has begun.
+        /// Whether any task of the job has started.
         begun: bool,
     },
-    /// The owner does not know it, or not yet.
+    /// The owner does not have the job, or has not loaded it yet.
     Unknown,
 }
 
-/// One term of ownership.
+/// One term of ownership of the shard.
 #[derive(Debug)]
 pub struct OwnerTerm {
     pub(crate) shared: Weak<PoolShared>,
-    /// The number of the term.
+    /// Number of the term.
     pub epoch: u64,
-    /// The version of the owner's row: every transaction of the term requires it.
+    /// Version of the owner's row; every transaction of the term requires it.
     pub(crate) owner_version: Cell<u64>,
     pub(crate) owner_row: OwnerRow,
     pub(crate) began_at: TimePoint,
-    /// Whether the owner before surely acted no more when this term began.
+    /// Whether the former owner was known to have stopped acting when this term began: it had
+    /// released the shard, or its process had ended.
     pub(crate) former_owner_ended: bool,
     pub(crate) scheduler: RefCell<JobBook>,
     pub(crate) agents: RefCell<AgentRoster>,
-    /// The fronts that are linked.
+    /// Fronts that are linked to the owner.
     pub(crate) fronts: RefCell<FrontRoster>,
-    /// Whether the last transaction went through a front, as the store did not answer this one.
+    /// Whether the last transaction went through a front because the store did not answer this
+    /// process.
     pub(crate) write_relayed: Cell<bool>,
-    /// Transactions that fronts were asked to send.
+    /// Transactions that fronts were asked to send and have not answered yet, by request id.
     pub(crate) pending_relays: RefCell<HashMap<u64, oneshot::Sender<RelayTold>>>,
-    /// Whether the book holds all that the store held at the takeover.
+    /// Raised when everything that the store held at the takeover has been loaded.
     pub(crate) loaded: ShutdownSignal,
-    /// When the transaction was sent that last confirmed the term.
+    /// When the last transaction that confirmed the term was sent.
     pub(crate) confirmed_at: Cell<TimePoint>,
-    /// When orders were last gone through; a long gap means that this process stood still.
+    /// Time of the last dispatch round. A long gap means that this process was stalled or
+    /// suspended.
     pub(crate) dispatched_at: Cell<TimePoint>,
-    /// When all runs were last looked through.
+    /// Time of the last periodic check of all runs.
     pub(crate) checked_at: Cell<TimePoint>,
-    /// Until when progress that was not heard says nothing of the workers.
+    /// Until this time, missing progress reports do not indicate stalled runs, because this process
+    /// was stalled itself.
     pub(crate) progress_unreliable_until: Cell<TimePoint>,
-    /// The share of the open jobs that fill which are late, by the last look through all.
+    /// Share of the open best-effort jobs that were late at the last periodic check.
     pub(crate) overload: Cell<f64>,
-    /// When the feed of jobs was last heard.
+    /// Time up to which the job feed is known to be complete.
     pub(crate) job_feed_confirmed_at: Cell<TimePoint>,
-    /// Links with agents opened in this term.
+    /// Number of links with agents opened in this term.
     pub(crate) agent_link_count: Cell<u64>,
-    /// Links with fronts opened in this term.
+    /// Number of ids given out in this term to links with fronts and to relay requests.
     pub(crate) front_id_count: Cell<u64>,
-    /// Presses that have changed since agents were told.
+    /// Changes of interference estimates that are to be sent to agents.
     pub(crate) interference_log: RefCell<InterferenceLog>,
-    /// Whether presses have changed since the store was told, and when it was.
+    /// Whether interference estimates have changed since they were last stored, and when that was.
     pub(crate) interference_unstored: Cell<bool>,
     pub(crate) interference_stored_at: Cell<TimePoint>,
-    /// The count of changes of what was not heard of earlier terms, as the book was last told.
+    /// Change counter of the unreconciled runs when the scheduler last received them.
     pub(crate) unreconciled_seen: Cell<Option<u64>>,
-    /// Whether starts wait, as a drain may have gone unseen for too long.
+    /// Whether starts are held back because a drain may have gone unnoticed for longer than the
+    /// bound allows.
     pub(crate) drains_stale: Cell<bool>,
-    /// There may be something to place, stop or acknowledge.
+    /// Notified when there may be something to place, stop or acknowledge.
     pub(crate) dispatch: Event,
-    /// There may be something to write.
+    /// Notified when there may be something to write.
     pub(crate) write: Event,
-    /// Raised when the term is to be let go.
+    /// Raised when the term is to be released.
     pub(crate) releasing: ShutdownSignal,
     /// Raised when the term has ended.
     pub(crate) ended: ShutdownSignal,
 }
 
-/// Pairs in one message or row; the platform's rows hold 64 KiB.
+/// Largest number of pairs in one message or row; a row of the platform's store holds 64 KiB.
 const MAX_PAIRS: usize = 800;
-/// A book without word of the feed for longer may lack jobs; the feed waits shorter than that.
+/// If the job feed has not been confirmed for longer, jobs may be missing. The feed answers at
+/// shorter intervals, also without changes.
 const JOB_FEED_MAX_AGE: Duration = Duration::from_millis(2_500);
-/// Bits of a fencing token that count the links of one term.
+/// Bits of a fencing token that number the links of one term.
 const TOKEN_LINK_BITS: u32 = 24;
 
 impl OwnerTerm {
@@ -143,34 +149,36 @@
         }
     }
 
-    /// Whether orders may be given now: the store has confirmed the term lately enough.
+    /// Returns whether the owner may give orders: the term is neither ended nor being released, and
+    /// the store has confirmed it within `term_validity`.
     pub(crate) fn can_act(&self, now: TimePoint, term_validity: Duration) -> bool {
         !self.ended.is_raised()
             && !self.releasing.is_raised()
             && now < self.confirmed_at.get() + term_validity
     }
 
-    /// The number of a new link with a front, or of a question to one.
+    /// Returns a new id for a link with a front or for a relay request to one.
     pub(crate) fn next_front_id(&self) -> u64 {
         let id = self.front_id_count.get() + 1;
         self.front_id_count.set(id);
         id
     }
 
-    /// A fencing token that is higher than any of this term or an earlier one.
+    /// Returns the number of a new agent link and its fencing token, which is higher than any token
+    /// of this term or an earlier one.
     pub(crate) fn next_fencing_token(&self) -> (u64, u64) {
         let link = self.agent_link_count.get() + 1;
         self.agent_link_count.set(link);
         (link, self.epoch << TOKEN_LINK_BITS | link)
     }
 
-    /// Other failure domains are drained.
+    /// Applies a changed set of drained failure domains.
     pub(crate) fn apply_drains(&self, view: &DrainView) {
         self.scheduler.borrow_mut().set_drained(view.domains());
         self.dispatch.notify(usize::MAX);
     }
 
-    /// The config in force has changed.
+    /// Applies the config in force after it has changed.
     pub(crate) fn apply_config(&self) {
         let Some(shared) = self.shared.upgrade() else {
             return;
@@ -181,7 +189,7 @@
         self.dispatch.notify(usize::MAX);
     }
 
-    /// What a caller may be told of a job.
+    /// Returns what the owner knows of a job.
     pub fn job_status(&self, job: JobName) -> JobStatus {
         if !self.loaded.is_raised() || self.ended.is_raised() {
             return JobStatus::Unknown;
@@ -195,22 +203,24 @@
         }
     }
 
-    /// Accepted jobs of a queue of which no task has begun; `None` while the book is not whole
-    /// or may lack jobs that were accepted a while ago.
+    /// Returns how many accepted jobs of a queue have no started task. Returns `None` if the shard
+    /// is not loaded yet, the term has ended, or the job feed is too old.
     pub fn pending(&self, queue: &str, now: TimePoint) -> Option<u64> {
         let is_fresh = now.since(self.job_feed_confirmed_at.get()) < JOB_FEED_MAX_AGE;
         let is_complete = self.loaded.is_raised() && !self.ended.is_raised() && is_fresh;
         is_complete.then(|| self.scheduler.borrow().pending(queue))
     }
 
-    /// The store has a cancel of a job; the feed may bring it later.
+    /// Cancels a job whose cancel request is in the store; the job feed may deliver the request
+    /// later.
     pub fn cancel(&self, job: JobName) {
         self.scheduler.borrow_mut().cancel(job, wall_clock_ms());
         self.dispatch.notify(usize::MAX);
         self.write.notify(usize::MAX);
     }
 
-    /// Whether the store has been silent for so long that another may have taken over.
+    /// Returns whether the store has been silent for so long that another front may have taken
+    /// over.
     pub fn may_be_superseded(&self, now: TimePoint) -> bool {
         let max_silence = self
             .shared
@@ -219,16 +229,17 @@
         max_silence.is_some_and(|max_silence| now.since(self.confirmed_at.get()) > max_silence)
     }
 
-    /// An owner of this term was met; says whether it has replaced this one.
+    /// Ends the term if another owner with a greater term number exists; returns whether that is
+    /// so.
     pub fn end_if_superseded(&self, epoch: u64) -> bool {
         let is_newer = epoch > self.epoch;
         if is_newer {
-            self.end("a newer owner was met");
+            self.end("another owner has a later term");
         }
         is_newer
     }
 
-    /// Asks the term to be let go; it ends once the store has all that was taken note of.
+    /// Starts the release of the term, which ends once the store has all pending updates.
     pub fn release(&self) {
         self.releasing.raise();
         self.write.notify(usize::MAX);
@@ -250,22 +261,24 @@
         self.write.notify(usize::MAX);
     }
 
-    /// Sends a message to the agent of a worker, if it may be given orders.
+    /// Sends a message to the agent of a worker if the worker may receive orders.
     pub(crate) fn send_to_worker(&self, worker: WorkerKey, body: PoolBody) {
         if let Some(outbox) = self.agents.borrow().outbox(worker) {
-            // A link that has just closed leads to a new one, on which all is compared.
+            // If the link has just closed, the agent opens a new one, on which all runs are
+            // reconciled.
             let _ = outbox.unbounded_send(body);
         }
     }
 
-    /// Whether an agent that knows so many pairs is to be told of all: one that was told by the owner
-    /// before knows most, and all pairs to each agent would keep a slow link busy at each takeover.
+    /// Returns whether an agent that knows `known_pairs` pairs must receive all of them. An agent
+    /// that was served by the former owner knows most pairs, and sending all pairs to each agent
+    /// would keep a slow link busy at each takeover.
     pub(crate) fn needs_all_pairs(&self, known_pairs: u32) -> bool {
         let known = known_pairs as usize;
         known < self.scheduler.borrow().presses().len().min(MAX_PAIRS) / 2
     }
 
-    /// All presses, as the store and a new agent are told.
+    /// Returns all interference estimates in the form that the store and new agents receive.
     pub(crate) fn interference_snapshot(&self) -> PressNews {
         let scheduler = self.scheduler.borrow();
         let pairs = scheduler.presses().iter().take(MAX_PAIRS);
@@ -277,7 +290,7 @@
         }
     }
 
-    /// Hands the shard over, orderly, where a front carries it far better.
+    /// Releases the term if a front could serve the shard far better than this VM.
     pub(crate) fn release_to_stronger_front(&self, shared: &PoolShared, now: TimePoint) {
         let check = HandoverCheck {
             nominal: shared.vm_capacity.fitness(Duration::ZERO),
@@ -292,13 +305,14 @@
                 epoch = self.epoch,
                 machine = check.nominal.0,
                 present = check.current.0,
-                "a front is far stronger: the shard is handed over"
+                "a front is far stronger: releasing the shard"
             );
             self.release();
         }
     }
 
-    /// Boots of workers are dead for good: nobody waits for them, here or at the next takeover.
+    /// Records boots of workers that have ended for good, so that neither this owner nor the next
+    /// one waits for their leases.
     pub(crate) fn record_ended_boots(
         &self,
         shared: &PoolShared,
@@ -309,7 +323,7 @@
             has_new |= shared.ended_boots.borrow_mut().record(&boot);
             let awaited = self.agents.borrow_mut().boot_ended(&boot);
             if let Some(node) = awaited {
-                tracing::info!(agent = %node, worker = %boot, "no longer waited for: its worker is gone");
+                tracing::info!(agent = %node, worker = %boot, "not waiting for this agent any more because its worker has ended");
                 self.write.notify(usize::MAX);
                 self.dispatch.notify(usize::MAX);
             }
@@ -320,18 +334,18 @@
         }
     }
 
-    /// An agent says that nothing runs on a boot of its worker any more.
+    /// Handles an agent's report that nothing runs any more on a boot of its worker.
     pub(crate) fn worker_ended(&self, node: &str, boot: &BootId, now: TimePoint) {
         let key = self.agents.borrow_mut().worker_ended(node, boot);
         self.write.notify(usize::MAX);
         self.dispatch.notify(usize::MAX);
         if let Some(key) = key {
-            tracing::info!(agent = node, worker = %boot, "runs of a worker that is gone have ended");
+            tracing::info!(agent = node, worker = %boot, "all runs of an ended worker have ended");
             self.remove_worker(key, now);
         }
     }
 
-    /// Takes a worker whose runs have surely ended out of the book.
+    /// Removes a worker whose runs are known to have ended from the scheduler.
     pub(crate) fn remove_worker(&self, worker: WorkerKey, now: TimePoint) {
         self.scheduler
             .borrow_mut()
--- a/crates/wax-owner/src/relay.rs
+++ b/crates/wax-owner/src/relay.rs
@@ -1,4 +1,4 @@
-//! Sends transactions to the store for fronts that cannot reach it.
+//! Sends transactions to the store on behalf of peers that cannot reach it.
 
 use crate::shared::PoolShared;
 use crate::tx_resolution::{TxResolution, transact};
@@ -8,31 +8,32 @@
 use wax_types::{ErrorKind, Step, TimePoint, WaxError};
 use wax_wire::{ExpectFrame, RelayAsk, RelayFate, RelayTold, RowFrame};
 
-/// No asker waits longer.
+/// Longest time for which a relayed transaction is retried.
 const MAX_WAIT_MS: u32 = 10_000;
 
-/// What has become of asking another process to send a transaction.
+/// Outcome of one request to another process to send a transaction.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RelayAttempt {
-    /// It was handed to no link.
+    /// No link was available, so the request was not sent.
     NoLink,
-    /// It was handed to a link, and no answer came.
+    /// The request was handed to a link, and no answer came.
     NoAnswer,
     /// The other process has answered.
     Answered(RelayTold),
 }
 
-/// Whether a transaction that others were asked to send may take effect yet.
+/// Tracks over several relay requests whether the transaction may still take effect.
 ///
-/// A question that was handed to a link may be read and carried out at any later time, whether or not
-/// the link stands.
+/// A request that was handed to a link may be read and executed at any later time, even if the link
+/// breaks.
 #[derive(Debug, Default)]
 pub struct RelayTracker {
     may_be_sent: bool,
 }
 
 impl RelayTracker {
-    /// Takes what has become of a question; `Some` ends the asking.
+    /// Records the outcome of one request. Returns the final resolution, or `None` if another
+    /// request should be sent.
     pub fn record(&mut self, attempt: RelayAttempt) -> Option<TxResolution> {
         let reply = match attempt {
             RelayAttempt::NoLink => return None,
@@ -55,7 +56,7 @@
         }
     }
 
-    /// The fate when nobody is asked any more.
+    /// Returns the resolution when no further request will be sent.
     pub fn finish(&self) -> TxResolution {
         let error = relay_error("neither the store nor the owner answers");
         match self.may_be_sent {
@@ -69,21 +70,24 @@
     WaxError::new(ErrorKind::Timeout, Step::SubmitJob, "owner", text)
 }
 
-/// Tells how old what a peer sends is, on a link whose heartbeats carry the peer's clock.
+/// Estimates the transit time of a peer's messages on a link whose heartbeats carry the peer's
+/// clock.
 #[derive(Debug, Default)]
 pub struct TransitDelay {
-    /// The least of our clock less the peer's at the arrival of a heartbeat, microseconds.
+    /// Smallest difference between this clock and the peer's at the arrival of a heartbeat, in
+    /// microseconds.
     min_offset_us: Option<i128>,
 }
 
 impl TransitDelay {
-    /// Takes a heartbeat that was sent at `sent_us` of the peer's clock.
+    /// Records a heartbeat that was sent at `sent_us` on the peer's clock.
     pub fn record_heartbeat(&mut self, sent_us: u64, now: TimePoint) {
         let offset = i128::from(now.0) - i128::from(sent_us);
         self.min_offset_us = Some(self.min_offset_us.map_or(offset, |min| min.min(offset)));
     }
 
-    /// For how long something has been on its way beyond what the fastest heartbeat took.
+    /// Returns by how much the transit of a message sent at `sent_us` exceeds that of the fastest
+    /// heartbeat.
     pub fn delay_of(&self, sent_us: u64, now: TimePoint) -> Duration {
         let offset = i128::from(now.0) - i128::from(sent_us);
         let delay = self.min_offset_us.map_or(0, |min| offset - min);
@@ -91,9 +95,11 @@
     }
 }
 
-/// Sends what a peer asks for, unchanged, until its fate is known or the peer waits no more.
+/// Sends a peer's transaction, unchanged, until its effect is known or the peer has stopped
+/// waiting.
 ///
-/// `age` is how long the question was on its way: one that came too late is not sent at all.
+/// `delay` is the transit time of the request. A request that arrives after its deadline is not
+/// sent to the store.
 pub async fn relay_transaction(
     shared: &PoolShared,
     request: RelayAsk,
@@ -106,9 +112,12 @@
         tracing::info!(
             ask = id,
             age_ms = delay.as_millis() as u64,
-            "transaction of a peer came too late"
+            "a peer's transaction arrived after its deadline"
+        );
+        return encode_reply(
+            id,
+            TxResolution::NotSent(relay_error("the request arrived after its deadline")),
         );
-        return encode_reply(id, TxResolution::NotSent(relay_error("it came too late")));
     }
     count(Counter::TransactionsRelayed);
     let tx = decode_relay_request(request);
@@ -116,7 +125,7 @@
     encode_reply(id, resolution)
 }
 
-/// The question for a transaction, sent at `now`.
+/// Encodes a relay request for a transaction, sent at `now`.
 pub fn encode_relay_request(id: u64, tx: &TxRequest, wait: Duration, now: TimePoint) -> RelayAsk {
     let expect = tx.expect.iter().map(|(key, version)| ExpectFrame {
         table: key.table.to_string(),
@@ -196,7 +205,7 @@
     }
 }
 
-/// The rows of an answer.
+/// Returns the current rows from the reply to a transaction that conflicted.
 fn relayed_rows(reply: RelayTold) -> Vec<StoredRow> {
     let rows = reply.rows.into_iter().map(|row| StoredRow {
         key: RowKey::new(&row.table, &row.part, row.key),
--- a/crates/wax-owner/src/roster.rs
+++ b/crates/wax-owner/src/roster.rs
@@ -1,6 +1,8 @@
-//! The agents of a term: which are linked, what each may run of earlier terms, what the store says.
+//! The agents of a term: which are linked, which runs of earlier terms each may still have, and
+//! what the store holds of each.
 //!
-//! Pure but for the queues that it keeps: it decides, [`crate::agent_links`] talks.
+//! Performs no I/O except for sending into the queues of the links; [`crate::agent_links`] does the
+//! communication.
 
 use crate::ended_boots::EndedBoots;
 use crate::rows::AgentRow;
@@ -16,18 +18,20 @@
 use wax_types::TimePoint;
 use wax_wire::PoolBody;
 
-/// An agent without a link for this long is written down as such: a link that broke is back sooner.
+/// Time without a link after which an agent's row is changed to `unlinked`. A broken link is
+/// usually replaced sooner.
 const UNLINKED_ROW_DELAY: Duration = Duration::from_millis(1_000);
 
-/// How far an agent's row is in the store.
+/// State of an agent's row in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum RowState {
     Absent,
-    /// It is to say that this worker may be given orders.
+    /// A row that permits orders to this boot is pending or being written.
     Queued(BootId),
-    /// It says that this worker may be given orders.
+    /// The store has a row that permits orders to this boot.
     Stored(BootId),
-    /// It says, or is to say, what may run on this worker: the worker gets no orders.
+    /// The row, stored or pending, lists the jobs that may run on this boot and forbids orders to
+    /// it.
     Unlinked(BootId),
 }
 
@@ -40,49 +44,51 @@
     }
 }
 
-/// What the store is to say of an agent.
+/// A pending change of an agent's row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AgentUpdate {
-    /// Its worker may be given orders.
+    /// The row permits orders to the agent's worker.
     Linked {
-        /// The worker's boot.
+        /// Boot of the agent's worker.
         boot: BootId,
     },
-    /// Its worker gets no orders until the row says otherwise.
+    /// The row forbids orders to the worker and lists the jobs that may run there.
     Unlinked {
-        /// The worker's boot.
+        /// Boot of the agent's worker.
         boot: BootId,
-        /// Jobs of which a run may be there.
+        /// Jobs that may have a run on the worker.
         jobs: BTreeSet<JobName>,
     },
-    /// Nothing runs there.
+    /// The row is removed, because nothing runs on the agent's worker.
     Removed,
 }
 
 slotmap::new_key_type! {
-    /// An agent of a term.
+    /// Key of an agent within a term.
     struct AgentKey;
 }
 
-/// An agent as the owner knows it.
+/// What the owner keeps of one agent.
 #[derive(Debug)]
 struct AgentRecord {
-    /// Its name.
+    /// Name of the agent's VM.
     node: Box<str>,
-    /// The number of its link; 0 without one.
+    /// Number of the agent's link; 0 without a link.
     link: u64,
     outbox: Option<UnboundedSender<PoolBody>>,
     unlinked_at: TimePoint,
-    /// Its worker, once its runs were compared in this term.
+    /// The agent's worker; `None` until the worker's runs have been reconciled in this term.
     worker: Option<(WorkerKey, BootId)>,
-    /// What may run there of earlier terms, until its runs were compared.
+    /// Runs of earlier terms that may be on the worker; `None` once the worker's runs have been
+    /// reconciled.
     unreconciled: Option<UnheardRuns>,
-    /// Until when the last grant reaches.
+    /// End of the last grant to the agent.
     grant_end: TimePoint,
-    /// Set while nothing certain is known of its worker: by then everything there has lapsed.
+    /// When all leases on the worker have expired. Set while the worker's runs are not reconciled
+    /// on a current link.
     expires_at: Option<TimePoint>,
     row: RowState,
-    /// Notified when the row was stored, or another link takes this one's place.
+    /// Notified when the row has been stored, or when a newer link replaces this one.
     row_changed: Event,
 }
 
@@ -102,7 +108,7 @@
         }
     }
 
-    /// Whether a run of this term or an earlier one may be there.
+    /// Returns whether the worker may have a run of this term or an earlier one.
     fn may_have_runs(&self) -> bool {
         self.worker.is_some() || self.unreconciled.is_some()
     }
@@ -112,36 +118,38 @@
     }
 }
 
-/// What became of agents whose leases have lapsed unheard.
+/// Agents whose leases expired before they reported to this owner again.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ExpiredAgents {
-    /// The agents.
+    /// Names of the agents.
     pub nodes: Vec<Box<str>>,
-    /// Their workers, as far as they were heard in this term.
+    /// Workers of these agents that had been reconciled in this term.
     pub workers: Vec<WorkerKey>,
 }
 
 /// The agents of a term.
 ///
-/// A round of the dispatcher comes with each change of a large pool: it must not look through all agents.
+/// In a large pool, the dispatcher runs a round with each change. A round must not go through all
+/// agents, so the roster keeps indexes.
 #[derive(Debug, Default)]
 pub struct AgentRoster {
     agents: SlotMap<AgentKey, AgentRecord>,
     names: HashMap<Box<str>, AgentKey>,
     workers: SecondaryMap<WorkerKey, AgentKey>,
-    /// When leases lapse of which nothing certain is known.
+    /// Agents that are not reconciled, ordered by the time when their leases have expired.
     expiries: BTreeSet<(TimePoint, AgentKey)>,
     /// Agents without a link.
     unlinked: BTreeSet<AgentKey>,
-    /// When agents whose link has gone are to be written down as such.
+    /// Agents whose link has ended, ordered by the time when their rows are due to be marked as
+    /// unlinked.
     unlink_deadlines: BTreeSet<(TimePoint, AgentKey)>,
-    /// Agents that may run something of earlier terms and were not heard.
+    /// Agents that may have runs of earlier terms and have not been reconciled.
     unreconciled: BTreeSet<AgentKey>,
-    /// Rises with each change of what may run of earlier terms.
+    /// Incremented with each change to the set of unreconciled agents.
     unreconciled_changes: u64,
-    /// How many agents rounds have looked at.
+    /// Number of agents visited by dispatch rounds.
     visited: Cell<u64>,
-    /// The agents by the boots that their rows name.
+    /// Agents by the boots that their rows name.
     boots: HashMap<BootId, AgentKey>,
     updates: HashMap<Box<str>, AgentUpdate>,
 }
@@ -151,7 +159,7 @@
         self.agents.get(*self.names.get(node)?)
     }
 
-    /// The key of an agent, which is new without a link if it was not known.
+    /// Returns the key of an agent; adds the agent, without a link, if it is not known.
     fn get_or_insert(&mut self, node: &str, now: TimePoint) -> AgentKey {
         if let Some(key) = self.names.get(node) {
             return *key;
@@ -162,7 +170,7 @@
         key
     }
 
-    /// Changes an agent, and what is indexed by it.
+    /// Applies a change to an agent and updates the indexes accordingly.
     fn update_agent<T>(
         &mut self,
         key: AgentKey,
@@ -205,7 +213,8 @@
         }
     }
 
-    /// Takes a row of the store at a takeover; all that it speaks of has lapsed by `lapse_at`.
+    /// Adds an agent from its row in the store at a takeover. All leases on its worker have expired
+    /// at `expires_at`.
     pub fn load(
         &mut self,
         node: &str,
@@ -233,7 +242,7 @@
         });
     }
 
-    /// What agents that were not heard may still run of earlier terms.
+    /// Returns the runs of earlier terms that agents which have not been reconciled may still have.
     pub fn unreconciled_runs(&self) -> UnheardRuns {
         let mut all = HashSet::new();
         for key in &self.unreconciled {
@@ -251,17 +260,17 @@
         UnheardRuns::Only(all)
     }
 
-    /// Rises whenever [`AgentRoster::unheard`] may have changed.
+    /// Returns a counter that rises whenever [`AgentRoster::unreconciled_runs`] may have changed.
     pub fn unreconciled_changes(&self) -> u64 {
         self.unreconciled_changes
     }
 
-    /// How many agents may run something of earlier terms and were not heard.
+    /// Returns how many agents may have runs of earlier terms and have not been reconciled.
     pub fn unreconciled_agents(&self) -> usize {
         self.unreconciled.len()
     }
 
-    /// Takes a new link; returns the worker whose runs are to be compared anew.
+    /// Registers a new link of an agent; returns the worker whose runs must be reconciled again.
     pub fn open(
         &mut self,
         node: &str,
@@ -272,10 +281,12 @@
     ) -> Option<WorkerKey> {
         let key = self.get_or_insert(node, now);
         self.update_agent(key, |agent| {
-            // An owner before, or an earlier link, may have granted until now. Without this bound what ran on
-            // the worker counted as lapsed at once if the link broke before the first grant on it.
+            // A former owner, or an earlier link, may have extended the grant until now. Without
+            // this bound, the leases on the worker would count as expired at once if the link broke
+            // before its first grant.
             agent.grant_end = agent.grant_end.max(now + timeouts.grant);
-            // Until its worker's runs are told on this link, those of the link before count.
+            // The runs known from the previous link count until the worker's runs are reconciled on
+            // this one.
             if agent.expires_at.is_none() && agent.worker.is_some() {
                 agent.expires_at = Some(agent.grant_end + timeouts.expiry_after_grant());
             }
@@ -286,8 +297,8 @@
         })?
     }
 
-    /// Notes that a link has ended; returns the worker that cannot be reached now. `None` says that
-    /// the agent has a newer link.
+    /// Records that a link has ended; returns the worker that has become unreachable, if any.
+    /// Returns `None` if the agent has a newer link.
     pub fn close(
         &mut self,
         node: &str,
@@ -298,8 +309,8 @@
         let key = *self.names.get(node)?;
         let agent = self.agents.get(key).filter(|agent| agent.link == link)?;
         if !agent.may_have_runs() {
-            // No order was given, so that there is nothing to wait for: neither here nor after the
-            // next takeover.
+            // The worker received no orders, so neither this owner nor the next one needs to wait
+            // for its leases.
             if agent.row != RowState::Absent {
                 self.updates.insert(node.into(), AgentUpdate::Removed);
             }
@@ -320,12 +331,12 @@
         })
     }
 
-    /// Whether a link is the agent's newest.
+    /// Returns whether a link is the agent's newest.
     pub fn is_current(&self, node: &str, link: u64) -> bool {
         self.agent(node).is_some_and(|agent| agent.link == link)
     }
 
-    /// Notes that the agent's authority reaches until `end`.
+    /// Records that the agent's authority lasts until `end`.
     pub fn extend_grant(&mut self, node: &str, end: TimePoint) {
         let key = self.names.get(node);
         if let Some(agent) = key.and_then(|key| self.agents.get_mut(*key)) {
@@ -333,7 +344,8 @@
         }
     }
 
-    /// Whether the store knows that the worker may be given orders; asks for it to be told if not.
+    /// Returns whether the store has a row that permits orders to this boot; makes the row pending
+    /// if not.
     pub fn ensure_row(&mut self, node: &str, boot: &BootId) -> bool {
         let Some(key) = self.names.get(node) else {
             return true;
@@ -357,13 +369,13 @@
         }
     }
 
-    /// Listens for the agent's row to be stored: whoever waits for another row is not woken.
+    /// Listens for the agent's row to be stored. Only listeners for this agent are woken.
     pub fn listen_row(&self, node: &str) -> Option<EventListener> {
         Some(self.agent(node)?.row_changed.listen())
     }
 
-    /// The runs of the agent's worker were compared: nothing of earlier terms is unheard there.
-    /// Returns the worker that was known before.
+    /// Records that the runs of the agent's worker have been reconciled. Returns the worker that
+    /// was known before.
     pub fn set_reconciled(
         &mut self,
         node: &str,
@@ -378,12 +390,13 @@
         })?
     }
 
-    /// The worker of an agent, if its runs were compared in this term.
+    /// Returns the agent's worker if its runs have been reconciled in this term.
     pub fn worker(&self, node: &str) -> Option<(WorkerKey, BootId)> {
         self.agent(node)?.worker.clone()
     }
 
-    /// The agent says that nothing runs on a worker any more; returns it if it was known.
+    /// Records that nothing runs on a boot of the agent's worker any more; returns the worker if it
+    /// was known.
     pub fn worker_ended(&mut self, node: &str, boot: &BootId) -> Option<WorkerKey> {
         let key = *self.names.get(node)?;
         let (worker, was_unreconciled) = self.update_agent(key, |agent| {
@@ -404,10 +417,11 @@
         worker.map(|(key, _)| key)
     }
 
-    /// A boot of a worker is dead for good, whoever says so; returns its agent if it was waited for.
+    /// Records that a boot has ended for good, whichever process reports it; returns its agent if
+    /// the owner was waiting for it.
     pub fn boot_ended(&mut self, boot: &BootId) -> Option<Box<str>> {
         if boot.worker_id().is_empty() {
-            // Rows of older versions name no worker.
+            // Rows written by older versions name no worker.
             return None;
         }
         let key = *self.boots.get(boot)?;
@@ -421,10 +435,11 @@
         Some(node)
     }
 
-    /// Takes out agents of which nothing was heard until all their leases had lapsed.
+    /// Removes workers whose leases have expired before they were reconciled, and their agents if
+    /// they have no link.
     ///
-    /// That counts only once the store has confirmed the term after the lapse: until then another
-    /// owner may have heard the agent and extended its leases.
+    /// Leases count as expired only once the store has confirmed the term after the expiry time.
+    /// Until then, another owner may have had contact with the agent and extended its leases.
     pub fn remove_expired(&mut self, now: TimePoint, confirmed_at: TimePoint) -> ExpiredAgents {
         let mut expired = ExpiredAgents::default();
         while let Some((at, key)) = self.expiries.first().copied() {
@@ -451,8 +466,9 @@
         expired
     }
 
-    /// Agents whose link has been gone for a while: the store is told what may run there, so that the
-    /// next owner holds back nothing else. `jobs_on` names the jobs with a run on a worker.
+    /// Marks the rows of agents that have had no link for a while as unlinked, with the jobs that
+    /// may run there, so that the next owner holds back only these jobs. `jobs_on` returns the jobs
+    /// with a run on a worker.
     pub fn queue_unlinked(
         &mut self,
         now: TimePoint,
@@ -486,17 +502,17 @@
         }
     }
 
-    /// How many agents rounds have looked at since the last call.
+    /// Returns the number of agents visited by dispatch rounds since the last call.
     pub fn take_visited(&self) -> u64 {
         self.visited.take()
     }
 
-    /// Whether anything is to be written.
+    /// Returns whether changes of rows are pending.
     pub fn has_updates(&self) -> bool {
         !self.updates.is_empty()
     }
 
-    /// Takes up to `most` notes for the store.
+    /// Takes up to `limit` pending changes in order to write them to the store.
     pub fn take_updates(&mut self, limit: usize) -> Vec<(Box<str>, AgentUpdate)> {
         let nodes: Vec<Box<str>> = self.updates.keys().take(limit).cloned().collect();
         let taken = nodes
@@ -505,14 +521,15 @@
         taken.collect()
     }
 
-    /// The store did not take these notes: they are due again, but for agents that have newer ones.
+    /// Makes changes that the store has not accepted pending again, except for agents with a newer
+    /// change.
     pub fn updates_failed(&mut self, updates: Vec<(Box<str>, AgentUpdate)>) {
         for (node, update) in updates {
             self.updates.entry(node).or_insert(update);
         }
     }
 
-    /// The store has these notes.
+    /// Records that the store has accepted these changes.
     pub fn updates_stored(&mut self, updates: &[(Box<str>, AgentUpdate)]) {
         for (node, update) in updates {
             let AgentUpdate::Linked { boot } = update else {
@@ -525,7 +542,7 @@
                 agent.row = RowState::Stored(boot.clone());
                 agent.row_changed.notify(usize::MAX);
                 if let Some(key) = key.filter(|_| agent.outbox.is_none()) {
-                    // Its link has gone while it was written down.
+                    // The link ended while the row was being written.
                     self.unlink_deadlines
                         .insert((agent.unlinked_at + UNLINKED_ROW_DELAY, *key));
                 }
@@ -533,20 +550,22 @@
         }
     }
 
-    /// The queue towards a worker, if its agent is linked and its runs were compared on this link: an
-    /// order by an older view could undo what the agent has yet to tell.
+    /// Returns the queue to a worker's agent, if the agent is linked and the worker's runs have
+    /// been reconciled on this link. An order based on an older view could contradict what the
+    /// agent has yet to report.
     pub fn outbox(&self, worker: WorkerKey) -> Option<&UnboundedSender<PoolBody>> {
         let agent = self.agents.get(*self.workers.get(worker)?)?;
         agent.outbox.as_ref().filter(|_| agent.expires_at.is_none())
     }
 
-    /// The boot of a worker.
+    /// Returns the boot of a worker.
     pub fn boot(&self, worker: WorkerKey) -> Option<&BootId> {
         let agent = self.agents.get(*self.workers.get(worker)?)?;
         agent.worker.as_ref().map(|(_, boot)| boot)
     }
 
-    /// The pause between two heartbeats of each agent.
+    /// Returns the interval between two heartbeats of each agent, which depends on the number of
+    /// agents.
     pub fn heartbeat_interval(&self) -> Duration {
         agent_period(self.agents.len())
     }
--- a/crates/wax-owner/src/rows.rs
+++ b/crates/wax-owner/src/rows.rs
@@ -1,82 +1,85 @@
-//! The rows of a shard, all in one part so that one transaction covers them.
+//! The rows of a shard. All are in one part of the store, so that one transaction can cover them.
 
 use platform::RowKey;
 use prost::Message;
 use wax_batch::{BootId, JobName};
 
-/// Who owns the shard; changes at a takeover only.
+/// Table of the owner's row, which names the owner of the shard and changes only at a takeover and
+/// a release.
 pub const OWNER_TABLE: &str = "owner";
-/// The owner's beat; changes with each of its transactions.
+/// Table of the heartbeat row, which changes with each transaction of the owner.
 pub(crate) const HEARTBEAT_TABLE: &str = "beat";
-/// Jobs as they were accepted, and cancels.
+/// Table of accepted jobs and of cancel requests.
 pub const JOB_TABLE: &str = "job";
-/// What the owner has taken note of.
+/// Table of the jobs' progress, written by the owner.
 pub const PROGRESS_TABLE: &str = "progress";
-/// Agents that may have been given orders.
+/// Table of agents that may have received orders.
 pub(crate) const AGENT_TABLE: &str = "agent";
-/// What is known of pairs of images; only ever a help, so that its loss is none.
+/// Table of the measured interference between images. The data only improves placement: if it is
+/// lost, the owner learns it again.
 pub(crate) const INTERFERENCE_TABLE: &str = "press";
-/// The shard's part. A pool up to the size that one owner carries has one shard.
+/// The shard's part. One owner can serve a pool of the size that the system is designed for, so
+/// there is one shard.
 pub(crate) const PART: &str = "s0";
-/// The key of the cancel of a job is the job's with this behind it.
+/// Suffix that turns a job's key into the key of its cancel request.
 pub const CANCEL_SUFFIX: &str = ".cancel";
 
-/// The owner's row.
+/// Row that names the owner of the shard.
 #[derive(Clone, PartialEq, Message)]
 pub struct OwnerRow {
-    /// The term; rises with each takeover.
+    /// Number of the term; rises with each takeover.
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
-    /// Where agents and fronts reach the owner.
+    /// Address at which agents and fronts reach the owner.
     #[prost(string, tag = "2")]
     pub address: String,
-    /// The owner's name.
+    /// Name of the owner's VM.
     #[prost(string, tag = "3")]
     pub node: String,
-    /// Whether it has let go: anyone may take over at once.
+    /// Whether the owner has released the shard, so that any front may take over at once.
     #[prost(bool, tag = "4")]
     pub released: bool,
-    /// Draws the takeovers of one process apart.
+    /// Random number that distinguishes the takeover attempts of one process.
     #[prost(fixed64, tag = "5")]
     pub nonce: u64,
-    /// How well the strongest front known would carry an owner, thousandths of a core.
+    /// Fitness of the strongest front known to the owner, in thousandths of a core.
     #[prost(uint32, tag = "6")]
     pub best_fitness: u32,
 }
 
-/// The beat row.
+/// Heartbeat row: candidates watch whether it still changes.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct HeartbeatRow {
-    /// The term.
+    /// Number of the term.
     #[prost(uint64, tag = "1")]
     pub(crate) epoch: u64,
-    /// The count of the owner's transactions in it.
+    /// Number of transactions that the owner has sent in this term.
     #[prost(uint64, tag = "2")]
     pub(crate) count: u64,
 }
 
-/// An agent's row: what of earlier terms may run beside it.
+/// Row of an agent: what may still run on its worker after a takeover.
 #[derive(Clone, PartialEq, Message)]
 pub struct AgentRow {
-    /// The machine's name.
+    /// Name of the agent's VM.
     #[prost(string, tag = "1")]
     pub node: String,
-    /// The worker's id; empty in rows of older versions.
+    /// Id of the worker; empty in rows written by older versions.
     #[prost(string, tag = "2")]
     pub worker: String,
-    /// Whether the worker gets no orders until this row says otherwise.
+    /// Whether the worker gets no orders until this row is changed again.
     #[prost(bool, tag = "3")]
     pub unlinked: bool,
-    /// If so: the jobs of which a run may be there.
+    /// Jobs that may have a run on the worker; set only if `unlinked` is true.
     #[prost(fixed64, repeated, tag = "4")]
     pub jobs: Vec<u64>,
-    /// When the worker's boot started, Unix milliseconds, if that is known.
+    /// When the worker's boot started, in Unix milliseconds; `None` if unknown.
     #[prost(uint64, optional, tag = "5")]
     pub started_ms: Option<u64>,
 }
 
 impl AgentRow {
-    /// The row of an agent whose worker may be given orders.
+    /// Returns the row of an agent whose worker may receive orders.
     pub(crate) fn linked(node: &str, boot: &BootId) -> Self {
         Self {
             node: node.into(),
@@ -86,13 +89,13 @@
         }
     }
 
-    /// The boot of its worker.
+    /// Returns the boot of the agent's worker.
     pub(crate) fn boot(&self) -> BootId {
         BootId::new(&*self.worker, self.started_ms)
     }
 }
 
-/// The key of the owner's row.
+/// Returns the key of the owner's row.
 pub fn owner_key() -> RowKey {
     RowKey::new(OWNER_TABLE, PART, "owner")
 }
@@ -101,17 +104,17 @@
     RowKey::new(HEARTBEAT_TABLE, PART, "beat")
 }
 
-/// The key of a job's row.
+/// Returns the key of a job's row.
 pub fn job_key(job: JobName) -> RowKey {
     RowKey::new(JOB_TABLE, PART, job.to_string())
 }
 
-/// The key of a job's cancel.
+/// Returns the key of a job's cancel request.
 pub fn cancel_key(job: JobName) -> RowKey {
     RowKey::new(JOB_TABLE, PART, format!("{job}{CANCEL_SUFFIX}"))
 }
 
-/// The key of a job's progress.
+/// Returns the key of a job's progress row.
 pub fn progress_key(job: JobName) -> RowKey {
     RowKey::new(PROGRESS_TABLE, PART, job.to_string())
 }
--- a/crates/wax-owner/src/shared.rs
+++ b/crates/wax-owner/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a front share.
+//! State that all tasks of a front process share.
 
 use crate::candidates::{CandidateRank, OwnerFitness, TimerLateness, VmCapacity};
 use crate::ended_boots::EndedBoots;
@@ -15,95 +15,99 @@
 use wax_policy::{ConfigRules, ConfigView, DrainRules, DrainView, FRONT_PERIOD, PlaceRules};
 use wax_types::{ErrorKind, ProcessClock, Step, TimePoint, WaxError};
 
-/// A change of the config is in force after this, where the settings name no bound.
+/// Time within which a config change must be in force everywhere, if the settings specify no bound.
 const CONFIG_BOUND: Duration = Duration::from_secs(5);
 
-/// The owner as this process knows it.
+/// The owner as known to this process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KnownOwner {
-    /// Its term.
+    /// Number of the owner's term.
     pub epoch: u64,
-    /// Where it is reached.
+    /// Address of the owner; `None` if the address in its row is not valid.
     pub address: Option<SocketAddr>,
-    /// The version of its row.
+    /// Version of the owner's row in the store.
     pub row_version: u64,
-    /// Whether it has let go.
+    /// Whether the owner has released the shard.
     pub released: bool,
-    /// The strongest front that it knew of.
+    /// Fitness of the strongest front known to the owner.
     pub best_fitness: OwnerFitness,
 }
 
-/// Shared by all tasks of the process.
+/// State shared by all tasks of a front process.
 #[derive(Debug)]
 pub struct PoolShared {
-    /// The machine's name.
+    /// Name of this VM.
     pub node: Box<str>,
-    /// Where other processes reach this one.
+    /// Address at which other processes reach this one.
     pub address: SocketAddr,
-    /// The process's clock.
+    /// Clock of this process.
     pub clock: ProcessClock,
-    /// The platform's store.
+    /// Client of the platform's store.
     pub store: StoreClient,
-    /// Spans of ownership.
+    /// Durations that govern ownership.
     pub timeouts: OwnerTimeouts,
     /// How long ended jobs are kept.
     pub ended_job_retention: Duration,
-    /// The placement advisor, if the platform has one.
+    /// Address of the placement advisor; `None` if the platform has none.
     pub advisor: Option<SocketAddr>,
-    /// What the platform says of this machine.
+    /// Capacity of this VM as declared by the platform.
     pub vm_capacity: VmCapacity,
-    /// How late this process's timers are.
+    /// How late the timers of this process fire.
     pub timer_lateness: Cell<TimerLateness>,
-    /// This front's turn at the next takeover, by the last owner's word.
+    /// Rank of this front at the next takeover, as reported by the last owner; `None` before the
+    /// first report.
     pub rank: Cell<Option<CandidateRank>>,
-    /// The term whose owner's process is gone: nobody listens at its address.
+    /// Term whose owner refused a connection at its address, which means that its process has
+    /// ended; 0 if none.
     pub refused_epoch: Cell<u64>,
-    /// Limits and weights of placement; they may change with the settings.
+    /// Limits and weights of placement; the settings may change them.
     place_rules: Cell<PlaceRules>,
-    /// The config in force.
+    /// Config in force.
     pub config: RefCell<QueueTable>,
     /// The operator's text of the config in force.
     pub config_text: RefCell<Vec<u8>>,
-    /// Notified when a greater version of the config is in force.
+    /// Notified when a newer version of the config is in force.
     pub config_changed: Event,
-    /// Waves of upkeep that the operator has asked for.
+    /// Maintenance waves that the operator has requested.
     pub waves: RefCell<Vec<UpkeepWave>>,
-    /// Notified when there is another wave.
+    /// Notified when a maintenance wave is added.
     pub waves_changed: Event,
-    /// Failure domains that get nothing new.
+    /// Failure domains in which no new tasks start.
     pub drains: RefCell<DrainView>,
-    /// How old that view may be for starts to be ordered.
+    /// Limits on the age of the drain view at which starts may be ordered.
     pub drain_rules: DrainRules,
-    /// Where fronts are reached that were ever linked to this process.
+    /// Addresses of all fronts that were ever linked to this process.
     pub front_addresses: RefCell<BTreeSet<SocketAddr>>,
-    /// Boots of workers that are dead for good.
+    /// Boots of workers that have ended for good.
     pub ended_boots: RefCell<EndedBoots>,
-    /// The owner as last heard of.
+    /// Owner of the shard as last known; `None` before the first row was read.
     pub owner: RefCell<Option<KnownOwner>>,
-    /// Notified when another owner is heard of.
+    /// Notified when another owner becomes known.
     pub owner_changed: Event,
-    /// Set while this process owns the shard.
+    /// Term of this process; `None` while it does not own the shard.
     pub term: RefCell<Option<Rc<OwnerTerm>>>,
-    /// When an owner whose store answers was last heard by this process's link.
+    /// When this process's link last received a message from an owner that reaches its store.
     pub owner_heard_at: Cell<TimePoint>,
-    /// When any owner was last heard by this process's link, whether or not its store answers.
+    /// When this process's link last received a message from an owner, whether or not the owner
+    /// reaches its store.
     pub link_heard_at: Cell<TimePoint>,
-    /// Between two heartbeats of that link, by the owner's last grant.
+    /// Interval between two heartbeats on that link, as set by the owner's last grant.
     pub heartbeat_interval: Cell<Duration>,
     /// When the store last answered this process.
     pub store_answered_at: Cell<TimePoint>,
-    /// Up to when the config in force is known to be the newest.
+    /// Time up to which the config in force is known to be the newest.
     pub config_view: Cell<ConfigView>,
-    /// By when a change of the config is in force.
+    /// Limits on the time until a config change is in force.
     pub config_rules: ConfigRules,
-    /// The store's version up to which the operator's rows were taken; `None` before all were read.
+    /// Store version up to which the operator's rows have been applied; `None` before the first
+    /// full reading.
     pub(crate) rows_version: Cell<Option<u64>>,
-    /// Notified when the operator's rows may be due for a reading sooner than it seemed.
+    /// Notified when the operator's rows may be due for a reading earlier than planned.
     pub(crate) read_schedule_changed: Event,
 }
 
 impl PoolShared {
-    /// Prepares the state of a front.
+    /// Creates the state of a front on a VM of default capacity.
     pub fn new(
         node: &str,
         address: SocketAddr,
@@ -121,7 +125,7 @@
         )
     }
 
-    /// The same on a machine of which the platform has told.
+    /// Creates the state of a front on a VM whose capacity the platform has declared.
     pub fn with_vm_capacity(
         node: &str,
         address: SocketAddr,
@@ -166,43 +170,45 @@
         }
     }
 
-    /// Takes by when a change of the config is in force, and by when nothing starts in a drained domain.
+    /// Sets the time within which a config change must be in force, and the time after which
+    /// nothing starts in a drained domain.
     pub fn set_bounds(&mut self, config: Option<Duration>, drain: Option<Duration>) {
         self.drain_rules.bound = drain;
         self.config_rules = ConfigRules::new(config.unwrap_or(CONFIG_BOUND), self.drain_rules);
     }
 
-    /// How well this machine would carry an owner now.
+    /// Returns this VM's fitness for ownership at its present timer lateness.
     pub fn fitness(&self) -> OwnerFitness {
         self.vm_capacity.fitness(self.timer_lateness.get().mean())
     }
 
-    /// For how long an owner that was heard counts as there, longer by two of the heartbeats that it has done
-    /// without.
+    /// Returns how long an owner may be silent and still count as reachable: `usual`, plus twice
+    /// the time by which the heartbeat interval exceeds its shortest value.
     pub fn allowed_silence(&self, usual: Duration) -> Duration {
         usual + self.heartbeat_interval.get().saturating_sub(FRONT_PERIOD) * 2
     }
 
-    /// Notes a timer of `span` that was set at `began`.
+    /// Records the lateness of a timer of `span` that was set at `began_at`.
     pub fn record_timer(&self, span: Duration, began_at: TimePoint) {
         let mut timer_lateness = self.timer_lateness.get();
         timer_lateness.record(span, self.now().since(began_at));
         self.timer_lateness.set(timer_lateness);
     }
 
-    /// Notes a front, so that it is found should it own the shard once.
+    /// Remembers a front's address, so that this process can find the front if it becomes the
+    /// owner.
     pub(crate) fn record_front(&self, address: &str) {
         if let Ok(address) = address.parse() {
             self.front_addresses.borrow_mut().insert(address);
         }
     }
 
-    /// Limits and weights of placement in force.
+    /// Returns the limits and weights of placement in force.
     pub fn place_rules(&self) -> PlaceRules {
         self.place_rules.get()
     }
 
-    /// Takes other limits and weights of placement; an owner places by them from now on.
+    /// Replaces the limits and weights of placement; an owner uses them from now on.
     pub fn set_place_rules(&self, rules: PlaceRules) {
         self.place_rules.set(rules);
         if let Some(term) = self.current_term() {
@@ -210,36 +216,37 @@
         }
     }
 
-    /// The present time.
+    /// Returns the current time.
     pub fn now(&self) -> TimePoint {
         self.clock.now()
     }
 
-    /// The version of the config in force; 0 without one.
+    /// Returns the version of the config in force; 0 without a config.
     pub fn config_version(&self) -> u64 {
         self.config.borrow().version().unwrap_or(0)
     }
 
-    /// For how long a newer config may have gone unseen; `None` before the first reading.
+    /// Returns for how long a newer config may have existed unnoticed; `None` before the first
+    /// reading.
     pub fn config_age(&self) -> Option<Duration> {
         self.config_view.get().age(self.now())
     }
 
-    /// Whether a newer config may have been acknowledged for longer than the bound.
+    /// Returns whether a newer config may have been acknowledged for longer than the bound.
     pub fn may_config_be_stale(&self) -> bool {
         let view = self.config_view.get();
         view.may_be_old(self.now(), &self.config_rules)
     }
 
-    /// Changes how sure this process is of its config.
+    /// Updates until when the config is known to be the newest.
     pub(crate) fn update_config_view(&self, change: impl FnOnce(&mut ConfigView)) {
         let mut view = self.config_view.get();
         change(&mut view);
         self.config_view.set(view);
     }
 
-    /// The owner has answered a heartbeat of `sent`: `version` was its config, which it knew to be the newest
-    /// `age` before that.
+    /// Records the owner's answer to a heartbeat sent at `sent`: the owner had config `version`,
+    /// which it knew to be the newest `age` before that.
     pub fn record_owner_config(&self, version: u64, sent: TimePoint, age: Duration) {
         if version <= self.config_version() {
             let as_of = sent.min(self.now()) - age;
@@ -247,11 +254,11 @@
         }
     }
 
-    /// Takes the operator's text of a config if its version is greater than the one in force.
+    /// Applies the operator's text of a config if its version is greater than the one in force.
     ///
     /// # Errors
     ///
-    /// The text does not decode; the config in force stays.
+    /// The text cannot be decoded; the config in force stays.
     pub fn offer_config(&self, text: &[u8], from: &str) -> Result<(), WaxError> {
         let config = decode_config(text).map_err(|error| {
             WaxError::new(ErrorKind::Protocol, Step::ChangeSettings, from, error)
@@ -270,7 +277,7 @@
         Ok(())
     }
 
-    /// Notes a wave that the operator has asked for.
+    /// Adds a maintenance wave that the operator has requested, unless it is known already.
     pub(crate) fn offer_wave(&self, wave: UpkeepWave) {
         let known = self
             .waves
@@ -283,7 +290,7 @@
         }
     }
 
-    /// Notes what is drained, by a change of the view; an owner places by it from now on.
+    /// Updates the view of drained domains; an owner uses it for placement from now on.
     pub(crate) fn update_drains(&self, from: &str, change: impl FnOnce(&mut DrainView) -> bool) {
         let mut view = self.drains.borrow_mut();
         if !change(&mut view) {
@@ -296,7 +303,7 @@
         }
     }
 
-    /// Notes an owner if its row is newer than what is known.
+    /// Records an owner if its row is newer than the known one.
     pub fn offer_owner(&self, owner: KnownOwner) {
         let newer = {
             let known = self.owner.borrow();
@@ -305,24 +312,24 @@
                 .is_none_or(|known| owner.row_version > known.row_version)
         };
         if newer {
-            tracing::info!(epoch = owner.epoch, address = ?owner.address, released = owner.released, "owner known");
+            tracing::info!(epoch = owner.epoch, address = ?owner.address, released = owner.released, "learned of a new owner");
             *self.owner.borrow_mut() = Some(owner);
             self.owner_changed.notify(usize::MAX);
         }
     }
 
-    /// The term of the owner as last heard of; 0 without one.
+    /// Returns the term of the last known owner; 0 without one.
     pub fn owner_epoch(&self) -> u64 {
         self.owner.borrow().as_ref().map_or(0, |owner| owner.epoch)
     }
 
-    /// Whether an owner is known that has not let go.
+    /// Returns whether an owner is known that has not released the shard.
     pub(crate) fn has_owner(&self) -> bool {
         let owner = self.owner.borrow();
         owner.as_ref().is_some_and(|owner| !owner.released)
     }
 
-    /// The tenure of this process, if it owns the shard.
+    /// Returns the term of this process if it owns the shard.
     pub fn current_term(&self) -> Option<Rc<OwnerTerm>> {
         self.term.borrow().clone()
     }
--- a/crates/wax-owner/src/takeover_delay.rs
+++ b/crates/wax-owner/src/takeover_delay.rs
@@ -1,11 +1,13 @@
-//! A front's turn at a takeover: it lets those go first that would carry the shard better.
+//! Delays a front's attempt to take over, so that fronts that could serve the shard better try
+//! first.
 
 use crate::candidates::{OwnerFitness, TakeoverDelay};
 use crate::shared::PoolShared;
 use compio::time::timeout;
 use std::time::Duration;
 
-/// Lets those go first that have an earlier turn; says whether nobody has taken over meanwhile.
+/// Waits until this front may try to take over; returns false if another front has taken over
+/// meanwhile.
 pub(crate) async fn wait_takeover_delay(shared: &PoolShared) -> bool {
     let last_best = shared
         .owner
@@ -23,7 +25,7 @@
         own = delay.own_fitness.0,
         rank = delay.last_rank.map(|last_rank| last_rank.rank),
         wait_ms = wait.as_millis() as u64,
-        "nobody owns the shard"
+        "the shard has no owner"
     );
     let began_at = shared.now();
     let known_epoch = shared.owner_epoch();
@@ -36,12 +38,12 @@
         if waited >= wait {
             return true;
         }
-        // Either another owner is heard of or the turn has come; both lead to another look.
+        // Either a new owner or the end of the delay ends the wait; the loop checks again.
         let _ = timeout(wait - waited, listener).await;
     }
 }
 
-/// The strongest front that this one or the last owner knew of.
+/// Returns the fitness of the strongest front known to this process or to the last owner.
 pub(crate) fn best_known_fitness(shared: &PoolShared) -> OwnerFitness {
     let row = shared
         .owner
@@ -50,6 +52,6 @@
         .map(|owner| owner.best_fitness);
     let last_rank = shared.rank.get().map(|last_rank| last_rank.best_fitness);
     let own_fitness = shared.vm_capacity.fitness(Duration::ZERO);
-    // What the last owner has told is newer than its row.
+    // A rank reported by the last owner is newer than the owner's row.
     own_fitness.max(last_rank.or(row).unwrap_or_default())
 }
--- a/crates/wax-owner/src/timeouts.rs
+++ b/crates/wax-owner/src/timeouts.rs
@@ -1,31 +1,34 @@
-//! The spans of time that ownership keeps; all are counted on a clock that suspension does not stop.
+//! Durations that govern ownership. All are measured on a clock that keeps running while the VM is
+//! suspended.
 
 use std::time::Duration;
 
-/// Spans of one shard's ownership.
+/// Durations that govern the ownership of one shard.
 #[derive(Debug, Clone, Copy)]
 pub struct OwnerTimeouts {
-    /// A candidate takes over from an owner whose link is silent when the beat row has stood still
-    /// for this long.
+    /// A candidate whose link to the owner is silent takes over once the heartbeat row has been
+    /// unchanged for this long.
     pub takeover_if_unreachable: Duration,
-    /// The same for an owner that still answers on its link: its store may only be slow, and a takeover
-    /// would be one more load on it.
+    /// A candidate that still gets answers on its link to the owner takes over once the heartbeat
+    /// row has been unchanged for this long. The limit is longer because the store may only be
+    /// slow, and a takeover would add to its load.
     pub takeover_if_reachable: Duration,
-    /// Fronts look at the beat row themselves once the owner's store has been silent for this long.
+    /// Once the store has not confirmed the term for this long, the owner reports to fronts that it
+    /// has lost the store, and they read the heartbeat row themselves.
     pub store_suspected: Duration,
-    /// An owner acts for this long after the store last confirmed its term.
+    /// The owner gives orders for this long after the store last confirmed its term.
     pub term_validity: Duration,
-    /// An agent's authority reaches this far beyond its heartbeat.
+    /// Longest time after a heartbeat for which the owner grants authority to an agent.
     pub grant: Duration,
-    /// An agent extends leases this long beyond its authority.
+    /// An agent extends leases by this much beyond the end of its authority.
     pub lease_grace: Duration,
-    /// Room for clocks that differ by some hundredths.
+    /// Margin for clocks whose rates differ by a few percent.
     pub clock_slack: Duration,
-    /// The beat row is written at least this often.
+    /// Longest time between two writes of the heartbeat row.
     pub heartbeat_interval: Duration,
-    /// Ends are written at least this often.
+    /// Longest delay before progress that is not urgent, such as ends of runs, is written.
     pub flush_interval: Duration,
-    /// A link without a heartbeat for this long is closed.
+    /// A link without a message for this long is closed.
     pub link: Duration,
 }
 
@@ -47,18 +50,19 @@
 }
 
 impl OwnerTimeouts {
-    /// After the last grant to an agent, everything on its worker has lapsed by then.
+    /// Returns how long after the last grant to an agent all leases on its worker have expired.
     pub fn expiry_after_grant(&self) -> Duration {
         self.lease_grace + self.clock_slack
     }
 
-    /// After a takeover from an owner that surely acts no more, as it let go or its process is
-    /// dead, everything on a worker that the new owner has not heard of has lapsed.
+    /// Returns how long after a takeover all leases on a worker that has not reported to the new
+    /// owner have expired, if the former owner has released the shard or its process has ended.
     pub fn expiry_after_release(&self) -> Duration {
         self.grant + self.expiry_after_grant()
     }
 
-    /// After a takeover, everything on a worker that the new owner has not heard of has lapsed.
+    /// Returns how long after a takeover all leases on a worker that has not reported to the new
+    /// owner have expired, if the former owner may still be acting.
     pub fn expiry_after_takeover(&self) -> Duration {
         self.term_validity + self.grant + self.expiry_after_grant()
     }
--- a/crates/wax-owner/src/tx_resolution.rs
+++ b/crates/wax-owner/src/tx_resolution.rs
@@ -1,4 +1,4 @@
-//! Sends a transaction until its fate is known.
+//! Sends a transaction and retries it until its effect is known.
 
 use compio::time::sleep;
 use fastrand::Rng;
@@ -7,33 +7,35 @@
 use wax_policy::BackoffPlan;
 use wax_types::{ProcessClock, TimePoint, WaxError};
 
-/// Longest time for one try.
+/// Timeout for one attempt.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1_000);
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(40);
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// What became of a transaction.
+/// What is known of a transaction's effect.
 #[derive(Debug)]
 pub enum TxResolution {
-    /// It took effect; its rows have this version.
+    /// The transaction took effect; its rows have this version.
     Committed(u64),
-    /// It did not take effect, unless an earlier try with a lost answer did: the rows that exist tell.
+    /// The conditions did not hold. The transaction had no effect, unless an earlier attempt
+    /// without an answer took effect; the current rows show which.
     Conflict(Vec<StoredRow>),
-    /// It has had no effect and will have none.
+    /// The transaction has had no effect and will have none.
     NotSent(WaxError),
-    /// It may have taken effect, or may yet.
+    /// The transaction may have taken effect, or may still do so.
     Unknown(WaxError),
-    /// It has had no effect, and no store takes it as it is.
+    /// The transaction has had no effect, and the store would refuse it again unless it is changed.
     Refused(WaxError),
 }
 
 impl TxResolution {
-    /// Whether the transaction has, or surely has not, taken effect by its conditions.
+    /// Returns whether the store has evaluated the transaction's conditions.
     pub fn is_known(&self) -> bool {
         matches!(self, Self::Committed(_) | Self::Conflict(_))
     }
 
-    /// The fate of a transaction that went two ways: what is known goes first, then doubt.
+    /// Combines the results of a transaction that was sent on two paths. A known result takes
+    /// precedence, then an unknown one, then a refusal.
     pub fn join(self, other: Self) -> Self {
         match (self, other) {
             (known, _) if known.is_known() => known,
@@ -47,7 +49,7 @@
 
 /// Sends a transaction, unchanged, until it is answered or `deadline` has passed.
 ///
-/// Its conditions name the versions of what it writes, so that it takes effect once at most.
+/// The conditions name the versions of the rows that it writes, so it takes effect at most once.
 pub async fn transact(
     store: &StoreClient,
     clock: ProcessClock,
--- a/crates/wax-owner/src/watch.rs
+++ b/crates/wax-owner/src/watch.rs
@@ -1,4 +1,4 @@
-//! Watches who owns the shard, and takes over when nobody does.
+//! Watches which front owns the shard, and takes over when there is no owner.
 
 use crate::advice::query_advisor;
 use crate::candidates::{CandidateRank, OwnerFitness};
@@ -23,24 +23,25 @@
 use wax_trace::{Counter, FailureStreak, count};
 use wax_types::{TimePoint, WaxError};
 
-/// How long the store may wait for a change before it answers.
+/// Longest time for which the store holds a feed request without a change.
 const FEED_WAIT: Duration = Duration::from_secs(10);
-/// Longest time for a read.
+/// Timeout for one page of a read.
 const READ_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// After a failure, with as much again at random.
+/// Delay after a failure, plus up to as much again at random.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Between two looks at a beat that may have stopped.
+/// Interval between two checks of the owner.
 const CHECK_INTERVAL: Duration = Duration::from_millis(150);
-/// An owner heard this lately needs no look at its beat.
+/// The heartbeat row is not read if the owner was heard on the link within this time.
 const OWNER_MAX_SILENCE: Duration = Duration::from_millis(450);
-/// A takeover is tried for this long.
+/// Timeout for the transaction of a takeover.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Watches and takes over until `shutdown`, then lets go.
+/// Watches the owner and takes over when necessary until `shutdown`, then releases the term if this
+/// process has one.
 pub async fn run_ownership(shared: Rc<PoolShared>, shutdown: ShutdownSignal) {
     spawn(follow_owner(shared.clone())).detach();
     let mut watch = HeartbeatWatch::default();
-    let streak = FailureStreak::new("beat of the owner");
+    let streak = FailureStreak::new("heartbeat of the owner");
     while !shutdown.is_raised() {
         if let Some(term) = shared.current_term() {
             hold_term(&shared, &term, &shutdown).await;
@@ -67,7 +68,7 @@
 
 async fn wait_next_check(shared: &PoolShared) {
     let listener = shared.owner_changed.listen();
-    // Either the owner's row has changed or the period is over; both lead to another look.
+    // Either a change of the owner's row or the timeout ends the wait; the caller checks again.
     let _ = timeout(CHECK_INTERVAL, listener).await;
 }
 
@@ -82,7 +83,7 @@
         term.ended.wait().await;
     }
     if term.releasing.is_raised() {
-        // It has let go for another to own: all others go first.
+        // The term was released for another front to take over, so all others go first.
         let best_fitness = best_known_fitness(shared);
         shared.rank.set(Some(CandidateRank::last(best_fitness)));
     }
@@ -130,7 +131,7 @@
     }
 }
 
-/// Notes the owner's row.
+/// Decodes the owner's row and records the owner.
 pub(crate) fn record_owner(shared: &PoolShared, row: &StoredRow) {
     match OwnerRow::decode(&*row.value) {
         Ok(owner) => shared.offer_owner(KnownOwner {
@@ -140,11 +141,11 @@
             released: owner.released,
             best_fitness: OwnerFitness(owner.best_fitness),
         }),
-        Err(error) => tracing::error!(%error, "the owner's row does not decode"),
+        Err(error) => tracing::error!(%error, "could not decode the owner's row"),
     }
 }
 
-/// Takes the owner's row from the answer to a conflict; says whether there is one.
+/// Records the owner from the rows of a conflict; returns whether the owner's row is among them.
 pub fn record_owner_row(shared: &PoolShared, rows: &[StoredRow]) -> bool {
     let row = rows.iter().find(|row| row.key == owner_key());
     if let Some(row) = row {
@@ -153,14 +154,14 @@
     row.is_some()
 }
 
-/// The beat as this process has seen it.
+/// The last version of the heartbeat row and the time since when it has been unchanged.
 #[derive(Debug, Default)]
 struct HeartbeatWatch {
     seen: Option<(u64, TimePoint)>,
 }
 
 impl HeartbeatWatch {
-    /// Notes a version that was read; says since when it has stood still.
+    /// Records a version that was read; returns since when it has been unchanged.
     fn record(&mut self, version: u64, read_at: TimePoint) -> TimePoint {
         match self.seen {
             Some((known, since)) if known == version => since,
@@ -173,9 +174,9 @@
 }
 
 enum OwnerCheck {
-    /// Nobody owns: take over from this version of the beat.
+    /// The shard has no owner: take over from this version of the heartbeat row.
     TakeOver(u64),
-    /// Somebody owns, or may.
+    /// The shard has an owner or may have one.
     Wait,
 }
 
@@ -186,7 +187,7 @@
     let now = shared.now();
     let max_silence = shared.allowed_silence(OWNER_MAX_SILENCE);
     let known = shared.owner.borrow().clone();
-    // An earlier process at this address is surely dead, and a released term has no owner.
+    // A released term has no owner. An earlier process at this process's address has ended.
     let is_unowned = known
         .as_ref()
         .is_some_and(|owner| has_ended(shared, owner) || shared.refused_epoch.get() == owner.epoch);
@@ -202,7 +203,8 @@
     let row = page.rows.iter().find(|row| row.key == heartbeat_key());
     let version = row.map_or(0, |row| row.version);
     if row.is_some_and(|row| is_of_later_term(shared, row)) {
-        // The feed would have told of its owner: on a silent connection it does so after 11.5 s.
+        // The feed should have reported the new owner. On a silent connection it fails only after
+        // 11.5 s, so the row is read directly.
         read_owner(shared).await?;
         if !row.is_some_and(|row| is_of_later_term(shared, row)) {
             return Ok(OwnerCheck::Wait);
@@ -221,18 +223,19 @@
     Ok(OwnerCheck::Wait)
 }
 
-/// Whether a beat is of a later term than that of the owner which this process knows.
+/// Returns whether a heartbeat row belongs to a later term than the owner known to this process.
 fn is_of_later_term(shared: &PoolShared, row: &StoredRow) -> bool {
     match HeartbeatRow::decode(&*row.value) {
         Ok(heartbeat) => heartbeat.epoch > shared.owner_epoch(),
         Err(error) => {
-            tracing::error!(%error, "the beat row does not decode");
+            tracing::error!(%error, "could not decode the heartbeat row");
             false
         }
     }
 }
 
-/// Whether an owner has let go, or was an earlier process at this address, which is surely dead.
+/// Returns whether an owner is known to have stopped acting: it has released the shard, or it was
+/// an earlier process at this process's address.
 fn has_ended(shared: &PoolShared, owner: &KnownOwner) -> bool {
     owner.released || owner.address == Some(shared.address)
 }
@@ -280,7 +283,7 @@
         TxResolution::NotSent(error)
         | TxResolution::Unknown(error)
         | TxResolution::Refused(error) => {
-            tracing::warn!(%error, epoch = row.epoch, "takeover without an answer");
+            tracing::warn!(%error, epoch = row.epoch, "takeover failed or got no answer");
             return;
         }
     };
@@ -290,7 +293,8 @@
     begin_term(shared, row, version, sent_at, former_owner_ended);
 }
 
-/// After a lost answer the conflict may be with our own write.
+/// Returns the version of the owner's row if this process wrote it: a conflict may be with its own
+/// write whose answer was lost.
 fn find_own_row(shared: &PoolShared, rows: &[StoredRow], nonce: u64) -> Option<u64> {
     let row = rows.iter().find(|row| row.key == owner_key())?;
     record_owner(shared, row);
@@ -323,7 +327,8 @@
     spawn(write_chain(shared.clone(), term.clone(), version)).detach();
     spawn(follow_jobs(shared.clone(), term.clone())).detach();
     spawn(dispatch_orders(shared.clone(), term.clone())).detach();
-    // Others go by what the owner reads; until now it may have gone by what it was told.
+    // Fronts rely on what the owner reads. Until now this process may have relied on the former
+    // owner's reports, so it must read the operator's rows itself.
     shared.read_schedule_changed.notify(usize::MAX);
     spawn(report_waves(shared.clone(), term.clone())).detach();
     if let Some(advisor) = shared.advisor {
--- a/crates/wax-owner/src/waves.rs
+++ b/crates/wax-owner/src/waves.rs
@@ -1,6 +1,7 @@
-//! Tells the operator how waves of upkeep stand.
+//! Reports the status of maintenance waves to the operator.
 //!
-//! Upkeep itself is not given yet, so that a wave is only ever said to be running.
+//! Maintenance itself is not implemented yet, so the only status that is written is that a wave is
+//! running.
 
 use crate::owner_term::OwnerTerm;
 use crate::shared::PoolShared;
@@ -12,11 +13,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A status is tried for this long, then again.
+/// Timeout for writing one status.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
-/// After a status that could not be written.
+/// Delay after a status could not be written.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Without a new wave the owner looks this often whether its term has ended.
+/// Interval at which the end of the term is checked if no wave is added.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Writes a status for each wave until the term ends.
@@ -31,7 +32,7 @@
             .find(|wave| !reported.contains(&wave.wave))
             .cloned();
         let Some(wave) = wave else {
-            // Either a new wave or the time; both lead to another look.
+            // Either a new wave or the timeout ends the wait; the loop checks again.
             let _ = timeout(CHECK_INTERVAL, listener).await;
             continue;
         };
@@ -43,7 +44,8 @@
     }
 }
 
-/// Writes that a wave is running, unless it has a status; says whether the store has one.
+/// Writes that a wave is running, unless it has a status already; returns whether the store has a
+/// status for the wave.
 async fn report_running(shared: &PoolShared, wave: &UpkeepWave) -> bool {
     let key = RowKey::new(STATUS_TABLE, "", format!("{WAVE_PREFIX}{}", wave.wave));
     let tx = TxRequest {
@@ -60,7 +62,7 @@
             tracing::warn!(
                 wave = wave.wave,
                 machines = wave.machines.len(),
-                "a wave of upkeep is asked for; upkeep is not given yet"
+                "a maintenance wave was requested, but maintenance is not implemented"
             );
             true
         }
@@ -68,7 +70,7 @@
         TxResolution::NotSent(error)
         | TxResolution::Unknown(error)
         | TxResolution::Refused(error) => {
-            tracing::warn!(%error, wave = wave.wave, "the status of a wave is not written");
+            tracing::warn!(%error, wave = wave.wave, "could not write the status of a maintenance wave");
             false
         }
     }
--- a/crates/wax-owner/src/writer.rs
+++ b/crates/wax-owner/src/writer.rs
@@ -1,5 +1,5 @@
-//! Writes what the owner has taken note of: one chain of transactions, each of which also renews
-//! the term.
+//! Writes the owner's pending updates as a chain of conditional transactions. Each transaction
+//! builds on the one before and renews the term.
 
 use crate::chain_write::{ChainLimits, ChainWrite};
 use crate::front_relay::transact_via_front;
@@ -18,21 +18,21 @@
 use wax_trace::{Counter, Latency, count, count_many, note_latency};
 use wax_types::TimePoint;
 
-/// A transaction is tried for this long before the store is looked at anew.
+/// Deadline of one transaction, after which it is sent again if the term has not ended.
 const TX_TIMEOUT: Duration = Duration::from_secs(3_600);
-/// After a transaction that the store does not take, before a smaller one.
+/// Delay after a refused transaction, before a smaller one is sent.
 const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Urgent notes wait this long for company.
+/// Delay that lets urgent updates share a transaction.
 const URGENT_WRITE_DELAY: Duration = Duration::from_millis(8);
 
 enum WriteResult {
     Stored(u64),
     TermLost,
-    /// The store takes no such transaction.
+    /// The store refuses the transaction regardless of its conditions.
     Refused,
 }
 
-/// Writes until the term ends.
+/// Writes until the term has ended.
 pub(crate) async fn write_chain(
     shared: Rc<PoolShared>,
     term: Rc<OwnerTerm>,
@@ -50,7 +50,7 @@
         let sent_at = shared.now();
         match send_write(&shared, &term, &write, number).await {
             WriteResult::TermLost => {
-                term.end("another owner has written");
+                term.end("another owner has written to the shard");
                 return;
             }
             WriteResult::Refused => {
@@ -74,7 +74,7 @@
     }
 }
 
-/// Waits until there is something to write, or the term must be renewed.
+/// Waits until there is something to write or the term must be renewed.
 async fn wait_for_updates(shared: &PoolShared, term: &OwnerTerm) {
     let began_at = shared.now();
     loop {
@@ -87,7 +87,7 @@
         if waited >= due {
             return;
         }
-        // Either a change or the time; both lead to another look.
+        // Either a change or the timeout ends the wait; the loop checks again.
         let _ = timeout(due - waited, listener).await;
     }
 }
@@ -103,7 +103,7 @@
     }
 }
 
-/// Sends one transaction until it is in the store or the term is lost.
+/// Sends one transaction until the store has it, refuses it, or the term is lost.
 async fn send_write(
     shared: &PoolShared,
     term: &OwnerTerm,
@@ -125,7 +125,7 @@
                 if store_is_healthy && !term.releasing.is_raised() {
                     tracing::warn!(
                         epoch = term.epoch,
-                        "the store serves a front and not this owner: the shard is handed over"
+                        "releasing the shard because the store answers a front but not this owner"
                     );
                     term.release();
                 }
@@ -137,11 +137,11 @@
             TxResolution::Conflict(rows) => return resolve_conflict(term, &rows, number),
             TxResolution::Refused(error) => {
                 wax_trace::count(Counter::ChainRefused);
-                tracing::error!(%error, entries = write.tx.entries(), bytes = write.tx.bytes(), "the store takes no such transaction");
+                tracing::error!(%error, entries = write.tx.entries(), bytes = write.tx.bytes(), "the store refused a transaction");
                 return WriteResult::Refused;
             }
             TxResolution::NotSent(error) | TxResolution::Unknown(error) => {
-                tracing::error!(%error, "the store has not answered for very long");
+                tracing::error!(%error, "the store has not answered before the deadline");
             }
         }
         if term.ended.is_raised() {
@@ -150,7 +150,8 @@
     }
 }
 
-/// A conflict is our own write with a lost answer, or another owner's.
+/// Decides whether a conflict was caused by this owner's own write, whose answer was lost, or by
+/// another owner.
 fn resolve_conflict(term: &OwnerTerm, rows: &[StoredRow], count: u64) -> WriteResult {
     let heartbeat = rows.iter().find(|row| row.key == heartbeat_key());
     let ours = heartbeat.and_then(|row| {
@@ -170,7 +171,7 @@
     count_many(Counter::JobsEnded, ended.count() as u64);
 }
 
-/// One line for each job that is shown as ended from now on.
+/// Logs one line for each job that callers see as ended from now on.
 fn log_ended_jobs(shared: &PoolShared, term: &OwnerTerm, write: &ChainWrite) {
     let scheduler = term.scheduler.borrow();
     for update in &write.updates {
@@ -203,7 +204,7 @@
     term.dispatch.notify(usize::MAX);
 }
 
-/// When a transaction of the term was last known to be in force.
+/// Returns how long ago the last confirmed transaction of the term was sent.
 pub(crate) fn store_silence(term: &OwnerTerm, now: TimePoint) -> Duration {
     now.since(term.confirmed_at.get())
 }
