--- a/crates/wax-owner/benches/scale.rs
+++ b/crates/wax-owner/benches/scale.rs
@@ -1,4 +1,5 @@
-//! The time of an owner's decisions by the size of its pool, under virtual time: no sockets, no sleeps.
+//! Measures the time that an owner's decisions take by the size of its pool, under virtual time,
+//! without sockets and sleeps.
 
 #[path = "../tests/scale/simulation.rs"]
 #[allow(dead_code, reason = "shared with the tests, which use all of it")]
--- a/crates/wax-owner/tests/candidates.rs
+++ b/crates/wax-owner/tests/candidates.rs
@@ -1,4 +1,5 @@
-//! Turns at a takeover: a strong front first, a weak one when no other does, equal ones in an order.
+//! Checks the delays before a takeover: strong fronts try first, weak ones only when no other does,
+//! and equal ones in a fixed order.
 
 use std::time::Duration;
 use wax_owner::{
@@ -49,7 +50,7 @@
     assert_eq!(
         names,
         ["a", "b", "c", "d"],
-        "one that the store turns away is last"
+        "a front that cannot reach the store is ranked last"
     );
 }
 
@@ -62,11 +63,12 @@
     assert_eq!(
         delay(WEAK, last_rank(0, WEAK)).duration(),
         Duration::ZERO,
-        "also where all are weak"
+        "a weak front does not wait if all fronts are weak"
     );
 }
 
-/// A front that hands over is free to take over at once, as it knows of the release first.
+/// The releasing front knows of the release first. Without the longer delay, it would take the
+/// shard over again at once.
 #[test]
 fn front_that_released_the_shard_waits_longer_than_others() {
     let last = delay(STRONG, Some(CandidateRank::last(STRONG))).duration();
@@ -85,7 +87,10 @@
     assert!(weak_drawn.duration() > strong_drawn);
     let weak = delay(WEAK, last_rank(20, STRONG)).duration();
     assert!(strong.into_iter().all(|wait| wait < weak));
-    assert!(weak < Duration::from_millis(1_600), "it does try");
+    assert!(
+        weak < Duration::from_millis(1_600),
+        "the weak front tries to take over eventually"
+    );
 }
 
 #[test]
@@ -156,7 +161,7 @@
     assert!(!young.should_hand_over([front("a", STRONG)].into_iter(), NOW));
 }
 
-/// A load that makes every owner late would else be handed round without end.
+/// A load that makes the timers of every owner late would otherwise cause endless handovers.
 #[test]
 fn late_owner_on_a_strong_vm_hands_over_later() {
     let late = |seconds| HandoverCheck {
--- a/crates/wax-owner/tests/config_freshness.rs
+++ b/crates/wax-owner/tests/config_freshness.rs
@@ -1,11 +1,11 @@
-//! What a front believes of its config on an owner's word.
+//! Checks what a front concludes from an owner's report about the freshness of the config.
 
 use platform::StoreClient;
 use std::time::Duration;
 use wax_owner::PoolShared;
 use wax_types::TimePoint;
 
-/// The bound without a setting.
+/// Default bound, without a setting.
 const BOUND: Duration = Duration::from_secs(5);
 
 fn front_with_version(version: u64) -> PoolShared {
@@ -44,7 +44,7 @@
     owner_with_a_stale_reading_does_not_confirm_the_config: version 7, age BOUND * 2 => true;
 }
 
-/// A heartbeat from the future, by a damaged frame, would vouch for a config for ever.
+/// A timestamp in the future, as from a damaged frame, would otherwise confirm the config forever.
 #[test]
 fn future_timestamp_counts_as_now() {
     let front = front_with_version(7);
--- a/crates/wax-owner/tests/drains.rs
+++ b/crates/wax-owner/tests/drains.rs
@@ -1,5 +1,6 @@
-//! No start in a drained failure domain beyond the bound: over readings that come late or out of order,
-//! owners that follow one another, agents that are cut off, and orders in flight.
+//! Checks by simulation that no task starts in a drained failure domain after the bound. Readings
+//! may arrive late or out of order, owners may follow one another, agents may be cut off, and
+//! orders may be in transit.
 
 use proptest::prelude::*;
 use std::cmp::Reverse;
@@ -9,9 +10,9 @@
 use wax_types::TimePoint;
 use wax_wire::DrainFrame;
 
-/// The users' `evacuateMs`.
+/// The platform's bound `evacuateMs`, in milliseconds.
 const BOUND_MS: u64 = 5_000;
-/// An agent gives a start up that its worker has not answered for this long.
+/// Time after which an agent abandons a start that its worker has not answered.
 const START_LIMIT_MS: u64 = 700;
 const DOMAINS: usize = 3;
 const OWNERS: usize = 2;
@@ -20,18 +21,21 @@
     bound: Some(Duration::from_millis(BOUND_MS)),
 };
 
-/// What somebody sets out to do; delays in milliseconds.
+/// An action that is scheduled at some time; all durations are in milliseconds.
 #[derive(Debug, Clone)]
 enum Action {
-    /// The operator drains a domain, or takes it back.
+    /// The operator drains a domain or lifts the drain: domain, whether drained.
     Operate(usize, bool),
-    /// An owner reads all: until the store answers, until the answer arrives.
+    /// An owner reads all rows: owner, time until the store reads them, transit time of the answer.
     Read(usize, u64, u64),
-    /// An owner's feed asks for what has changed; as above.
+    /// An owner's feed requests changes: owner, time until the store reads them, transit time of
+    /// the answer.
     Follow(usize, u64, u64),
-    /// An agent's heartbeat to an owner: its way there, the answer's way back.
+    /// An agent sends a heartbeat to an owner: agent, owner, transit time of the heartbeat, transit
+    /// time of the answer.
     Heartbeat(usize, usize, u64, u64),
-    /// An owner's order to the agent of a domain: its way, and how long the start takes.
+    /// An owner orders a start from the agent of a domain: owner, agent, transit time, duration of
+    /// the start.
     Order(usize, usize, u64, u64),
 }
 
@@ -84,7 +88,7 @@
     Start(usize),
 }
 
-/// Each process has a clock of its own.
+/// Returns the time on a process's own clock, which is offset from those of the other processes.
 fn clock(process: usize, now: u64) -> TimePoint {
     TimePoint::from_millis(1_000_000 + 37_000 * process as u64 + now)
 }
@@ -97,10 +101,11 @@
 struct Simulation {
     queue: BinaryHeap<Reverse<(u64, usize, Event)>>,
     events: usize,
-    /// Changes by the operator: when, which, whether drained. Versions count them.
+    /// Changes by the operator: time, domain, whether drained. The version is the number of
+    /// changes.
     history: Vec<(u64, usize, bool)>,
     owners: [DrainView; OWNERS],
-    /// Where each owner's feed stands, and whether it waits for an answer.
+    /// Position of each owner's feed, and whether a request is in transit.
     feeds: [(usize, bool); OWNERS],
     agents: [DrainView; DOMAINS],
     starts: Vec<(u64, usize)>,
@@ -299,7 +304,8 @@
         }
     }
 
-    /// A start beyond the bound after a drain and before it was taken back, if there is one.
+    /// Returns a start that came later than the bound after a drain that was still in force, if
+    /// there is one.
     fn late_start(&self) -> Option<(u64, usize)> {
         let late = |(at, agent): &&(u64, usize)| {
             let seen = self
@@ -346,26 +352,29 @@
     }
 }
 
-/// An owner that is cut off from the store reads nothing more: within the bound its orders end, and its
-/// agents refuse those that are on their way.
+/// An owner that is cut off from the store reads no further drains. It must stop giving orders
+/// within the bound, and its agents must refuse orders that are in transit.
 #[test]
 fn owner_cut_off_from_the_store_orders_no_start_after_the_bound() {
     let mut simulation = Simulation::default();
     simulation.schedule(0, Action::Read(0, 5, 5));
     simulation.schedule(11, Action::Operate(1, true));
-    // Each order is long on its way, and each start takes as long as it may.
+    // Each order has a long transit time, and each start takes as long as allowed.
     for n in 0..800 {
         simulation.schedule(10 * n, Action::Heartbeat(1, 0, 1, 1));
         simulation.schedule(10 * n + 5, Action::Order(0, 1, 550, START_LIMIT_MS));
     }
     simulation.run();
-    assert!(simulation.starts.len() > 20, "it orders on for a while");
+    assert!(
+        simulation.starts.len() > 20,
+        "the owner continues to order starts until the bound"
+    );
     assert_eq!(simulation.late_start(), None);
     let last = simulation.starts.last().map(|(at, _)| *at);
     assert!(last.is_some_and(|last| last <= 11 + BOUND_MS), "{last:?}");
 }
 
-/// The word of an owner of the past comes after that of its successor.
+/// The answer of a former owner, with an older version, arrives after that of its successor.
 #[test]
 fn older_version_does_not_lift_a_drain() {
     let mut simulation = Simulation::default();
@@ -379,7 +388,8 @@
     assert!(simulation.starts.is_empty(), "{:?}", simulation.starts);
 }
 
-/// A history that was dropped is read anew: what it lacks is taken back.
+/// After the store has dropped the history, all rows are read again, and drains without a row are
+/// lifted.
 #[test]
 fn full_reading_lifts_drains_without_a_row() {
     let now = TimePoint::from_millis(10);
@@ -388,10 +398,13 @@
     assert!(view.replace(9, [domain(1)].into(), now));
     assert_eq!(view.verdict("zone-0", now, None), DrainVerdict::Open);
     assert_eq!(view.verdict("zone-1", now, None), DrainVerdict::Drained);
-    assert!(!view.replace(9, [domain(1)].into(), now), "it is no news");
+    assert!(
+        !view.replace(9, [domain(1)].into(), now),
+        "replacing the view with the same content is no change"
+    );
 }
 
-/// Where the platform asks for no bound, what is known of drains holds, however old.
+/// If the platform sets no bound, a known drain view is valid at any age.
 #[test]
 fn without_a_bound_starts_do_not_wait_for_a_reading() {
     let rules = DrainRules::default();
@@ -402,5 +415,9 @@
         DrainVerdict::Open
     );
     let bounded = view.verdict("a", now, RULES.start_age());
-    assert_eq!(bounded, DrainVerdict::Unsure, "nothing was read yet");
+    assert_eq!(
+        bounded,
+        DrainVerdict::Unsure,
+        "no reading has been made yet"
+    );
 }
--- a/crates/wax-owner/tests/fronts.rs
+++ b/crates/wax-owner/tests/fronts.rs
@@ -1,4 +1,4 @@
-//! Which fronts are told of dead boots: those that may take over next, each of each boot once.
+//! Checks which fronts receive ended boots: those that may take over next, and each boot only once.
 
 use futures_channel::mpsc::{UnboundedReceiver, unbounded};
 use wax_batch::BootId;
@@ -24,7 +24,7 @@
 }
 
 impl Case {
-    /// Front 0 is the strongest.
+    /// Creates a case in which front 0 is the strongest.
     fn new() -> Self {
         let mut roster = FrontRoster::default();
         let mut inboxes = Vec::new();
@@ -54,7 +54,7 @@
         self.roster.notify_watchers(&self.ended_boots);
     }
 
-    /// How many boots a front was told since the last call.
+    /// Returns how many boots a front has received since the last call.
     fn boots_received(&mut self, number: u64) -> usize {
         let mut boots = 0;
         while let Ok(body) = self.inboxes[number as usize].try_recv() {
@@ -87,14 +87,14 @@
     let last = case
         .roster
         .get_mut(&node(FRONTS - 1))
-        .expect("it is linked");
+        .expect("the front is linked");
     last.record_heartbeat(OwnerFitness(2_000), false, at(500));
     assert_eq!(case.boots_received(FRONTS - 1), 0);
     case.rank(at(500));
     assert_eq!(case.boots_received(FRONTS - 1), 3);
 }
 
-/// A front that has just linked may be all that is left when the owner is lost.
+/// A front that has just linked may be the only one left when the owner fails.
 #[test]
 fn unranked_front_receives_ended_boots() {
     let mut case = Case::new();
--- a/crates/wax-owner/tests/interference_log.rs
+++ b/crates/wax-owner/tests/interference_log.rs
@@ -1,4 +1,5 @@
-//! Each agent is told of each change once, whenever its heartbeats come.
+//! Checks that each agent receives each change of an interference estimate once, at any heartbeat
+//! interval.
 
 use std::time::Duration;
 use wax_owner::{InterferenceLog, PendingInterference};
@@ -39,7 +40,7 @@
     assert_eq!(
         log.updates_after(0, at(1_100)),
         expected,
-        "each agent by itself"
+        "the log keeps no state per agent"
     );
     assert_eq!(
         log.updates_after(1, at(1_200)),
--- a/crates/wax-owner/tests/roster.rs
+++ b/crates/wax-owner/tests/roster.rs
@@ -1,4 +1,5 @@
-//! The agents of a term: who is waited for at a takeover, and what the store is told of them.
+//! Checks the roster of agents: which agents an owner waits for after a takeover, and what it
+//! stores about them.
 
 use futures_channel::mpsc::{UnboundedSender, unbounded};
 use futures_util::FutureExt;
@@ -25,7 +26,7 @@
     SlotMap::<WorkerKey, ()>::with_key().insert(())
 }
 
-/// A boot that doesn't tell its start time.
+/// Returns a boot without a start time.
 fn boot(worker: &str) -> BootId {
     worker.into()
 }
@@ -81,7 +82,7 @@
         self.roster.close(node, link, at(millis), &self.timeouts);
     }
 
-    /// Links an agent, has its worker's row stored and its runs compared.
+    /// Links an agent, stores its worker's row and reconciles the worker's runs.
     fn join(&mut self, node: &str, link: u64, worker: (WorkerKey, &str), millis: u64) {
         self.open(node, link, millis);
         self.roster.ensure_row(node, &boot(worker.1));
@@ -89,7 +90,7 @@
         self.roster.updates_stored(&updates);
         assert!(
             self.roster.ensure_row(node, &boot(worker.1)),
-            "the store knows it"
+            "the store has the row"
         );
         self.roster.set_reconciled(node, worker.0, &boot(worker.1));
     }
@@ -102,7 +103,7 @@
     case.close("side-1", 1, 1_000);
     assert!(case.roster.unreconciled_runs().is_none());
     let expired = case.roster.remove_expired(at(60_000), at(60_000));
-    assert!(expired.nodes.is_empty(), "nothing was waited for");
+    assert!(expired.nodes.is_empty(), "no agent was awaited");
 }
 
 #[test]
@@ -128,7 +129,7 @@
     assert_eq!(
         unreconciled,
         UnheardRuns::Any,
-        "the worker may run on alone"
+        "the worker may still run without its agent"
     );
     let early = case.roster.remove_expired(at(14_999), at(14_999));
     assert!(early.nodes.is_empty());
@@ -152,7 +153,7 @@
         assert_eq!(
             case.roster.unreconciled_agents(),
             1,
-            "but for the other one"
+            "only the other agent is awaited"
         );
         assert_eq!(case.roster.take_updates(100), removed("side-1"));
     }
@@ -177,7 +178,10 @@
     case.join("side-1", 1, (key, "w2"), 0);
     assert_eq!(case.roster.boot_ended(&boot("w1")), None);
     assert!(case.roster.worker_ended("side-1", &boot("w1")).is_none());
-    assert!(case.roster.outbox(key).is_some(), "it gets orders");
+    assert!(
+        case.roster.outbox(key).is_some(),
+        "the worker may receive orders"
+    );
 }
 
 #[test]
@@ -188,7 +192,10 @@
     case.close("side-1", 1, 1_000);
     let jobs = |_| BTreeSet::from([JobName(7)]);
     case.roster.queue_unlinked(at(1_500), jobs);
-    assert!(!case.roster.has_updates(), "links break and are back");
+    assert!(
+        !case.roster.has_updates(),
+        "a short interruption of the link changes no row"
+    );
     case.roster.queue_unlinked(at(2_100), jobs);
     let boot = boot("w1");
     let jobs = BTreeSet::from([JobName(7)]);
@@ -199,7 +206,8 @@
     );
 }
 
-/// An order to a worker that gets none by the store is one that no later owner reckons with.
+/// If a worker received an order although its row forbids orders, the next owner would not take the
+/// run into account.
 #[test]
 fn agent_stored_as_unlinked_gets_no_order_until_stored_as_linked() {
     let key = worker_key();
@@ -208,13 +216,13 @@
     case.close("side-1", 1, 1_000);
     case.roster.queue_unlinked(at(2_100), |_| BTreeSet::new());
     let unlinked_updates = case.roster.take_updates(100);
-    // The link is back while that is written.
+    // The agent links again while the row is being written.
     case.open("side-1", 2, 2_150);
     assert!(!case.roster.ensure_row("side-1", &boot("w1")));
     case.roster.updates_stored(&unlinked_updates);
     assert!(
         !case.roster.ensure_row("side-1", &boot("w1")),
-        "not stored yet"
+        "the row that permits orders is not stored yet"
     );
     assert!(case.roster.outbox(key).is_none());
     let back = case.roster.take_updates(100);
@@ -242,11 +250,12 @@
     assert_eq!(
         case.roster.boot_ended(&boot("")),
         None,
-        "no boot is named so"
+        "an empty id names no boot"
     );
 }
 
-/// Another owner may have heard the agent and extended its leases while this one could not know it.
+/// Until the store confirms the term, another owner may have had contact with the agent and
+/// extended its leases.
 #[test]
 fn leases_expire_only_after_the_store_has_confirmed_the_term() {
     let key = worker_key();
@@ -254,7 +263,7 @@
     case.join("side-1", 1, (key, "w1"), 0);
     case.close("side-1", 1, 100);
     let unconfirmed = case.roster.remove_expired(at(60_000), at(2_000));
-    assert!(unconfirmed.workers.is_empty(), "the term may be over");
+    assert!(unconfirmed.workers.is_empty(), "the term may have ended");
     let confirmed = case.roster.remove_expired(at(60_000), at(59_900));
     assert_eq!(confirmed.workers, vec![key]);
 }
@@ -284,15 +293,18 @@
     case.load("side-1", &row("w1"));
     case.join("side-1", 1, (worker, "w1"), 1_000);
     case.close("side-1", 1, 2_000);
-    // The owner before may have granted until the link was opened, not later.
+    // The former owner may have extended the grant until the link was opened, but not later.
     let bound = at(1_000) + case.timeouts.expiry_after_release();
     let early = case.roster.remove_expired(before(bound), before(bound));
-    assert!(early.workers.is_empty(), "its leases may hold until then");
+    assert!(
+        early.workers.is_empty(),
+        "leases may be valid until the bound"
+    );
     let expired = case.roster.remove_expired(bound, bound);
     assert_eq!(expired.workers, [worker]);
 }
 
-/// A worker that crashed and started again under its id: the next owner's row speaks of the later boot.
+/// A worker crashed and started again under the same id, and the row names the later boot.
 #[test]
 fn end_of_a_boot_does_not_affect_a_later_boot_of_the_same_worker() {
     let before = BootId::new("w1", Some(1_000));
@@ -309,21 +321,25 @@
     assert_eq!(
         case.roster.unreconciled_agents(),
         1,
-        "the later boot is waited for"
+        "the later boot is awaited"
     );
     case.roster
         .load("side-2", &started(None), at(15_000), &ended_boots);
     assert_eq!(
         case.roster.unreconciled_agents(),
         2,
-        "it may be either boot"
+        "a row without a start time may belong to either boot"
     );
     case.roster
         .load("side-3", &started(Some(1_000)), at(15_000), &ended_boots);
-    assert_eq!(case.roster.unreconciled_agents(), 2, "this one is dead");
+    assert_eq!(
+        case.roster.unreconciled_agents(),
+        2,
+        "the boot of this row has ended"
+    );
 }
 
-/// With one event for all rows, each transaction of a takeover woke up all links that waited for a row.
+/// A single event for all rows would wake every waiting link at each transaction of a takeover.
 #[test]
 fn stored_row_wakes_only_the_link_that_waits_for_it() {
     let mut case = Case::new();
@@ -344,7 +360,7 @@
     assert_eq!(woken, [true, false]);
 }
 
-/// A link that is replaced must not wait for ever.
+/// A link that has been replaced must not wait forever.
 #[test]
 fn newer_link_wakes_the_older_link_that_waits_for_the_row() {
     let mut case = Case::new();
@@ -369,8 +385,11 @@
     let linked = case.roster.take_updates(100);
     case.close("side-1", 2, 200);
     case.roster.queue_unlinked(at(5_000), |_| BTreeSet::new());
-    assert!(!case.roster.has_updates(), "its row is on its way");
+    assert!(!case.roster.has_updates(), "the row is still being written");
     case.roster.updates_stored(&linked);
     case.roster.queue_unlinked(at(5_100), |_| BTreeSet::new());
-    assert!(case.roster.has_updates(), "the row says that it is linked");
+    assert!(
+        case.roster.has_updates(),
+        "the stored row must be marked as unlinked"
+    );
 }
--- a/crates/wax-owner/tests/scale.rs
+++ b/crates/wax-owner/tests/scale.rs
@@ -1,6 +1,7 @@
-//! What an owner's decisions cost by the size of its pool: counts of steps, messages and bytes, under virtual time.
+//! Checks how the cost of an owner's decisions grows with the size of its pool. The cost is the
+//! number of steps, messages and bytes under virtual time.
 //!
-//! Each assertion is on growth: at twice the size a count is at most 2.2 times as large.
+//! Each assertion is on growth: at twice the size, a count may be at most 2.2 times as large.
 
 mod scale {
     pub(crate) mod simulation;
@@ -9,14 +10,14 @@
 use scale::simulation::{Cost, PoolSize, SimulatedPool};
 use std::time::Duration;
 
-/// Sizes that are compared, and one beyond the size to design for.
+/// Numbers of agents that are compared; the largest exceeds the design size.
 const SIZES: [usize; 3] = [500, 1_000, 2_000];
-/// At twice the size no count may be more times as large.
+/// Largest allowed growth of a count when the size doubles.
 const MAX_GROWTH: f64 = 2.2;
-/// Counts below this say nothing of growth.
+/// Smaller counts are raised to this value, as they do not show growth.
 const MIN_COUNT: u64 = 200;
 
-/// Plays the same at each size and compares each count with the one at half the size.
+/// Runs the same scenario at each size and compares each count with that at half the size.
 fn assert_growth(simulation: impl Fn(&mut SimulatedPool)) {
     let costs: Vec<Cost> = SIZES
         .iter()
@@ -69,7 +70,8 @@
     };
 }
 
-/// Whatever happens, work goes on: the counts are those of an owner that decides.
+/// The growth checks would also pass for an owner that decides nothing, so this test checks that
+/// tasks are started.
 #[test]
 fn tasks_start_after_a_takeover_during_a_rolling_restart() {
     let mut pool = SimulatedPool::settled(PoolSize::of_agents(1_000));
@@ -77,5 +79,5 @@
     pool.restart_workers(0.11, 1);
     pool.run(Duration::from_secs(4));
     assert!(pool.starts() >= pool.size().tasks_per_second as u64 * 2);
-    assert_eq!(pool.held_back_tasks(), 0, "no task waits");
+    assert_eq!(pool.held_back_tasks(), 0, "no task is held back");
 }
--- a/crates/wax-owner/tests/scale/simulation.rs
+++ b/crates/wax-owner/tests/scale/simulation.rs
@@ -1,4 +1,4 @@
-//! An owner's book, roster and fronts, with agents and fronts that are played beside them.
+//! Simulates an owner's scheduler, roster and fronts with agents and fronts under virtual time.
 
 use futures_channel::mpsc::{UnboundedReceiver, unbounded};
 use prost::Message;
@@ -16,19 +16,19 @@
 use wax_types::TimePoint;
 use wax_wire::{LeaseGrant, PoolBody, PoolFrame};
 
-/// A round of the dispatcher gathers what has changed within this.
+/// Simulation step; changes within one step share a dispatch round.
 const TICK: Duration = Duration::from_millis(2);
-/// Without a change the dispatcher looks again after this.
+/// Number of ticks without a change after which a dispatch round runs.
 const IDLE_TICKS: u64 = 50;
-/// How long a task runs.
+/// Run time of each task.
 const TASK_DURATION: Duration = Duration::from_millis(1_200);
-/// Tasks of a job.
+/// Number of tasks in a job.
 const JOB_TASKS: u32 = 20;
-/// Agents written down by one transaction, each of which takes so many ticks.
+/// Largest number of agent rows in one transaction. A transaction takes `TX_TICKS` ticks.
 const ROWS_PER_TX: usize = 32;
 const TX_TICKS: u64 = 5;
 
-/// How large a pool is, and how much work it has.
+/// Size of a pool and its rate of tasks.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PoolSize {
     pub(crate) agents: usize,
@@ -46,7 +46,7 @@
     }
 }
 
-/// What was counted.
+/// Counts of the owner's work.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Cost {
     heartbeats: u64,
@@ -64,7 +64,7 @@
             ("heartbeats", self.heartbeats),
             ("messages", self.messages),
             ("bytes", self.bytes),
-            ("agents looked at", self.agents_visited),
+            ("agents visited", self.agents_visited),
             ("workers asked", self.workers_asked),
             ("fronts ranked", self.fronts_ranked),
             ("transactions", self.transactions),
@@ -72,7 +72,7 @@
     }
 }
 
-/// What is to happen at a time.
+/// An event that is due at some time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     AgentHeartbeat(usize),
@@ -90,19 +90,19 @@
     worker: Option<WorkerKey>,
     runs: BTreeSet<RunMark>,
     ends: u64,
-    /// Ends that no owner has heard.
+    /// Ends of runs that have not been reported to an owner.
     unreported_ends: Vec<RunEnd>,
     is_linked: bool,
     inbox: Option<UnboundedReceiver<PoolBody>>,
 }
 
-/// An owner and its pool.
+/// A simulated owner and its pool.
 pub(crate) struct SimulatedPool {
     size: PoolSize,
     now: TimePoint,
     epoch: u64,
     scheduler: JobBook,
-    /// Open jobs as the store has them.
+    /// Open jobs as the store holds them.
     jobs: BTreeMap<JobName, (JobRow, Option<JobProgress>)>,
     roster: AgentRoster,
     rows: BTreeMap<Box<str>, AgentRow>,
@@ -153,7 +153,7 @@
 }
 
 impl SimulatedPool {
-    /// A pool whose owner has taken over and has heard all.
+    /// Creates a pool whose owner has taken over and has reconciled all runs.
     pub(crate) fn settled(size: PoolSize) -> Self {
         let agents = (0..size.agents).map(|_| SimulatedAgent {
             boot: 1,
@@ -206,12 +206,12 @@
         self.starts
     }
 
-    /// Tasks that wait although their jobs were handed in a while ago.
+    /// Returns the number of tasks that are held back because of unreconciled runs.
     pub(crate) fn held_back_tasks(&self) -> usize {
         self.scheduler.held_back()
     }
 
-    /// What was counted since the last call.
+    /// Returns the counts since the last call.
     pub(crate) fn take_cost(&mut self) -> Cost {
         self.cost.workers_asked += self.scheduler.take_workers_asked();
         self.cost.agents_visited += self.roster.take_visited();
@@ -225,7 +225,7 @@
             .insert((self.now + span, self.next_event, event));
     }
 
-    /// All agents and fronts link within some hundred milliseconds.
+    /// Links all agents and fronts within some hundred milliseconds.
     fn link_all(&mut self) {
         for agent in 0..self.agents.len() {
             let spread = Duration::from_micros(300_000 * agent as u64 / self.size.agents as u64);
@@ -242,14 +242,15 @@
         }
     }
 
-    /// The operator writes another version, which fronts find in the store a moment later.
+    /// Changes the config. Each front has the new version after its next heartbeat, as if it had
+    /// read the version from the store.
     pub(crate) fn change_config(&mut self) {
         self.config += 1;
         self.scheduler.set_config(config().into());
         self.has_changes = true;
     }
 
-    /// Another owner takes over: it knows the store's rows, and hears agents and fronts anew.
+    /// Lets another owner take over, which loads the store's rows and reconciles all agents again.
     pub(crate) fn take_over(&mut self) {
         self.epoch += 1;
         self.scheduler = new_scheduler(self.epoch);
@@ -276,7 +277,8 @@
         self.link_all();
     }
 
-    /// A share of the workers at a time leaves and comes back as another boot, so many times.
+    /// Stops a share of the workers and starts them again as other boots; repeats this `times`
+    /// times with other workers.
     pub(crate) fn restart_workers(&mut self, share: f64, times: usize) {
         let batches = (1.0 / share) as usize;
         for dispatch in 0..times {
@@ -288,7 +290,7 @@
         }
     }
 
-    /// A share of the agents is gone without a word.
+    /// Ends a share of the agents without notice.
     pub(crate) fn kill_agents(&mut self, share: f64) {
         let killed = (self.agents.len() as f64 * share) as usize;
         for number in 0..killed {
@@ -332,7 +334,7 @@
             .into()
     }
 
-    /// Plays for a while.
+    /// Advances the simulation by `span`.
     pub(crate) fn run(&mut self, span: Duration) {
         let end = self.now + span;
         let mut ticks = 0;
@@ -488,7 +490,7 @@
         self.after(Duration::ZERO, Event::AgentHeartbeat(number));
     }
 
-    /// The worker's list is compared once the store has the agent's row.
+    /// Reconciles a worker's runs once the store has the agent's row.
     fn reconcile(&mut self, number: usize) {
         let (node, boot) = (node(number), self.boot(number));
         if !self.roster.ensure_row(&node, &boot) {
@@ -554,7 +556,7 @@
         self.start_write();
     }
 
-    /// A round of the dispatcher.
+    /// Runs one dispatch round.
     fn dispatch(&mut self) {
         let expired = self.roster.remove_expired(self.now, self.now);
         for worker in expired.workers {
@@ -600,10 +602,10 @@
     }
 
     fn number_of(&self, worker: WorkerKey) -> usize {
-        let boot = self.roster.boot(worker).expect("it is linked");
+        let boot = self.roster.boot(worker).expect("the agent is linked");
         let id = boot.worker_id().trim_start_matches("i-");
         let number = id.split('-').next().and_then(|number| number.parse().ok());
-        number.expect("a number")
+        number.expect("the id contains the number of the agent")
     }
 }
 
@@ -611,7 +613,7 @@
     format!("side-{number}")
 }
 
-/// Unix milliseconds of a played time.
+/// Returns the Unix milliseconds of a simulated time.
 fn wall(now: TimePoint) -> u64 {
     now.0 / 1_000
 }
--- a/crates/wax-owner/tests/transaction_resolution.rs
+++ b/crates/wax-owner/tests/transaction_resolution.rs
@@ -1,4 +1,4 @@
-//! "Not run" is said only where no try can take effect any more.
+//! Checks that a transaction is reported as not run only if no attempt can take effect any more.
 
 use compio::runtime::Runtime;
 use platform::{StoreClient, TxRequest};
@@ -22,22 +22,23 @@
     })
 }
 
-/// One try of a transaction, and whether it may still take effect later.
+/// One attempt to send a transaction.
 #[derive(Debug, Clone, Copy)]
 enum Attempt {
-    /// The store is called and nothing goes out.
+    /// The store was called, but nothing was sent.
     NotSent,
-    /// The store is called and no answer comes: a link breaks, an answer is lost.
+    /// The store was called, and no answer came, because the link broke or the answer was lost.
     NoStoreAnswer,
-    /// No link stands.
+    /// There was no link to the owner.
     NoLink,
-    /// The question is handed to a link, which breaks, or whose owner reads it late or never.
+    /// The request was handed to a link, which broke, or whose owner reads the request late or
+    /// never.
     NoAnswer,
-    /// The owner does not know either.
+    /// The owner answered that it does not know the transaction's effect.
     OwnerIndeterminate,
-    /// The owner has sent nothing: its store is down, or the question came too late.
+    /// The owner sent nothing, because its store was down or the request arrived too late.
     OwnerSentNothing,
-    /// The owner's store takes no such transaction.
+    /// The store refused the transaction that the owner sent.
     OwnerRefused,
 }
 
@@ -62,7 +63,7 @@
     ]
 }
 
-/// What the caller is told after these tries, in this order.
+/// Returns the result that the caller gets after these attempts, in this order.
 fn resolve(attempts: &[Attempt]) -> TxResolution {
     let mut tracker = RelayTracker::default();
     let mut direct = TxResolution::NotSent(any_error());
@@ -92,14 +93,14 @@
     ) {
         let refused = matches!(resolve(&attempts), TxResolution::NotSent(_) | TxResolution::Refused(_));
         let may_run = attempts.iter().any(|attempt| attempt.may_take_effect());
-        // A refusal by the owner ends the asking: what comes after it is not tried.
+        // A refusal by the owner ends the attempts; later ones are not made.
         let ended = attempts
             .iter()
             .position(|attempt| matches!(attempt, Attempt::OwnerRefused));
         let tried = &attempts[..ended.map_or(attempts.len(), |end| end + 1)];
         let may_run_tried = tried.iter().any(|attempt| attempt.may_take_effect());
         prop_assert!(!(refused && may_run_tried), "{attempts:?}");
-        prop_assert!(refused || may_run, "doubt without a reason: {attempts:?}");
+        prop_assert!(refused || may_run, "indeterminate without a reason: {attempts:?}");
     }
 }
 
@@ -107,7 +108,7 @@
 fn request_on_a_broken_link_may_still_take_effect() {
     let mut tracker = RelayTracker::default();
     assert!(tracker.record(RelayAttempt::NoAnswer).is_none());
-    // No later word about another question ends that doubt.
+    // Replies to later requests do not settle the first one.
     assert!(tracker.record(answered(RelayFate::NotSent)).is_none());
     assert!(tracker.record(RelayAttempt::NoLink).is_none());
     assert!(matches!(tracker.finish(), TxResolution::Unknown(_)));
@@ -120,9 +121,9 @@
     assert_eq!(
         delay.delay_of(7, at(50)),
         Duration::ZERO,
-        "nothing is known yet"
+        "no heartbeat has been recorded yet"
     );
-    // The peer's clock is 90 s behind ours; its heartbeats take 5 and 2 ms.
+    // The peer's clock is 90 s behind, and its heartbeats take 5 ms and 2 ms.
     delay.record_heartbeat(10_000_000, at(100_005));
     delay.record_heartbeat(10_200_000, at(100_202));
     let asked_us = 11_000_000;
