--- a/crates/wax-owner/src/dispatch.rs
+++ b/crates/wax-owner/src/dispatch.rs
@@ -13,7 +13,7 @@
 /// Longest time between two dispatch rounds without a change; some decisions depend on time alone.
 const IDLE_INTERVAL: Duration = Duration::from_millis(100);
 /// A longer gap between two rounds means that this process was stalled, not the workers.
-const PROCESS_STALL: Duration = Duration::from_millis(500);
+const PROCESS_STALL_THRESHOLD: Duration = Duration::from_millis(500);
 /// After such a stall, new progress reports arrive within this time.
 const PROGRESS_CATCH_UP: Duration = Duration::from_millis(2_000);
 /// Delay that lets changes which arrive together share a dispatch round.
@@ -40,7 +40,7 @@
     if !term.loaded.is_raised() || term.ended.is_raised() {
         return;
     }
-    if now.since(term.dispatched_at.replace(now)) > PROCESS_STALL {
+    if now.since(term.dispatched_at.replace(now)) > PROCESS_STALL_THRESHOLD {
         term.progress_unreliable_until.set(now + PROGRESS_CATCH_UP);
     }
     remove_expired(term, now);
--- a/crates/wax-owner/src/relay.rs
+++ b/crates/wax-owner/src/relay.rs
@@ -28,7 +28,7 @@
 /// breaks.
 #[derive(Debug, Default)]
 pub struct RelayTracker {
-    may_be_sent: bool,
+    may_take_effect: bool,
 }
 
 impl RelayTracker {
@@ -38,7 +38,7 @@
         let reply = match attempt {
             RelayAttempt::NoLink => return None,
             RelayAttempt::NoAnswer => {
-                self.may_be_sent = true;
+                self.may_take_effect = true;
                 return None;
             }
             RelayAttempt::Answered(reply) => reply,
@@ -47,11 +47,11 @@
             RelayFate::Committed => Some(TxResolution::Committed(reply.version)),
             RelayFate::Conflict => Some(TxResolution::Conflict(relayed_rows(reply))),
             RelayFate::Unknown => {
-                self.may_be_sent = true;
+                self.may_take_effect = true;
                 None
             }
             RelayFate::NotSent => None,
-            RelayFate::Refused if self.may_be_sent => None,
+            RelayFate::Refused if self.may_take_effect => None,
             RelayFate::Refused => Some(TxResolution::Refused(relay_error("the store refuses it"))),
         }
     }
@@ -59,7 +59,7 @@
     /// Returns the resolution when no further request will be sent.
     pub fn finish(&self) -> TxResolution {
         let error = relay_error("neither the store nor the owner answers");
-        match self.may_be_sent {
+        match self.may_take_effect {
             true => TxResolution::Unknown(error),
             false => TxResolution::NotSent(error),
         }
--- a/crates/wax-owner/tests/config_freshness.rs
+++ b/crates/wax-owner/tests/config_freshness.rs
@@ -9,11 +9,11 @@
 const BOUND: Duration = Duration::from_secs(5);
 
 fn front_with_version(version: u64) -> PoolShared {
-    let nowhere = "127.0.0.1:9".parse().expect("an address");
+    let unused_address = "127.0.0.1:9".parse().expect("an address");
     let shared = PoolShared::new(
         "front",
-        nowhere,
-        StoreClient::new(nowhere),
+        unused_address,
+        StoreClient::new(unused_address),
         None,
         Duration::ZERO,
     );
--- a/crates/wax-owner/tests/drains.rs
+++ b/crates/wax-owner/tests/drains.rs
@@ -42,22 +42,22 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Operate(usize, bool),
-    Serve {
+    ReadAtStore {
         owner: usize,
         requested_at: u64,
         transit: u64,
     },
-    Learn {
+    ReadAnswered {
         owner: usize,
         requested_at: u64,
         version: usize,
     },
-    ServeFeed {
+    FeedAtStore {
         owner: usize,
         requested_at: u64,
         transit: u64,
     },
-    LearnFeed {
+    FeedAnswered {
         owner: usize,
         requested_at: u64,
         version: usize,
@@ -68,7 +68,7 @@
         requested_at: u64,
         transit: u64,
     },
-    Grant {
+    GrantArrived {
         agent: usize,
         requested_at: u64,
         version: u64,
@@ -79,11 +79,11 @@
         owner: usize,
         agent: usize,
         transit: u64,
-        takes: u64,
+        duration: u64,
     },
-    Arrive {
+    OrderArrived {
         agent: usize,
-        takes: u64,
+        duration: u64,
     },
     Start(usize),
 }
@@ -120,29 +120,29 @@
     fn schedule(&mut self, at: u64, action: Action) {
         match action {
             Action::Operate(domain, drained) => self.push(at, Event::Operate(domain, drained)),
-            Action::Read(owner, serve, transit) => {
+            Action::Read(owner, until_read, transit) => {
                 self.push(
-                    at + serve,
-                    Event::Serve {
+                    at + until_read,
+                    Event::ReadAtStore {
                         owner,
                         requested_at: at,
                         transit,
                     },
                 );
             }
-            Action::Follow(owner, serve, transit) => {
+            Action::Follow(owner, until_read, transit) => {
                 self.push(
-                    at + serve,
-                    Event::ServeFeed {
+                    at + until_read,
+                    Event::FeedAtStore {
                         owner,
                         requested_at: at,
                         transit,
                     },
                 );
             }
-            Action::Heartbeat(agent, owner, to, transit) => {
+            Action::Heartbeat(agent, owner, transit_there, transit) => {
                 self.push(
-                    at + to,
+                    at + transit_there,
                     Event::Heartbeat {
                         agent,
                         owner,
@@ -151,14 +151,14 @@
                     },
                 );
             }
-            Action::Order(owner, agent, transit, takes) => {
+            Action::Order(owner, agent, transit, duration) => {
                 self.push(
                     at,
                     Event::Order {
                         owner,
                         agent,
                         transit,
-                        takes,
+                        duration,
                     },
                 );
             }
@@ -186,21 +186,21 @@
         let version = self.history.len();
         match event {
             Event::Operate(domain, drained) => self.history.push((now, domain, drained)),
-            Event::Serve {
+            Event::ReadAtStore {
                 owner,
                 requested_at,
                 transit,
             } => {
                 self.push(
                     now + transit,
-                    Event::Learn {
+                    Event::ReadAnswered {
                         owner,
                         requested_at,
                         version,
                     },
                 );
             }
-            Event::Learn {
+            Event::ReadAnswered {
                 owner,
                 requested_at,
                 version,
@@ -208,7 +208,7 @@
                 let drained = self.drained_at(version);
                 self.owners[owner].replace(version as u64, drained, clock(owner, requested_at));
             }
-            Event::ServeFeed {
+            Event::FeedAtStore {
                 owner,
                 requested_at,
                 transit,
@@ -216,7 +216,7 @@
                 if !std::mem::replace(&mut self.feeds[owner].1, true) {
                     self.push(
                         now + transit,
-                        Event::LearnFeed {
+                        Event::FeedAnswered {
                             owner,
                             requested_at,
                             version,
@@ -224,7 +224,7 @@
                     );
                 }
             }
-            Event::LearnFeed {
+            Event::FeedAnswered {
                 owner,
                 requested_at,
                 version,
@@ -251,7 +251,7 @@
                     } = frame;
                     self.push(
                         now + transit,
-                        Event::Grant {
+                        Event::GrantArrived {
                             agent,
                             requested_at,
                             version,
@@ -261,7 +261,7 @@
                     );
                 }
             }
-            Event::Grant {
+            Event::GrantArrived {
                 agent,
                 requested_at,
                 version,
@@ -279,7 +279,7 @@
                 owner,
                 agent,
                 transit,
-                takes,
+                duration,
             } => {
                 let verdict = self.owners[owner].verdict(
                     &domain(agent),
@@ -287,17 +287,17 @@
                     RULES.order_age(),
                 );
                 if verdict == DrainVerdict::Open {
-                    self.push(now + transit, Event::Arrive { agent, takes });
+                    self.push(now + transit, Event::OrderArrived { agent, duration });
                 }
             }
-            Event::Arrive { agent, takes } => {
+            Event::OrderArrived { agent, duration } => {
                 let verdict = self.agents[agent].verdict(
                     &domain(agent),
                     clock(OWNERS + agent, now),
                     RULES.start_age(),
                 );
                 if verdict == DrainVerdict::Open {
-                    self.push(now + takes, Event::Start(agent));
+                    self.push(now + duration, Event::Start(agent));
                 }
             }
             Event::Start(agent) => self.starts.push((now, agent)),
@@ -329,12 +329,12 @@
     let delay = || prop_oneof![4 => 0..60_u64, 1 => 0..9_000_u64];
     prop_oneof![
         2 => (0..DOMAINS, any::<bool>()).prop_map(|(number, drained)| Action::Operate(number, drained)),
-        3 => (0..OWNERS, delay(), delay()).prop_map(|(owner, serve, transit)| Action::Read(owner, serve, transit)),
-        2 => (0..OWNERS, delay(), delay()).prop_map(|(owner, serve, transit)| Action::Follow(owner, serve, transit)),
+        3 => (0..OWNERS, delay(), delay()).prop_map(|(owner, until_read, transit)| Action::Read(owner, until_read, transit)),
+        2 => (0..OWNERS, delay(), delay()).prop_map(|(owner, until_read, transit)| Action::Follow(owner, until_read, transit)),
         6 => (0..DOMAINS, 0..OWNERS, delay(), delay())
-            .prop_map(|(agent, owner, to, transit)| Action::Heartbeat(agent, owner, to, transit)),
+            .prop_map(|(agent, owner, transit_there, transit)| Action::Heartbeat(agent, owner, transit_there, transit)),
         6 => (0..OWNERS, 0..DOMAINS, delay(), 0..=START_LIMIT_MS)
-            .prop_map(|(owner, agent, transit, takes)| Action::Order(owner, agent, transit, takes)),
+            .prop_map(|(owner, agent, transit, duration)| Action::Order(owner, agent, transit, duration)),
     ]
 }
 
--- a/crates/wax-owner/tests/scale/simulation.rs
+++ b/crates/wax-owner/tests/scale/simulation.rs
@@ -77,11 +77,11 @@
 enum Event {
     AgentHeartbeat(usize),
     FrontHeartbeat(usize),
-    Job,
-    End(usize, RunMark),
-    Link(usize),
-    WorkerBack(usize),
-    Stored,
+    SubmitJob,
+    EndTask(usize, RunMark),
+    LinkAgent(usize),
+    ReconcileWorker(usize),
+    FinishWrite,
 }
 
 struct SimulatedAgent {
@@ -192,7 +192,7 @@
             has_changes: true,
         };
         pool.link_all();
-        pool.after(Duration::from_millis(1), Event::Job);
+        pool.after(Duration::from_millis(1), Event::SubmitJob);
         pool.run(Duration::from_secs(4));
         assert_eq!(pool.roster.unreconciled_agents(), 0);
         pool
@@ -229,7 +229,7 @@
     fn link_all(&mut self) {
         for agent in 0..self.agents.len() {
             let spread = Duration::from_micros(300_000 * agent as u64 / self.size.agents as u64);
-            self.after(spread, Event::Link(agent));
+            self.after(spread, Event::LinkAgent(agent));
         }
         for front in 0..self.size.fronts {
             self.next_link += 1;
@@ -255,7 +255,7 @@
         self.epoch += 1;
         self.scheduler = new_scheduler(self.epoch);
         for (name, (row, progress)) in &self.jobs {
-            let (now, now_ms) = (self.now, wall(self.now));
+            let (now, now_ms) = (self.now, unix_ms(self.now));
             self.scheduler
                 .add_job(*name, row.clone(), progress.as_ref(), now, now_ms);
         }
@@ -284,7 +284,7 @@
         for dispatch in 0..times {
             for agent in (dispatch..self.agents.len()).step_by(batches) {
                 self.stop_worker(agent);
-                self.after(Duration::from_millis(500), Event::WorkerBack(agent));
+                self.after(Duration::from_millis(500), Event::ReconcileWorker(agent));
             }
             self.run(Duration::from_millis(600));
         }
@@ -309,7 +309,8 @@
         let node = node(number);
         self.send(1, 40);
         if let Some(worker) = self.roster.worker_ended(&node, &boot) {
-            self.scheduler.worker_lost(worker, self.now, wall(self.now));
+            self.scheduler
+                .worker_lost(worker, self.now, unix_ms(self.now));
         }
         self.ended_boots.record(&boot);
         self.roster.boot_ended(&boot);
@@ -360,11 +361,11 @@
         match event {
             Event::AgentHeartbeat(number) => self.agent_heartbeat(number),
             Event::FrontHeartbeat(number) => self.front_heartbeat(number),
-            Event::Job => self.submit_job(),
-            Event::End(number, mark) => self.end_task(number, mark),
-            Event::Link(number) => self.link_agent(number),
-            Event::WorkerBack(number) => self.reconcile(number),
-            Event::Stored => self.finish_write(),
+            Event::SubmitJob => self.submit_job(),
+            Event::EndTask(number, mark) => self.end_task(number, mark),
+            Event::LinkAgent(number) => self.link_agent(number),
+            Event::ReconcileWorker(number) => self.reconcile(number),
+            Event::FinishWrite => self.finish_write(),
         }
     }
 
@@ -444,15 +445,15 @@
             steps: vec![step].into(),
             repeat: None,
         };
-        let mut row = JobRow::new(&spec, "gauges", "svc", wall(self.now), 1);
+        let mut row = JobRow::new(&spec, "gauges", "svc", unix_ms(self.now), 1);
         row.epoch = self.epoch;
         let name = JobName(self.next_job);
         self.jobs.insert(name, (row.clone(), None));
         self.scheduler
-            .add_job(name, row, None, self.now, wall(self.now));
+            .add_job(name, row, None, self.now, unix_ms(self.now));
         self.has_changes = true;
         let pause = Duration::from_secs(1) * JOB_TASKS / self.size.tasks_per_second;
-        self.after(pause, Event::Job);
+        self.after(pause, Event::SubmitJob);
     }
 
     fn end_task(&mut self, number: usize, mark: RunMark) {
@@ -473,7 +474,7 @@
         };
         self.send(1, 60);
         self.scheduler
-            .run_ended(worker, &end, self.now, wall(self.now));
+            .run_ended(worker, &end, self.now, unix_ms(self.now));
         self.has_changes = true;
     }
 
@@ -511,7 +512,7 @@
         self.roster.set_reconciled(&node, worker, &boot);
         let ends = std::mem::take(&mut self.agents[number].unreported_ends);
         self.scheduler
-            .sync_worker(worker, &reports, &ends, self.now, wall(self.now));
+            .sync_worker(worker, &reports, &ends, self.now, unix_ms(self.now));
         self.agents[number].worker = Some(worker);
         self.send(2, 200);
         self.has_changes = true;
@@ -520,16 +521,16 @@
     fn start_write(&mut self) {
         if !self.is_write_pending && self.roster.has_updates() {
             self.is_write_pending = true;
-            self.after(TICK * TX_TICKS as u32, Event::Stored);
+            self.after(TICK * TX_TICKS as u32, Event::FinishWrite);
         }
     }
 
     fn finish_write(&mut self) {
         self.is_write_pending = false;
         self.cost.transactions += 1;
-        let notes = self.roster.take_updates(ROWS_PER_TX);
-        for (node, note) in &notes {
-            match note {
+        let updates = self.roster.take_updates(ROWS_PER_TX);
+        for (node, update) in &updates {
+            match update {
                 AgentUpdate::Linked { boot } => {
                     let row = AgentRow {
                         node: node.to_string(),
@@ -544,9 +545,9 @@
                 }
             }
         }
-        self.roster.updates_stored(&notes);
-        for (finish_write, _) in &notes {
-            let number = finish_write.trim_start_matches("side-").parse();
+        self.roster.updates_stored(&updates);
+        for (node, _) in &updates {
+            let number = node.trim_start_matches("side-").parse();
             if let Ok(number) = number
                 && self.awaiting_row.remove(&number)
             {
@@ -560,7 +561,8 @@
     fn dispatch(&mut self) {
         let expired = self.roster.remove_expired(self.now, self.now);
         for worker in expired.workers {
-            self.scheduler.worker_lost(worker, self.now, wall(self.now));
+            self.scheduler
+                .worker_lost(worker, self.now, unix_ms(self.now));
         }
         let scheduler = &self.scheduler;
         self.roster
@@ -574,18 +576,18 @@
             self.agents[number].runs.insert(order.mark);
             self.scheduler
                 .run_started(order.worker, order.mark, self.now);
-            self.after(TASK_DURATION, Event::End(number, order.mark));
+            self.after(TASK_DURATION, Event::EndTask(number, order.mark));
         }
-        let notes = self.scheduler.take_notes(usize::MAX);
-        self.cost.transactions += notes.len().div_ceil(32) as u64;
-        self.scheduler.notes_stored(&notes);
-        for note in notes {
-            match self.jobs.get_mut(&note.name) {
-                Some(job) if note.progress.outcome() == JobOutcome::Open => {
-                    job.1 = Some(note.progress);
+        let updates = self.scheduler.take_notes(usize::MAX);
+        self.cost.transactions += updates.len().div_ceil(32) as u64;
+        self.scheduler.notes_stored(&updates);
+        for update in updates {
+            match self.jobs.get_mut(&update.name) {
+                Some(job) if update.progress.outcome() == JobOutcome::Open => {
+                    job.1 = Some(update.progress);
                 }
                 _ => {
-                    self.jobs.remove(&note.name);
+                    self.jobs.remove(&update.name);
                 }
             }
         }
@@ -614,7 +616,7 @@
 }
 
 /// Returns the Unix milliseconds of a simulated time.
-fn wall(now: TimePoint) -> u64 {
+fn unix_ms(now: TimePoint) -> u64 {
     now.0 / 1_000
 }
 
--- a/crates/wax-owner/tests/transaction_resolution.rs
+++ b/crates/wax-owner/tests/transaction_resolution.rs
@@ -134,9 +134,9 @@
 
 #[test]
 fn late_transaction_is_not_sent() {
-    let nowhere = "127.0.0.1:9".parse().expect("an address");
-    let store = StoreClient::new(nowhere);
-    let shared = PoolShared::new("front", nowhere, store, None, Duration::from_secs(1));
+    let unused_address = "127.0.0.1:9".parse().expect("an address");
+    let store = StoreClient::new(unused_address);
+    let shared = PoolShared::new("front", unused_address, store, None, Duration::from_secs(1));
     let wait = Duration::from_millis(900);
     let request = encode_relay_request(4, &TxRequest::default(), wait, TimePoint::default());
     let runtime = Runtime::new().expect("the runtime starts");
