--- a/crates/wax-front/src/owner_link.rs
+++ b/crates/wax-front/src/owner_link.rs
@@ -145,7 +145,7 @@
         select(read, replaced).await;
     }
     // What was heard on the link says no more than a heartbeat at the usual period would.
-    state.shared.heartbeat_interval.set(FRONT_PERIOD);
+    state.shared.heartbeat_period.set(FRONT_PERIOD);
     *state.outbox.borrow_mut() = None;
     state.asks.borrow_mut().clear();
     state.relays.borrow_mut().clear();
@@ -220,7 +220,7 @@
         if outbox.unbounded_send(PoolBody::Ping(ping)).is_err() {
             return;
         }
-        let period = state.shared.heartbeat_interval.get();
+        let period = state.shared.heartbeat_period.get();
         sleep(period).await;
         state.shared.record_timer(period, now);
     }
@@ -254,7 +254,7 @@
             state.shared.link_heard_at.set(state.shared.now());
             state
                 .shared
-                .heartbeat_interval
+                .heartbeat_period
                 .set(grant.period(FRONT_PERIOD));
             state.shared.rank.set(Some(CandidateRank {
                 rank: grant.rank,
--- a/crates/wax-owner/src/advice.rs
+++ b/crates/wax-owner/src/advice.rs
@@ -11,7 +11,7 @@
 use wax_trace::FailureStreak;
 
 /// Interval at which the scheduler is checked for queries if nothing changes.
-const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+const CHECK_PERIOD: Duration = Duration::from_millis(200);
 /// Timeout for one query. The advisor handles queries one after another, so an answer may take
 /// long.
 const ADVICE_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -30,7 +30,7 @@
         let request = term.scheduler.borrow_mut().advice_wanted(shared.now());
         let Some(request) = request else {
             // Either a change or the timeout ends the wait; the loop checks again.
-            let _ = timeout(CHECK_INTERVAL, listener).await;
+            let _ = timeout(CHECK_PERIOD, listener).await;
             continue;
         };
         if let Err(error) = query_once(&shared, &term, &advisor, &request).await {
--- a/crates/wax-owner/src/agent_links.rs
+++ b/crates/wax-owner/src/agent_links.rs
@@ -189,7 +189,7 @@
             valid_ms: valid.as_millis() as u64,
             store_lost: store_silence(self.term, now) > timeouts.takeover_if_reachable,
             overload: self.term.overload.get() as f32,
-            period_ms: self.term.agents.borrow().heartbeat_interval().as_millis() as u32,
+            period_ms: self.term.agents.borrow().heartbeat_period().as_millis() as u32,
             drains: DrainFrame::new(&self.shared.drains.borrow(), now),
             ..Default::default()
         }));
--- a/crates/wax-owner/src/chain_write.rs
+++ b/crates/wax-owner/src/chain_write.rs
@@ -32,7 +32,7 @@
 const PROGRESS_BYTES: usize = TX_BYTES / 2;
 /// Shortest time between two writes of the interference row, which is added to a transaction that
 /// is sent anyway.
-const INTERFERENCE_WRITE_INTERVAL: Duration = Duration::from_secs(3);
+const INTERFERENCE_WRITE_PERIOD: Duration = Duration::from_secs(3);
 
 /// Limits on the items of one transaction; reduced after the store has refused one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -181,7 +181,7 @@
 fn put_interference(tx: &mut TxRequest, shared: &PoolShared, term: &OwnerTerm) {
     let now = shared.now();
     if term.interference_unstored.get()
-        && now.since(term.interference_stored_at.get()) >= INTERFERENCE_WRITE_INTERVAL
+        && now.since(term.interference_stored_at.get()) >= INTERFERENCE_WRITE_PERIOD
     {
         term.interference_unstored.set(false);
         term.interference_stored_at.set(now);
--- a/crates/wax-owner/src/dispatch.rs
+++ b/crates/wax-owner/src/dispatch.rs
@@ -11,7 +11,7 @@
 use wax_wire::{AckEnds, PoolBody, SeatFrame, StartRun, StopRun};
 
 /// Longest time between two dispatch rounds without a change; some decisions depend on time alone.
-const IDLE_INTERVAL: Duration = Duration::from_millis(100);
+const IDLE_PERIOD: Duration = Duration::from_millis(100);
 /// A longer gap between two rounds means that this process was stalled, not the workers.
 const PROCESS_STALL_THRESHOLD: Duration = Duration::from_millis(500);
 /// After such a stall, new progress reports arrive within this time.
@@ -24,10 +24,7 @@
     while !term.ended.is_raised() {
         let listener = term.dispatch.listen();
         // Either a change or the timeout starts the next round.
-        let wait = term
-            .scheduler
-            .borrow()
-            .next_look(shared.now(), IDLE_INTERVAL);
+        let wait = term.scheduler.borrow().next_look(shared.now(), IDLE_PERIOD);
         if timeout(wait, listener).await.is_ok() {
             compio::time::sleep(COALESCE_DELAY).await;
         }
@@ -47,7 +44,7 @@
     queue_unlinked(term, now);
     update_unreconciled(term, now);
     if term.can_act(now, shared.timeouts.term_validity) {
-        if now.since(term.checked_at.get()) >= IDLE_INTERVAL {
+        if now.since(term.checked_at.get()) >= IDLE_PERIOD {
             term.checked_at.set(now);
             run_periodic_checks(term, now);
             term.release_to_stronger_front(shared, now);
--- a/crates/wax-owner/src/front_links.rs
+++ b/crates/wax-owner/src/front_links.rs
@@ -146,7 +146,7 @@
         pushes_config = front.should_push_config(ping.config, version, now);
     }
     let rank = fronts.rank(node, now);
-    fronts.notify_watchers(&shared.ended_boots.borrow());
+    fronts.notify_early_candidates(&shared.ended_boots.borrow());
     let period = front_period(fronts.len(), rank.rank, &shared.config_rules);
     drop(fronts);
     let mut answers = vec![PoolBody::Grant(LeaseGrant {
--- a/crates/wax-owner/src/fronts.rs
+++ b/crates/wax-owner/src/fronts.rs
@@ -108,7 +108,7 @@
 
 /// Age at which the ranking of all fronts is renewed. A stale rank is harmless, because it only
 /// decides which front tries first.
-const RANK_INTERVAL: Duration = Duration::from_millis(200);
+const RANK_PERIOD: Duration = Duration::from_millis(200);
 
 /// The fronts that are linked to the owner.
 #[derive(Debug, Default)]
@@ -119,13 +119,13 @@
     /// Number of fronts processed by rankings.
     ranked: u64,
     /// Fronts that go first at a takeover, and fronts that have not been ranked yet.
-    watchers: Vec<Box<str>>,
+    early_candidates: Vec<Box<str>>,
 }
 
 impl FrontRoster {
     /// Adds a front's new link in place of an earlier one.
     pub fn insert(&mut self, node: &str, front: FrontRecord) {
-        self.watchers.push(node.into());
+        self.early_candidates.push(node.into());
         self.records.insert(node.into(), front);
     }
 
@@ -174,9 +174,9 @@
     /// Sends new ended boots to the fronts that may take over next; returns the number of messages.
     /// If all fronts were notified, the cost of restarting all workers would grow with the square
     /// of the pool's size.
-    pub fn notify_watchers(&mut self, ended_boots: &EndedBoots) -> usize {
+    pub fn notify_early_candidates(&mut self, ended_boots: &EndedBoots) -> usize {
         let mut messages = 0;
-        for node in &self.watchers {
+        for node in &self.early_candidates {
             let Some(front) = self.records.get_mut(node) else {
                 continue;
             };
@@ -192,10 +192,7 @@
 
     /// Returns the rank of a front as a candidate for ownership.
     pub fn rank(&mut self, node: &str, now: TimePoint) -> CandidateRank {
-        if self
-            .ranked_at
-            .is_none_or(|at| now.since(at) >= RANK_INTERVAL)
-        {
+        if self.ranked_at.is_none_or(|at| now.since(at) >= RANK_PERIOD) {
             self.update_ranks(now);
         }
         let front = self.records.get(node);
@@ -222,7 +219,7 @@
                 front.rank = rank;
             }
         }
-        let watchers = (0..).zip(names).take_while(|(rank, _)| is_watcher(*rank));
-        self.watchers = watchers.map(|(_, node)| node).collect();
+        let early_candidates = (0..).zip(names).take_while(|(rank, _)| is_watcher(*rank));
+        self.early_candidates = early_candidates.map(|(_, node)| node).collect();
     }
 }
--- a/crates/wax-owner/src/owner_term.rs
+++ b/crates/wax-owner/src/owner_term.rs
@@ -330,7 +330,9 @@
         }
         if has_new {
             let ended_boots = shared.ended_boots.borrow();
-            self.fronts.borrow_mut().notify_watchers(&ended_boots);
+            self.fronts
+                .borrow_mut()
+                .notify_early_candidates(&ended_boots);
         }
     }
 
--- a/crates/wax-owner/src/roster.rs
+++ b/crates/wax-owner/src/roster.rs
@@ -566,7 +566,7 @@
 
     /// Returns the interval between two heartbeats of each agent, which depends on the number of
     /// agents.
-    pub fn heartbeat_interval(&self) -> Duration {
+    pub fn heartbeat_period(&self) -> Duration {
         agent_period(self.agents.len())
     }
 }
--- a/crates/wax-owner/src/shared.rs
+++ b/crates/wax-owner/src/shared.rs
@@ -92,7 +92,7 @@
     /// reaches its store.
     pub link_heard_at: Cell<TimePoint>,
     /// Interval between two heartbeats on that link, as set by the owner's last grant.
-    pub heartbeat_interval: Cell<Duration>,
+    pub heartbeat_period: Cell<Duration>,
     /// When the store last answered this process.
     pub store_answered_at: Cell<TimePoint>,
     /// Time up to which the config in force is known to be the newest.
@@ -161,7 +161,7 @@
             term: RefCell::default(),
             owner_heard_at: Cell::default(),
             link_heard_at: Cell::default(),
-            heartbeat_interval: Cell::new(FRONT_PERIOD),
+            heartbeat_period: Cell::new(FRONT_PERIOD),
             store_answered_at: Cell::default(),
             config_view: Cell::default(),
             config_rules: ConfigRules::new(CONFIG_BOUND, DrainRules::default()),
@@ -185,7 +185,7 @@
     /// Returns how long an owner may be silent and still count as reachable: `usual`, plus twice
     /// the time by which the heartbeat interval exceeds its shortest value.
     pub fn allowed_silence(&self, usual: Duration) -> Duration {
-        usual + self.heartbeat_interval.get().saturating_sub(FRONT_PERIOD) * 2
+        usual + self.heartbeat_period.get().saturating_sub(FRONT_PERIOD) * 2
     }
 
     /// Records the lateness of a timer of `span` that was set at `began_at`.
--- a/crates/wax-owner/src/timeouts.rs
+++ b/crates/wax-owner/src/timeouts.rs
@@ -25,9 +25,9 @@
     /// Margin for clocks whose rates differ by a few percent.
     pub clock_slack: Duration,
     /// Longest time between two writes of the heartbeat row.
-    pub heartbeat_interval: Duration,
+    pub heartbeat_period: Duration,
     /// Longest delay before progress that is not urgent, such as ends of runs, is written.
-    pub flush_interval: Duration,
+    pub flush_period: Duration,
     /// A link without a message for this long is closed.
     pub link: Duration,
 }
@@ -42,8 +42,8 @@
             grant: Duration::from_millis(2_500),
             lease_grace: Duration::from_millis(6_000),
             clock_slack: Duration::from_millis(500),
-            heartbeat_interval: Duration::from_millis(600),
-            flush_interval: Duration::from_millis(250),
+            heartbeat_period: Duration::from_millis(600),
+            flush_period: Duration::from_millis(250),
             link: Duration::from_millis(2_500),
         }
     }
--- a/crates/wax-owner/src/watch.rs
+++ b/crates/wax-owner/src/watch.rs
@@ -30,7 +30,7 @@
 /// Delay after a failure, plus up to as much again at random.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Interval between two checks of the owner.
-const CHECK_INTERVAL: Duration = Duration::from_millis(150);
+const CHECK_PERIOD: Duration = Duration::from_millis(150);
 /// The heartbeat row is not read if the owner was heard on the link within this time.
 const OWNER_MAX_SILENCE: Duration = Duration::from_millis(450);
 /// Timeout for the transaction of a takeover.
@@ -69,7 +69,7 @@
 async fn wait_next_check(shared: &PoolShared) {
     let listener = shared.owner_changed.listen();
     // Either a change of the owner's row or the timeout ends the wait; the caller checks again.
-    let _ = timeout(CHECK_INTERVAL, listener).await;
+    let _ = timeout(CHECK_PERIOD, listener).await;
 }
 
 async fn hold_term(shared: &PoolShared, term: &Rc<OwnerTerm>, shutdown: &ShutdownSignal) {
--- a/crates/wax-owner/src/waves.rs
+++ b/crates/wax-owner/src/waves.rs
@@ -18,7 +18,7 @@
 /// Delay after a status could not be written.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Interval at which the end of the term is checked if no wave is added.
-const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+const CHECK_PERIOD: Duration = Duration::from_secs(1);
 
 /// Writes a status for each wave until the term ends.
 pub(crate) async fn report_waves(shared: Rc<PoolShared>, term: Rc<OwnerTerm>) {
@@ -33,7 +33,7 @@
             .cloned();
         let Some(wave) = wave else {
             // Either a new wave or the timeout ends the wait; the loop checks again.
-            let _ = timeout(CHECK_INTERVAL, listener).await;
+            let _ = timeout(CHECK_PERIOD, listener).await;
             continue;
         };
         if report_running(&shared, &wave).await {
--- a/crates/wax-owner/src/writer.rs
+++ b/crates/wax-owner/src/writer.rs
@@ -97,9 +97,9 @@
     if scheduler.has_urgent_notes() || term.agents.borrow().has_updates() {
         URGENT_WRITE_DELAY
     } else if scheduler.has_notes() {
-        shared.timeouts.flush_interval
+        shared.timeouts.flush_period
     } else {
-        shared.timeouts.heartbeat_interval
+        shared.timeouts.heartbeat_period
     }
 }
 
--- a/crates/wax-owner/tests/fronts.rs
+++ b/crates/wax-owner/tests/fronts.rs
@@ -46,12 +46,12 @@
         for boot in boots {
             self.ended_boots.record(&BootId::from(&*format!("w{boot}")));
         }
-        self.roster.notify_watchers(&self.ended_boots);
+        self.roster.notify_early_candidates(&self.ended_boots);
     }
 
     fn rank(&mut self, now: TimePoint) {
         self.roster.rank(&node(0), now);
-        self.roster.notify_watchers(&self.ended_boots);
+        self.roster.notify_early_candidates(&self.ended_boots);
     }
 
     /// Returns how many boots a front has received since the last call.
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn watchers_receive_each_ended_boot_once() {
+fn early_candidates_receive_each_ended_boot_once() {
     let mut case = Case::new();
     case.rank(at(0));
     case.record_ended(0..3);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn new_watcher_receives_the_ended_boots_it_missed() {
+fn new_early_candidate_receives_the_ended_boots_it_missed() {
     let mut case = Case::new();
     case.rank(at(0));
     case.record_ended(0..3);
--- a/crates/wax-owner/tests/scale/simulation.rs
+++ b/crates/wax-owner/tests/scale/simulation.rs
@@ -314,7 +314,7 @@
         }
         self.ended_boots.record(&boot);
         self.roster.boot_ended(&boot);
-        self.notify_watchers();
+        self.notify_early_candidates();
         let agent = &mut self.agents[number];
         agent.worker = None;
         agent.runs.clear();
@@ -324,8 +324,8 @@
         self.has_changes = true;
     }
 
-    fn notify_watchers(&mut self) {
-        let messages = self.fronts.notify_watchers(&self.ended_boots) as u64;
+    fn notify_early_candidates(&mut self) {
+        let messages = self.fronts.notify_early_candidates(&self.ended_boots) as u64;
         self.send(messages, messages * 40);
     }
 
@@ -389,7 +389,7 @@
         if let Some(worker) = self.agents[number].worker {
             self.scheduler.worker_heard(worker, self.now);
         }
-        let period = self.roster.heartbeat_interval();
+        let period = self.roster.heartbeat_period();
         self.answer(PoolBody::Grant(LeaseGrant {
             sent_us: self.now.0,
             valid_ms: 2_500,
@@ -414,7 +414,7 @@
         let pushes_config = front.should_push_config(front_version, self.config, now);
         let rank = self.fronts.rank(&name, now).rank;
         let period = front_period(self.fronts.len(), rank, &self.rules);
-        self.notify_watchers();
+        self.notify_early_candidates();
         if pushes_config {
             self.send(1, 20_000);
         }
