--- a/crates/wax-owner/src/relay.rs
+++ b/crates/wax-owner/src/relay.rs
@@ -98,8 +98,8 @@
 /// Sends a peer's transaction, unchanged, until its effect is known or the peer has stopped
 /// waiting.
 ///
-/// `delay` is the transit time of the request. A request that arrives after its deadline is not
-/// sent to the store.
+/// `delay` is the estimated transit time of the request; zero if unknown. A request that arrives
+/// after its deadline is not sent to the store.
 pub async fn relay_transaction(
     shared: &PoolShared,
     request: RelayAsk,
--- a/crates/wax-owner/src/roster.rs
+++ b/crates/wax-owner/src/roster.rs
@@ -136,7 +136,7 @@
     agents: SlotMap<AgentKey, AgentRecord>,
     names: HashMap<Box<str>, AgentKey>,
     workers: SecondaryMap<WorkerKey, AgentKey>,
-    /// Agents that are not reconciled, ordered by the time when their leases have expired.
+    /// Agents whose `expires_at` is set, in the order of that time.
     expiries: BTreeSet<(TimePoint, AgentKey)>,
     /// Agents without a link.
     unlinked: BTreeSet<AgentKey>,
@@ -564,8 +564,7 @@
         agent.worker.as_ref().map(|(_, boot)| boot)
     }
 
-    /// Returns the interval between two heartbeats of each agent, which depends on the number of
-    /// agents.
+    /// Returns the heartbeat period of each agent, which depends on the number of agents.
     pub fn heartbeat_period(&self) -> Duration {
         agent_period(self.agents.len())
     }
--- a/crates/wax-owner/src/shared.rs
+++ b/crates/wax-owner/src/shared.rs
@@ -86,10 +86,11 @@
     pub owner_changed: Event,
     /// Term of this process; `None` while it does not own the shard.
     pub term: RefCell<Option<Rc<OwnerTerm>>>,
-    /// When this process's link last received a message from an owner that reaches its store.
+    /// When this process's link last received a grant from an owner that reaches the store; reset to
+    /// zero by a grant from an owner that does not.
     pub owner_heard_at: Cell<TimePoint>,
-    /// When this process's link last received a message from an owner, whether or not the owner
-    /// reaches its store.
+    /// When this process's link last received a grant from an owner, whether or not the owner
+    /// reaches the store.
     pub link_heard_at: Cell<TimePoint>,
     /// Interval between two heartbeats on that link, as set by the owner's last grant.
     pub heartbeat_period: Cell<Duration>,
@@ -183,7 +184,7 @@
     }
 
     /// Returns how long an owner may be silent and still count as reachable: `usual`, plus twice
-    /// the time by which the heartbeat interval exceeds its shortest value.
+    /// the time by which the heartbeat period exceeds its shortest value.
     pub fn allowed_silence(&self, usual: Duration) -> Duration {
         usual + self.heartbeat_period.get().saturating_sub(FRONT_PERIOD) * 2
     }
--- a/crates/wax-owner/src/watch.rs
+++ b/crates/wax-owner/src/watch.rs
@@ -187,7 +187,8 @@
     let now = shared.now();
     let max_silence = shared.allowed_silence(OWNER_MAX_SILENCE);
     let known = shared.owner.borrow().clone();
-    // A released term has no owner. An earlier process at this process's address has ended.
+    // The owner has released the shard, was an earlier process at this process's address, or
+    // refuses connections because its process has ended.
     let is_unowned = known
         .as_ref()
         .is_some_and(|owner| has_ended(shared, owner) || shared.refused_epoch.get() == owner.epoch);
--- a/crates/wax-owner/tests/interference_log.rs
+++ b/crates/wax-owner/tests/interference_log.rs
@@ -1,5 +1,5 @@
 //! Checks that each agent receives each change of an interference estimate once, at any heartbeat
-//! interval.
+//! period.
 
 use std::time::Duration;
 use wax_owner::{InterferenceLog, PendingInterference};
