--- a/crates/wax-owner/src/operator_rows.rs
+++ b/crates/wax-owner/src/operator_rows.rs
@@ -227,9 +227,7 @@
     } else if row.key.key.starts_with(WAVE_PREFIX) {
         match decode_wave(&row.value) {
             Ok(wave) => shared.offer_wave(wave),
-            Err(error) => {
-                tracing::error!(%error, key = %row.key.key, "could not decode a maintenance wave")
-            }
+            Err(error) => tracing::error!(%error, key = %row.key.key, "could not decode a wave"),
         }
     }
 }
