--- a/crates/wax-owner/src/fronts.rs
+++ b/crates/wax-owner/src/fronts.rs
@@ -1,7 +1,7 @@
-//! The fronts of a term: how well each would own the shard, and which config it has.
+//! The fronts of a term: their ranks as candidates for ownership and the versions of their configs.
 
-use crate::candidates::{Candidate, CandidateRank, OwnerFitness, rank_all};
-use crate::gone::GoneBoots;
+use crate::candidates::{Candidate, CandidateRank, OwnerFitness, rank_candidates};
+use crate::ended_boots::EndedBoots;
 use futures_channel::mpsc::UnboundedSender;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,39 +9,40 @@
 use wax_types::TimePoint;
 use wax_wire::{BootsDead, PoolBody};
 
-/// A front that is linked to the owner.
+/// What the owner keeps of a linked front.
 #[derive(Debug)]
-pub struct FrontLife {
-    /// The number of its link.
+pub struct FrontRecord {
+    /// Number of the front's link.
     pub(crate) link: u64,
     pub(crate) outbox: UnboundedSender<PoolBody>,
     pub(crate) fitness: OwnerFitness,
-    /// Whether the store turns it away.
+    /// Whether the front cannot reach the store.
     pub(crate) store_lost: bool,
-    pub(crate) heard_at: TimePoint,
-    /// Since when it has an older config than the owner.
-    pub(crate) behind_since: Option<TimePoint>,
-    /// The version of the config that it was sent last.
+    pub(crate) last_heartbeat_at: TimePoint,
+    /// Since when the front has had an older config than the owner.
+    pub(crate) outdated_since: Option<TimePoint>,
+    /// Version of the config that was last sent to the front.
     pub(crate) config_sent: u64,
-    /// How many of the dead boots it has been told.
-    pub(crate) dead_told: u64,
-    /// Its turn at the next takeover, by the last ranking; a new one goes last.
+    /// How many of the recorded ended boots the front has received.
+    pub(crate) ended_boots_sent: u64,
+    /// Rank of the front at the last ranking; `u32::MAX` before the first.
     pub(crate) rank: u32,
 }
 
-/// A front follows the store itself: only one that stays behind for this long is sent the config, which may take
-/// seconds of a small link.
-const CONFIG_PATIENCE: Duration = Duration::from_millis(600);
+/// A front reads its config from the store itself. The owner sends the config, which may occupy a
+/// slow link for seconds, only to a front that has been outdated for this long.
+const CONFIG_PUSH_DELAY: Duration = Duration::from_millis(600);
 
-/// Dead boots that one message names: some kilobytes.
-const MOST_DEAD_TOLD: usize = 256;
+/// Largest number of ended boots in one message, which takes some kilobytes.
+const MAX_BOOTS_PER_MESSAGE: usize = 256;
 
-impl FrontLife {
-    /// A front that has just linked, and knows the first `dead_told` of the dead boots.
+impl FrontRecord {
+    /// Creates the record of a front that has just linked and knows the first `ended_boots_sent`
+    /// ended boots.
     pub fn new(
         link: u64,
         outbox: UnboundedSender<PoolBody>,
-        dead_told: u64,
+        ended_boots_sent: u64,
         now: TimePoint,
     ) -> Self {
         Self {
@@ -49,40 +50,50 @@
             outbox,
             fitness: OwnerFitness::default(),
             store_lost: false,
-            heard_at: now,
-            behind_since: None,
+            last_heartbeat_at: now,
+            outdated_since: None,
             config_sent: 0,
-            dead_told,
+            ended_boots_sent,
             rank: u32::MAX,
         }
     }
 
-    /// Takes what a heartbeat says of the front.
-    pub fn heard(&mut self, fitness: OwnerFitness, store_lost: bool, now: TimePoint) {
+    /// Records what a heartbeat reports of the front.
+    pub fn record_heartbeat(&mut self, fitness: OwnerFitness, store_lost: bool, now: TimePoint) {
         self.fitness = fitness;
         self.store_lost = store_lost;
-        self.heard_at = now;
+        self.last_heartbeat_at = now;
     }
 
-    /// Whether the front is to be sent the config: it has `theirs`, the owner `ours`.
-    pub fn is_due(&mut self, theirs: u64, ours: u64, now: TimePoint) -> bool {
-        if theirs >= ours {
-            self.behind_since = None;
+    /// Returns whether to send the config to the front, and counts it as sent if so.
+    /// `front_version` is the config that the front has, `owner_version` that of the owner.
+    pub fn should_push_config(
+        &mut self,
+        front_version: u64,
+        owner_version: u64,
+        now: TimePoint,
+    ) -> bool {
+        if front_version >= owner_version {
+            self.outdated_since = None;
             return false;
         }
-        let since = *self.behind_since.get_or_insert(now);
-        let is_due = now.since(since) >= CONFIG_PATIENCE && self.config_sent < ours;
+        let since = *self.outdated_since.get_or_insert(now);
+        let is_due = now.since(since) >= CONFIG_PUSH_DELAY && self.config_sent < owner_version;
         if is_due {
-            self.config_sent = ours;
+            self.config_sent = owner_version;
         }
         is_due
     }
 
-    /// The dead boots that the front was not told yet, some kilobytes of them.
-    fn dead_news(&mut self, gone: &GoneBoots) -> Option<BootsDead> {
-        let news = BootsDead::new(gone.after(self.dead_told, MOST_DEAD_TOLD));
-        self.dead_told = gone.count().min(self.dead_told + news.boots.len() as u64);
-        (!news.boots.is_empty()).then_some(news)
+    /// Returns the next ended boots that the front has not received, up to the limit of one
+    /// message.
+    fn next_ended_boots(&mut self, ended_boots: &EndedBoots) -> Option<BootsDead> {
+        let message =
+            BootsDead::new(ended_boots.after(self.ended_boots_sent, MAX_BOOTS_PER_MESSAGE));
+        self.ended_boots_sent = ended_boots
+            .count()
+            .min(self.ended_boots_sent + message.boots.len() as u64);
+        (!message.boots.is_empty()).then_some(message)
     }
 
     pub(crate) fn candidate<'a>(&self, node: &'a str) -> Candidate<'a> {
@@ -90,120 +101,127 @@
             node,
             fitness: self.fitness,
             store_lost: self.store_lost,
-            heard_at: self.heard_at,
+            last_heartbeat_at: self.last_heartbeat_at,
         }
     }
 }
 
-/// All fronts are ranked anew after this: a rank decides only who tries first.
+/// Age at which the ranking of all fronts is renewed. A stale rank is harmless, because it only
+/// decides which front tries first.
 const RANK_PERIOD: Duration = Duration::from_millis(200);
 
-/// The fronts that are linked.
+/// The fronts that are linked to the owner.
 #[derive(Debug, Default)]
 pub struct FrontRoster {
-    lives: HashMap<Box<str>, FrontLife>,
+    records: HashMap<Box<str>, FrontRecord>,
     ranked_at: Option<TimePoint>,
-    best: OwnerFitness,
-    /// How many fronts rankings have gone through.
+    best_fitness: OwnerFitness,
+    /// Number of fronts processed by rankings.
     ranked: u64,
-    /// The fronts that go first at a takeover, and those that were not ranked yet.
-    watchers: Vec<Box<str>>,
+    /// Fronts that go first at a takeover, and fronts that have not been ranked yet.
+    early_candidates: Vec<Box<str>>,
 }
 
 impl FrontRoster {
-    /// Takes a new link of a front, in place of an earlier one.
-    pub fn insert(&mut self, node: &str, life: FrontLife) {
-        self.watchers.push(node.into());
-        self.lives.insert(node.into(), life);
+    /// Adds a front's new link in place of an earlier one.
+    pub fn insert(&mut self, node: &str, front: FrontRecord) {
+        self.early_candidates.push(node.into());
+        self.records.insert(node.into(), front);
     }
 
-    /// A link has ended; a newer one of the same front stays.
+    /// Removes a front whose link has ended, unless the front has a newer link.
     pub fn remove(&mut self, node: &str, link: u64) {
-        if self.lives.get(node).is_some_and(|front| front.link == link) {
-            self.lives.remove(node);
+        if self
+            .records
+            .get(node)
+            .is_some_and(|front| front.link == link)
+        {
+            self.records.remove(node);
         }
     }
 
-    /// A front that is linked.
-    pub fn get_mut(&mut self, node: &str) -> Option<&mut FrontLife> {
-        self.lives.get_mut(node)
+    /// Returns a linked front.
+    pub fn get_mut(&mut self, node: &str) -> Option<&mut FrontRecord> {
+        self.records.get_mut(node)
     }
 
-    /// All fronts.
-    pub(crate) fn values(&self) -> impl Iterator<Item = &FrontLife> {
-        self.lives.values()
+    /// Returns all linked fronts.
+    pub(crate) fn values(&self) -> impl Iterator<Item = &FrontRecord> {
+        self.records.values()
     }
 
-    /// Whether no front is linked.
+    /// Returns whether no front is linked.
     pub fn is_empty(&self) -> bool {
-        self.lives.is_empty()
+        self.records.is_empty()
     }
 
-    /// How many fronts are linked.
+    /// Returns the number of linked fronts.
     pub fn len(&self) -> usize {
-        self.lives.len()
+        self.records.len()
     }
 
-    /// All fronts, as candidates.
+    /// Returns all linked fronts as candidates.
     pub(crate) fn candidates(&self) -> impl Iterator<Item = Candidate<'_>> {
-        let lives = self.lives.iter();
-        lives.map(|(node, front)| front.candidate(node))
+        let records = self.records.iter();
+        records.map(|(node, front)| front.candidate(node))
     }
 
-    /// How many fronts rankings have gone through since the last call.
+    /// Returns the number of fronts processed by rankings since the last call.
     pub fn take_ranked(&mut self) -> u64 {
         std::mem::take(&mut self.ranked)
     }
 
-    /// Tells the fronts that may take over next which boots are dead; returns how many messages that took. All
-    /// fronts would make a release of all workers cost the square of the pool.
-    pub fn tell_watchers(&mut self, gone: &GoneBoots) -> usize {
+    /// Sends new ended boots to the fronts that may take over next; returns the number of messages.
+    /// If all fronts were notified, the cost of restarting all workers would grow with the square
+    /// of the pool's size.
+    pub fn notify_early_candidates(&mut self, ended_boots: &EndedBoots) -> usize {
         let mut messages = 0;
-        for node in &self.watchers {
-            let Some(front) = self.lives.get_mut(node) else {
+        for node in &self.early_candidates {
+            let Some(front) = self.records.get_mut(node) else {
                 continue;
             };
-            while let Some(news) = front.dead_news(gone) {
+            while let Some(message) = front.next_ended_boots(ended_boots) {
                 messages += 1;
-                // A link that has just closed is replaced; the next owner then waits for leases instead.
-                let _ = front.outbox.unbounded_send(PoolBody::BootsDead(news));
+                // If the link has just closed, the message is lost, and this front would wait for
+                // leases to expire after a takeover.
+                let _ = front.outbox.unbounded_send(PoolBody::BootsDead(message));
             }
         }
         messages
     }
 
-    /// The turn of a front at the next takeover.
+    /// Returns the rank of a front as a candidate for ownership.
     pub fn rank(&mut self, node: &str, now: TimePoint) -> CandidateRank {
         if self.ranked_at.is_none_or(|at| now.since(at) >= RANK_PERIOD) {
-            self.rank_again(now);
+            self.update_ranks(now);
         }
-        let front = self.lives.get(node);
+        let front = self.records.get(node);
         CandidateRank {
             rank: front.map_or(u32::MAX, |front| front.rank),
-            best: self
-                .best
-                .max(front.map_or(self.best, |front| front.fitness)),
+            best_fitness: self
+                .best_fitness
+                .max(front.map_or(self.best_fitness, |front| front.fitness)),
         }
     }
 
-    fn rank_again(&mut self, now: TimePoint) {
+    fn update_ranks(&mut self, now: TimePoint) {
         self.ranked_at = Some(now);
-        self.ranked += self.lives.len() as u64;
-        let ranked = rank_all(self.candidates());
+        self.ranked += self.records.len() as u64;
+        let ranked = rank_candidates(self.candidates());
         let names: Vec<Box<str>> = ranked.iter().map(|front| front.node.into()).collect();
-        self.best = ranked
+        self.best_fitness = ranked
             .iter()
             .map(|front| front.fitness)
             .max()
             .unwrap_or_default();
         for (rank, node) in (0..).zip(&names) {
-            if let Some(front) = self.lives.get_mut(node) {
+            if let Some(front) = self.records.get_mut(node) {
                 front.rank = rank;
             }
         }
-        let watchers = (0..)
+        let early_candidates = (0..)
             .zip(names)
             .take_while(|(rank, _)| is_early_candidate(*rank));
-        self.watchers = watchers.map(|(_, node)| node).collect();
+        self.early_candidates = early_candidates.map(|(_, node)| node).collect();
     }
 }
--- a/crates/wax-owner/src/listener.rs
+++ b/crates/wax-owner/src/listener.rs
@@ -1,9 +1,9 @@
 //! Accepts links of agents and of other fronts.
 
-use crate::agents::serve_agent;
-use crate::entries::serve_entry;
+use crate::agent_links::serve_agent;
+use crate::front_links::serve_front;
+use crate::owner_term::OwnerTerm;
 use crate::shared::PoolShared;
-use crate::tenure::Tenure;
 use compio::net::{TcpListener, TcpStream};
 use compio::runtime::spawn;
 use compio::time::{sleep, timeout};
@@ -11,12 +11,13 @@
 use std::time::Duration;
 use wax_wire::{NotOwner, PoolBody, PoolWriter, split_stream};
 
-/// A peer must say who it is within this time.
-const HELLO_LIMIT: Duration = Duration::from_millis(1_000);
-/// A peer waits this long for word of the next owner, less than it waits for an answer.
+/// Timeout for a peer's first message, with which it identifies itself.
+const HELLO_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Longest time for which a peer is kept waiting for the next owner; shorter than the peer's own
+/// timeout.
 const OWNER_WAIT: Duration = Duration::from_millis(300);
-/// After a failed accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Accepts links for the life of the process.
 pub async fn serve_peers(shared: Rc<PoolShared>, listener: TcpListener) {
@@ -27,50 +28,50 @@
                 spawn(async move { serve_stream(&shared, stream).await }).detach();
             }
             Err(error) => {
-                tracing::warn!(%error, "accepting a link failed");
-                sleep(ACCEPT_PAUSE).await;
+                tracing::warn!(%error, "could not accept a link");
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
 async fn serve_stream(shared: &Rc<PoolShared>, stream: TcpStream) {
-    // Without it, small messages may wait for the peer's delayed acknowledgement.
+    // Without this option, small messages may wait for the peer's delayed acknowledgement.
     let _ = stream.set_nodelay(true);
     let (mut reader, writer) = split_stream(stream);
-    let Ok(Ok(Some(hello))) = timeout(HELLO_LIMIT, reader.read()).await else {
+    let Ok(Ok(Some(hello))) = timeout(HELLO_TIMEOUT, reader.read()).await else {
         return;
     };
-    let Some(tenure) = wait_owner(shared).await else {
-        refuse(shared, writer).await;
+    let Some(term) = wait_for_owner(shared).await else {
+        reply_not_owner(shared, writer).await;
         return;
     };
     match hello {
         PoolBody::AgentHello(hello) => {
-            serve_agent(shared, &tenure, hello, reader, writer).await;
+            serve_agent(shared, &term, hello, reader, writer).await;
         }
         PoolBody::EntryHello(hello) => {
-            shared.note_front(&hello.address);
-            serve_entry(shared, &tenure, &hello.node, reader, writer).await
+            shared.record_front(&hello.address);
+            serve_front(shared, &term, &hello.node, reader, writer).await
         }
-        other => tracing::warn!(?other, "a peer that does not say who it is"),
+        other => tracing::warn!(?other, "a peer's first message does not identify it"),
     }
 }
 
-/// The term of this process, if it owns the shard. While nobody does, word of the next owner is waited
-/// for: it comes soon, and no agent need search for it.
-async fn wait_owner(shared: &PoolShared) -> Option<Rc<Tenure>> {
+/// Returns the term of this process if it owns the shard. If the shard has no owner, waits briefly
+/// for the next one, so that agents need not search for it.
+async fn wait_for_owner(shared: &PoolShared) -> Option<Rc<OwnerTerm>> {
     let listener = shared.owner_changed.listen();
-    let tenure = shared.current_tenure();
-    if tenure.is_some() || shared.has_owner() {
-        return tenure;
+    let term = shared.current_term();
+    if term.is_some() || shared.has_owner() {
+        return term;
     }
-    // Either the word or the limit; both lead to another look.
+    // Either a new owner or the timeout ends the wait; the term is checked again.
     let _ = timeout(OWNER_WAIT, listener).await;
-    shared.current_tenure()
+    shared.current_term()
 }
 
-async fn refuse(shared: &PoolShared, mut writer: PoolWriter) {
+async fn reply_not_owner(shared: &PoolShared, mut writer: PoolWriter) {
     let answer = {
         let owner = shared.owner.borrow();
         let owner = owner.as_ref().filter(|owner| !owner.released);
@@ -83,6 +84,6 @@
             epoch: owner.map_or(0, |owner| owner.epoch),
         }
     };
-    // The peer asks elsewhere, whether or not it has read this.
-    let _ = timeout(HELLO_LIMIT, writer.write(PoolBody::NotOwner(answer))).await;
+    // The peer tries another front, whether or not it receives this answer.
+    let _ = timeout(HELLO_TIMEOUT, writer.write(PoolBody::NotOwner(answer))).await;
 }
--- a/crates/wax-owner/src/waves.rs
+++ b/crates/wax-owner/src/waves.rs
@@ -1,10 +1,11 @@
-//! Tells the operator how waves of upkeep stand.
+//! Reports the status of maintenance waves to the operator.
 //!
-//! Upkeep itself is not given yet, so that a wave is only ever said to be running.
+//! Maintenance itself is not implemented yet, so the only status that is written is that a wave is
+//! running.
 
-use crate::fate::{TxFate, transact};
+use crate::owner_term::OwnerTerm;
 use crate::shared::PoolShared;
-use crate::tenure::Tenure;
+use crate::tx_resolution::{TxResolution, transact};
 use compio::time::{sleep, timeout};
 use platform::{
     RowKey, RowWrite, STATUS_TABLE, TxRequest, UpkeepWave, WAVE_PREFIX, WaveState, wave_state_body,
@@ -12,39 +13,40 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A status is tried for this long, then again.
-const WRITE_LIMIT: Duration = Duration::from_secs(3);
-/// After a status that could not be written.
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// Without a new wave the owner looks this often whether its term has ended.
-const LOOK_PERIOD: Duration = Duration::from_secs(1);
+/// Timeout for writing one status.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Delay after a status could not be written.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Interval at which the end of the term is checked if no wave is added.
+const CHECK_PERIOD: Duration = Duration::from_secs(1);
 
 /// Writes a status for each wave until the term ends.
-pub(crate) async fn report_waves(shared: Rc<PoolShared>, tenure: Rc<Tenure>) {
-    let mut told = Vec::new();
-    while !tenure.over.is_raised() {
+pub(crate) async fn report_waves(shared: Rc<PoolShared>, term: Rc<OwnerTerm>) {
+    let mut reported = Vec::new();
+    while !term.ended.is_raised() {
         let listener = shared.waves_changed.listen();
         let wave = shared
             .waves
             .borrow()
             .iter()
-            .find(|wave| !told.contains(&wave.wave))
+            .find(|wave| !reported.contains(&wave.wave))
             .cloned();
         let Some(wave) = wave else {
-            // Either a new wave or the time; both lead to another look.
-            let _ = timeout(LOOK_PERIOD, listener).await;
+            // Either a new wave or the timeout ends the wait; the loop checks again.
+            let _ = timeout(CHECK_PERIOD, listener).await;
             continue;
         };
-        if report(&shared, &wave).await {
-            told.push(wave.wave);
+        if report_running(&shared, &wave).await {
+            reported.push(wave.wave);
         } else {
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 }
 
-/// Writes that a wave is running, unless it has a status; says whether the store has one.
-async fn report(shared: &PoolShared, wave: &UpkeepWave) -> bool {
+/// Writes that a wave is running, unless it has a status already; returns whether the store has a
+/// status for the wave.
+async fn report_running(shared: &PoolShared, wave: &UpkeepWave) -> bool {
     let key = RowKey::new(STATUS_TABLE, "", format!("{WAVE_PREFIX}{}", wave.wave));
     let tx = TxRequest {
         expect: vec![(key.clone(), 0)],
@@ -54,19 +56,21 @@
         }],
         remove: Vec::new(),
     };
-    let deadline = shared.now() + WRITE_LIMIT;
+    let deadline = shared.now() + WRITE_TIMEOUT;
     match transact(&shared.store, shared.clock, &tx, deadline).await {
-        TxFate::Committed(_) => {
+        TxResolution::Committed(_) => {
             tracing::warn!(
                 wave = wave.wave,
                 machines = wave.machines.len(),
-                "a wave of upkeep is asked for; upkeep is not given yet"
+                "a maintenance wave was requested, but maintenance is not implemented"
             );
             true
         }
-        TxFate::Conflict(_) => true,
-        TxFate::NotSent(error) | TxFate::Unknown(error) | TxFate::Refused(error) => {
-            tracing::warn!(%error, wave = wave.wave, "the status of a wave is not written");
+        TxResolution::Conflict(_) => true,
+        TxResolution::NotSent(error)
+        | TxResolution::Unknown(error)
+        | TxResolution::Refused(error) => {
+            tracing::warn!(%error, wave = wave.wave, "could not write the status of a maintenance wave");
             false
         }
     }
--- a/crates/wax-owner/tests/drains.rs
+++ b/crates/wax-owner/tests/drains.rs
@@ -1,5 +1,6 @@
-//! No start in a drained failure domain beyond the bound: over readings that come late or out of order,
-//! owners that follow one another, agents that are cut off, and orders in flight.
+//! Checks by simulation that no task starts in a drained failure domain after the bound. Readings
+//! may arrive late or out of order, owners may follow one another, agents may be cut off, and
+//! orders may be in transit.
 
 use proptest::prelude::*;
 use std::cmp::Reverse;
@@ -9,9 +10,9 @@
 use wax_types::TimePoint;
 use wax_wire::DrainFrame;
 
-/// The users' `evacuateMs`.
+/// The platform's bound `evacuateMs`, in milliseconds.
 const BOUND_MS: u64 = 5_000;
-/// An agent gives a start up that its worker has not answered for this long.
+/// Time after which an agent abandons a start that its worker has not answered.
 const START_LIMIT_MS: u64 = 700;
 const DOMAINS: usize = 3;
 const OWNERS: usize = 2;
@@ -20,53 +21,56 @@
     bound: Some(Duration::from_millis(BOUND_MS)),
 };
 
-/// What somebody sets out to do; delays in milliseconds.
+/// An action that is scheduled at some time; all durations are in milliseconds.
 #[derive(Debug, Clone)]
-enum Deed {
-    /// The operator drains a domain, or takes it back.
+enum Action {
+    /// The operator drains a domain or lifts the drain: domain, whether drained.
     Operate(usize, bool),
-    /// An owner reads all: until the store answers, until the answer arrives.
+    /// An owner reads all rows: owner, time until the store reads them, transit time of the answer.
     Read(usize, u64, u64),
-    /// An owner's feed asks for what has changed; as above.
+    /// An owner's feed requests changes: owner, time until the store reads them, transit time of
+    /// the answer.
     Follow(usize, u64, u64),
-    /// An agent's heartbeat to an owner: its way there, the answer's way back.
-    Beat(usize, usize, u64, u64),
-    /// An owner's order to the agent of a domain: its way, and how long the start takes.
+    /// An agent sends a heartbeat to an owner: agent, owner, transit time of the heartbeat, transit
+    /// time of the answer.
+    Heartbeat(usize, usize, u64, u64),
+    /// An owner orders a start from the agent of a domain: owner, agent, transit time, duration of
+    /// the start.
     Order(usize, usize, u64, u64),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Operate(usize, bool),
-    Serve {
+    ReadAtStore {
         owner: usize,
-        asked: u64,
-        way: u64,
+        requested_at: u64,
+        transit: u64,
     },
-    Learn {
+    ReadAnswered {
         owner: usize,
-        asked: u64,
+        requested_at: u64,
         version: usize,
     },
-    ServeFeed {
+    FeedAtStore {
         owner: usize,
-        asked: u64,
-        way: u64,
+        requested_at: u64,
+        transit: u64,
     },
-    LearnFeed {
+    FeedAnswered {
         owner: usize,
-        asked: u64,
+        requested_at: u64,
         version: usize,
     },
-    Beat {
+    Heartbeat {
         agent: usize,
         owner: usize,
-        asked: u64,
-        way: u64,
+        requested_at: u64,
+        transit: u64,
     },
-    Grant {
+    GrantArrived {
         agent: usize,
-        asked: u64,
+        requested_at: u64,
         version: u64,
         domains: Vec<String>,
         age_ms: u64,
@@ -74,17 +78,17 @@
     Order {
         owner: usize,
         agent: usize,
-        way: u64,
-        takes: u64,
+        transit: u64,
+        duration: u64,
     },
-    Arrive {
+    OrderArrived {
         agent: usize,
-        takes: u64,
+        duration: u64,
     },
     Start(usize),
 }
 
-/// Each process has a clock of its own.
+/// Returns the time on a process's own clock, which is offset from those of the other processes.
 fn clock(process: usize, now: u64) -> TimePoint {
     TimePoint::from_millis(1_000_000 + 37_000 * process as u64 + now)
 }
@@ -94,66 +98,67 @@
 }
 
 #[derive(Default)]
-struct World {
+struct Simulation {
     queue: BinaryHeap<Reverse<(u64, usize, Event)>>,
     events: usize,
-    /// Changes by the operator: when, which, whether drained. Versions count them.
+    /// Changes by the operator: time, domain, whether drained. The version is the number of
+    /// changes.
     history: Vec<(u64, usize, bool)>,
     owners: [DrainView; OWNERS],
-    /// Where each owner's feed stands, and whether it waits for an answer.
+    /// Position of each owner's feed, and whether a request is in transit.
     feeds: [(usize, bool); OWNERS],
     agents: [DrainView; DOMAINS],
     starts: Vec<(u64, usize)>,
 }
 
-impl World {
+impl Simulation {
     fn push(&mut self, at: u64, event: Event) {
         self.events += 1;
         self.queue.push(Reverse((at, self.events, event)));
     }
 
-    fn set_out(&mut self, at: u64, deed: Deed) {
-        match deed {
-            Deed::Operate(domain, drained) => self.push(at, Event::Operate(domain, drained)),
-            Deed::Read(owner, serve, way) => {
+    fn schedule(&mut self, at: u64, action: Action) {
+        match action {
+            Action::Operate(domain, drained) => self.push(at, Event::Operate(domain, drained)),
+            Action::Read(owner, until_read, transit) => {
                 self.push(
-                    at + serve,
-                    Event::Serve {
+                    at + until_read,
+                    Event::ReadAtStore {
                         owner,
-                        asked: at,
-                        way,
+                        requested_at: at,
+                        transit,
                     },
                 );
             }
-            Deed::Follow(owner, serve, way) => {
+            Action::Follow(owner, until_read, transit) => {
                 self.push(
-                    at + serve,
-                    Event::ServeFeed {
+                    at + until_read,
+                    Event::FeedAtStore {
                         owner,
-                        asked: at,
-                        way,
+                        requested_at: at,
+                        transit,
                     },
                 );
             }
-            Deed::Beat(agent, owner, to, way) => {
+            Action::Heartbeat(agent, owner, transit_there, transit) => {
                 self.push(
-                    at + to,
-                    Event::Beat {
+                    at + transit_there,
+                    Event::Heartbeat {
                         agent,
                         owner,
-                        asked: at,
-                        way,
+                        requested_at: at,
+                        transit,
                     },
                 );
             }
-            Deed::Order(owner, agent, way, takes) => {
+            Action::Order(owner, agent, transit, duration) => {
                 self.push(
                     at,
                     Event::Order {
                         owner,
                         agent,
-                        way,
-                        takes,
+                        transit,
+                        duration,
                     },
                 );
             }
@@ -173,47 +178,55 @@
 
     fn run(&mut self) {
         while let Some(Reverse((now, _, event))) = self.queue.pop() {
-            self.take(now, event);
+            self.handle(now, event);
         }
     }
 
-    fn take(&mut self, now: u64, event: Event) {
+    fn handle(&mut self, now: u64, event: Event) {
         let version = self.history.len();
         match event {
             Event::Operate(domain, drained) => self.history.push((now, domain, drained)),
-            Event::Serve { owner, asked, way } => {
+            Event::ReadAtStore {
+                owner,
+                requested_at,
+                transit,
+            } => {
                 self.push(
-                    now + way,
-                    Event::Learn {
+                    now + transit,
+                    Event::ReadAnswered {
                         owner,
-                        asked,
+                        requested_at,
                         version,
                     },
                 );
             }
-            Event::Learn {
+            Event::ReadAnswered {
                 owner,
-                asked,
+                requested_at,
                 version,
             } => {
                 let drained = self.drained_at(version);
-                self.owners[owner].replace(version as u64, drained, clock(owner, asked));
+                self.owners[owner].replace(version as u64, drained, clock(owner, requested_at));
             }
-            Event::ServeFeed { owner, asked, way } => {
+            Event::FeedAtStore {
+                owner,
+                requested_at,
+                transit,
+            } => {
                 if !std::mem::replace(&mut self.feeds[owner].1, true) {
                     self.push(
-                        now + way,
-                        Event::LearnFeed {
+                        now + transit,
+                        Event::FeedAnswered {
                             owner,
-                            asked,
+                            requested_at,
                             version,
                         },
                     );
                 }
             }
-            Event::LearnFeed {
+            Event::FeedAnswered {
                 owner,
-                asked,
+                requested_at,
                 version,
             } => {
                 let from = self.feeds[owner].0;
@@ -222,13 +235,17 @@
                 let changes: Vec<_> = changes
                     .map(|(_, number, drained)| (domain(*number), *drained))
                     .collect();
-                self.owners[owner].apply_changes(version as u64, changes, clock(owner, asked));
+                self.owners[owner].apply_changes(
+                    version as u64,
+                    changes,
+                    clock(owner, requested_at),
+                );
             }
-            Event::Beat {
+            Event::Heartbeat {
                 agent,
                 owner,
-                asked,
-                way,
+                requested_at,
+                transit,
             } => {
                 if let Some(frame) = DrainFrame::new(&self.owners[owner], clock(owner, now)) {
                     let DrainFrame {
@@ -237,10 +254,10 @@
                         age_ms,
                     } = frame;
                     self.push(
-                        now + way,
-                        Event::Grant {
+                        now + transit,
+                        Event::GrantArrived {
                             agent,
-                            asked,
+                            requested_at,
                             version,
                             domains,
                             age_ms,
@@ -248,9 +265,9 @@
                     );
                 }
             }
-            Event::Grant {
+            Event::GrantArrived {
                 agent,
-                asked,
+                requested_at,
                 version,
                 domains,
                 age_ms,
@@ -260,13 +277,13 @@
                     domains,
                     age_ms,
                 };
-                frame.take_into(&mut self.agents[agent], clock(OWNERS + agent, asked));
+                frame.take_into(&mut self.agents[agent], clock(OWNERS + agent, requested_at));
             }
             Event::Order {
                 owner,
                 agent,
-                way,
-                takes,
+                transit,
+                duration,
             } => {
                 let verdict = self.owners[owner].verdict(
                     &domain(agent),
@@ -274,24 +291,25 @@
                     RULES.max_age_for_order(),
                 );
                 if verdict == DrainVerdict::Open {
-                    self.push(now + way, Event::Arrive { agent, takes });
+                    self.push(now + transit, Event::OrderArrived { agent, duration });
                 }
             }
-            Event::Arrive { agent, takes } => {
+            Event::OrderArrived { agent, duration } => {
                 let verdict = self.agents[agent].verdict(
                     &domain(agent),
                     clock(OWNERS + agent, now),
                     RULES.max_age_for_start(),
                 );
                 if verdict == DrainVerdict::Open {
-                    self.push(now + takes, Event::Start(agent));
+                    self.push(now + duration, Event::Start(agent));
                 }
             }
             Event::Start(agent) => self.starts.push((now, agent)),
         }
     }
 
-    /// A start beyond the bound after a drain and before it was taken back, if there is one.
+    /// Returns a start that came later than the bound after a drain that was still in force, if
+    /// there is one.
     fn late_start(&self) -> Option<(u64, usize)> {
         let late = |(at, agent): &&(u64, usize)| {
             let seen = self
@@ -311,16 +329,16 @@
     }
 }
 
-fn deed() -> impl Strategy<Value = Deed> {
+fn any_action() -> impl Strategy<Value = Action> {
     let delay = || prop_oneof![4 => 0..60_u64, 1 => 0..9_000_u64];
     prop_oneof![
-        2 => (0..DOMAINS, any::<bool>()).prop_map(|(number, drained)| Deed::Operate(number, drained)),
-        3 => (0..OWNERS, delay(), delay()).prop_map(|(owner, serve, way)| Deed::Read(owner, serve, way)),
-        2 => (0..OWNERS, delay(), delay()).prop_map(|(owner, serve, way)| Deed::Follow(owner, serve, way)),
+        2 => (0..DOMAINS, any::<bool>()).prop_map(|(number, drained)| Action::Operate(number, drained)),
+        3 => (0..OWNERS, delay(), delay()).prop_map(|(owner, until_read, transit)| Action::Read(owner, until_read, transit)),
+        2 => (0..OWNERS, delay(), delay()).prop_map(|(owner, until_read, transit)| Action::Follow(owner, until_read, transit)),
         6 => (0..DOMAINS, 0..OWNERS, delay(), delay())
-            .prop_map(|(agent, owner, to, way)| Deed::Beat(agent, owner, to, way)),
+            .prop_map(|(agent, owner, transit_there, transit)| Action::Heartbeat(agent, owner, transit_there, transit)),
         6 => (0..OWNERS, 0..DOMAINS, delay(), 0..=START_LIMIT_MS)
-            .prop_map(|(owner, agent, way, takes)| Deed::Order(owner, agent, way, takes)),
+            .prop_map(|(owner, agent, transit, duration)| Action::Order(owner, agent, transit, duration)),
     ]
 }
 
@@ -328,64 +346,71 @@
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
     #[test]
-    fn nothing_starts_beyond_the_bound(deeds in prop::collection::vec((0..25_000_u64, deed()), 1..160)) {
-        let mut world = World::default();
-        for (at, deed) in deeds {
-            world.set_out(at, deed);
+    fn no_start_in_a_drained_domain_after_the_bound(actions in prop::collection::vec((0..25_000_u64, any_action()), 1..160)) {
+        let mut simulation = Simulation::default();
+        for (at, action) in actions {
+            simulation.schedule(at, action);
         }
-        world.run();
-        prop_assert_eq!(world.late_start(), None, "of {} starts", world.starts.len());
+        simulation.run();
+        prop_assert_eq!(simulation.late_start(), None, "of {} starts", simulation.starts.len());
     }
 }
 
-/// An owner that is cut off from the store reads nothing more: within the bound its orders end, and its
-/// agents refuse those that are on their way.
+/// An owner that is cut off from the store reads no further drains. It must stop giving orders
+/// within the bound, and its agents must refuse orders that are in transit.
 #[test]
-fn an_owner_that_is_cut_off_orders_nothing_beyond_the_bound() {
-    let mut world = World::default();
-    world.set_out(0, Deed::Read(0, 5, 5));
-    world.set_out(11, Deed::Operate(1, true));
-    // Each order is long on its way, and each start takes as long as it may.
+fn owner_cut_off_from_the_store_orders_no_start_after_the_bound() {
+    let mut simulation = Simulation::default();
+    simulation.schedule(0, Action::Read(0, 5, 5));
+    simulation.schedule(11, Action::Operate(1, true));
+    // Each order has a long transit time, and each start takes as long as allowed.
     for n in 0..800 {
-        world.set_out(10 * n, Deed::Beat(1, 0, 1, 1));
-        world.set_out(10 * n + 5, Deed::Order(0, 1, 550, START_LIMIT_MS));
+        simulation.schedule(10 * n, Action::Heartbeat(1, 0, 1, 1));
+        simulation.schedule(10 * n + 5, Action::Order(0, 1, 550, START_LIMIT_MS));
     }
-    world.run();
-    assert!(world.starts.len() > 20, "it orders on for a while");
-    assert_eq!(world.late_start(), None);
-    let last = world.starts.last().map(|(at, _)| *at);
+    simulation.run();
+    assert!(
+        simulation.starts.len() > 20,
+        "the owner continues to order starts until the bound"
+    );
+    assert_eq!(simulation.late_start(), None);
+    let last = simulation.starts.last().map(|(at, _)| *at);
     assert!(last.is_some_and(|last| last <= 11 + BOUND_MS), "{last:?}");
 }
 
-/// The word of an owner of the past comes after that of its successor.
+/// The answer of a former owner, with an older version, arrives after that of its successor.
 #[test]
-fn an_older_version_takes_no_drain_back() {
-    let mut world = World::default();
-    world.set_out(0, Deed::Read(0, 5, 5));
-    world.set_out(20, Deed::Operate(0, true));
-    world.set_out(30, Deed::Read(1, 5, 5));
-    world.set_out(50, Deed::Beat(0, 1, 1, 1));
-    world.set_out(60, Deed::Beat(0, 0, 1, 1));
-    world.set_out(70, Deed::Order(0, 0, 1, 1));
-    world.run();
-    assert!(world.starts.is_empty(), "{:?}", world.starts);
+fn older_version_does_not_lift_a_drain() {
+    let mut simulation = Simulation::default();
+    simulation.schedule(0, Action::Read(0, 5, 5));
+    simulation.schedule(20, Action::Operate(0, true));
+    simulation.schedule(30, Action::Read(1, 5, 5));
+    simulation.schedule(50, Action::Heartbeat(0, 1, 1, 1));
+    simulation.schedule(60, Action::Heartbeat(0, 0, 1, 1));
+    simulation.schedule(70, Action::Order(0, 0, 1, 1));
+    simulation.run();
+    assert!(simulation.starts.is_empty(), "{:?}", simulation.starts);
 }
 
-/// A history that was dropped is read anew: what it lacks is taken back.
+/// After the store has dropped the history, all rows are read again, and drains without a row are
+/// lifted.
 #[test]
-fn a_whole_reading_takes_back_what_it_lacks() {
+fn full_reading_lifts_drains_without_a_row() {
     let now = TimePoint::from_millis(10);
     let mut view = DrainView::default();
     assert!(view.replace(3, [domain(0), domain(1)].into(), now));
     assert!(view.replace(9, [domain(1)].into(), now));
     assert_eq!(view.verdict("zone-0", now, None), DrainVerdict::Open);
     assert_eq!(view.verdict("zone-1", now, None), DrainVerdict::Drained);
-    assert!(!view.replace(9, [domain(1)].into(), now), "it is no news");
+    assert!(
+        !view.replace(9, [domain(1)].into(), now),
+        "replacing the view with the same content is no change"
+    );
 }
 
-/// Where the platform asks for no bound, what is known of drains holds, however old.
+/// If the platform sets no bound, a known drain view is valid at any age.
 #[test]
-fn without_a_bound_nothing_waits_for_a_reading() {
+fn without_a_bound_starts_do_not_wait_for_a_reading() {
     let rules = DrainRules::default();
     let now = TimePoint::from_millis(1);
     let view = DrainView::default();
@@ -394,5 +419,9 @@
         DrainVerdict::Open
     );
     let bounded = view.verdict("a", now, RULES.max_age_for_start());
-    assert_eq!(bounded, DrainVerdict::Unsure, "nothing was read yet");
+    assert_eq!(
+        bounded,
+        DrainVerdict::Unsure,
+        "no reading has been made yet"
+    );
 }
--- a/crates/wax-owner/tests/scale/play.rs
+++ b/crates/wax-owner/tests/scale/simulation.rs
@@ -1,4 +1,4 @@
-//! An owner's book, roster and fronts, with agents and fronts that are played beside them.
+//! Simulates an owner's scheduler, roster and fronts with agents and fronts under virtual time.
 
 use futures_channel::mpsc::{UnboundedReceiver, unbounded};
 use prost::Message;
@@ -10,30 +10,31 @@
     WorkerKey, WorkerView,
 };
 use wax_owner::{
-    AgentNote, AgentRoster, AgentRow, FrontLife, FrontRoster, GoneBoots, OwnerFitness, OwnerSpans,
+    AgentRoster, AgentRow, AgentUpdate, EndedBoots, FrontRecord, FrontRoster, OwnerFitness,
+    OwnerTimeouts,
 };
 use wax_policy::{ConfigRules, DrainRules, PlacementRules, front_heartbeat_period};
 use wax_types::TimePoint;
 use wax_wire::{LeaseGrant, PoolBody, PoolFrame};
 
-/// A round of the dispatcher gathers what has changed within this.
+/// Simulation step; changes within one step share a dispatch round.
 const TICK: Duration = Duration::from_millis(2);
-/// Without a change the dispatcher looks again after this.
+/// Number of ticks without a change after which a dispatch round runs.
 const IDLE_TICKS: u64 = 50;
-/// How long a task runs.
-const TASK_TIME: Duration = Duration::from_millis(1_200);
-/// Tasks of a job.
+/// Run time of each task.
+const TASK_DURATION: Duration = Duration::from_millis(1_200);
+/// Number of tasks in a job.
 const JOB_TASKS: u32 = 20;
-/// Agents written down by one transaction, each of which takes so many ticks.
+/// Largest number of agent rows in one transaction. A transaction takes `TX_TICKS` ticks.
 const ROWS_PER_TX: usize = 32;
 const TX_TICKS: u64 = 5;
 
-/// How large a pool is, and how much work it has.
+/// Size of a pool and its rate of tasks.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PoolSize {
     pub(crate) agents: usize,
     pub(crate) fronts: usize,
-    pub(crate) tasks_a_second: u32,
+    pub(crate) tasks_per_second: u32,
 }
 
 impl PoolSize {
@@ -41,30 +42,30 @@
         Self {
             agents,
             fronts: agents / 5,
-            tasks_a_second: (agents * 7 / 10) as u32,
+            tasks_per_second: (agents * 7 / 10) as u32,
         }
     }
 }
 
-/// What was counted.
+/// Counts of the owner's work.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct PlayedCost {
+pub(crate) struct Cost {
     heartbeats: u64,
     messages: u64,
     bytes: u64,
-    agents_looked_at: u64,
+    agents_visited: u64,
     workers_asked: u64,
     fronts_ranked: u64,
     transactions: u64,
 }
 
-impl PlayedCost {
+impl Cost {
     pub(crate) fn counts(&self) -> [(&'static str, u64); 7] {
         [
             ("heartbeats", self.heartbeats),
             ("messages", self.messages),
             ("bytes", self.bytes),
-            ("agents looked at", self.agents_looked_at),
+            ("agents visited", self.agents_visited),
             ("workers asked", self.workers_asked),
             ("fronts ranked", self.fronts_ranked),
             ("transactions", self.transactions),
@@ -72,57 +73,57 @@
     }
 }
 
-/// What is to happen at a time.
+/// An event that is due at some time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Deed {
-    AgentBeat(usize),
-    FrontBeat(usize),
-    Job,
-    End(usize, RunId),
-    Link(usize),
-    Return(usize),
-    Stored,
+enum Event {
+    AgentHeartbeat(usize),
+    FrontHeartbeat(usize),
+    SubmitJob,
+    EndTask(usize, RunId),
+    LinkAgent(usize),
+    ReconcileWorker(usize),
+    FinishWrite,
 }
 
-struct PlayedAgent {
+struct SimulatedAgent {
     boot: u64,
     link: u64,
     worker: Option<WorkerKey>,
     runs: BTreeSet<RunId>,
     ends: u64,
-    /// Ends that no owner has heard.
-    unheard: Vec<RunEnd>,
+    /// Ends of runs that have not been reported to an owner.
+    unreported_ends: Vec<RunEnd>,
     is_linked: bool,
     inbox: Option<UnboundedReceiver<PoolBody>>,
 }
 
-/// An owner and its pool.
-pub(crate) struct PlayedPool {
+/// A simulated owner and its pool.
+pub(crate) struct SimulatedPool {
     size: PoolSize,
     now: TimePoint,
     epoch: u64,
-    book: JobScheduler,
-    /// Open jobs as the store has them.
+    scheduler: JobScheduler,
+    /// Open jobs as the store holds them.
     jobs: BTreeMap<JobName, (JobRow, Option<JobProgress>)>,
     roster: AgentRoster,
     rows: BTreeMap<Box<str>, AgentRow>,
     fronts: FrontRoster,
-    gone: GoneBoots,
-    spans: OwnerSpans,
+    ended_boots: EndedBoots,
+    timeouts: OwnerTimeouts,
     rules: ConfigRules,
     config: u64,
-    agents: Vec<PlayedAgent>,
+    agents: Vec<SimulatedAgent>,
     front_configs: Vec<u64>,
-    deeds: BTreeSet<(TimePoint, u64, Deed)>,
-    next_deed: u64,
+    events: BTreeSet<(TimePoint, u64, Event)>,
+    next_event: u64,
     next_job: u64,
     next_link: u64,
     starts: u64,
-    cost: PlayedCost,
-    unheard_seen: Option<u64>,
-    is_storing: bool,
-    waits_row: BTreeSet<usize>,
-    changed: bool,
+    cost: Cost,
+    unreconciled_seen: Option<u64>,
+    is_write_pending: bool,
+    awaiting_row: BTreeSet<usize>,
+    has_changes: bool,
 }
 
 fn config() -> QueueConfig {
@@ -146,22 +147,22 @@
     }
 }
 
-fn new_book(epoch: u64) -> JobScheduler {
-    let mut book = JobScheduler::new(epoch, PlacementRules::default());
-    book.set_config(config().into());
-    book
+fn new_scheduler(epoch: u64) -> JobScheduler {
+    let mut scheduler = JobScheduler::new(epoch, PlacementRules::default());
+    scheduler.set_config(config().into());
+    scheduler
 }
 
-impl PlayedPool {
-    /// A pool whose owner has taken over and has heard all.
+impl SimulatedPool {
+    /// Creates a pool whose owner has taken over and has reconciled all runs.
     pub(crate) fn settled(size: PoolSize) -> Self {
-        let agents = (0..size.agents).map(|_| PlayedAgent {
+        let agents = (0..size.agents).map(|_| SimulatedAgent {
             boot: 1,
             link: 0,
             worker: None,
             runs: BTreeSet::new(),
             ends: 0,
-            unheard: Vec::new(),
+            unreported_ends: Vec::new(),
             is_linked: false,
             inbox: None,
         });
@@ -169,32 +170,32 @@
             size,
             now: TimePoint::from_millis(100_000),
             epoch: 1,
-            book: new_book(1),
+            scheduler: new_scheduler(1),
             jobs: BTreeMap::new(),
             roster: AgentRoster::default(),
             rows: BTreeMap::new(),
             fronts: FrontRoster::default(),
-            gone: GoneBoots::default(),
-            spans: OwnerSpans::default(),
+            ended_boots: EndedBoots::default(),
+            timeouts: OwnerTimeouts::default(),
             rules: ConfigRules::new(Duration::from_secs(5), DrainRules::default()),
             config: 1,
             agents: agents.collect(),
             front_configs: vec![1; size.fronts],
-            deeds: BTreeSet::new(),
-            next_deed: 0,
+            events: BTreeSet::new(),
+            next_event: 0,
             next_job: 0,
             next_link: 0,
             starts: 0,
-            cost: PlayedCost::default(),
-            unheard_seen: None,
-            is_storing: false,
-            waits_row: BTreeSet::new(),
-            changed: true,
+            cost: Cost::default(),
+            unreconciled_seen: None,
+            is_write_pending: false,
+            awaiting_row: BTreeSet::new(),
+            has_changes: true,
         };
         pool.link_all();
-        pool.after(Duration::from_millis(1), Deed::Job);
+        pool.after(Duration::from_millis(1), Event::SubmitJob);
         pool.run(Duration::from_secs(4));
-        assert_eq!(pool.roster.unheard_agents(), 0);
+        assert_eq!(pool.roster.unreconciled_agents(), 0);
         pool
     }
 
@@ -206,66 +207,70 @@
         self.starts
     }
 
-    /// Tasks that wait although their jobs were handed in a while ago.
-    pub(crate) fn waiting(&self) -> usize {
-        self.book.held_back_task_count()
+    /// Returns the number of tasks that are held back because of unreconciled runs.
+    pub(crate) fn held_back_tasks(&self) -> usize {
+        self.scheduler.held_back_task_count()
     }
 
-    /// What was counted since the last call.
-    pub(crate) fn take_cost(&mut self) -> PlayedCost {
-        self.cost.workers_asked += self.book.take_workers_evaluated();
-        self.cost.agents_looked_at += self.roster.take_looked_at();
+    /// Returns the counts since the last call.
+    pub(crate) fn take_cost(&mut self) -> Cost {
+        self.cost.workers_asked += self.scheduler.take_workers_evaluated();
+        self.cost.agents_visited += self.roster.take_visited();
         self.cost.fronts_ranked += self.fronts.take_ranked();
         std::mem::take(&mut self.cost)
     }
 
-    fn after(&mut self, span: Duration, deed: Deed) {
-        self.next_deed += 1;
-        self.deeds.insert((self.now + span, self.next_deed, deed));
+    fn after(&mut self, span: Duration, event: Event) {
+        self.next_event += 1;
+        self.events
+            .insert((self.now + span, self.next_event, event));
     }
 
-    /// All agents and fronts link within some hundred milliseconds.
+    /// Links all agents and fronts within some hundred milliseconds.
     fn link_all(&mut self) {
         for agent in 0..self.agents.len() {
             let spread = Duration::from_micros(300_000 * agent as u64 / self.size.agents as u64);
-            self.after(spread, Deed::Link(agent));
+            self.after(spread, Event::LinkAgent(agent));
         }
         for front in 0..self.size.fronts {
             self.next_link += 1;
             let (outbox, _) = unbounded();
-            let life = FrontLife::new(self.next_link, outbox, self.gone.count(), self.now);
-            self.fronts.insert(&format!("edge-{front}"), life);
+            let record =
+                FrontRecord::new(self.next_link, outbox, self.ended_boots.count(), self.now);
+            self.fronts.insert(&format!("edge-{front}"), record);
             let spread = Duration::from_micros(200_000 * front as u64 / self.size.fronts as u64);
-            self.after(spread, Deed::FrontBeat(front));
+            self.after(spread, Event::FrontHeartbeat(front));
         }
     }
 
-    /// The operator writes another version, which fronts find in the store a moment later.
+    /// Changes the config. Each front has the new version after its next heartbeat, as if it had
+    /// read the version from the store.
     pub(crate) fn change_config(&mut self) {
         self.config += 1;
-        self.book.set_config(config().into());
-        self.changed = true;
+        self.scheduler.set_config(config().into());
+        self.has_changes = true;
     }
 
-    /// Another owner takes over: it knows the store's rows, and hears agents and fronts anew.
+    /// Lets another owner take over, which loads the store's rows and reconciles all agents again.
     pub(crate) fn take_over(&mut self) {
         self.epoch += 1;
-        self.book = new_book(self.epoch);
+        self.scheduler = new_scheduler(self.epoch);
         for (name, (row, progress)) in &self.jobs {
-            let (now, now_ms) = (self.now, wall(self.now));
-            self.book
+            let (now, now_ms) = (self.now, unix_ms(self.now));
+            self.scheduler
                 .add_job(*name, row.clone(), progress.as_ref(), now, now_ms);
         }
         self.roster = AgentRoster::default();
-        let lapse_at = self.now + self.spans.lapse_after_takeover();
+        let expires_at = self.now + self.timeouts.expiry_after_takeover();
         for (node, row) in &self.rows {
-            self.roster.load(node, row, lapse_at, &self.gone);
+            self.roster.load(node, row, expires_at, &self.ended_boots);
         }
-        self.unheard_seen = None;
+        self.unreconciled_seen = None;
         self.fronts = FrontRoster::default();
-        let is_link = |deed: &Deed| matches!(deed, Deed::AgentBeat(_) | Deed::FrontBeat(_));
-        self.deeds.retain(|(_, _, deed)| !is_link(deed));
-        self.waits_row.clear();
+        let is_link =
+            |event: &Event| matches!(event, Event::AgentHeartbeat(_) | Event::FrontHeartbeat(_));
+        self.events.retain(|(_, _, event)| !is_link(event));
+        self.awaiting_row.clear();
         for agent in &mut self.agents {
             agent.is_linked = false;
             agent.worker = None;
@@ -273,54 +278,55 @@
         self.link_all();
     }
 
-    /// A share of the workers at a time leaves and comes back as another boot, so many times.
-    pub(crate) fn release(&mut self, share: f64, times: usize) {
+    /// Stops a share of the workers and starts them again as other boots; repeats this `times`
+    /// times with other workers.
+    pub(crate) fn restart_workers(&mut self, share: f64, times: usize) {
         let batches = (1.0 / share) as usize;
-        for round in 0..times {
-            for agent in (round..self.agents.len()).step_by(batches) {
-                self.leave(agent);
-                self.after(Duration::from_millis(500), Deed::Return(agent));
+        for dispatch in 0..times {
+            for agent in (dispatch..self.agents.len()).step_by(batches) {
+                self.stop_worker(agent);
+                self.after(Duration::from_millis(500), Event::ReconcileWorker(agent));
             }
             self.run(Duration::from_millis(600));
         }
     }
 
-    /// A share of the agents is gone without a word.
+    /// Ends a share of the agents without notice.
     pub(crate) fn kill_agents(&mut self, share: f64) {
         let killed = (self.agents.len() as f64 * share) as usize;
         for number in 0..killed {
             self.agents[number].is_linked = false;
             let (node, link) = (node(number), self.agents[number].link);
-            let known = self.roster.close(&node, link, self.now, &self.spans);
+            let known = self.roster.close(&node, link, self.now, &self.timeouts);
             if let Some(worker) = known.flatten() {
-                self.book.set_worker_reachable(worker, false);
+                self.scheduler.set_worker_reachable(worker, false);
             }
         }
-        self.changed = true;
+        self.has_changes = true;
     }
 
-    fn leave(&mut self, number: usize) {
+    fn stop_worker(&mut self, number: usize) {
         let boot = self.boot(number);
         let node = node(number);
         self.send(1, 40);
-        if let Some(worker) = self.roster.worker_gone(&node, &boot) {
-            self.book
-                .remove_lost_worker(worker, self.now, wall(self.now));
+        if let Some(worker) = self.roster.worker_ended(&node, &boot) {
+            self.scheduler
+                .remove_lost_worker(worker, self.now, unix_ms(self.now));
         }
-        self.gone.note(&boot);
-        self.roster.boot_dead(&boot);
-        self.tell_watchers();
+        self.ended_boots.record(&boot);
+        self.roster.boot_ended(&boot);
+        self.notify_early_candidates();
         let agent = &mut self.agents[number];
         agent.worker = None;
         agent.runs.clear();
-        agent.unheard.clear();
+        agent.unreported_ends.clear();
         agent.boot += 1;
         agent.ends = 0;
-        self.changed = true;
+        self.has_changes = true;
     }
 
-    fn tell_watchers(&mut self) {
-        let messages = self.fronts.tell_watchers(&self.gone) as u64;
+    fn notify_early_candidates(&mut self) {
+        let messages = self.fronts.notify_early_candidates(&self.ended_boots) as u64;
         self.send(messages, messages * 40);
     }
 
@@ -330,7 +336,7 @@
             .into()
     }
 
-    /// Plays for a while.
+    /// Advances the simulation by `span`.
     pub(crate) fn run(&mut self, span: Duration) {
         let end = self.now + span;
         let mut ticks = 0;
@@ -338,29 +344,29 @@
             self.now = self.now + TICK;
             ticks += 1;
             while let Some(first) = self
-                .deeds
+                .events
                 .first()
                 .copied()
                 .filter(|(at, ..)| *at <= self.now)
             {
-                self.deeds.remove(&first);
-                self.act(first.2);
+                self.events.remove(&first);
+                self.handle(first.2);
             }
-            if std::mem::take(&mut self.changed) || ticks % IDLE_TICKS == 0 {
-                self.round();
+            if std::mem::take(&mut self.has_changes) || ticks % IDLE_TICKS == 0 {
+                self.dispatch();
             }
         }
     }
 
-    fn act(&mut self, deed: Deed) {
-        match deed {
-            Deed::AgentBeat(number) => self.agent_beat(number),
-            Deed::FrontBeat(number) => self.front_beat(number),
-            Deed::Job => self.hand_in(),
-            Deed::End(number, mark) => self.end(number, mark),
-            Deed::Link(number) => self.link(number),
-            Deed::Return(number) => self.compare(number),
-            Deed::Stored => self.stored(),
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::AgentHeartbeat(number) => self.agent_heartbeat(number),
+            Event::FrontHeartbeat(number) => self.front_heartbeat(number),
+            Event::SubmitJob => self.submit_job(),
+            Event::EndTask(number, mark) => self.end_task(number, mark),
+            Event::LinkAgent(number) => self.link_agent(number),
+            Event::ReconcileWorker(number) => self.reconcile(number),
+            Event::FinishWrite => self.finish_write(),
         }
     }
 
@@ -374,43 +380,43 @@
         self.send(1, bytes);
     }
 
-    fn agent_beat(&mut self, number: usize) {
+    fn agent_heartbeat(&mut self, number: usize) {
         if !self.agents[number].is_linked {
             return;
         }
         self.cost.heartbeats += 1;
         self.roster
-            .granted(&node(number), self.now + self.spans.grant);
+            .extend_grant(&node(number), self.now + self.timeouts.grant);
         if let Some(worker) = self.agents[number].worker {
-            self.book.record_contact(worker, self.now);
+            self.scheduler.record_contact(worker, self.now);
         }
-        let period = self.roster.period();
+        let period = self.roster.heartbeat_period();
         self.answer(PoolBody::Grant(LeaseGrant {
             sent_us: self.now.0,
             valid_ms: 2_500,
             period_ms: period.as_millis() as u32,
             ..Default::default()
         }));
-        self.after(period, Deed::AgentBeat(number));
+        self.after(period, Event::AgentHeartbeat(number));
     }
 
-    fn front_beat(&mut self, number: usize) {
+    fn front_heartbeat(&mut self, number: usize) {
         self.cost.heartbeats += 1;
         let (now, name) = (self.now, format!("edge-{number}"));
-        let theirs = self.front_configs[number];
+        let front_version = self.front_configs[number];
         let Some(front) = self.fronts.get_mut(&name) else {
             return;
         };
-        front.heard(
+        front.record_heartbeat(
             OwnerFitness(if number.is_multiple_of(4) { 1_000 } else { 120 }),
             false,
             now,
         );
-        let is_due = front.is_due(theirs, self.config, now);
+        let pushes_config = front.should_push_config(front_version, self.config, now);
         let rank = self.fronts.rank(&name, now).rank;
         let period = front_heartbeat_period(self.fronts.len(), rank, &self.rules);
-        self.tell_watchers();
-        if is_due {
+        self.notify_early_candidates();
+        if pushes_config {
             self.send(1, 20_000);
         }
         self.answer(PoolBody::Grant(LeaseGrant {
@@ -420,10 +426,10 @@
             ..Default::default()
         }));
         self.front_configs[number] = self.config;
-        self.after(period, Deed::FrontBeat(number));
+        self.after(period, Event::FrontHeartbeat(number));
     }
 
-    fn hand_in(&mut self) {
+    fn submit_job(&mut self) {
         self.next_job += 1;
         let step = StepSpec {
             count: JOB_TASKS,
@@ -440,17 +446,18 @@
             steps: vec![step].into(),
             repeat: None,
         };
-        let mut row = JobRow::new(&spec, "gauges", "svc", wall(self.now), 1);
+        let mut row = JobRow::new(&spec, "gauges", "svc", unix_ms(self.now), 1);
         row.epoch = self.epoch;
         let name = JobName(self.next_job);
         self.jobs.insert(name, (row.clone(), None));
-        self.book.add_job(name, row, None, self.now, wall(self.now));
-        self.changed = true;
-        let pause = Duration::from_secs(1) * JOB_TASKS / self.size.tasks_a_second;
-        self.after(pause, Deed::Job);
+        self.scheduler
+            .add_job(name, row, None, self.now, unix_ms(self.now));
+        self.has_changes = true;
+        let pause = Duration::from_secs(1) * JOB_TASKS / self.size.tasks_per_second;
+        self.after(pause, Event::SubmitJob);
     }
 
-    fn end(&mut self, number: usize, mark: RunId) {
+    fn end_task(&mut self, number: usize, mark: RunId) {
         let agent = &mut self.agents[number];
         if !agent.runs.remove(&mark) {
             return;
@@ -463,33 +470,34 @@
             checkpoint: "".into(),
         };
         let Some(worker) = agent.worker.filter(|_| agent.is_linked) else {
-            agent.unheard.push(end);
+            agent.unreported_ends.push(end);
             return;
         };
         self.send(1, 60);
-        self.book.record_end(worker, &end, self.now, wall(self.now));
-        self.changed = true;
+        self.scheduler
+            .record_end(worker, &end, self.now, unix_ms(self.now));
+        self.has_changes = true;
     }
 
-    fn link(&mut self, number: usize) {
+    fn link_agent(&mut self, number: usize) {
         self.next_link += 1;
         let (outbox, inbox) = unbounded();
         let agent = &mut self.agents[number];
         (agent.link, agent.is_linked, agent.inbox) = (self.next_link, true, Some(inbox));
         let link = agent.link;
         self.roster
-            .open(&node(number), link, &outbox, self.now, &self.spans);
+            .open(&node(number), link, &outbox, self.now, &self.timeouts);
         self.send(2, 60);
-        self.compare(number);
-        self.after(Duration::ZERO, Deed::AgentBeat(number));
+        self.reconcile(number);
+        self.after(Duration::ZERO, Event::AgentHeartbeat(number));
     }
 
-    /// The worker's list is compared once the store has the agent's row.
-    fn compare(&mut self, number: usize) {
+    /// Reconciles a worker's runs once the store has the agent's row.
+    fn reconcile(&mut self, number: usize) {
         let (node, boot) = (node(number), self.boot(number));
-        if !self.roster.ask_row(&node, &boot) {
-            self.waits_row.insert(number);
-            self.store();
+        if !self.roster.ensure_row(&node, &boot) {
+            self.awaiting_row.insert(number);
+            self.start_write();
             return;
         }
         let agent = &self.agents[number];
@@ -497,34 +505,34 @@
         let view = view(number, boot.clone());
         let worker = match self.roster.worker(&node) {
             Some((key, known)) if known == boot => {
-                self.book.set_worker_reachable(key, true);
+                self.scheduler.set_worker_reachable(key, true);
                 key
             }
-            _ => self.book.add_worker(view, &node),
+            _ => self.scheduler.add_worker(view, &node),
         };
-        self.roster.compared(&node, worker, &boot);
-        let ends = std::mem::take(&mut self.agents[number].unheard);
-        self.book
-            .reconcile_worker(worker, &reports, &ends, self.now, wall(self.now));
+        self.roster.set_reconciled(&node, worker, &boot);
+        let ends = std::mem::take(&mut self.agents[number].unreported_ends);
+        self.scheduler
+            .reconcile_worker(worker, &reports, &ends, self.now, unix_ms(self.now));
         self.agents[number].worker = Some(worker);
         self.send(2, 200);
-        self.changed = true;
+        self.has_changes = true;
     }
 
-    fn store(&mut self) {
-        if !self.is_storing && self.roster.has_notes() {
-            self.is_storing = true;
-            self.after(TICK * TX_TICKS as u32, Deed::Stored);
+    fn start_write(&mut self) {
+        if !self.is_write_pending && self.roster.has_updates() {
+            self.is_write_pending = true;
+            self.after(TICK * TX_TICKS as u32, Event::FinishWrite);
         }
     }
 
-    fn stored(&mut self) {
-        self.is_storing = false;
+    fn finish_write(&mut self) {
+        self.is_write_pending = false;
         self.cost.transactions += 1;
-        let notes = self.roster.take_notes(ROWS_PER_TX);
-        for (node, note) in &notes {
-            match note {
-                AgentNote::Linked { boot } => {
+        let updates = self.roster.take_updates(ROWS_PER_TX);
+        for (node, update) in &updates {
+            match update {
+                AgentUpdate::Linked { boot } => {
                     let row = AgentRow {
                         node: node.to_string(),
                         worker: boot.worker_id().into(),
@@ -532,74 +540,75 @@
                     };
                     self.rows.insert(node.clone(), row);
                 }
-                AgentNote::Unlinked { .. } => {}
-                AgentNote::Gone => {
+                AgentUpdate::Unlinked { .. } => {}
+                AgentUpdate::Removed => {
                     self.rows.remove(node);
                 }
             }
         }
-        self.roster.notes_stored(&notes);
-        for (stored, _) in &notes {
-            let number = stored.trim_start_matches("side-").parse();
+        self.roster.updates_stored(&updates);
+        for (node, _) in &updates {
+            let number = node.trim_start_matches("side-").parse();
             if let Ok(number) = number
-                && self.waits_row.remove(&number)
+                && self.awaiting_row.remove(&number)
             {
-                self.compare(number);
+                self.reconcile(number);
             }
         }
-        self.store();
+        self.start_write();
     }
 
-    /// A round of the dispatcher.
-    fn round(&mut self) {
-        let lapsed = self.roster.drop_lapsed(self.now, self.now);
-        for worker in lapsed.workers {
-            self.book
-                .remove_lost_worker(worker, self.now, wall(self.now));
+    /// Runs one dispatch round.
+    fn dispatch(&mut self) {
+        let expired = self.roster.remove_expired(self.now, self.now);
+        for worker in expired.workers {
+            self.scheduler
+                .remove_lost_worker(worker, self.now, unix_ms(self.now));
         }
-        let book = &self.book;
+        let scheduler = &self.scheduler;
         self.roster
-            .note_unlinked(self.now, |worker| book.jobs_on(worker));
-        self.store();
-        self.settle();
-        for order in self.book.place(self.now) {
+            .queue_unlinked(self.now, |worker| scheduler.jobs_on(worker));
+        self.start_write();
+        self.update_unreconciled();
+        for order in self.scheduler.place(self.now) {
             self.starts += 1;
             self.send(1, 150);
             let number = self.number_of(order.worker);
             self.agents[number].runs.insert(order.run_id);
-            self.book.record_start(order.worker, order.run_id, self.now);
-            self.after(TASK_TIME, Deed::End(number, order.run_id));
+            self.scheduler
+                .record_start(order.worker, order.run_id, self.now);
+            self.after(TASK_DURATION, Event::EndTask(number, order.run_id));
         }
-        let notes = self.book.take_updates(usize::MAX);
-        self.cost.transactions += notes.len().div_ceil(32) as u64;
-        self.book.confirm_updates(&notes);
-        for note in notes {
-            match self.jobs.get_mut(&note.name) {
-                Some(job) if note.progress.outcome() == JobOutcome::Open => {
-                    job.1 = Some(note.progress);
+        let updates = self.scheduler.take_updates(usize::MAX);
+        self.cost.transactions += updates.len().div_ceil(32) as u64;
+        self.scheduler.confirm_updates(&updates);
+        for update in updates {
+            match self.jobs.get_mut(&update.name) {
+                Some(job) if update.progress.outcome() == JobOutcome::Open => {
+                    job.1 = Some(update.progress);
                 }
                 _ => {
-                    self.jobs.remove(&note.name);
+                    self.jobs.remove(&update.name);
                 }
             }
         }
-        let cursors = self.book.advance_ack_cursors();
+        let cursors = self.scheduler.advance_ack_cursors();
         self.send(cursors.len() as u64, 20 * cursors.len() as u64);
     }
 
-    fn settle(&mut self) {
-        let changes = Some(self.roster.unheard_changes());
-        if std::mem::replace(&mut self.unheard_seen, changes) != changes {
-            let unheard: UnreconciledRuns = self.roster.unheard();
-            self.book.set_unreconciled(unheard);
+    fn update_unreconciled(&mut self) {
+        let changes = Some(self.roster.unreconciled_changes());
+        if std::mem::replace(&mut self.unreconciled_seen, changes) != changes {
+            let runs: UnreconciledRuns = self.roster.unreconciled_runs();
+            self.scheduler.set_unreconciled(runs);
         }
     }
 
     fn number_of(&self, worker: WorkerKey) -> usize {
-        let boot = self.roster.boot(worker).expect("it is linked");
+        let boot = self.roster.boot(worker).expect("the agent is linked");
         let id = boot.worker_id().trim_start_matches("i-");
         let number = id.split('-').next().and_then(|number| number.parse().ok());
-        number.expect("a number")
+        number.expect("the id contains the number of the agent")
     }
 }
 
@@ -607,8 +616,8 @@
     format!("side-{number}")
 }
 
-/// Unix milliseconds of a played time.
-fn wall(now: TimePoint) -> u64 {
+/// Returns the Unix milliseconds of a simulated time.
+fn unix_ms(now: TimePoint) -> u64 {
     now.0 / 1_000
 }
 
