--- a/benches/owner_load.rs
+++ b/benches/owner_load.rs
@@ -29,8 +29,8 @@
 use wax_agent::GatheredNews;
 use wax_batch::{RunEnd, RunEndKind, RunMark, RunReport, TaskSize, WorkerView};
 use wax_wire::{
-    AgentHello, EntryHello, LinkPing, PoolBody, PoolReader, PoolWriter, RunNews, StartRun,
-    WorkerUp, split_stream,
+    AgentHello, FrontHello, LinkHeartbeat, PoolBody, PoolReader, PoolWriter, RunUpdates, StartRun,
+    WorkerSnapshot, split_stream,
 };
 
 /// How long the load is watched.
@@ -74,12 +74,12 @@
             kind: RunEndKind::Done,
             checkpoint: "".into(),
         };
-        let news = RunNews {
+        let news = RunUpdates {
             ends: vec![(&end).into()],
             ..Default::default()
         };
         let news = self.gathered.borrow_mut().complete(news);
-        self.tell(PoolBody::News(news));
+        self.tell(PoolBody::RunUpdates(news));
     }
 
     async fn report(self: Rc<Self>) {
@@ -101,10 +101,14 @@
     async fn ping(self: Rc<Self>) {
         loop {
             if let Some(news) = self.gathered.borrow_mut().take() {
-                self.tell(PoolBody::News(news));
+                self.tell(PoolBody::RunUpdates(news));
             }
-            let ping = LinkPing::default();
-            if self.outbox.unbounded_send(PoolBody::Ping(ping)).is_err() {
+            let ping = LinkHeartbeat::default();
+            if self
+                .outbox
+                .unbounded_send(PoolBody::Heartbeat(ping))
+                .is_err()
+            {
                 return;
             }
             sleep(self.period.get()).await;
@@ -138,7 +142,7 @@
         period: Cell::new(FIRST_PERIOD),
     });
     agent.tell(worker_up(number));
-    while !matches!(reader.read().await.ok()??, PoolBody::WorkerKept(_)) {}
+    while !matches!(reader.read().await.ok()??, PoolBody::WorkerAccepted(_)) {}
     sleep(FIRST_PERIOD.mul_f64(fastrand::f64())).await;
     let reading = spawn({
         let agent = agent.clone();
@@ -174,7 +178,7 @@
         },
         ..Default::default()
     };
-    PoolBody::WorkerUp(WorkerUp {
+    PoolBody::WorkerSnapshot(WorkerSnapshot {
         worker: (&view).into(),
         runs: Vec::new(),
         ends: Vec::new(),
@@ -183,11 +187,11 @@
 }
 
 async fn link_front(owner: SocketAddr, number: usize) -> Option<Vec<JoinHandle<()>>> {
-    let hello = EntryHello {
+    let hello = FrontHello {
         node: format!("edge-{number}"),
         address: format!("127.0.0.1:{}", 1 + number),
     };
-    let (mut reader, mut writer) = open(owner, PoolBody::EntryHello(hello)).await?;
+    let (mut reader, mut writer) = open(owner, PoolBody::FrontHello(hello)).await?;
     let period = Rc::new(Cell::new(Duration::from_millis(200)));
     let told = period.clone();
     let reading = spawn(async move {
@@ -198,12 +202,16 @@
         }
     });
     let pinging = spawn(async move {
-        let ping = LinkPing {
+        let ping = LinkHeartbeat {
             config: 3,
             fitness: 500,
             ..Default::default()
         };
-        while writer.write(PoolBody::Ping(ping.clone())).await.is_ok() {
+        while writer
+            .write(PoolBody::Heartbeat(ping.clone()))
+            .await
+            .is_ok()
+        {
             sleep(period.get()).await;
         }
     });
--- a/crates/wax-agent/src/boot_change.rs
+++ b/crates/wax-agent/src/boot_change.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use wax_batch::{BootId, RunMark, WorkerView};
 use wax_trace::{Counter, count};
-use wax_wire::{BootCrashed, PoolBody, WorkerGone};
+use wax_wire::{AllRunsEnded, BootCrashed, PoolBody};
 
 /// Looks whether a boot that has checked in answers; if so it replaces the one before.
 pub(crate) async fn take_candidate(state: &Rc<AgentState>) {
@@ -123,7 +123,7 @@
             .note_ended(&ended.view, &runs, now);
         // Before the end itself: by that its tasks wait again.
         tell_crash(state, crash);
-        state.tell(PoolBody::WorkerGone(WorkerGone::new(driven, true)));
+        state.tell(PoolBody::AllRunsEnded(AllRunsEnded::new(driven, true)));
     }
 }
 
@@ -185,7 +185,7 @@
     state.crashes.borrow_mut().note_lapsed(&view, runs);
     let (sequence, is_replaced) = (lapsed.sequence, lapsed.is_replaced);
     *boot = None;
-    state.tell(PoolBody::WorkerGone(WorkerGone::new(driven, false)));
+    state.tell(PoolBody::AllRunsEnded(AllRunsEnded::new(driven, false)));
     let mut boots = state.boots.borrow_mut();
     if is_replaced {
         boots.bury(driven);
--- a/crates/wax-agent/src/check_ins.rs
+++ b/crates/wax-agent/src/check_ins.rs
@@ -10,7 +10,7 @@
     HttpHandler, HttpReply, HttpRequest, collect_body, empty_reply, error_reply, json_reply,
 };
 use wax_types::{ErrorKind, Step, WaxError};
-use wax_wire::{PoolBody, WorkerGone};
+use wax_wire::{AllRunsEnded, PoolBody};
 
 /// The longest report that is read, bytes.
 const REPORT_BYTES: usize = 1 << 20;
@@ -88,7 +88,7 @@
             left.lose_runs(self.state.now(), &[]);
         }
         self.state
-            .tell(PoolBody::WorkerGone(WorkerGone::new(boot, true)));
+            .tell(PoolBody::AllRunsEnded(AllRunsEnded::new(boot, true)));
         self.state.changed.notify(usize::MAX);
     }
 }
--- a/crates/wax-agent/src/driver.rs
+++ b/crates/wax-agent/src/driver.rs
@@ -9,7 +9,10 @@
 use wax_batch::BootId;
 use wax_trace::{Counter, count};
 use wax_types::TimePoint;
-use wax_wire::{PoolBody, PressFrame, PressNews, RefusalFrame, RoomFrame, RunNews, WorkerUp};
+use wax_wire::{
+    HeadroomFrame, InterferenceFrame, InterferenceUpdate, PoolBody, RefusalFrame, RunUpdates,
+    WorkerSnapshot,
+};
 
 /// How long the worker may wait for an end before it answers a hold: no longer than paces may wait
 /// for its figures.
@@ -177,13 +180,13 @@
         for crash in state.crashes.borrow().lately(now) {
             state.tell(PoolBody::BootCrashed(crash.clone()));
         }
-        let up = WorkerUp {
+        let up = WorkerSnapshot {
             worker: (&boot.shown_view()).into(),
             runs: boot.table.reports().iter().map(Into::into).collect(),
             ends: reply.ended.iter().map(Into::into).collect(),
             known_pairs: boot.pace.known_pairs() as u32,
         };
-        state.tell(PoolBody::WorkerUp(up));
+        state.tell(PoolBody::WorkerSnapshot(up));
         return true;
     }
     for report in news.going {
@@ -193,12 +196,12 @@
     if fresh {
         let refused = news.never.iter();
         let refused = refused.map(|mark| RefusalFrame::new(*mark, wax_batch::StartRefusal::Unwell));
-        let news = RunNews {
+        let news = RunUpdates {
             refused: refused.collect(),
             ends: news.ends.iter().map(Into::into).collect(),
             ..Default::default()
         };
-        state.tell(PoolBody::News(boot.news.complete(news)));
+        state.tell(PoolBody::RunUpdates(boot.news.complete(news)));
     }
     fresh
 }
@@ -218,17 +221,17 @@
             let fresh = boot.pace.take_fresh();
             let pairs = fresh
                 .iter()
-                .map(|(serving, filling, press)| PressFrame::new(serving, filling, *press));
+                .map(|(serving, filling, press)| InterferenceFrame::new(serving, filling, *press));
             let rooms = boot.pace.rooms().iter();
-            let rooms = rooms.map(|(serving, room)| RoomFrame {
+            let rooms = rooms.map(|(serving, room)| HeadroomFrame {
                 serving: serving.to_string(),
                 room: *room as f32,
             });
-            let news = PressNews {
+            let news = InterferenceUpdate {
                 pairs: pairs.collect(),
                 rooms: rooms.collect(),
             };
-            state.tell(PoolBody::Presses(news));
+            state.tell(PoolBody::Interference(news));
         }
     }
     state.order_paces();
--- a/crates/wax-agent/src/news.rs
+++ b/crates/wax-agent/src/news.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 use wax_batch::{RunMark, RunReport};
-use wax_wire::{EndFrame, MarkFrame, ReportFrame, RunNews};
+use wax_wire::{RunEndFrame, RunIdFrame, RunReportFrame, RunUpdates};
 
 /// News of one boot's runs that wait for the next heartbeat.
 #[derive(Debug, Default)]
@@ -31,23 +31,23 @@
 
     /// Adds what was gathered to news that go out now. A run that ends or never began is left out: the owner
     /// would take its earlier progress for a run that goes on.
-    pub fn complete(&mut self, mut news: RunNews) -> RunNews {
+    pub fn complete(&mut self, mut news: RunUpdates) -> RunUpdates {
         let refused = news.refused.iter().map(|refusal| refusal.decode().0);
-        let ended = news.ends.iter().map(EndFrame::run_mark);
+        let ended = news.ends.iter().map(RunEndFrame::run_mark);
         let over: Vec<RunMark> = refused.chain(ended).collect();
         let gathered = std::mem::take(self);
         let started = gathered.started.iter().filter(|mark| !over.contains(mark));
         news.started
-            .extend(started.map(|mark| MarkFrame::from(*mark)));
+            .extend(started.map(|mark| RunIdFrame::from(*mark)));
         let going = gathered.going.values();
         let going = going.filter(|report| !over.contains(&report.mark));
-        news.going.extend(going.map(ReportFrame::from));
+        news.going.extend(going.map(RunReportFrame::from));
         news
     }
 
     /// Takes what was gathered, if there is anything.
-    pub fn take(&mut self) -> Option<RunNews> {
+    pub fn take(&mut self) -> Option<RunUpdates> {
         let is_empty = self.started.is_empty() && self.going.is_empty();
-        (!is_empty).then(|| self.complete(RunNews::default()))
+        (!is_empty).then(|| self.complete(RunUpdates::default()))
     }
 }
--- a/crates/wax-agent/src/orders.rs
+++ b/crates/wax-agent/src/orders.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use wax_batch::{BootId, RunMark, StartRefusal};
 use wax_trace::{Counter, Latency, count, count_many, note_latency};
-use wax_wire::{PoolBody, RefusalFrame, RunNews, SeatFrame, StartRun};
+use wax_wire::{PlacementFrame, PoolBody, RefusalFrame, RunUpdates, StartRun};
 
 /// A start that is not answered for this long is stopped instead.
 const START_LIMIT: Duration = Duration::from_millis(700);
@@ -19,8 +19,8 @@
 /// Between two tries of a stop.
 const STOP_PAUSE: Duration = Duration::from_millis(100);
 
-impl From<&SeatFrame> for SeatInfo {
-    fn from(frame: &SeatFrame) -> Self {
+impl From<&PlacementFrame> for SeatInfo {
+    fn from(frame: &PlacementFrame) -> Self {
         Self {
             booked: frame.booked(),
             cpu_milli: frame.cpu_milli,
@@ -141,7 +141,7 @@
     fn tell_refusal(&self, mark: RunMark, refusal: StartRefusal) {
         count(Counter::StartsRefused);
         tracing::info!(task = %mark.task, run = mark.run, why = ?refusal, "start refused");
-        let news = RunNews {
+        let news = RunUpdates {
             refused: vec![RefusalFrame::new(mark, refusal)],
             ..Default::default()
         };
@@ -149,7 +149,7 @@
             Some(boot) => boot.news.complete(news),
             None => news,
         };
-        self.tell(PoolBody::News(news));
+        self.tell(PoolBody::RunUpdates(news));
     }
 
     /// Stops a run by the owner's order.
--- a/crates/wax-agent/src/owner_link.rs
+++ b/crates/wax-agent/src/owner_link.rs
@@ -15,7 +15,9 @@
 use wax_batch::RunMark;
 use wax_policy::AGENT_PERIOD;
 use wax_types::TimePoint;
-use wax_wire::{AgentHello, LinkPing, PoolBody, PoolReader, PoolWriter, WorkerKept, split_stream};
+use wax_wire::{
+    AgentHello, LinkHeartbeat, PoolBody, PoolReader, PoolWriter, WorkerAccepted, split_stream,
+};
 
 /// Longest time for a connection and its first answer.
 const CONNECT_LIMIT: Duration = Duration::from_millis(600);
@@ -229,12 +231,12 @@
     heard: Rc<Cell<TimePoint>>,
 ) {
     while state.now().since(heard.get()) < silence_limit(&state) {
-        let ping = LinkPing {
+        let ping = LinkHeartbeat {
             sent_us: state.now().0,
             ..Default::default()
         };
         state.tell_gathered();
-        if outbox.unbounded_send(PoolBody::Ping(ping)).is_err() {
+        if outbox.unbounded_send(PoolBody::Heartbeat(ping)).is_err() {
             return;
         }
         sleep(state.period.get()).await;
@@ -282,7 +284,7 @@
             let until = TimePoint(grant.sent_us) + Duration::from_millis(grant.valid_ms);
             state.take_grant(until);
         }
-        PoolBody::WorkerKept(kept) => keep_worker(state, &kept),
+        PoolBody::WorkerAccepted(kept) => keep_worker(state, &kept),
         PoolBody::Start(order) => state.order_start(order),
         PoolBody::Stop(order) => state.order_stop(RunMark::from(&order.mark)),
         PoolBody::Ack(ack) => {
@@ -292,7 +294,7 @@
                 boot.ack_cursor = boot.ack_cursor.max(ack.cursor);
             }
         }
-        PoolBody::Presses(news) => {
+        PoolBody::Interference(news) => {
             if let Some(boot) = state.boot.borrow_mut().as_mut() {
                 for pair in &news.pairs {
                     boot.pace
@@ -304,7 +306,7 @@
     }
 }
 
-fn keep_worker(state: &AgentState, kept: &WorkerKept) {
+fn keep_worker(state: &AgentState, kept: &WorkerAccepted) {
     let meant = kept.boot();
     let mut boot = state.boot.borrow_mut();
     let Some(boot) = boot.as_mut().filter(|boot| boot.view.boot.may_be(&meant)) else {
--- a/crates/wax-agent/src/state.rs
+++ b/crates/wax-agent/src/state.rs
@@ -171,7 +171,7 @@
         let mut boot = self.boot.borrow_mut();
         let boot = boot.as_mut().filter(|boot| Some(boot.told) == generation);
         if let Some(news) = boot.and_then(|boot| boot.news.take()) {
-            self.tell(PoolBody::News(news));
+            self.tell(PoolBody::RunUpdates(news));
         }
     }
 
--- a/crates/wax-agent/tests/news.rs
+++ b/crates/wax-agent/tests/news.rs
@@ -2,7 +2,7 @@
 
 use wax_agent::GatheredNews;
 use wax_batch::{JobName, RunEnd, RunEndKind, RunMark, RunReport, StartRefusal, TaskName};
-use wax_wire::{RefusalFrame, RunNews};
+use wax_wire::{RefusalFrame, RunUpdates};
 
 fn mark(index: u32) -> RunMark {
     let task = TaskName {
@@ -43,7 +43,7 @@
     news
 }
 
-fn told(news: &RunNews) -> (Vec<RunMark>, Vec<RunReport>) {
+fn told(news: &RunUpdates) -> (Vec<RunMark>, Vec<RunReport>) {
     let started = news.started.iter().map(Into::into);
     let going = news.going.iter().map(Into::into);
     (started.collect(), going.collect())
@@ -89,7 +89,7 @@
 
 over_cases! {
     the_progress_of_a_run_that_ends_is_not_told:
-        RunNews { ends: vec![(&end(1)).into()], ..Default::default() };
+        RunUpdates { ends: vec![(&end(1)).into()], ..Default::default() };
     the_progress_of_a_run_that_never_began_is_not_told:
-        RunNews { refused: vec![RefusalFrame::new(mark(1), StartRefusal::Unwell)], ..Default::default() };
+        RunUpdates { refused: vec![RefusalFrame::new(mark(1), StartRefusal::Unwell)], ..Default::default() };
 }
--- a/crates/wax-front/src/owner_link.rs
+++ b/crates/wax-front/src/owner_link.rs
@@ -15,8 +15,8 @@
 use wax_policy::{FRONT_PERIOD, is_watcher};
 use wax_types::TimePoint;
 use wax_wire::{
-    BootsDead, ConfigPush, EntryHello, LinkPing, PoolBody, PoolReader, PoolWriter, RelayAsk,
-    split_stream,
+    BootsEnded, ConfigPush, FrontHello, LinkHeartbeat, PoolBody, PoolReader, PoolWriter,
+    RelayRequest, split_stream,
 };
 
 /// Longest time for a connection and its first answer.
@@ -113,11 +113,11 @@
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let (mut reader, mut writer) = split_stream(stream);
-    let hello = EntryHello {
+    let hello = FrontHello {
         node: state.shared.node.to_string(),
         address: state.shared.address.to_string(),
     };
-    writer.write(PoolBody::EntryHello(hello)).await?;
+    writer.write(PoolBody::FrontHello(hello)).await?;
     match reader.read().await? {
         Some(PoolBody::Welcome(welcome)) => {
             let tenure = state.shared.current_tenure();
@@ -165,13 +165,13 @@
     let gone = state.shared.gone.borrow();
     let mut told = if is_watcher { 0 } else { gone.count() };
     loop {
-        let page = BootsDead::new(gone.after(told, MOST_DEAD_TOLD));
+        let page = BootsEnded::new(gone.after(told, MOST_DEAD_TOLD));
         if page.boots.is_empty() {
             return;
         }
         told += page.boots.len() as u64;
         // A link that has just closed is replaced, and all is told on the next one.
-        let _ = outbox.unbounded_send(PoolBody::BootsDead(page));
+        let _ = outbox.unbounded_send(PoolBody::BootsEnded(page));
     }
 }
 
@@ -211,13 +211,13 @@
 async fn ping(state: Rc<FrontState>, outbox: UnboundedSender<PoolBody>) {
     loop {
         let now = state.shared.now();
-        let ping = LinkPing {
+        let ping = LinkHeartbeat {
             sent_us: now.0,
             config: state.shared.config_version(),
             fitness: state.shared.fitness().0,
             store_lost: state.store_lost.get().is_some(),
         };
-        if outbox.unbounded_send(PoolBody::Ping(ping)).is_err() {
+        if outbox.unbounded_send(PoolBody::Heartbeat(ping)).is_err() {
             return;
         }
         let period = state.shared.heartbeat.get();
@@ -227,7 +227,7 @@
 }
 
 /// The store turns the owner away: this front sends its transaction.
-fn send_for_owner(state: &Rc<FrontState>, ask: RelayAsk) {
+fn send_for_owner(state: &Rc<FrontState>, ask: RelayRequest) {
     let Some(outbox) = state.outbox.borrow().clone() else {
         return;
     };
@@ -236,7 +236,7 @@
         // What waits longer than a link may be silent is dropped with the link.
         let told = relay_transaction(&state.shared, ask, Duration::ZERO).await;
         // An owner that has gone asks nobody any more.
-        let _ = outbox.unbounded_send(PoolBody::Relayed(told));
+        let _ = outbox.unbounded_send(PoolBody::RelayReply(told));
     })
     .detach();
 }
@@ -269,20 +269,20 @@
                 }
             }
         }
-        PoolBody::Told(told) => {
+        PoolBody::JobReply(told) => {
             if let Some(asker) = state.asks.borrow_mut().remove(&told.ask) {
                 // An asker that has given up does not need the answer.
                 let _ = asker.send(told);
             }
         }
-        PoolBody::Relayed(told) => {
+        PoolBody::RelayReply(told) => {
             if let Some(asker) = state.relays.borrow_mut().remove(&told.ask) {
                 // As above.
                 let _ = asker.send(told);
             }
         }
-        PoolBody::Relay(ask) => send_for_owner(state, ask),
-        PoolBody::BootsDead(dead) => {
+        PoolBody::RelayRequest(ask) => send_for_owner(state, ask),
+        PoolBody::BootsEnded(dead) => {
             let mut gone = state.shared.gone.borrow_mut();
             for boot in &dead.boots {
                 gone.note(&boot.into());
--- a/crates/wax-front/src/show.rs
+++ b/crates/wax-front/src/show.rs
@@ -10,7 +10,7 @@
 use wax_batch::{JobName, JobOutcome, JobProgress};
 use wax_owner::{JobWord, cancel_key, job_key, progress_key};
 use wax_types::{ErrorKind, Step, TimePoint, WaxError};
-use wax_wire::{JobAsk, JobTold, PoolBody};
+use wax_wire::{JobQuery, JobReply, PoolBody};
 
 /// The owner is asked for this long before the store is.
 const OWNER_LIMIT: Duration = Duration::from_millis(400);
@@ -98,11 +98,11 @@
     })
 }
 
-async fn ask(state: &FrontState, job: u64, queue: &str) -> Option<JobTold> {
+async fn ask(state: &FrontState, job: u64, queue: &str) -> Option<JobReply> {
     let number = state.next_ask.get();
     state.next_ask.set(number + 1);
     let (sender, answer) = oneshot::channel();
-    let ask = JobAsk {
+    let ask = JobQuery {
         ask: number,
         job,
         queue: queue.into(),
@@ -111,7 +111,7 @@
         .outbox
         .borrow()
         .as_ref()?
-        .unbounded_send(PoolBody::Ask(ask))
+        .unbounded_send(PoolBody::JobQuery(ask))
         .ok()?;
     state.asks.borrow_mut().insert(number, sender);
     let told = timeout(OWNER_LIMIT, answer).await;
--- a/crates/wax-front/src/state.rs
+++ b/crates/wax-front/src/state.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use wax_owner::PoolShared;
 use wax_types::TimePoint;
-use wax_wire::{JobTold, PoolBody, RelayTold};
+use wax_wire::{JobReply, PoolBody, RelayReply};
 
 /// A front's own state.
 #[derive(Debug)]
@@ -17,9 +17,9 @@
     /// The link to the owner, while there is one.
     pub(crate) outbox: RefCell<Option<UnboundedSender<PoolBody>>>,
     /// Questions to the owner that are not answered yet.
-    pub(crate) asks: RefCell<HashMap<u64, oneshot::Sender<JobTold>>>,
+    pub(crate) asks: RefCell<HashMap<u64, oneshot::Sender<JobReply>>>,
     /// Transactions that the owner was asked to send.
-    pub(crate) relays: RefCell<HashMap<u64, oneshot::Sender<RelayTold>>>,
+    pub(crate) relays: RefCell<HashMap<u64, oneshot::Sender<RelayReply>>>,
     pub(crate) next_ask: Cell<u64>,
     /// Since when the store has not answered this process; `None` while it does.
     pub(crate) store_lost: Cell<Option<TimePoint>>,
--- a/crates/wax-front/src/store_way.rs
+++ b/crates/wax-front/src/store_way.rs
@@ -115,7 +115,7 @@
     let number = state.next_ask.get();
     state.next_ask.set(number + 1);
     let (sender, answer) = oneshot::channel();
-    let ask = PoolBody::Relay(encode_ask(number, tx, wait, state.shared.now()));
+    let ask = PoolBody::RelayRequest(encode_ask(number, tx, wait, state.shared.now()));
     let handed = match &*state.outbox.borrow() {
         Some(outbox) => outbox.unbounded_send(ask).is_ok(),
         None => false,
--- a/crates/wax-owner/src/agents.rs
+++ b/crates/wax-owner/src/agents.rs
@@ -17,8 +17,9 @@
 use wax_trace::{Counter, count_many};
 use wax_types::{TimePoint, wall_clock_ms};
 use wax_wire::{
-    AckEnds, AgentHello, BootCrashed, DrainFrame, LeaseGrant, LinkPing, OwnerWelcome, PoolBody,
-    PoolReader, PoolWriter, PressFrame, PressNews, RunNews, WorkerGone, WorkerKept, WorkerUp,
+    AckEnds, AgentHello, AllRunsEnded, BootCrashed, DrainFrame, InterferenceFrame,
+    InterferenceUpdate, LeaseGrant, LinkHeartbeat, OwnerWelcome, PoolBody, PoolReader, PoolWriter,
+    RunUpdates, WorkerAccepted, WorkerSnapshot,
 };
 
 /// Serves one link until it breaks, falls silent, or the term ends.
@@ -153,18 +154,18 @@
 
     async fn take(&self, body: PoolBody) {
         match body {
-            PoolBody::Ping(ping) => self.grant(&ping),
-            PoolBody::WorkerUp(up) => self.worker_up(up).await,
+            PoolBody::Heartbeat(ping) => self.grant(&ping),
+            PoolBody::WorkerSnapshot(up) => self.worker_up(up).await,
             PoolBody::WorkerChanged(frame) => self.worker_changed(frame.into()),
             PoolBody::BootCrashed(crash) => self.boot_crashed(&crash).await,
-            PoolBody::WorkerGone(gone) => self.worker_gone(&gone),
-            PoolBody::News(news) => self.news(&news),
-            PoolBody::Presses(news) => self.presses(&news),
+            PoolBody::AllRunsEnded(gone) => self.worker_gone(&gone),
+            PoolBody::RunUpdates(news) => self.news(&news),
+            PoolBody::Interference(news) => self.presses(&news),
             other => tracing::warn!(?other, agent = self.node, "unexpected message of an agent"),
         }
     }
 
-    fn grant(&self, ping: &LinkPing) {
+    fn grant(&self, ping: &LinkHeartbeat) {
         let now = self.shared.now();
         let spans = &self.shared.spans;
         let acting_left = (self.tenure.confirmed.get() + spans.acting).since(now);
@@ -198,13 +199,13 @@
         drop(log);
         match step {
             PressStep::Nothing => {}
-            PressStep::Changes(news) => self.send(PoolBody::Presses(news)),
-            PressStep::All => self.send(PoolBody::Presses(self.tenure.all_presses())),
+            PressStep::Changes(news) => self.send(PoolBody::Interference(news)),
+            PressStep::All => self.send(PoolBody::Interference(self.tenure.all_presses())),
         }
     }
 
     /// Takes over a worker's runs, once the store knows that this agent may be given orders.
-    async fn worker_up(&self, up: WorkerUp) {
+    async fn worker_up(&self, up: WorkerSnapshot) {
         self.tenure.loaded.wait().await;
         self.store_row(&up.worker.boot()).await;
         if self.tenure.over.is_raised() || !self.is_current() {
@@ -230,14 +231,14 @@
         let cursor = book.acknowledged(worker);
         drop(book);
         tracing::info!(agent = self.node, worker = %boot, runs = runs.len(), ends = ends.len(), "worker taken over");
-        let kept = WorkerKept {
+        let kept = WorkerAccepted {
             worker: boot.worker_id().into(),
             seats,
             started_ms: boot.started_ms(),
         };
-        self.send(PoolBody::WorkerKept(kept));
+        self.send(PoolBody::WorkerAccepted(kept));
         if self.tenure.is_news(up.known_pairs) {
-            self.send(PoolBody::Presses(self.tenure.all_presses()));
+            self.send(PoolBody::Interference(self.tenure.all_presses()));
         }
         // An acknowledgement may have been lost with the link before.
         self.send(PoolBody::Ack(AckEnds::new(&boot, cursor)));
@@ -324,7 +325,7 @@
         self.tenure.write.notify(usize::MAX);
     }
 
-    fn worker_gone(&self, gone: &WorkerGone) {
+    fn worker_gone(&self, gone: &AllRunsEnded) {
         let boot = gone.boot();
         tracing::warn!(agent = self.node, worker = %boot, dead = gone.dead, "worker is gone");
         self.tenure.worker_gone(self.node, &boot, self.shared.now());
@@ -334,7 +335,7 @@
     }
 
     /// Gathers what the agents have learned; all are told of what has changed.
-    fn presses(&self, news: &PressNews) {
+    fn presses(&self, news: &InterferenceUpdate) {
         let Some(worker) = self.worker() else {
             return;
         };
@@ -345,7 +346,7 @@
         let mut told = Vec::with_capacity(news.pairs.len());
         for pair in &news.pairs {
             let known = book.merge_press(&pair.serving, &pair.filling, pair.press());
-            told.push(PressFrame::new(&pair.serving, &pair.filling, known));
+            told.push(InterferenceFrame::new(&pair.serving, &pair.filling, known));
         }
         drop(book);
         self.tenure
@@ -358,7 +359,7 @@
         }
     }
 
-    fn news(&self, news: &RunNews) {
+    fn news(&self, news: &RunUpdates) {
         let Some(worker) = self.worker() else {
             return;
         };
--- a/crates/wax-owner/src/dispatch.rs
+++ b/crates/wax-owner/src/dispatch.rs
@@ -8,7 +8,7 @@
 use wax_batch::{BootId, StartOrder, UnheardRuns, WorkerKey};
 use wax_trace::{Counter, Latency, count, count_many, note_latency};
 use wax_types::{TimePoint, wall_clock_ms};
-use wax_wire::{AckEnds, PoolBody, SeatFrame, StartRun, StopRun};
+use wax_wire::{AckEnds, PlacementFrame, PoolBody, StartRun, StopRun};
 
 /// Without a change the book is looked through this often: times pass, too.
 const IDLE_PERIOD: Duration = Duration::from_millis(100);
@@ -167,8 +167,8 @@
 }
 
 /// What an agent must know of a run.
-pub(crate) fn seat_frame(mark: wax_batch::RunMark, step: &wax_batch::StepSpec) -> SeatFrame {
-    SeatFrame {
+pub(crate) fn seat_frame(mark: wax_batch::RunMark, step: &wax_batch::StepSpec) -> PlacementFrame {
+    PlacementFrame {
         mark: mark.into(),
         cpu_milli: step.size.cpu_milli,
         memory_mb: step.size.memory_mb,
--- a/crates/wax-owner/src/entries.rs
+++ b/crates/wax-owner/src/entries.rs
@@ -18,8 +18,8 @@
 use wax_policy::front_period;
 use wax_types::TimePoint;
 use wax_wire::{
-    ConfigPush, JobAsk, JobTold, LeaseGrant, LinkPing, OwnerWelcome, PoolBody, PoolReader,
-    PoolWriter, RelayAsk,
+    ConfigPush, JobQuery, JobReply, LeaseGrant, LinkHeartbeat, OwnerWelcome, PoolBody, PoolReader,
+    PoolWriter, RelayRequest,
 };
 
 /// Serves one link until it breaks, falls silent, or the term ends.
@@ -46,14 +46,14 @@
     let serve = async {
         while let Ok(Ok(Some(body))) = timeout(shared.spans.link, reader.read()).await {
             let body = match body {
-                PoolBody::Relay(ask) => {
+                PoolBody::RelayRequest(ask) => {
                     let on_its_way = age.of(ask.sent_us, shared.now());
                     relay(shared.clone(), outbox.clone(), ask, on_its_way);
                     continue;
                 }
-                PoolBody::Ping(ping) => {
+                PoolBody::Heartbeat(ping) => {
                     age.heartbeat(ping.sent_us, shared.now());
-                    PoolBody::Ping(ping)
+                    PoolBody::Heartbeat(ping)
                 }
                 body => body,
             };
@@ -75,31 +75,36 @@
 }
 
 /// The answer waits for the store; other messages do not wait for it.
-fn relay(shared: Rc<PoolShared>, outbox: UnboundedSender<PoolBody>, ask: RelayAsk, age: Duration) {
+fn relay(
+    shared: Rc<PoolShared>,
+    outbox: UnboundedSender<PoolBody>,
+    ask: RelayRequest,
+    age: Duration,
+) {
     spawn(async move {
         let told = relay_transaction(&shared, ask, age).await;
         // A link that has closed leaves the front in doubt, which it settles by asking again.
-        let _ = outbox.unbounded_send(PoolBody::Relayed(told));
+        let _ = outbox.unbounded_send(PoolBody::RelayReply(told));
     })
     .detach();
 }
 
 fn answers(shared: &PoolShared, tenure: &Tenure, node: &str, body: PoolBody) -> Vec<PoolBody> {
     match body {
-        PoolBody::Ping(ping) => heartbeat(shared, tenure, node, &ping),
-        PoolBody::Ask(ask) => vec![PoolBody::Told(tell(tenure, &ask, shared.now()))],
+        PoolBody::Heartbeat(ping) => heartbeat(shared, tenure, node, &ping),
+        PoolBody::JobQuery(ask) => vec![PoolBody::JobReply(tell(tenure, &ask, shared.now()))],
         PoolBody::Cancelled(cancel) => {
             tenure.cancel(JobName(cancel.job));
             Vec::new()
         }
-        PoolBody::Relayed(told) => {
+        PoolBody::RelayReply(told) => {
             if let Some(asker) = tenure.relays.borrow_mut().remove(&told.ask) {
                 // An asker that has given up asks anew.
                 let _ = asker.send(told);
             }
             Vec::new()
         }
-        PoolBody::BootsDead(dead) => {
+        PoolBody::BootsEnded(dead) => {
             tenure.note_dead(shared, dead.boots.iter().map(BootId::from));
             Vec::new()
         }
@@ -116,7 +121,12 @@
     }
 }
 
-fn heartbeat(shared: &PoolShared, tenure: &Tenure, node: &str, ping: &LinkPing) -> Vec<PoolBody> {
+fn heartbeat(
+    shared: &PoolShared,
+    tenure: &Tenure,
+    node: &str,
+    ping: &LinkHeartbeat,
+) -> Vec<PoolBody> {
     let now = shared.now();
     let version = shared.config_version();
     let mut fronts = tenure.fronts.borrow_mut();
@@ -152,8 +162,8 @@
     answers
 }
 
-fn tell(tenure: &Tenure, ask: &JobAsk, now: TimePoint) -> JobTold {
-    let mut told = JobTold {
+fn tell(tenure: &Tenure, ask: &JobQuery, now: TimePoint) -> JobReply {
+    let mut told = JobReply {
         ask: ask.ask,
         ..Default::default()
     };
--- a/crates/wax-owner/src/front_way.rs
+++ b/crates/wax-owner/src/front_way.rs
@@ -50,7 +50,7 @@
 
 async fn ask_front(shared: &PoolShared, tenure: &Tenure, tx: &TxRequest) -> AskOutcome {
     let number = tenure.next_front_link();
-    let ask = PoolBody::Relay(encode_ask(number, tx, ASK_LIMIT, shared.now()));
+    let ask = PoolBody::RelayRequest(encode_ask(number, tx, ASK_LIMIT, shared.now()));
     if !hand_to_front(shared, tenure, ask) {
         return AskOutcome::NotAsked;
     }
--- a/crates/wax-owner/src/fronts.rs
+++ b/crates/wax-owner/src/fronts.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use wax_policy::is_watcher;
 use wax_types::TimePoint;
-use wax_wire::{BootsDead, PoolBody};
+use wax_wire::{BootsEnded, PoolBody};
 
 /// A front that is linked to the owner.
 #[derive(Debug)]
@@ -79,8 +79,8 @@
     }
 
     /// The dead boots that the front was not told yet, some kilobytes of them.
-    fn dead_news(&mut self, gone: &GoneBoots) -> Option<BootsDead> {
-        let news = BootsDead::new(gone.after(self.dead_told, MOST_DEAD_TOLD));
+    fn dead_news(&mut self, gone: &GoneBoots) -> Option<BootsEnded> {
+        let news = BootsEnded::new(gone.after(self.dead_told, MOST_DEAD_TOLD));
         self.dead_told = gone.count().min(self.dead_told + news.boots.len() as u64);
         (!news.boots.is_empty()).then_some(news)
     }
@@ -166,7 +166,7 @@
             while let Some(news) = front.dead_news(gone) {
                 messages += 1;
                 // A link that has just closed is replaced; the next owner then waits for leases instead.
-                let _ = front.outbox.unbounded_send(PoolBody::BootsDead(news));
+                let _ = front.outbox.unbounded_send(PoolBody::BootsEnded(news));
             }
         }
         messages
--- a/crates/wax-owner/src/listener.rs
+++ b/crates/wax-owner/src/listener.rs
@@ -49,7 +49,7 @@
         PoolBody::AgentHello(hello) => {
             serve_agent(shared, &tenure, hello, reader, writer).await;
         }
-        PoolBody::EntryHello(hello) => {
+        PoolBody::FrontHello(hello) => {
             shared.note_front(&hello.address);
             serve_entry(shared, &tenure, &hello.node, reader, writer).await
         }
--- a/crates/wax-owner/src/load.rs
+++ b/crates/wax-owner/src/load.rs
@@ -12,7 +12,7 @@
 use wax_batch::{JobName, JobProgress, JobRow};
 use wax_trace::{Latency, note_latency};
 use wax_types::{TimePoint, WaxError, wall_clock_ms};
-use wax_wire::PressNews;
+use wax_wire::InterferenceUpdate;
 
 /// Longest time for one page.
 const PAGE_LIMIT: Duration = Duration::from_millis(1_500);
@@ -58,7 +58,7 @@
             return;
         }
     };
-    match PressNews::decode(&*row.value) {
+    match InterferenceUpdate::decode(&*row.value) {
         Ok(news) => {
             let mut book = tenure.book.borrow_mut();
             for pair in &news.pairs {
--- a/crates/wax-owner/src/press_log.rs
+++ b/crates/wax-owner/src/press_log.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 use wax_types::TimePoint;
-use wax_wire::{PressFrame, PressNews};
+use wax_wire::{InterferenceFrame, InterferenceUpdate};
 
 /// Changes of a pair within this are told as one.
 const ROUND_PERIOD: Duration = Duration::from_millis(1_000);
@@ -16,7 +16,7 @@
     /// Nothing has changed.
     Nothing,
     /// These pairs have changed.
-    Changes(PressNews),
+    Changes(InterferenceUpdate),
     /// It has missed too much.
     All,
 }
@@ -24,16 +24,16 @@
 /// Changes of pairs, in rounds.
 #[derive(Debug, Default)]
 pub struct PressLog {
-    open: BTreeMap<(String, String), PressFrame>,
+    open: BTreeMap<(String, String), InterferenceFrame>,
     opened_at: Option<TimePoint>,
-    rounds: VecDeque<Vec<PressFrame>>,
+    rounds: VecDeque<Vec<InterferenceFrame>>,
     /// How many rounds were ever closed.
     closed: u64,
 }
 
 impl PressLog {
     /// A pair has changed.
-    pub fn note(&mut self, pair: PressFrame, now: TimePoint) {
+    pub fn note(&mut self, pair: InterferenceFrame, now: TimePoint) {
         self.opened_at.get_or_insert(now);
         let names = (pair.serving.clone(), pair.filling.clone());
         self.open.insert(names, pair);
@@ -55,7 +55,7 @@
             return PressStep::All;
         }
         let rounds = self.rounds.iter().skip(self.rounds.len() - missed);
-        PressStep::Changes(PressNews {
+        PressStep::Changes(InterferenceUpdate {
             pairs: rounds.flatten().cloned().collect(),
             rooms: Vec::new(),
         })
--- a/crates/wax-owner/src/relay.rs
+++ b/crates/wax-owner/src/relay.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use wax_trace::{Counter, count};
 use wax_types::{ErrorKind, Step, TimePoint, WaxError};
-use wax_wire::{ExpectFrame, RelayAsk, RelayFate, RelayTold, RowFrame};
+use wax_wire::{ExpectFrame, RelayReply, RelayRequest, RelayResult, RowFrame};
 
 /// No asker waits longer.
 const MOST_WAIT_MS: u32 = 10_000;
@@ -19,7 +19,7 @@
     /// It was handed to a link, and no answer came.
     NoAnswer,
     /// The other process has answered.
-    Told(RelayTold),
+    Told(RelayReply),
 }
 
 /// Whether a transaction that others were asked to send may take effect yet.
@@ -43,15 +43,15 @@
             AskOutcome::Told(told) => told,
         };
         match told.fate() {
-            RelayFate::Committed => Some(TxFate::Committed(told.version)),
-            RelayFate::Conflict => Some(TxFate::Conflict(relayed_rows(told))),
-            RelayFate::Unknown => {
+            RelayResult::Committed => Some(TxFate::Committed(told.version)),
+            RelayResult::Conflict => Some(TxFate::Conflict(relayed_rows(told))),
+            RelayResult::Unknown => {
                 self.may_be_sent = true;
                 None
             }
-            RelayFate::NotSent => None,
-            RelayFate::Refused if self.may_be_sent => None,
-            RelayFate::Refused => Some(TxFate::Refused(relay_error("the store refuses it"))),
+            RelayResult::NotSent => None,
+            RelayResult::Refused if self.may_be_sent => None,
+            RelayResult::Refused => Some(TxFate::Refused(relay_error("the store refuses it"))),
         }
     }
 
@@ -94,7 +94,11 @@
 /// Sends what a peer asks for, unchanged, until its fate is known or the peer waits no more.
 ///
 /// `age` is how long the question was on its way: one that came too late is not sent at all.
-pub async fn relay_transaction(shared: &PoolShared, ask: RelayAsk, age: Duration) -> RelayTold {
+pub async fn relay_transaction(
+    shared: &PoolShared,
+    ask: RelayRequest,
+    age: Duration,
+) -> RelayReply {
     let wait = Duration::from_millis(ask.wait_ms.min(MOST_WAIT_MS).into());
     let number = ask.ask;
     let left = wait.saturating_sub(age);
@@ -113,7 +117,7 @@
 }
 
 /// The question for a transaction, sent at `now`.
-pub fn encode_ask(ask: u64, tx: &TxRequest, wait: Duration, now: TimePoint) -> RelayAsk {
+pub fn encode_ask(ask: u64, tx: &TxRequest, wait: Duration, now: TimePoint) -> RelayRequest {
     let expect = tx.expect.iter().map(|(key, version)| ExpectFrame {
         table: key.table.to_string(),
         part: key.part.to_string(),
@@ -124,7 +128,7 @@
         .writes
         .iter()
         .map(|row| row_frame(&row.key, &row.value, 0));
-    RelayAsk {
+    RelayRequest {
         ask,
         expect: expect.collect(),
         writes: writes.collect(),
@@ -138,7 +142,7 @@
     row_frame(key, &[], 0)
 }
 
-fn decode_ask(ask: RelayAsk) -> TxRequest {
+fn decode_ask(ask: RelayRequest) -> TxRequest {
     let expect = ask
         .expect
         .into_iter()
@@ -158,26 +162,26 @@
     }
 }
 
-fn encode_fate(ask: u64, fate: TxFate) -> RelayTold {
-    let mut told = RelayTold {
+fn encode_fate(ask: u64, fate: TxFate) -> RelayReply {
+    let mut told = RelayReply {
         ask,
         ..Default::default()
     };
     match fate {
         TxFate::Committed(version) => {
-            told.set_fate(RelayFate::Committed);
+            told.set_fate(RelayResult::Committed);
             told.version = version;
         }
         TxFate::Conflict(rows) => {
-            told.set_fate(RelayFate::Conflict);
+            told.set_fate(RelayResult::Conflict);
             let rows = rows
                 .iter()
                 .map(|row| row_frame(&row.key, &row.value, row.version));
             told.rows = rows.collect();
         }
-        TxFate::NotSent(_) => told.set_fate(RelayFate::NotSent),
-        TxFate::Unknown(_) => told.set_fate(RelayFate::Unknown),
-        TxFate::Refused(_) => told.set_fate(RelayFate::Refused),
+        TxFate::NotSent(_) => told.set_fate(RelayResult::NotSent),
+        TxFate::Unknown(_) => told.set_fate(RelayResult::Unknown),
+        TxFate::Refused(_) => told.set_fate(RelayResult::Refused),
     }
     told
 }
@@ -193,7 +197,7 @@
 }
 
 /// The rows of an answer.
-fn relayed_rows(told: RelayTold) -> Vec<StoredRow> {
+fn relayed_rows(told: RelayReply) -> Vec<StoredRow> {
     let rows = told.rows.into_iter().map(|row| StoredRow {
         key: RowKey::new(&row.table, &row.part, row.key),
         value: row.value,
--- a/crates/wax-owner/src/tenure.rs
+++ b/crates/wax-owner/src/tenure.rs
@@ -17,7 +17,7 @@
 use wax_policy::DrainView;
 use wax_trace::{Counter, count};
 use wax_types::{TimePoint, wall_clock_ms};
-use wax_wire::{PoolBody, PressFrame, PressNews, RelayTold};
+use wax_wire::{InterferenceFrame, InterferenceUpdate, PoolBody, RelayReply};
 
 /// What a caller may be told of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -52,7 +52,7 @@
     /// Whether the last transaction went through a front, as the store did not answer this one.
     pub(crate) store_turns_away: Cell<bool>,
     /// Transactions that fronts were asked to send.
-    pub(crate) relays: RefCell<HashMap<u64, oneshot::Sender<RelayTold>>>,
+    pub(crate) relays: RefCell<HashMap<u64, oneshot::Sender<RelayReply>>>,
     /// Whether the book holds all that the store held at the takeover.
     pub(crate) loaded: ShutdownSignal,
     /// When the transaction was sent that last confirmed the term.
@@ -263,12 +263,12 @@
     }
 
     /// All presses, as the store and a new agent are told.
-    pub(crate) fn all_presses(&self) -> PressNews {
+    pub(crate) fn all_presses(&self) -> InterferenceUpdate {
         let book = self.book.borrow();
         let pairs = book.presses().iter().take(MOST_PAIRS);
-        PressNews {
+        InterferenceUpdate {
             pairs: pairs
-                .map(|(serving, filling, press)| PressFrame::new(serving, filling, press))
+                .map(|(serving, filling, press)| InterferenceFrame::new(serving, filling, press))
                 .collect(),
             rooms: Vec::new(),
         }
--- a/crates/wax-owner/tests/press_log.rs
+++ b/crates/wax-owner/tests/press_log.rs
@@ -4,7 +4,7 @@
 use wax_owner::{PressLog, PressStep};
 use wax_policy::PairPress;
 use wax_types::TimePoint;
-use wax_wire::{PressFrame, PressNews};
+use wax_wire::{InterferenceFrame, InterferenceUpdate};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -12,16 +12,16 @@
     TimePoint::from_millis(100_000 + millis)
 }
 
-fn pair(filling: &str, per_core: f64) -> PressFrame {
+fn pair(filling: &str, per_core: f64) -> InterferenceFrame {
     let press = PairPress {
         per_core,
         weight: 10.0,
     };
-    PressFrame::new("serving", filling, press)
+    InterferenceFrame::new("serving", filling, press)
 }
 
-fn changes(pairs: &[PressFrame]) -> PressStep {
-    PressStep::Changes(PressNews {
+fn changes(pairs: &[InterferenceFrame]) -> PressStep {
+    PressStep::Changes(InterferenceUpdate {
         pairs: pairs.to_vec(),
         rooms: Vec::new(),
     })
--- a/crates/wax-owner/tests/truth.rs
+++ b/crates/wax-owner/tests/truth.rs
@@ -8,14 +8,14 @@
     AskOutcome, PeerAge, PoolShared, RelayDoubt, TxFate, encode_ask, relay_transaction,
 };
 use wax_types::{ErrorKind, Step, TimePoint, WaxError};
-use wax_wire::{RelayFate, RelayTold};
+use wax_wire::{RelayReply, RelayResult};
 
 fn error() -> WaxError {
     WaxError::new(ErrorKind::Timeout, Step::SubmitJob, "store", "no answer")
 }
 
-fn told(fate: RelayFate) -> AskOutcome {
-    AskOutcome::Told(RelayTold {
+fn told(fate: RelayResult) -> AskOutcome {
+    AskOutcome::Told(RelayReply {
         fate: fate.into(),
         ..Default::default()
     })
@@ -72,9 +72,9 @@
             }
             Try::NotAsked => AskOutcome::NotAsked,
             Try::NoAnswer => AskOutcome::NoAnswer,
-            Try::OwnerUnsure => told(RelayFate::Unknown),
-            Try::OwnerSentNothing => told(RelayFate::NotSent),
-            Try::OwnerRefused => told(RelayFate::Refused),
+            Try::OwnerUnsure => told(RelayResult::Unknown),
+            Try::OwnerSentNothing => told(RelayResult::NotSent),
+            Try::OwnerRefused => told(RelayResult::Refused),
         };
         relayed = relayed.or(doubt.take(outcome));
     }
@@ -104,7 +104,7 @@
     let mut doubt = RelayDoubt::default();
     assert!(doubt.take(AskOutcome::NoAnswer).is_none());
     // No later word about another question ends that doubt.
-    assert!(doubt.take(told(RelayFate::NotSent)).is_none());
+    assert!(doubt.take(told(RelayResult::NotSent)).is_none());
     assert!(doubt.take(AskOutcome::NotAsked).is_none());
     assert!(matches!(doubt.end(), TxFate::Unknown(_)));
 }
@@ -132,5 +132,5 @@
     let ask = encode_ask(4, &TxRequest::default(), wait, TimePoint::default());
     let runtime = Runtime::new().expect("the runtime starts");
     let answer = runtime.block_on(relay_transaction(&shared, ask, wait));
-    assert_eq!((answer.ask, answer.fate()), (4, RelayFate::NotSent));
+    assert_eq!((answer.ask, answer.fate()), (4, RelayResult::NotSent));
 }
--- a/crates/wax-route/src/peer_link.rs
+++ b/crates/wax-route/src/peer_link.rs
@@ -15,7 +15,7 @@
 use wax_trace::{Counter, count};
 use wax_types::SettingsVersion;
 use wax_wire::{
-    FrameReader, LoadReport, PeerBody, PeerHello, PeerList, SettingsAck, SettingsPush, split_stream,
+    LoadReport, PeerBody, PeerHello, PeerList, PeerReader, SettingsAck, SettingsPush, split_stream,
 };
 
 const GREETING_LIMIT: Duration = Duration::from_secs(2);
@@ -134,7 +134,7 @@
 async fn read_frames(
     shared: &Rc<EntryShared>,
     peer: &PeerState,
-    reader: &mut FrameReader,
+    reader: &mut PeerReader,
 ) -> Box<str> {
     loop {
         let frame = match timeout(SILENCE_LIMIT, reader.read()).await {
--- a/crates/wax-sidecar/src/attempt.rs
+++ b/crates/wax-sidecar/src/attempt.rs
@@ -16,8 +16,8 @@
 use wax_trace::{Counter, TraceContext, count};
 use wax_types::{AttemptKey, TimePoint};
 use wax_wire::{
-    BodyChunk, CreditGrant, HeaderField, NotRunAnswer, NotRunReason, PeerBody, RequestHead,
-    RequestLost, ResponseHead, WINDOW_BYTES,
+    BODY_WINDOW_BYTES, BodyChunk, CreditGrant, HeaderField, NotRunAnswer, NotRunReason, PeerBody,
+    RequestHead, RequestLost, ResponseHead,
 };
 
 /// Connections tried for one attempt, where each proved stale before anything was sent.
@@ -108,7 +108,7 @@
             link: self.link,
             outbox: self.outbox,
             unwanted: Cell::new(false),
-            credit: Cell::new(WINDOW_BYTES.into()),
+            credit: Cell::new(BODY_WINDOW_BYTES.into()),
             granted: Event::new(),
             body: RefCell::default(),
             body_bytes: Cell::new(self.head.body.len() as u64),
@@ -200,7 +200,7 @@
             };
             let _ = outbox.unbounded_send(PeerBody::Credit(credit));
         };
-        grant(WINDOW_BYTES as usize);
+        grant(BODY_WINDOW_BYTES as usize);
         let (sender, body) = body_channel(grant);
         sender.send(first);
         *self.shared.body.borrow_mut() = Some(sender);
@@ -224,7 +224,7 @@
                 return false;
             }
             let credit = self.shared.credit.get();
-            if credit >= bytes.min(WINDOW_BYTES.into()) {
+            if credit >= bytes.min(BODY_WINDOW_BYTES.into()) {
                 self.shared.credit.set(credit.saturating_sub(bytes));
                 return true;
             }
@@ -304,7 +304,7 @@
             };
             if shared.clock().now() > self.deadline {
                 shared.pool().put_back(connection);
-                return CallEnd::NotSent(NotRunReason::DeadlineHopeless);
+                return CallEnd::NotSent(NotRunReason::DeadlineUnreachable);
             }
             if self.handle.is_unwanted() {
                 shared.pool().put_back(connection);
--- a/crates/wax-sidecar/src/link.rs
+++ b/crates/wax-sidecar/src/link.rs
@@ -15,7 +15,7 @@
 use wax_settings::ApplyChoice;
 use wax_trace::{Counter, count};
 use wax_types::{ErrorKind, Step, WaxError};
-use wax_wire::{FrameReader, PeerBody, PeerHello, SettingsAck, SettingsPush, split_stream};
+use wax_wire::{PeerBody, PeerHello, PeerReader, SettingsAck, SettingsPush, split_stream};
 
 const RETRY_FLOOR: Duration = Duration::from_millis(50);
 const RETRY_CEILING: Duration = Duration::from_secs(2);
@@ -112,7 +112,7 @@
 /// Reads until the connection ends; says why it did.
 async fn read_frames(
     shared: &Rc<SidecarShared>,
-    reader: &mut FrameReader,
+    reader: &mut PeerReader,
     outbox: &UnboundedSender<PeerBody>,
     link: u64,
 ) -> Box<str> {
--- a/crates/wax-wire/src/codec.rs
+++ b/crates/wax-wire/src/codec.rs
@@ -1,6 +1,6 @@
 //! Frames with a four-byte length in front and a bound on it.
 
-use crate::frame::PeerFrame;
+use crate::peer::PeerFrame;
 use bytes::{Bytes, BytesMut};
 use prost::Message;
 use std::io;
@@ -12,12 +12,12 @@
 
 /// Encodes and decodes messages of one type, [`PeerFrame`]s unless it is named.
 #[derive(Debug)]
-pub struct PeerCodec<M = PeerFrame> {
+pub struct FrameCodec<M = PeerFrame> {
     lengths: LengthDelimitedCodec,
     message: PhantomData<M>,
 }
 
-impl<M> PeerCodec<M> {
+impl<M> FrameCodec<M> {
     /// Builds a codec with the bound [`MAX_FRAME_BYTES`].
     pub fn new() -> Self {
         let lengths = LengthDelimitedCodec::builder()
@@ -30,13 +30,13 @@
     }
 }
 
-impl<M> Default for PeerCodec<M> {
+impl<M> Default for FrameCodec<M> {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl<M: Message + Default> Decoder for PeerCodec<M> {
+impl<M: Message + Default> Decoder for FrameCodec<M> {
     type Item = M;
     type Error = io::Error;
 
@@ -50,7 +50,7 @@
     }
 }
 
-impl<M: Message> Encoder<M> for PeerCodec<M> {
+impl<M: Message> Encoder<M> for FrameCodec<M> {
     type Error = io::Error;
 
     fn encode(&mut self, frame: M, buffer: &mut BytesMut) -> io::Result<()> {
--- a/crates/wax-wire/src/link.rs
+++ b/crates/wax-wire/src/link.rs
@@ -1,7 +1,7 @@
 //! Splits a TCP stream into a reader and a writer of one family of messages.
 
-use crate::codec::PeerCodec;
-use crate::frame::{PeerBody, PeerFrame};
+use crate::codec::FrameCodec;
+use crate::peer::{PeerBody, PeerFrame};
 use crate::pool::{PoolBody, PoolFrame};
 use compio::io::compat::AsyncStream;
 use compio::net::TcpStream;
@@ -16,7 +16,7 @@
 use wax_trace::{Counter, count_many};
 
 /// Bytes of one body that may be under way before the receiver grants more.
-pub const WINDOW_BYTES: u32 = 256 << 10;
+pub const BODY_WINDOW_BYTES: u32 = 256 << 10;
 
 /// What each of a link's four buffers begins with. Nearly all frames are smaller, and an owner keeps a link to
 /// each process of its pool; buffers grow for a larger frame.
@@ -60,7 +60,7 @@
     }
 }
 
-type FramedStream<M> = Framed<Compat<Pin<Box<AsyncStream<TcpStream>>>>, PeerCodec<M>>;
+type FramedStream<M> = Framed<Compat<Pin<Box<AsyncStream<TcpStream>>>>, FrameCodec<M>>;
 
 /// The reading half of a connection.
 #[derive(Debug)]
@@ -75,9 +75,9 @@
 }
 
 /// Reads frames between an entry and a sidecar.
-pub type FrameReader = LinkReader<PeerFrame>;
+pub type PeerReader = LinkReader<PeerFrame>;
 /// Writes frames between an entry and a sidecar.
-pub type FrameWriter = LinkWriter<PeerFrame>;
+pub type PeerWriter = LinkWriter<PeerFrame>;
 /// Reads messages of the pool.
 pub type PoolReader = LinkReader<PoolFrame>;
 /// Writes messages of the pool.
@@ -86,7 +86,7 @@
 /// Wraps a connected stream in the codec and splits it.
 pub fn split_stream<M: LinkFrame>(stream: TcpStream) -> (LinkReader<M>, LinkWriter<M>) {
     let stream = Box::pin(AsyncStream::with_capacity(BUFFER_BYTES, stream)).compat();
-    let framed = Framed::with_capacity(stream, PeerCodec::new(), BUFFER_BYTES);
+    let framed = Framed::with_capacity(stream, FrameCodec::new(), BUFFER_BYTES);
     let (sink, stream) = framed.split();
     (LinkReader { stream }, LinkWriter { sink })
 }
--- a/crates/wax-wire/src/frame.rs
+++ b/crates/wax-wire/src/peer.rs
@@ -230,7 +230,7 @@
     /// The queue is full.
     QueueFull = 2,
     /// The deadline cannot be met.
-    DeadlineHopeless = 3,
+    DeadlineUnreachable = 3,
     /// A cancel arrived before dispatch.
     Cancelled = 4,
     /// No connection to the upstream could be opened.
--- a/crates/wax-wire/src/pool.rs
+++ b/crates/wax-wire/src/pool.rs
@@ -1,9 +1,9 @@
 //! Messages between the owner of a shard, the agents beside workers, and entries.
 
 use crate::pool_parts::{
-    BootFrame, EndFrame, LostFrame, MarkFrame, RefusalFrame, ReportFrame, WorkerFrame,
+    BootFrame, LostRunFrame, RefusalFrame, RunEndFrame, RunIdFrame, RunReportFrame, WorkerFrame,
 };
-use crate::relay::{RelayAsk, RelayTold};
+use crate::relay::{RelayReply, RelayRequest};
 use prost::{Message, Oneof};
 use std::time::Duration;
 use wax_batch::{BootId, TaskSize};
@@ -32,7 +32,7 @@
     AgentHello(AgentHello),
     /// Entry to owner, first.
     #[prost(message, tag = "2")]
-    EntryHello(EntryHello),
+    FrontHello(FrontHello),
     /// Owner's answer to either hello.
     #[prost(message, tag = "3")]
     Welcome(OwnerWelcome),
@@ -41,25 +41,25 @@
     NotOwner(NotOwner),
     /// Agent or entry to owner: heartbeat.
     #[prost(message, tag = "5")]
-    Ping(LinkPing),
+    Heartbeat(LinkHeartbeat),
     /// Owner's answer to a heartbeat: authority until a time on the asker's clock.
     #[prost(message, tag = "6")]
     Grant(LeaseGrant),
     /// Agent to owner: all that its worker runs and has ended.
     #[prost(message, tag = "7")]
-    WorkerUp(WorkerUp),
+    WorkerSnapshot(WorkerSnapshot),
     /// Owner to agent: the runs that are kept, and that leases may be extended.
     #[prost(message, tag = "8")]
-    WorkerKept(WorkerKept),
+    WorkerAccepted(WorkerAccepted),
     /// Agent to owner: the worker says something new of itself.
     #[prost(message, tag = "9")]
     WorkerChanged(WorkerFrame),
     /// Agent to owner: all that ran on the worker has surely ended.
     #[prost(message, tag = "10")]
-    WorkerGone(WorkerGone),
+    AllRunsEnded(AllRunsEnded),
     /// Agent to owner: what became of runs.
     #[prost(message, tag = "11")]
-    News(RunNews),
+    RunUpdates(RunUpdates),
     /// Owner to agent.
     #[prost(message, tag = "12")]
     Start(StartRun),
@@ -71,28 +71,28 @@
     Ack(AckEnds),
     /// Entry to owner: asks for a job or a queue.
     #[prost(message, tag = "15")]
-    Ask(JobAsk),
+    JobQuery(JobQuery),
     /// Owner to entry.
     #[prost(message, tag = "16")]
-    Told(JobTold),
+    JobReply(JobReply),
     /// Either direction between owner and entry: a version of the config.
     #[prost(message, tag = "17")]
     Config(ConfigPush),
     /// Either direction between agent and owner: what filling images press on serving ones.
     #[prost(message, tag = "18")]
-    Presses(PressNews),
+    Interference(InterferenceUpdate),
     /// Entry to owner: the store has a cancel; the owner's feed may be cut off.
     #[prost(message, tag = "19")]
     Cancelled(JobCancelled),
     /// Entry to owner: a transaction that the entry cannot send itself.
     #[prost(message, tag = "20")]
-    Relay(RelayAsk),
+    RelayRequest(RelayRequest),
     /// Owner to entry.
     #[prost(message, tag = "21")]
-    Relayed(RelayTold),
+    RelayReply(RelayReply),
     /// Either direction between owner and entry: boots of workers that are dead for good.
     #[prost(message, tag = "22")]
-    BootsDead(BootsDead),
+    BootsEnded(BootsEnded),
     /// Agent to owner: a boot of its worker crashed under these runs. Told again on a new link.
     #[prost(message, tag = "23")]
     BootCrashed(BootCrashed),
@@ -117,7 +117,7 @@
 
 /// First message of an entry.
 #[derive(Clone, PartialEq, Message)]
-pub struct EntryHello {
+pub struct FrontHello {
     /// The machine's name.
     #[prost(string, tag = "1")]
     pub node: String,
@@ -150,7 +150,7 @@
 
 /// A heartbeat.
 #[derive(Clone, PartialEq, Message)]
-pub struct LinkPing {
+pub struct LinkHeartbeat {
     /// The sender's clock, microseconds.
     #[prost(uint64, tag = "1")]
     pub sent_us: u64,
@@ -261,9 +261,9 @@
     };
 }
 
-names_boot!(WorkerKept, WorkerGone, BootCrashed, StartRun, AckEnds);
+names_boot!(WorkerAccepted, AllRunsEnded, BootCrashed, StartRun, AckEnds);
 
-impl WorkerGone {
+impl AllRunsEnded {
     /// Says that all that ran on a boot has ended.
     pub fn new(boot: &BootId, dead: bool) -> Self {
         Self {
@@ -287,16 +287,16 @@
 
 /// All that a worker runs and has ended, as of one moment.
 #[derive(Clone, PartialEq, Message)]
-pub struct WorkerUp {
+pub struct WorkerSnapshot {
     /// The worker.
     #[prost(message, required, tag = "1")]
     pub worker: WorkerFrame,
     /// What runs, or may begin yet.
     #[prost(message, repeated, tag = "2")]
-    pub runs: Vec<ReportFrame>,
+    pub runs: Vec<RunReportFrame>,
     /// Ends that the worker still lists.
     #[prost(message, repeated, tag = "3")]
-    pub ends: Vec<EndFrame>,
+    pub ends: Vec<RunEndFrame>,
     /// Of how many pairs of images the agent knows the press.
     #[prost(uint32, tag = "4")]
     pub known_pairs: u32,
@@ -304,10 +304,10 @@
 
 /// What a run books and how it behaves.
 #[derive(Clone, PartialEq, Message)]
-pub struct SeatFrame {
+pub struct PlacementFrame {
     /// The run.
     #[prost(message, required, tag = "1")]
-    pub mark: MarkFrame,
+    pub mark: RunIdFrame,
     /// Thousandths of a core.
     #[prost(uint32, tag = "2")]
     pub cpu_milli: u32,
@@ -328,7 +328,7 @@
     pub image: String,
 }
 
-impl SeatFrame {
+impl PlacementFrame {
     /// What the run books.
     pub fn booked(&self) -> TaskSize {
         TaskSize {
@@ -339,15 +339,15 @@
     }
 }
 
-/// Answer to [`WorkerUp`].
+/// Answer to [`WorkerSnapshot`].
 #[derive(Clone, PartialEq, Message)]
-pub struct WorkerKept {
+pub struct WorkerAccepted {
     /// The worker's id.
     #[prost(string, tag = "1")]
     pub worker: String,
     /// The runs that were named, with what is known of them.
     #[prost(message, repeated, tag = "2")]
-    pub seats: Vec<SeatFrame>,
+    pub seats: Vec<PlacementFrame>,
     /// When its boot started, Unix milliseconds, if that is known.
     #[prost(uint64, optional, tag = "3")]
     pub started_ms: Option<u64>,
@@ -355,7 +355,7 @@
 
 /// All that ran on the worker has surely ended.
 #[derive(Clone, PartialEq, Message)]
-pub struct WorkerGone {
+pub struct AllRunsEnded {
     /// The worker's id.
     #[prost(string, tag = "1")]
     pub worker: String,
@@ -375,7 +375,7 @@
     pub worker: String,
     /// The runs that were there.
     #[prost(message, repeated, tag = "2")]
-    pub runs: Vec<LostFrame>,
+    pub runs: Vec<LostRunFrame>,
     /// When its boot started, Unix milliseconds, if that is known.
     #[prost(uint64, optional, tag = "3")]
     pub started_ms: Option<u64>,
@@ -383,13 +383,13 @@
 
 /// Boots of workers that are dead for good: nothing runs there, now or later.
 #[derive(Clone, PartialEq, Message)]
-pub struct BootsDead {
+pub struct BootsEnded {
     /// Which.
     #[prost(message, repeated, tag = "2")]
     pub boots: Vec<BootFrame>,
 }
 
-impl BootsDead {
+impl BootsEnded {
     /// Names these boots.
     pub fn new<'a>(boots: impl Iterator<Item = &'a BootId>) -> Self {
         Self {
@@ -400,19 +400,19 @@
 
 /// What became of runs since the last news.
 #[derive(Clone, PartialEq, Message)]
-pub struct RunNews {
+pub struct RunUpdates {
     /// Begun.
     #[prost(message, repeated, tag = "1")]
-    pub started: Vec<MarkFrame>,
+    pub started: Vec<RunIdFrame>,
     /// Not begun.
     #[prost(message, repeated, tag = "2")]
     pub refused: Vec<RefusalFrame>,
     /// Gone on.
     #[prost(message, repeated, tag = "3")]
-    pub going: Vec<ReportFrame>,
+    pub going: Vec<RunReportFrame>,
     /// Ended.
     #[prost(message, repeated, tag = "4")]
-    pub ends: Vec<EndFrame>,
+    pub ends: Vec<RunEndFrame>,
 }
 
 /// An order to start a run.
@@ -420,7 +420,7 @@
 pub struct StartRun {
     /// The run and what it books.
     #[prost(message, required, tag = "1")]
-    pub seat: SeatFrame,
+    pub seat: PlacementFrame,
     /// The job's text.
     #[prost(string, tag = "2")]
     pub text: String,
@@ -443,7 +443,7 @@
 pub struct StopRun {
     /// The run.
     #[prost(message, required, tag = "1")]
-    pub mark: MarkFrame,
+    pub mark: RunIdFrame,
 }
 
 /// Ends up to a number are in the store.
@@ -462,7 +462,7 @@
 
 /// Asks for a job, or for a queue if it is named.
 #[derive(Clone, PartialEq, Message)]
-pub struct JobAsk {
+pub struct JobQuery {
     /// Pairs the answer with the question.
     #[prost(uint64, tag = "1")]
     pub ask: u64,
@@ -474,9 +474,9 @@
     pub queue: String,
 }
 
-/// Answer to [`JobAsk`].
+/// Answer to [`JobQuery`].
 #[derive(Clone, PartialEq, Message)]
-pub struct JobTold {
+pub struct JobReply {
     /// Pairs the answer with the question.
     #[prost(uint64, tag = "1")]
     pub ask: u64,
@@ -504,7 +504,7 @@
 
 /// What a core of a filling image presses on a serving image.
 #[derive(Clone, PartialEq, Message)]
-pub struct PressFrame {
+pub struct InterferenceFrame {
     /// The image that serves.
     #[prost(string, tag = "1")]
     pub serving: String,
@@ -517,7 +517,7 @@
     weight: f32,
 }
 
-impl PressFrame {
+impl InterferenceFrame {
     /// Encodes a pair.
     pub fn new(serving: &str, filling: &str, press: PairPress) -> Self {
         Self {
@@ -539,18 +539,18 @@
 
 /// Presses that the sender has learned or gathered.
 #[derive(Clone, PartialEq, Message)]
-pub struct PressNews {
+pub struct InterferenceUpdate {
     /// The pairs.
     #[prost(message, repeated, tag = "1")]
-    pub pairs: Vec<PressFrame>,
+    pub pairs: Vec<InterferenceFrame>,
     /// Agent to owner: how much press each image that serves bears in all.
     #[prost(message, repeated, tag = "3")]
-    pub rooms: Vec<RoomFrame>,
+    pub rooms: Vec<HeadroomFrame>,
 }
 
 /// How much press an image that serves bears on the sender's worker, without regard to what fills.
 #[derive(Clone, PartialEq, Message)]
-pub struct RoomFrame {
+pub struct HeadroomFrame {
     /// The image.
     #[prost(string, tag = "1")]
     pub serving: String,
--- a/crates/wax-wire/src/pool_parts.rs
+++ b/crates/wax-wire/src/pool_parts.rs
@@ -9,7 +9,7 @@
 
 /// A run of a task.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct MarkFrame {
+pub struct RunIdFrame {
     #[prost(fixed64, tag = "1")]
     job: u64,
     #[prost(uint32, tag = "2")]
@@ -22,7 +22,7 @@
     run: u64,
 }
 
-impl From<RunMark> for MarkFrame {
+impl From<RunMark> for RunIdFrame {
     fn from(mark: RunMark) -> Self {
         Self {
             job: mark.task.job.0,
@@ -34,8 +34,8 @@
     }
 }
 
-impl From<&MarkFrame> for RunMark {
-    fn from(frame: &MarkFrame) -> Self {
+impl From<&RunIdFrame> for RunMark {
+    fn from(frame: &RunIdFrame) -> Self {
         Self {
             task: TaskName {
                 job: JobName(frame.job),
@@ -156,9 +156,9 @@
 
 /// A run that goes on.
 #[derive(Clone, PartialEq, Message)]
-pub struct ReportFrame {
+pub struct RunReportFrame {
     #[prost(message, required, tag = "1")]
-    mark: MarkFrame,
+    mark: RunIdFrame,
     #[prost(string, tag = "2")]
     checkpoint: String,
     #[prost(uint32, tag = "3")]
@@ -169,7 +169,7 @@
     listed: bool,
 }
 
-impl From<&RunReport> for ReportFrame {
+impl From<&RunReport> for RunReportFrame {
     fn from(report: &RunReport) -> Self {
         Self {
             mark: report.mark.into(),
@@ -181,8 +181,8 @@
     }
 }
 
-impl From<&ReportFrame> for RunReport {
-    fn from(frame: &ReportFrame) -> Self {
+impl From<&RunReportFrame> for RunReport {
+    fn from(frame: &RunReportFrame) -> Self {
         Self {
             mark: (&frame.mark).into(),
             checkpoint: frame.checkpoint.as_str().into(),
@@ -195,15 +195,15 @@
 
 /// A run that was on a worker when that ended.
 #[derive(Clone, PartialEq, Message)]
-pub struct LostFrame {
+pub struct LostRunFrame {
     #[prost(message, required, tag = "1")]
-    mark: MarkFrame,
+    mark: RunIdFrame,
     /// Milliseconds.
     #[prost(uint64, optional, tag = "2")]
     ran_ms: Option<u64>,
 }
 
-impl From<&LostRun> for LostFrame {
+impl From<&LostRun> for LostRunFrame {
     fn from(lost: &LostRun) -> Self {
         Self {
             mark: lost.mark.into(),
@@ -212,8 +212,8 @@
     }
 }
 
-impl From<&LostFrame> for LostRun {
-    fn from(frame: &LostFrame) -> Self {
+impl From<&LostRunFrame> for LostRun {
+    fn from(frame: &LostRunFrame) -> Self {
         Self {
             mark: (&frame.mark).into(),
             ran: frame.ran_ms.map(Duration::from_millis),
@@ -223,11 +223,11 @@
 
 /// A run that has ended.
 #[derive(Clone, PartialEq, Message)]
-pub struct EndFrame {
+pub struct RunEndFrame {
     #[prost(uint64, tag = "1")]
     number: u64,
     #[prost(message, required, tag = "2")]
-    mark: MarkFrame,
+    mark: RunIdFrame,
     #[prost(uint32, tag = "3")]
     kind: u32,
     #[prost(string, tag = "4")]
@@ -244,7 +244,7 @@
     RunEndKind::Alone,
 ];
 
-impl From<&RunEnd> for EndFrame {
+impl From<&RunEnd> for RunEndFrame {
     fn from(end: &RunEnd) -> Self {
         let kind = END_KINDS.iter().position(|kind| *kind == end.kind);
         Self {
@@ -256,15 +256,15 @@
     }
 }
 
-impl EndFrame {
+impl RunEndFrame {
     /// Which run has ended.
     pub fn run_mark(&self) -> RunMark {
         (&self.mark).into()
     }
 }
 
-impl From<&EndFrame> for RunEnd {
-    fn from(frame: &EndFrame) -> Self {
+impl From<&RunEndFrame> for RunEnd {
+    fn from(frame: &RunEndFrame) -> Self {
         let kind = END_KINDS.get(frame.kind as usize).copied();
         Self {
             number: frame.number,
@@ -279,7 +279,7 @@
 #[derive(Clone, PartialEq, Message)]
 pub struct RefusalFrame {
     #[prost(message, required, tag = "1")]
-    mark: MarkFrame,
+    mark: RunIdFrame,
     #[prost(uint32, tag = "2")]
     why: u32,
 }
--- a/crates/wax-wire/src/relay.rs
+++ b/crates/wax-wire/src/relay.rs
@@ -41,7 +41,7 @@
 
 /// Entry to owner: a transaction to be sent to the store, unchanged.
 #[derive(Clone, PartialEq, Message)]
-pub struct RelayAsk {
+pub struct RelayRequest {
     /// Pairs the answer with the question.
     #[prost(uint64, tag = "1")]
     pub ask: u64,
@@ -62,10 +62,10 @@
     pub remove: Vec<RowFrame>,
 }
 
-/// What became of a [`RelayAsk`].
+/// What became of a [`RelayRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
-pub enum RelayFate {
+pub enum RelayResult {
     /// It may have taken effect, or may yet.
     Unknown = 0,
     /// It took effect.
@@ -78,14 +78,14 @@
     Refused = 4,
 }
 
-/// Answer to [`RelayAsk`].
+/// Answer to [`RelayRequest`].
 #[derive(Clone, PartialEq, Message)]
-pub struct RelayTold {
+pub struct RelayReply {
     /// Pairs the answer with the question.
     #[prost(uint64, tag = "1")]
     pub ask: u64,
     /// What became of it.
-    #[prost(enumeration = "RelayFate", tag = "2")]
+    #[prost(enumeration = "RelayResult", tag = "2")]
     pub fate: i32,
     /// The version of what was written, if it took effect.
     #[prost(uint64, tag = "3")]
--- a/crates/wax-wire/tests/codec.rs
+++ b/crates/wax-wire/tests/codec.rs
@@ -3,7 +3,7 @@
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
 use tokio_util::codec::{Decoder, Encoder};
-use wax_wire::{AttemptId, BodyChunk, MAX_FRAME_BYTES, PeerBody, PeerCodec, PeerFrame};
+use wax_wire::{AttemptId, BodyChunk, FrameCodec, MAX_FRAME_BYTES, PeerBody, PeerFrame};
 
 fn chunk(sequence: u64, data: Vec<u8>) -> PeerFrame {
     let chunk = BodyChunk {
@@ -21,7 +21,7 @@
 proptest! {
     #[test]
     fn hostile_bytes_end_in_an_error_or_wait_for_more(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        let mut codec = PeerCodec::<PeerFrame>::new();
+        let mut codec = FrameCodec::<PeerFrame>::new();
         let mut buffer = BytesMut::from(&bytes[..]);
         while let Ok(Some(_)) = codec.decode(&mut buffer) {}
         prop_assert!(buffer.capacity() <= MAX_FRAME_BYTES + 1_024);
@@ -37,7 +37,7 @@
             .enumerate()
             .map(|(index, size)| chunk(index as u64, vec![index as u8; *size]))
             .collect();
-        let mut codec = PeerCodec::<PeerFrame>::new();
+        let mut codec = FrameCodec::<PeerFrame>::new();
         let mut wire = BytesMut::new();
         for frame in &frames {
             codec.encode(frame.clone(), &mut wire).expect("within the bound");
@@ -60,7 +60,7 @@
 
 #[test]
 fn a_length_over_the_bound_is_refused_before_anything_is_reserved() {
-    let mut codec = PeerCodec::<PeerFrame>::new();
+    let mut codec = FrameCodec::<PeerFrame>::new();
     let length = (MAX_FRAME_BYTES as u32 + 1).to_be_bytes();
     let mut buffer = BytesMut::from(&length[..]);
     assert!(codec.decode(&mut buffer).is_err());
@@ -69,7 +69,7 @@
 
 #[test]
 fn a_frame_over_the_bound_is_not_sent() {
-    let mut codec = PeerCodec::<PeerFrame>::new();
+    let mut codec = FrameCodec::<PeerFrame>::new();
     let frame = chunk(1, vec![0; MAX_FRAME_BYTES]);
     assert!(codec.encode(frame, &mut BytesMut::new()).is_err());
 }
--- a/crates/wax-wire/tests/fuzz.rs
+++ b/crates/wax-wire/tests/fuzz.rs
@@ -7,8 +7,8 @@
 use prost::Message;
 use wax_batch::{BootId, JobName, RunMark, TaskName, WorkerView};
 use wax_wire::{
-    AckEnds, AgentHello, MarkFrame, PoolBody, PoolFrame, ReportFrame, RunNews, StopRun, WorkerGone,
-    WorkerUp,
+    AckEnds, AgentHello, AllRunsEnded, PoolBody, PoolFrame, RunIdFrame, RunReportFrame, RunUpdates,
+    StopRun, WorkerSnapshot,
 };
 
 fn samples() -> Vec<Vec<u8>> {
@@ -29,18 +29,18 @@
             node: "side-1".into(),
             dead: vec![(&boot).into()],
         }),
-        PoolBody::WorkerUp(WorkerUp {
+        PoolBody::WorkerSnapshot(WorkerSnapshot {
             worker: (&view).into(),
-            runs: vec![ReportFrame::default()],
+            runs: vec![RunReportFrame::default()],
             ends: Vec::new(),
             known_pairs: 3,
         }),
-        PoolBody::WorkerGone(WorkerGone::new(&boot, true)),
+        PoolBody::AllRunsEnded(AllRunsEnded::new(&boot, true)),
         PoolBody::Ack(AckEnds::new(&boot, 57)),
         PoolBody::Stop(StopRun {
-            mark: MarkFrame::from(mark),
+            mark: RunIdFrame::from(mark),
         }),
-        PoolBody::News(RunNews {
+        PoolBody::RunUpdates(RunUpdates {
             started: vec![mark.into()],
             ..Default::default()
         }),
@@ -56,11 +56,11 @@
             return;
         };
         match frame.body {
-            Some(PoolBody::WorkerUp(up)) => {
+            Some(PoolBody::WorkerSnapshot(up)) => {
                 let runs = up.runs.iter().map(wax_batch::RunReport::from);
                 drop((WorkerView::from(up.worker), runs.count()));
             }
-            Some(PoolBody::WorkerGone(gone)) => drop(gone.boot()),
+            Some(PoolBody::AllRunsEnded(gone)) => drop(gone.boot()),
             Some(PoolBody::Ack(ack)) => drop(ack.boot()),
             Some(PoolBody::AgentHello(hello)) => {
                 drop(hello.dead.iter().map(BootId::from).collect::<Vec<_>>());
--- a/crates/wax-wire/tests/link.rs
+++ b/crates/wax-wire/tests/link.rs
@@ -2,7 +2,7 @@
 
 use compio::net::{TcpListener, TcpStream};
 use std::net::SocketAddr;
-use wax_wire::{ConfigPush, LinkPing, PoolBody, PoolReader, PoolWriter, split_stream};
+use wax_wire::{ConfigPush, LinkHeartbeat, PoolBody, PoolReader, PoolWriter, split_stream};
 
 fn nowhere() -> SocketAddr {
     "127.0.0.1:0".parse().expect("an address")
@@ -21,9 +21,9 @@
         let (mut reader, _far_writer): (PoolReader, PoolWriter) = split_stream(far);
         let text: Vec<u8> = (0..900_000_u32).map(|byte| byte as u8).collect();
         let sent = [
-            PoolBody::Ping(LinkPing::default()),
+            PoolBody::Heartbeat(LinkHeartbeat::default()),
             PoolBody::Config(ConfigPush { text }),
-            PoolBody::Ping(LinkPing::default()),
+            PoolBody::Heartbeat(LinkHeartbeat::default()),
         ];
         let bodies = sent.clone();
         let writing = compio::runtime::spawn(async move {
--- a/crates/wax-wire/tests/pool.rs
+++ b/crates/wax-wire/tests/pool.rs
@@ -70,8 +70,8 @@
     }
 }
 
-fn seat() -> SeatFrame {
-    SeatFrame {
+fn seat() -> PlacementFrame {
+    PlacementFrame {
         mark: mark().into(),
         cpu_milli: 100,
         memory_mb: 200,
@@ -99,8 +99,8 @@
             fn $name() {
                 let frame = PoolFrame::from($body);
                 let mut bytes = BytesMut::new();
-                PeerCodec::new().encode(frame.clone(), &mut bytes).expect("it encodes");
-                let decoded = PeerCodec::<PoolFrame>::new().decode(&mut bytes).expect("it decodes");
+                FrameCodec::new().encode(frame.clone(), &mut bytes).expect("it encodes");
+                let decoded = FrameCodec::<PoolFrame>::new().decode(&mut bytes).expect("it decodes");
                 assert_eq!(decoded, Some(frame));
             }
         )*
@@ -109,11 +109,11 @@
 
 survives! {
     agent_hello: PoolBody::AgentHello(AgentHello { node: "side-1".into(), dead: vec![(&boot()).into()] }),
-    entry_hello: PoolBody::EntryHello(EntryHello {
+    entry_hello: PoolBody::FrontHello(FrontHello {
         node: "edge-1".into(),
         address: "10.0.0.1:7700".into(),
     }),
-    relay: PoolBody::Relay(RelayAsk {
+    relay: PoolBody::RelayRequest(RelayRequest {
         ask: 7,
         expect: vec![ExpectFrame {
             table: "jobs".into(),
@@ -126,27 +126,27 @@
         sent_us: 12,
         remove: vec![row()],
     }),
-    relayed: PoolBody::Relayed(RelayTold {
+    relayed: PoolBody::RelayReply(RelayReply {
         ask: 7,
-        fate: RelayFate::Conflict.into(),
+        fate: RelayResult::Conflict.into(),
         version: 0,
         rows: vec![row()],
     }),
     welcome: PoolBody::Welcome(OwnerWelcome { epoch: 3, token: 9 }),
     not_owner: PoolBody::NotOwner(NotOwner { address: "10.0.0.1:7".into(), epoch: 3 }),
-    ping: PoolBody::Ping(LinkPing { sent_us: 5, config: 7, fitness: 500, store_lost: true }),
+    ping: PoolBody::Heartbeat(LinkHeartbeat { sent_us: 5, config: 7, fitness: 500, store_lost: true }),
     grant: PoolBody::Grant(LeaseGrant { sent_us: 5, valid_ms: 2_500, store_lost: true, config: 7, overload: 0.5, rank: 3, best: 500, period_ms: 900, config_age_ms: Some(40),
         drains: Some(DrainFrame { version: 9, domains: vec!["a".into(), "b".into()], age_ms: 40 }) }),
-    worker_up: PoolBody::WorkerUp(WorkerUp {
+    worker_up: PoolBody::WorkerSnapshot(WorkerSnapshot {
         worker: (&view()).into(),
         runs: vec![(&report()).into()],
         ends: vec![(&end()).into()],
         known_pairs: 480,
     }),
-    worker_kept: PoolBody::WorkerKept(WorkerKept { worker: "i-1".into(), seats: vec![seat()], started_ms: Some(7) }),
+    worker_kept: PoolBody::WorkerAccepted(WorkerAccepted { worker: "i-1".into(), seats: vec![seat()], started_ms: Some(7) }),
     worker_changed: PoolBody::WorkerChanged((&view()).into()),
-    worker_gone: PoolBody::WorkerGone(WorkerGone::new(&boot(), true)),
-    news: PoolBody::News(RunNews {
+    worker_gone: PoolBody::AllRunsEnded(AllRunsEnded::new(&boot(), true)),
+    news: PoolBody::RunUpdates(RunUpdates {
         started: vec![mark().into()],
         refused: vec![RefusalFrame::new(mark(), StartRefusal::Unwell)],
         going: vec![(&report()).into()],
@@ -162,12 +162,12 @@
     }),
     stop: PoolBody::Stop(StopRun { mark: mark().into() }),
     ack: PoolBody::Ack(AckEnds::new(&boot(), 57)),
-    ask: PoolBody::Ask(JobAsk { ask: 1, job: 2, queue: "q".into() }),
-    told: PoolBody::Told(JobTold { ask: 1, known: true, outcome: 1, begun: true, pending: 4 }),
+    ask: PoolBody::JobQuery(JobQuery { ask: 1, job: 2, queue: "q".into() }),
+    told: PoolBody::JobReply(JobReply { ask: 1, known: true, outcome: 1, begun: true, pending: 4 }),
     config: PoolBody::Config(ConfigPush { text: b"{}".to_vec() }),
-    presses: PoolBody::Presses(PressNews {
-        pairs: vec![PressFrame::new("red", "heavy", PairPress { per_core: 0.25, weight: 2.0 })],
-        rooms: vec![RoomFrame { serving: "red".into(), room: 0.5 }],
+    presses: PoolBody::Interference(InterferenceUpdate {
+        pairs: vec![InterferenceFrame::new("red", "heavy", PairPress { per_core: 0.25, weight: 2.0 })],
+        rooms: vec![HeadroomFrame { serving: "red".into(), room: 0.5 }],
     }),
     cancelled: PoolBody::Cancelled(JobCancelled { job: 7 }),
     boot_crashed: PoolBody::BootCrashed(BootCrashed {
@@ -179,11 +179,11 @@
 
 #[test]
 fn typed_parts_come_back_as_they_were() {
-    assert_eq!(RunMark::from(&MarkFrame::from(mark())), mark());
+    assert_eq!(RunMark::from(&RunIdFrame::from(mark())), mark());
     assert_eq!(WorkerView::from(WorkerFrame::from(&view())), view());
-    assert_eq!(RunReport::from(&ReportFrame::from(&report())), report());
-    assert_eq!(RunEnd::from(&EndFrame::from(&end())), end());
-    assert_eq!(LostRun::from(&LostFrame::from(&lost())), lost());
+    assert_eq!(RunReport::from(&RunReportFrame::from(&report())), report());
+    assert_eq!(RunEnd::from(&RunEndFrame::from(&end())), end());
+    assert_eq!(LostRun::from(&LostRunFrame::from(&lost())), lost());
     for boot in [boot(), "i-1".into()] {
         assert_eq!(BootId::from(&BootFrame::from(&boot)), boot);
     }
--- a/tests/pool/links.rs
+++ b/tests/pool/links.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 use wax_batch::{BootId, RunEnd, RunEndKind, RunMark, TaskSize, WorkerView};
 use wax_wire::{
-    AgentHello, EndFrame, LinkPing, PoolBody, PoolReader, PoolWriter, RunNews, WorkerUp,
-    split_stream,
+    AgentHello, LinkHeartbeat, PoolBody, PoolReader, PoolWriter, RunEndFrame, RunUpdates,
+    WorkerSnapshot, split_stream,
 };
 
 /// A message that has not come by then will not come.
@@ -74,10 +74,10 @@
             },
             ..Default::default()
         };
-        self.tell(PoolBody::WorkerUp(WorkerUp {
+        self.tell(PoolBody::WorkerSnapshot(WorkerSnapshot {
             worker: (&view).into(),
             runs: Vec::new(),
-            ends: ends.iter().map(EndFrame::from).collect(),
+            ends: ends.iter().map(RunEndFrame::from).collect(),
             known_pairs: 0,
         }));
     }
@@ -86,7 +86,7 @@
     async fn next<T>(&mut self, pick: impl Fn(PoolBody) -> Option<T>) -> T {
         timeout(PATIENCE, async {
             loop {
-                self.tell(PoolBody::Ping(LinkPing::default()));
+                self.tell(PoolBody::Heartbeat(LinkHeartbeat::default()));
                 let body = self.reader.read().await.expect("the link stands");
                 if let Some(picked) = pick(body.expect("the owner keeps the link")) {
                     return picked;
@@ -106,7 +106,7 @@
     }
 
     async fn wait_kept(&mut self) {
-        self.next(|body| matches!(body, PoolBody::WorkerKept(_)).then_some(()))
+        self.next(|body| matches!(body, PoolBody::WorkerAccepted(_)).then_some(()))
             .await;
     }
 }
@@ -134,7 +134,7 @@
         let (first, second) = (agent.next_start().await, agent.next_start().await);
         drop(agent);
         let mut agent = wait_for("another link", || PlayedAgent::link(owner)).await;
-        agent.tell(PoolBody::News(RunNews {
+        agent.tell(PoolBody::RunUpdates(RunUpdates {
             ends: vec![(&done(2, second)).into()],
             ..Default::default()
         }));
--- a/tests/pool/many_agents.rs
+++ b/tests/pool/many_agents.rs
@@ -11,7 +11,8 @@
 use std::time::Duration;
 use wax_batch::{TaskSize, WorkerView};
 use wax_wire::{
-    AgentHello, LinkPing, PoolBody, PoolReader, PoolWriter, WorkerGone, WorkerUp, split_stream,
+    AgentHello, AllRunsEnded, LinkHeartbeat, PoolBody, PoolReader, PoolWriter, WorkerSnapshot,
+    split_stream,
 };
 
 /// More agents than entries of one transaction.
@@ -55,7 +56,7 @@
         });
         let pinging = spawn(ping(outbox.clone()));
         outbox.unbounded_send(worker_up(&worker)).ok()?;
-        while !matches!(reader.read().await.ok()??, PoolBody::WorkerKept(_)) {}
+        while !matches!(reader.read().await.ok()??, PoolBody::WorkerAccepted(_)) {}
         let reading = spawn(async move { while let Ok(Some(_)) = reader.read().await {} });
         Some(Self {
             worker,
@@ -65,16 +66,16 @@
     }
 
     fn leave(&self) {
-        let gone = WorkerGone::new(&self.worker.as_str().into(), true);
+        let gone = AllRunsEnded::new(&self.worker.as_str().into(), true);
         self.outbox
-            .unbounded_send(PoolBody::WorkerGone(gone))
+            .unbounded_send(PoolBody::AllRunsEnded(gone))
             .expect("the link stands");
     }
 }
 
 async fn ping(outbox: UnboundedSender<PoolBody>) {
     while outbox
-        .unbounded_send(PoolBody::Ping(LinkPing::default()))
+        .unbounded_send(PoolBody::Heartbeat(LinkHeartbeat::default()))
         .is_ok()
     {
         sleep(PING_PERIOD).await;
@@ -92,7 +93,7 @@
         },
         ..Default::default()
     };
-    PoolBody::WorkerUp(WorkerUp {
+    PoolBody::WorkerSnapshot(WorkerSnapshot {
         worker: (&view).into(),
         runs: Vec::new(),
         ends: Vec::new(),
--- a/tests/proofs/wire_edges.rs
+++ b/tests/proofs/wire_edges.rs
@@ -7,8 +7,8 @@
 use http::Method;
 use serde_json::json;
 use wax_wire::{
-    AttemptId, BodyChunk, CancelRequest, FrameReader, FrameWriter, LoadReport, NotRunReason,
-    PeerBody, PeerHello, RequestHead, ResponseHead, split_stream,
+    AttemptId, BodyChunk, CancelRequest, LoadReport, NotRunReason, PeerBody, PeerHello, PeerReader,
+    PeerWriter, RequestHead, ResponseHead, split_stream,
 };
 
 /// The run of the entry that a test plays.
@@ -16,8 +16,8 @@
 
 /// An entry that a test plays, with the sidecar that connected to it.
 struct PlayedEntry {
-    reader: FrameReader,
-    writer: FrameWriter,
+    reader: PeerReader,
+    writer: PeerWriter,
 }
 
 impl PlayedEntry {
@@ -208,8 +208,8 @@
 
 /// A sidecar that a test plays; its service is its own.
 struct PlayedSidecar {
-    reader: FrameReader,
-    writer: FrameWriter,
+    reader: PeerReader,
+    writer: PeerWriter,
 }
 
 const PLAYED_SERVICE: &str = "played";
