--- a/benches/owner_load.rs
+++ b/benches/owner_load.rs
@@ -60,7 +60,7 @@
     }
 
     async fn run_task(self: Rc<Self>, order: StartRun) {
-        let mark = RunMark::from(&order.seat.mark);
+        let mark = RunMark::from(&order.placement.run_id);
         self.gathered.borrow_mut().note_started(mark);
         self.running.borrow_mut().push((mark, Instant::now()));
         sleep(TASK_TIME).await;
@@ -132,7 +132,7 @@
     let (outbox, mut inbox) = unbounded();
     let writing = spawn(async move {
         // The owner's end closes the link.
-        let _ = writer.drain(&mut inbox).await;
+        let _ = writer.forward(&mut inbox).await;
     });
     let agent = Rc::new(PlayedAgent {
         outbox,
@@ -150,7 +150,9 @@
             while let Ok(Some(body)) = reader.read().await {
                 match body {
                     PoolBody::Start(order) => spawn(agent.clone().run_task(order)).detach(),
-                    PoolBody::Grant(grant) => agent.period.set(grant.period(FIRST_PERIOD)),
+                    PoolBody::Grant(grant) => {
+                        agent.period.set(grant.heartbeat_period(FIRST_PERIOD))
+                    }
                     _ => {}
                 }
             }
@@ -197,13 +199,13 @@
     let reading = spawn(async move {
         while let Ok(Some(body)) = reader.read().await {
             if let PoolBody::Grant(grant) = body {
-                told.set(grant.period(Duration::from_millis(200)));
+                told.set(grant.heartbeat_period(Duration::from_millis(200)));
             }
         }
     });
     let pinging = spawn(async move {
         let ping = LinkHeartbeat {
-            config: 3,
+            config_version: 3,
             fitness: 500,
             ..Default::default()
         };
--- a/crates/wax-agent/src/boot_change.rs
+++ b/crates/wax-agent/src/boot_change.rs
@@ -70,7 +70,7 @@
         state.boots.borrow_mut().offer(report);
         return;
     }
-    let on_next: Vec<RunMark> = reply.marks().collect();
+    let on_next: Vec<RunMark> = reply.run_ids().collect();
     replace_boot(state, view, sequence, &on_next);
 }
 
--- a/crates/wax-agent/src/check_ins.rs
+++ b/crates/wax-agent/src/check_ins.rs
@@ -3,7 +3,7 @@
 use crate::boots::{BootReport, CheckInStep};
 use crate::state::{AgentState, WorkerBoot};
 use http::StatusCode;
-use platform::{CheckInReply, CheckInRoute, decode_check_in, decode_leave, match_check_in};
+use platform::{CheckInReply, CheckInRoute, decode_check_in, decode_leave, parse_check_in_path};
 use std::rc::Rc;
 use wax_batch::BootId;
 use wax_http::{
@@ -22,7 +22,7 @@
 
 impl HttpHandler for CheckInHandler {
     async fn handle(&self, request: HttpRequest) -> HttpReply {
-        let route = match_check_in(request.method(), request.uri().path());
+        let route = parse_check_in_path(request.method(), request.uri().path());
         match route {
             None => empty_reply(StatusCode::NOT_FOUND),
             Some(CheckInRoute::Leave(id)) => match collect_body(request, REPORT_BYTES).await {
--- a/crates/wax-agent/src/driver.rs
+++ b/crates/wax-agent/src/driver.rs
@@ -225,11 +225,11 @@
             let rooms = boot.pace.rooms().iter();
             let rooms = rooms.map(|(serving, room)| HeadroomFrame {
                 serving: serving.to_string(),
-                room: *room as f32,
+                headroom: *room as f32,
             });
             let news = InterferenceUpdate {
                 pairs: pairs.collect(),
-                rooms: rooms.collect(),
+                headrooms: rooms.collect(),
             };
             state.tell(PoolBody::Interference(news));
         }
--- a/crates/wax-agent/src/news.rs
+++ b/crates/wax-agent/src/news.rs
@@ -33,7 +33,7 @@
     /// would take its earlier progress for a run that goes on.
     pub fn complete(&mut self, mut news: RunUpdates) -> RunUpdates {
         let refused = news.refused.iter().map(|refusal| refusal.decode().0);
-        let ended = news.ends.iter().map(RunEndFrame::run_mark);
+        let ended = news.ends.iter().map(RunEndFrame::run_id);
         let over: Vec<RunMark> = refused.chain(ended).collect();
         let gathered = std::mem::take(self);
         let started = gathered.started.iter().filter(|mark| !over.contains(mark));
@@ -41,7 +41,7 @@
             .extend(started.map(|mark| RunIdFrame::from(*mark)));
         let going = gathered.going.values();
         let going = going.filter(|report| !over.contains(&report.mark));
-        news.going.extend(going.map(RunReportFrame::from));
+        news.running.extend(going.map(RunReportFrame::from));
         news
     }
 
--- a/crates/wax-agent/src/orders.rs
+++ b/crates/wax-agent/src/orders.rs
@@ -22,9 +22,9 @@
 impl From<&PlacementFrame> for SeatInfo {
     fn from(frame: &PlacementFrame) -> Self {
         Self {
-            booked: frame.booked(),
+            booked: frame.reserved(),
             cpu_milli: frame.cpu_milli,
-            fills: frame.fills,
+            fills: frame.best_effort,
             tail_target_ms: frame.tail_target_ms,
             image: frame.image.as_str().into(),
         }
@@ -34,7 +34,7 @@
 impl AgentState {
     /// Starts a run, if the worker is the one that was meant and has room.
     pub(crate) fn order_start(self: &Rc<Self>, order: StartRun) {
-        let mark = RunMark::from(&order.seat.mark);
+        let mark = RunMark::from(&order.placement.run_id);
         match self.admit(&order, mark) {
             Err(refusal) => self.tell_refusal(mark, refusal),
             Ok((boot, request)) => {
@@ -69,9 +69,9 @@
             return Err(StartRefusal::Stale);
         };
         boot.table
-            .begin(mark, (&order.seat).into(), &boot.view, now)?;
+            .begin(mark, (&order.placement).into(), &boot.view, now)?;
         let request = StartRequest {
-            mark,
+            run_id: mark,
             text: order.text.as_str().into(),
             lease_until_ms,
             token: self.token.get(),
@@ -82,7 +82,7 @@
     }
 
     async fn start(self: Rc<Self>, boot: BootId, request: StartRequest) {
-        let mark = request.mark;
+        let mark = request.run_id;
         let sent = self.now();
         let answer = self.worker.start(&boot, &request, START_LIMIT).await;
         note_latency(Latency::StartRun, self.now().since(sent));
--- a/crates/wax-agent/src/owner_link.rs
+++ b/crates/wax-agent/src/owner_link.rs
@@ -169,7 +169,7 @@
     let (mut reader, mut writer) = split_stream(stream);
     let hello = AgentHello {
         node: state.node.to_string(),
-        dead: state.boots.borrow().newest_dead().map(Into::into).collect(),
+        ended_boots: state.boots.borrow().newest_dead().map(Into::into).collect(),
     };
     writer.write(PoolBody::AgentHello(hello)).await?;
     match reader.read().await? {
@@ -220,7 +220,7 @@
 }
 
 async fn write_link(mut writer: PoolWriter, mut inbox: UnboundedReceiver<PoolBody>) {
-    if let Err(error) = writer.drain(&mut inbox).await {
+    if let Err(error) = writer.forward(&mut inbox).await {
         tracing::info!(%error, "writing to the owner failed");
     }
 }
@@ -276,7 +276,7 @@
     match body {
         PoolBody::Grant(grant) => {
             state.owner_cut_off.set(grant.store_lost);
-            state.period.set(grant.period(AGENT_PERIOD));
+            state.period.set(grant.heartbeat_period(AGENT_PERIOD));
             state.overload.set(f64::from(grant.overload));
             if let Some(frame) = grant.drains {
                 state.take_drains(frame, TimePoint(grant.sent_us));
@@ -286,7 +286,7 @@
         }
         PoolBody::WorkerAccepted(kept) => keep_worker(state, &kept),
         PoolBody::Start(order) => state.order_start(order),
-        PoolBody::Stop(order) => state.order_stop(RunMark::from(&order.mark)),
+        PoolBody::Stop(order) => state.order_stop(RunMark::from(&order.run_id)),
         PoolBody::Ack(ack) => {
             let mut boot = state.boot.borrow_mut();
             let meant = ack.boot();
@@ -298,7 +298,7 @@
             if let Some(boot) = state.boot.borrow_mut().as_mut() {
                 for pair in &news.pairs {
                     boot.pace
-                        .set_pair(&pair.serving, &pair.filling, pair.press());
+                        .set_pair(&pair.serving, &pair.best_effort, pair.interference());
                 }
             }
         }
@@ -312,8 +312,8 @@
     let Some(boot) = boot.as_mut().filter(|boot| boot.view.boot.may_be(&meant)) else {
         return;
     };
-    for seat in &kept.seats {
-        boot.table.learn(RunMark::from(&seat.mark), seat.into());
+    for seat in &kept.placements {
+        boot.table.learn(RunMark::from(&seat.run_id), seat.into());
     }
     if let Some(link) = state.link.borrow_mut().as_mut() {
         link.kept = true;
--- a/crates/wax-agent/src/state.rs
+++ b/crates/wax-agent/src/state.rs
@@ -206,7 +206,7 @@
     pub(crate) fn take_drains(&self, frame: DrainFrame, asked: TimePoint) {
         let mut view = self.drains.borrow_mut();
         let age_ms = frame.age_ms;
-        if frame.take_into(&mut view, asked) {
+        if frame.apply_to(&mut view, asked) {
             tracing::info!(version = view.version(), domains = ?view.domains(), age_ms, "drained failure domains");
         }
     }
--- a/crates/wax-agent/tests/news.rs
+++ b/crates/wax-agent/tests/news.rs
@@ -45,7 +45,7 @@
 
 fn told(news: &RunUpdates) -> (Vec<RunMark>, Vec<RunReport>) {
     let started = news.started.iter().map(Into::into);
-    let going = news.going.iter().map(Into::into);
+    let going = news.running.iter().map(Into::into);
     (started.collect(), going.collect())
 }
 
--- a/crates/wax-front/src/owner_link.rs
+++ b/crates/wax-front/src/owner_link.rs
@@ -203,7 +203,7 @@
 }
 
 async fn write_link(mut writer: PoolWriter, mut inbox: UnboundedReceiver<PoolBody>) {
-    if let Err(error) = writer.drain(&mut inbox).await {
+    if let Err(error) = writer.forward(&mut inbox).await {
         tracing::info!(%error, "writing to the owner failed");
     }
 }
@@ -213,7 +213,7 @@
         let now = state.shared.now();
         let ping = LinkHeartbeat {
             sent_us: now.0,
-            config: state.shared.config_version(),
+            config_version: state.shared.config_version(),
             fitness: state.shared.fitness().0,
             store_lost: state.store_lost.get().is_some(),
         };
@@ -252,16 +252,21 @@
             };
             state.shared.owner_heard.set(heard);
             state.shared.link_heard.set(state.shared.now());
-            state.shared.heartbeat.set(grant.period(FRONT_PERIOD));
+            state
+                .shared
+                .heartbeat
+                .set(grant.heartbeat_period(FRONT_PERIOD));
             state.shared.rank.set(Some(CandidateRank {
-                rank: grant.rank,
-                best: OwnerFitness(grant.best),
+                rank: grant.takeover_rank,
+                best: OwnerFitness(grant.best_fitness),
             }));
             if let Some(age_ms) = grant.config_age_ms {
                 let (sent, age) = (TimePoint(grant.sent_us), Duration::from_millis(age_ms));
-                state.shared.note_owners_config(grant.config, sent, age);
+                state
+                    .shared
+                    .note_owners_config(grant.config_version, sent, age);
             }
-            if grant.config < state.shared.config_version() {
+            if grant.config_version < state.shared.config_version() {
                 let text = state.shared.config_text.borrow().clone();
                 if let Some(outbox) = &*state.outbox.borrow() {
                     // A closed link is replaced, and versions are compared anew.
@@ -270,13 +275,13 @@
             }
         }
         PoolBody::JobReply(told) => {
-            if let Some(asker) = state.asks.borrow_mut().remove(&told.ask) {
+            if let Some(asker) = state.asks.borrow_mut().remove(&told.request_id) {
                 // An asker that has given up does not need the answer.
                 let _ = asker.send(told);
             }
         }
         PoolBody::RelayReply(told) => {
-            if let Some(asker) = state.relays.borrow_mut().remove(&told.ask) {
+            if let Some(asker) = state.relays.borrow_mut().remove(&told.request_id) {
                 // As above.
                 let _ = asker.send(told);
             }
--- a/crates/wax-front/src/show.rs
+++ b/crates/wax-front/src/show.rs
@@ -103,7 +103,7 @@
     state.next_ask.set(number + 1);
     let (sender, answer) = oneshot::channel();
     let ask = JobQuery {
-        ask: number,
+        request_id: number,
         job,
         queue: queue.into(),
     };
--- a/crates/wax-owner/src/agents.rs
+++ b/crates/wax-owner/src/agents.rs
@@ -40,7 +40,7 @@
     // The queue is new: it takes the first message.
     let _ = outbox.unbounded_send(PoolBody::Welcome(welcome));
     open_link(shared, tenure, &node, link, &outbox);
-    let dead: Vec<BootId> = hello.dead.iter().map(BootId::from).collect();
+    let dead: Vec<BootId> = hello.ended_boots.iter().map(BootId::from).collect();
     for boot in &dead {
         // The word of its end may have been lost with the link before.
         tenure.worker_gone(&node, boot, shared.now());
@@ -69,7 +69,7 @@
 }
 
 pub(crate) async fn write_link(mut writer: PoolWriter, mut inbox: UnboundedReceiver<PoolBody>) {
-    if let Err(error) = writer.drain(&mut inbox).await {
+    if let Err(error) = writer.forward(&mut inbox).await {
         tracing::info!(%error, "writing to a peer failed");
     }
 }
@@ -233,7 +233,7 @@
         tracing::info!(agent = self.node, worker = %boot, runs = runs.len(), ends = ends.len(), "worker taken over");
         let kept = WorkerAccepted {
             worker: boot.worker_id().into(),
-            seats,
+            placements: seats,
             started_ms: boot.started_ms(),
         };
         self.send(PoolBody::WorkerAccepted(kept));
@@ -327,9 +327,9 @@
 
     fn worker_gone(&self, gone: &AllRunsEnded) {
         let boot = gone.boot();
-        tracing::warn!(agent = self.node, worker = %boot, dead = gone.dead, "worker is gone");
+        tracing::warn!(agent = self.node, worker = %boot, dead = gone.boot_ended, "worker is gone");
         self.tenure.worker_gone(self.node, &boot, self.shared.now());
-        if gone.dead {
+        if gone.boot_ended {
             self.tenure.note_dead(self.shared, [boot]);
         }
     }
@@ -340,13 +340,17 @@
             return;
         };
         let mut book = self.tenure.book.borrow_mut();
-        for told in &news.rooms {
-            book.set_press_room(worker, &told.serving, f64::from(told.room));
+        for told in &news.headrooms {
+            book.set_press_room(worker, &told.serving, f64::from(told.headroom));
         }
         let mut told = Vec::with_capacity(news.pairs.len());
         for pair in &news.pairs {
-            let known = book.merge_press(&pair.serving, &pair.filling, pair.press());
-            told.push(InterferenceFrame::new(&pair.serving, &pair.filling, known));
+            let known = book.merge_press(&pair.serving, &pair.best_effort, pair.interference());
+            told.push(InterferenceFrame::new(
+                &pair.serving,
+                &pair.best_effort,
+                known,
+            ));
         }
         drop(book);
         self.tenure
@@ -383,7 +387,7 @@
             tracing::info!(task = %mark.task, run = mark.run, agent = self.node, ?why, "start refused");
             book.run_refused(worker, mark, why, now, now_ms);
         }
-        for report in &news.going {
+        for report in &news.running {
             book.adopt(worker, &report.into(), now);
         }
         for end in &news.ends {
--- a/crates/wax-owner/src/chain.rs
+++ b/crates/wax-owner/src/chain.rs
@@ -7,7 +7,7 @@
 };
 use crate::shared::PoolShared;
 use crate::tenure::Tenure;
-use platform::{RowWrite, TX_BYTES, TX_ENTRIES, TxRequest, encoded_bytes};
+use platform::{MAX_TX_BYTES, MAX_TX_ENTRIES, RowWrite, TxRequest, base64_length};
 use prost::Message;
 use std::time::Duration;
 use wax_batch::{BookNote, JobName};
@@ -25,10 +25,10 @@
 const OTHER_ENTRIES: usize = 5;
 /// Above the store's bound a transaction is refused for ever.
 const _: () = assert!(
-    OTHER_ENTRIES + NOTES_PER_TX + AGENTS_PER_TX + ROWS_PER_JOB * FORGET_PER_TX <= TX_ENTRIES
+    OTHER_ENTRIES + NOTES_PER_TX + AGENTS_PER_TX + ROWS_PER_JOB * FORGET_PER_TX <= MAX_TX_ENTRIES
 );
 /// Bytes of progress in one transaction, as encoded; the other half is left to all else.
-const PROGRESS_BYTES: usize = TX_BYTES / 2;
+const PROGRESS_BYTES: usize = MAX_TX_BYTES / 2;
 /// What is known of pairs of images is written this often, with what is written anyway.
 const PRESS_PERIOD: Duration = Duration::from_secs(3);
 
@@ -104,7 +104,12 @@
             };
             put(&mut tx, owner_key(), &row);
         }
-        debug_assert!(tx.fits(), "{} entries, {} bytes", tx.entries(), tx.bytes());
+        debug_assert!(
+            tx.is_within_limits(),
+            "{} entries, {} bytes",
+            tx.entry_count(),
+            tx.max_body_bytes()
+        );
         Self {
             tx,
             notes,
@@ -139,7 +144,7 @@
     let mut bytes = 0;
     let fitting = notes.iter().take_while(|note| {
         let is_first = bytes == 0;
-        bytes += encoded_bytes(note.progress.encoded_len());
+        bytes += base64_length(note.progress.encoded_len());
         is_first || bytes <= PROGRESS_BYTES
     });
     let fitting = fitting.count();
--- a/crates/wax-owner/src/dispatch.rs
+++ b/crates/wax-owner/src/dispatch.rs
@@ -69,8 +69,8 @@
     for stop in stops {
         tracing::info!(task = %stop.mark.task, run = stop.mark.run, why = %stop.why, "stop ordered");
         count(Counter::StopsOrdered);
-        let mark = stop.mark.into();
-        tenure.tell_worker(stop.worker, PoolBody::Stop(StopRun { mark }));
+        let run_id = stop.mark.into();
+        tenure.tell_worker(stop.worker, PoolBody::Stop(StopRun { run_id }));
     }
     let cursors = tenure.book.borrow_mut().take_cursors();
     for (worker, cursor) in cursors {
@@ -156,7 +156,7 @@
         "start ordered"
     );
     let start = StartRun {
-        seat: seat_frame(order.mark, step),
+        placement: seat_frame(order.mark, step),
         text: order.spec.text.to_string(),
         checkpoint: order.checkpoint.to_string(),
         ticket: order.ticket.to_string(),
@@ -169,11 +169,11 @@
 /// What an agent must know of a run.
 pub(crate) fn seat_frame(mark: wax_batch::RunMark, step: &wax_batch::StepSpec) -> PlacementFrame {
     PlacementFrame {
-        mark: mark.into(),
+        run_id: mark.into(),
         cpu_milli: step.size.cpu_milli,
         memory_mb: step.size.memory_mb,
         accelerators: step.size.accelerators,
-        fills: step.fills,
+        best_effort: step.fills,
         tail_target_ms: step.tail_target_ms,
         image: step.image.to_string(),
     }
--- a/crates/wax-owner/src/entries.rs
+++ b/crates/wax-owner/src/entries.rs
@@ -98,7 +98,7 @@
             Vec::new()
         }
         PoolBody::RelayReply(told) => {
-            if let Some(asker) = tenure.relays.borrow_mut().remove(&told.ask) {
+            if let Some(asker) = tenure.relays.borrow_mut().remove(&told.request_id) {
                 // An asker that has given up asks anew.
                 let _ = asker.send(told);
             }
@@ -133,7 +133,7 @@
     let mut pushes = false;
     if let Some(front) = fronts.get_mut(node) {
         front.heard(OwnerFitness(ping.fitness), ping.store_lost, now);
-        pushes = front.is_due(ping.config, version, now);
+        pushes = front.is_due(ping.config_version, version, now);
     }
     let rank = fronts.rank(node, now);
     fronts.tell_watchers(&shared.gone.borrow());
@@ -143,10 +143,10 @@
         sent_us: ping.sent_us,
         valid_ms: 0,
         store_lost: silent_for(tenure, now) > shared.spans.doubt,
-        config: version,
+        config_version: version,
         overload: 0.0,
-        rank: rank.rank,
-        best: rank.best.0,
+        takeover_rank: rank.rank,
+        best_fitness: rank.best.0,
         period_ms: period.as_millis() as u32,
         drains: None,
         config_age_ms: shared
@@ -164,7 +164,7 @@
 
 fn tell(tenure: &Tenure, ask: &JobQuery, now: TimePoint) -> JobReply {
     let mut told = JobReply {
-        ask: ask.ask,
+        request_id: ask.request_id,
         ..Default::default()
     };
     if !ask.queue.is_empty() {
--- a/crates/wax-owner/src/job_feed.rs
+++ b/crates/wax-owner/src/job_feed.rs
@@ -6,7 +6,7 @@
 use crate::tenure::Tenure;
 use compio::time::sleep;
 use futures_util::future::{Either, select};
-use platform::{FEED_SLACK, FeedReply, RowChange, StoredRow};
+use platform::{FEED_TIMEOUT_MARGIN, FeedReply, RowChange, StoredRow};
 use std::collections::HashMap;
 use std::pin::pin;
 use std::rc::Rc;
@@ -31,7 +31,7 @@
 // An owner that does not hear of a cancel in time would start what was cancelled.
 const _: () = assert!(
     FEED_WAIT.as_millis()
-        + FEED_SLACK.as_millis()
+        + FEED_TIMEOUT_MARGIN.as_millis()
         + RETRY_PAUSE.as_millis()
         + ANSWER_ROOM.as_millis()
         <= CANCEL_BOUND.as_millis()
--- a/crates/wax-owner/src/load.rs
+++ b/crates/wax-owner/src/load.rs
@@ -62,7 +62,7 @@
         Ok(news) => {
             let mut book = tenure.book.borrow_mut();
             for pair in &news.pairs {
-                book.restore_press(&pair.serving, &pair.filling, pair.press());
+                book.restore_press(&pair.serving, &pair.best_effort, pair.interference());
             }
         }
         Err(error) => tracing::error!(%error, "the row of presses does not decode"),
--- a/crates/wax-owner/src/press_log.rs
+++ b/crates/wax-owner/src/press_log.rs
@@ -35,7 +35,7 @@
     /// A pair has changed.
     pub fn note(&mut self, pair: InterferenceFrame, now: TimePoint) {
         self.opened_at.get_or_insert(now);
-        let names = (pair.serving.clone(), pair.filling.clone());
+        let names = (pair.serving.clone(), pair.best_effort.clone());
         self.open.insert(names, pair);
     }
 
@@ -57,7 +57,7 @@
         let rounds = self.rounds.iter().skip(self.rounds.len() - missed);
         PressStep::Changes(InterferenceUpdate {
             pairs: rounds.flatten().cloned().collect(),
-            rooms: Vec::new(),
+            headrooms: Vec::new(),
         })
     }
 
--- a/crates/wax-owner/src/relay.rs
+++ b/crates/wax-owner/src/relay.rs
@@ -42,7 +42,7 @@
             }
             AskOutcome::Told(told) => told,
         };
-        match told.fate() {
+        match told.result() {
             RelayResult::Committed => Some(TxFate::Committed(told.version)),
             RelayResult::Conflict => Some(TxFate::Conflict(relayed_rows(told))),
             RelayResult::Unknown => {
@@ -100,7 +100,7 @@
     age: Duration,
 ) -> RelayReply {
     let wait = Duration::from_millis(ask.wait_ms.min(MOST_WAIT_MS).into());
-    let number = ask.ask;
+    let number = ask.request_id;
     let left = wait.saturating_sub(age);
     if left.is_zero() {
         tracing::info!(
@@ -129,7 +129,7 @@
         .iter()
         .map(|row| row_frame(&row.key, &row.value, 0));
     RelayRequest {
-        ask,
+        request_id: ask,
         expect: expect.collect(),
         writes: writes.collect(),
         wait_ms: wait.as_millis() as u32,
@@ -164,24 +164,24 @@
 
 fn encode_fate(ask: u64, fate: TxFate) -> RelayReply {
     let mut told = RelayReply {
-        ask,
+        request_id: ask,
         ..Default::default()
     };
     match fate {
         TxFate::Committed(version) => {
-            told.set_fate(RelayResult::Committed);
+            told.set_result(RelayResult::Committed);
             told.version = version;
         }
         TxFate::Conflict(rows) => {
-            told.set_fate(RelayResult::Conflict);
+            told.set_result(RelayResult::Conflict);
             let rows = rows
                 .iter()
                 .map(|row| row_frame(&row.key, &row.value, row.version));
             told.rows = rows.collect();
         }
-        TxFate::NotSent(_) => told.set_fate(RelayResult::NotSent),
-        TxFate::Unknown(_) => told.set_fate(RelayResult::Unknown),
-        TxFate::Refused(_) => told.set_fate(RelayResult::Refused),
+        TxFate::NotSent(_) => told.set_result(RelayResult::NotSent),
+        TxFate::Unknown(_) => told.set_result(RelayResult::Unknown),
+        TxFate::Refused(_) => told.set_result(RelayResult::Refused),
     }
     told
 }
--- a/crates/wax-owner/src/tenure.rs
+++ b/crates/wax-owner/src/tenure.rs
@@ -270,7 +270,7 @@
             pairs: pairs
                 .map(|(serving, filling, press)| InterferenceFrame::new(serving, filling, press))
                 .collect(),
-            rooms: Vec::new(),
+            headrooms: Vec::new(),
         }
     }
 
--- a/crates/wax-owner/src/writer.rs
+++ b/crates/wax-owner/src/writer.rs
@@ -133,7 +133,7 @@
             TxFate::Conflict(rows) => return settle(tenure, &rows, number),
             TxFate::Refused(error) => {
                 wax_trace::count(Counter::ChainRefused);
-                tracing::error!(%error, entries = item.tx.entries(), bytes = item.tx.bytes(), "the store takes no such transaction");
+                tracing::error!(%error, entries = item.tx.entry_count(), bytes = item.tx.max_body_bytes(), "the store takes no such transaction");
                 return ChainStep::Refused;
             }
             TxFate::NotSent(error) | TxFate::Unknown(error) => {
--- a/crates/wax-owner/tests/drains.rs
+++ b/crates/wax-owner/tests/drains.rs
@@ -260,7 +260,7 @@
                     domains,
                     age_ms,
                 };
-                frame.take_into(&mut self.agents[agent], clock(OWNERS + agent, asked));
+                frame.apply_to(&mut self.agents[agent], clock(OWNERS + agent, asked));
             }
             Event::Order {
                 owner,
--- a/crates/wax-owner/tests/press_log.rs
+++ b/crates/wax-owner/tests/press_log.rs
@@ -23,7 +23,7 @@
 fn changes(pairs: &[InterferenceFrame]) -> PressStep {
     PressStep::Changes(InterferenceUpdate {
         pairs: pairs.to_vec(),
-        rooms: Vec::new(),
+        headrooms: Vec::new(),
     })
 }
 
--- a/crates/wax-owner/tests/scale/play.rs
+++ b/crates/wax-owner/tests/scale/play.rs
@@ -413,7 +413,7 @@
         }
         self.answer(PoolBody::Grant(LeaseGrant {
             sent_us: self.now.0,
-            rank,
+            takeover_rank: rank,
             period_ms: period.as_millis() as u32,
             ..Default::default()
         }));
--- a/crates/wax-owner/tests/truth.rs
+++ b/crates/wax-owner/tests/truth.rs
@@ -16,7 +16,7 @@
 
 fn told(fate: RelayResult) -> AskOutcome {
     AskOutcome::Told(RelayReply {
-        fate: fate.into(),
+        result: fate.into(),
         ..Default::default()
     })
 }
@@ -132,5 +132,8 @@
     let ask = encode_ask(4, &TxRequest::default(), wait, TimePoint::default());
     let runtime = Runtime::new().expect("the runtime starts");
     let answer = runtime.block_on(relay_transaction(&shared, ask, wait));
-    assert_eq!((answer.ask, answer.fate()), (4, RelayResult::NotSent));
+    assert_eq!(
+        (answer.request_id, answer.result()),
+        (4, RelayResult::NotSent)
+    );
 }
--- a/crates/wax-route/src/peer_link.rs
+++ b/crates/wax-route/src/peer_link.rs
@@ -78,7 +78,7 @@
         }
     };
     let (outbox, mut frames) = unbounded();
-    spawn(async move { writer.drain(&mut frames).await }).detach();
+    spawn(async move { writer.forward(&mut frames).await }).detach();
     let peer = add_peer(&shared, hello, outbox);
     let reason = read_frames(&shared, &peer, &mut reader).await;
     remove_peer(&shared, &peer);
--- a/crates/wax-sidecar/src/link.rs
+++ b/crates/wax-sidecar/src/link.rs
@@ -75,7 +75,7 @@
         return Err(handshake(address, "the entry speaks another version"));
     }
     let (outbox, mut frames) = unbounded();
-    let writing = spawn(async move { writer.drain(&mut frames).await });
+    let writing = spawn(async move { writer.forward(&mut frames).await });
     let link = shared.add_link(outbox.clone());
     count(Counter::LinksOpened);
     tracing::info!(entry = %hello.name, %address, "entry connected");
--- a/crates/wax-standin/src/peers.rs
+++ b/crates/wax-standin/src/peers.rs
@@ -39,7 +39,7 @@
     let (mut reader, mut writer) = split_stream::<PeerFrame>(stream);
     writer.write(PeerBody::Hello(hello)).await?;
     let (outbox, mut frames) = unbounded();
-    spawn(async move { writer.drain(&mut frames).await }).detach();
+    spawn(async move { writer.forward(&mut frames).await }).detach();
     spawn(beat(outbox.clone())).detach();
     spawn(async move {
         while let Ok(Some(body)) = reader.read().await {
--- a/crates/wax-wire/src/link.rs
+++ b/crates/wax-wire/src/link.rs
@@ -34,7 +34,7 @@
     fn into_body(self) -> Option<Self::Body>;
 
     /// Notes that it is about to be sent.
-    fn note_sent(&self) {}
+    fn count_sent(&self) {}
 }
 
 impl LinkFrame for PeerFrame {
@@ -44,7 +44,7 @@
         self.body
     }
 
-    fn note_sent(&self) {
+    fn count_sent(&self) {
         if self.body.as_ref().is_some_and(PeerBody::is_control) {
             let bytes = self.encoded_len() + LENGTH_BYTES;
             count_many(Counter::LinksControlBytes, bytes as u64);
@@ -120,7 +120,7 @@
 
     async fn feed(&mut self, body: M::Body) -> io::Result<()> {
         let frame = M::from(body);
-        frame.note_sent();
+        frame.count_sent();
         self.sink.feed(frame).await
     }
 
@@ -129,7 +129,7 @@
     /// # Errors
     ///
     /// The first I/O error.
-    pub async fn drain(&mut self, outbox: &mut UnboundedReceiver<M::Body>) -> io::Result<()> {
+    pub async fn forward(&mut self, outbox: &mut UnboundedReceiver<M::Body>) -> io::Result<()> {
         while let Some(body) = outbox.next().await {
             self.feed(body).await?;
             while let Ok(body) = outbox.try_recv() {
--- a/crates/wax-wire/src/pool.rs
+++ b/crates/wax-wire/src/pool.rs
@@ -11,7 +11,7 @@
 use wax_types::TimePoint;
 
 /// Heartbeats come at least this often, whatever an owner asks for: its grants reach twice as far.
-const MOST_PERIOD: Duration = Duration::from_millis(1_200);
+const MAX_HEARTBEAT_PERIOD: Duration = Duration::from_millis(1_200);
 
 /// One message.
 #[derive(Clone, PartialEq, Message)]
@@ -112,7 +112,7 @@
     pub node: String,
     /// Boots of its worker that it knows to be dead for good.
     #[prost(message, repeated, tag = "3")]
-    pub dead: Vec<BootFrame>,
+    pub ended_boots: Vec<BootFrame>,
 }
 
 /// First message of an entry.
@@ -156,7 +156,7 @@
     pub sent_us: u64,
     /// The config version in force at the sender.
     #[prost(uint64, tag = "2")]
-    pub config: u64,
+    pub config_version: u64,
     /// Entry: how well its machine would carry an owner, thousandths of a core.
     #[prost(uint32, tag = "3")]
     pub fitness: u32,
@@ -179,16 +179,16 @@
     pub store_lost: bool,
     /// The config version in force at the owner.
     #[prost(uint64, tag = "4")]
-    pub config: u64,
+    pub config_version: u64,
     /// The share of the open jobs that fill which are late, 0 to 1.
     #[prost(float, tag = "5")]
     pub overload: f32,
     /// To an entry: how many others go before it at the next takeover.
     #[prost(uint32, tag = "6")]
-    pub rank: u32,
+    pub takeover_rank: u32,
     /// To an entry: how well the strongest machine would carry an owner, thousandths of a core.
     #[prost(uint32, tag = "7")]
-    pub best: u32,
+    pub best_fitness: u32,
     /// To an agent: the drained failure domains; nothing before the owner's first reading.
     #[prost(message, optional, tag = "8")]
     pub drains: Option<DrainFrame>,
@@ -203,10 +203,12 @@
 
 impl LeaseGrant {
     /// The pause between two heartbeats: as the owner asks, or `usual`.
-    pub fn period(&self, usual: Duration) -> Duration {
+    pub fn heartbeat_period(&self, default: Duration) -> Duration {
         match self.period_ms {
-            0 => usual,
-            asked => Duration::from_millis(asked.into()).clamp(usual, MOST_PERIOD),
+            0 => default,
+            period_ms => {
+                Duration::from_millis(period_ms.into()).clamp(default, MAX_HEARTBEAT_PERIOD)
+            }
         }
     }
 }
@@ -239,16 +241,16 @@
 
     /// Takes it as the answer to a heartbeat that was sent at `asked` on the taker's clock; says whether
     /// other domains are drained now.
-    pub fn take_into(self, view: &mut DrainView, asked: TimePoint) -> bool {
+    pub fn apply_to(self, view: &mut DrainView, sent_at: TimePoint) -> bool {
         // The answer is later than the heartbeat, and the age is counted back from the answer.
-        let as_of = asked - Duration::from_millis(self.age_ms);
+        let as_of = sent_at - Duration::from_millis(self.age_ms);
         let domains = self.domains.into_iter().map(Into::into).collect();
         view.replace(self.version, domains, as_of)
     }
 }
 
 /// Messages that name a boot of a worker by its id and its start time.
-macro_rules! names_boot {
+macro_rules! impl_boot {
     ($($frame:ident),*) => {
         $(
             impl $frame {
@@ -261,14 +263,14 @@
     };
 }
 
-names_boot!(WorkerAccepted, AllRunsEnded, BootCrashed, StartRun, AckEnds);
+impl_boot!(WorkerAccepted, AllRunsEnded, BootCrashed, StartRun, AckEnds);
 
 impl AllRunsEnded {
     /// Says that all that ran on a boot has ended.
-    pub fn new(boot: &BootId, dead: bool) -> Self {
+    pub fn new(boot: &BootId, boot_ended: bool) -> Self {
         Self {
             worker: boot.worker_id().into(),
-            dead,
+            boot_ended,
             started_ms: boot.started_ms(),
         }
     }
@@ -307,7 +309,7 @@
 pub struct PlacementFrame {
     /// The run.
     #[prost(message, required, tag = "1")]
-    pub mark: RunIdFrame,
+    pub run_id: RunIdFrame,
     /// Thousandths of a core.
     #[prost(uint32, tag = "2")]
     pub cpu_milli: u32,
@@ -319,7 +321,7 @@
     pub accelerators: u32,
     /// Whether it gets only what others leave; its processors are not booked.
     #[prost(bool, tag = "5")]
-    pub fills: bool,
+    pub best_effort: bool,
     /// Bound on its tail latency, milliseconds; 0 for none.
     #[prost(uint32, tag = "6")]
     pub tail_target_ms: u32,
@@ -330,9 +332,9 @@
 
 impl PlacementFrame {
     /// What the run books.
-    pub fn booked(&self) -> TaskSize {
+    pub fn reserved(&self) -> TaskSize {
         TaskSize {
-            cpu_milli: if self.fills { 0 } else { self.cpu_milli },
+            cpu_milli: if self.best_effort { 0 } else { self.cpu_milli },
             memory_mb: self.memory_mb,
             accelerators: self.accelerators,
         }
@@ -347,7 +349,7 @@
     pub worker: String,
     /// The runs that were named, with what is known of them.
     #[prost(message, repeated, tag = "2")]
-    pub seats: Vec<PlacementFrame>,
+    pub placements: Vec<PlacementFrame>,
     /// When its boot started, Unix milliseconds, if that is known.
     #[prost(uint64, optional, tag = "3")]
     pub started_ms: Option<u64>,
@@ -361,7 +363,7 @@
     pub worker: String,
     /// Whether this boot is dead for good; else only its leases have lapsed.
     #[prost(bool, tag = "2")]
-    pub dead: bool,
+    pub boot_ended: bool,
     /// When its boot started, Unix milliseconds, if that is known.
     #[prost(uint64, optional, tag = "3")]
     pub started_ms: Option<u64>,
@@ -409,7 +411,7 @@
     pub refused: Vec<RefusalFrame>,
     /// Gone on.
     #[prost(message, repeated, tag = "3")]
-    pub going: Vec<RunReportFrame>,
+    pub running: Vec<RunReportFrame>,
     /// Ended.
     #[prost(message, repeated, tag = "4")]
     pub ends: Vec<RunEndFrame>,
@@ -420,7 +422,7 @@
 pub struct StartRun {
     /// The run and what it books.
     #[prost(message, required, tag = "1")]
-    pub seat: PlacementFrame,
+    pub placement: PlacementFrame,
     /// The job's text.
     #[prost(string, tag = "2")]
     pub text: String,
@@ -443,7 +445,7 @@
 pub struct StopRun {
     /// The run.
     #[prost(message, required, tag = "1")]
-    pub mark: RunIdFrame,
+    pub run_id: RunIdFrame,
 }
 
 /// Ends up to a number are in the store.
@@ -465,7 +467,7 @@
 pub struct JobQuery {
     /// Pairs the answer with the question.
     #[prost(uint64, tag = "1")]
-    pub ask: u64,
+    pub request_id: u64,
     /// The job.
     #[prost(fixed64, tag = "2")]
     pub job: u64,
@@ -479,7 +481,7 @@
 pub struct JobReply {
     /// Pairs the answer with the question.
     #[prost(uint64, tag = "1")]
-    pub ask: u64,
+    pub request_id: u64,
     /// Whether the owner knows the job.
     #[prost(bool, tag = "2")]
     pub known: bool,
@@ -510,7 +512,7 @@
     pub serving: String,
     /// The image that fills.
     #[prost(string, tag = "2")]
-    pub filling: String,
+    pub best_effort: String,
     #[prost(float, tag = "3")]
     per_core: f32,
     #[prost(float, tag = "4")]
@@ -519,17 +521,17 @@
 
 impl InterferenceFrame {
     /// Encodes a pair.
-    pub fn new(serving: &str, filling: &str, press: PairPress) -> Self {
+    pub fn new(serving: &str, best_effort: &str, interference: PairPress) -> Self {
         Self {
             serving: serving.into(),
-            filling: filling.into(),
-            per_core: press.per_core as f32,
-            weight: press.weight as f32,
+            best_effort: best_effort.into(),
+            per_core: interference.per_core as f32,
+            weight: interference.weight as f32,
         }
     }
 
     /// Decodes what is known of the pair.
-    pub fn press(&self) -> PairPress {
+    pub fn interference(&self) -> PairPress {
         PairPress {
             per_core: f64::from(self.per_core),
             weight: f64::from(self.weight),
@@ -545,7 +547,7 @@
     pub pairs: Vec<InterferenceFrame>,
     /// Agent to owner: how much press each image that serves bears in all.
     #[prost(message, repeated, tag = "3")]
-    pub rooms: Vec<HeadroomFrame>,
+    pub headrooms: Vec<HeadroomFrame>,
 }
 
 /// How much press an image that serves bears on the sender's worker, without regard to what fills.
@@ -556,7 +558,7 @@
     pub serving: String,
     /// By what share its load may grow.
     #[prost(float, tag = "2")]
-    pub room: f32,
+    pub headroom: f32,
 }
 
 /// A cancel that is in the store.
--- a/crates/wax-wire/src/pool_parts.rs
+++ b/crates/wax-wire/src/pool_parts.rs
@@ -23,13 +23,13 @@
 }
 
 impl From<RunMark> for RunIdFrame {
-    fn from(mark: RunMark) -> Self {
+    fn from(run_id: RunMark) -> Self {
         Self {
-            job: mark.task.job.0,
-            occurrence: mark.task.occurrence,
-            step: mark.task.step.into(),
-            index: mark.task.index,
-            run: mark.run,
+            job: run_id.task.job.0,
+            occurrence: run_id.task.occurrence,
+            step: run_id.task.step.into(),
+            index: run_id.task.index,
+            run: run_id.run,
         }
     }
 }
@@ -158,7 +158,7 @@
 #[derive(Clone, PartialEq, Message)]
 pub struct RunReportFrame {
     #[prost(message, required, tag = "1")]
-    mark: RunIdFrame,
+    run_id: RunIdFrame,
     #[prost(string, tag = "2")]
     checkpoint: String,
     #[prost(uint32, tag = "3")]
@@ -172,7 +172,7 @@
 impl From<&RunReport> for RunReportFrame {
     fn from(report: &RunReport) -> Self {
         Self {
-            mark: report.mark.into(),
+            run_id: report.mark.into(),
             checkpoint: report.checkpoint.to_string(),
             percent: report.percent,
             figure: report.figure,
@@ -184,7 +184,7 @@
 impl From<&RunReportFrame> for RunReport {
     fn from(frame: &RunReportFrame) -> Self {
         Self {
-            mark: (&frame.mark).into(),
+            mark: (&frame.run_id).into(),
             checkpoint: frame.checkpoint.as_str().into(),
             percent: frame.percent,
             figure: frame.figure,
@@ -197,7 +197,7 @@
 #[derive(Clone, PartialEq, Message)]
 pub struct LostRunFrame {
     #[prost(message, required, tag = "1")]
-    mark: RunIdFrame,
+    run_id: RunIdFrame,
     /// Milliseconds.
     #[prost(uint64, optional, tag = "2")]
     ran_ms: Option<u64>,
@@ -206,7 +206,7 @@
 impl From<&LostRun> for LostRunFrame {
     fn from(lost: &LostRun) -> Self {
         Self {
-            mark: lost.mark.into(),
+            run_id: lost.mark.into(),
             ran_ms: lost.ran.map(|ran| ran.as_millis() as u64),
         }
     }
@@ -215,7 +215,7 @@
 impl From<&LostRunFrame> for LostRun {
     fn from(frame: &LostRunFrame) -> Self {
         Self {
-            mark: (&frame.mark).into(),
+            mark: (&frame.run_id).into(),
             ran: frame.ran_ms.map(Duration::from_millis),
         }
     }
@@ -227,7 +227,7 @@
     #[prost(uint64, tag = "1")]
     number: u64,
     #[prost(message, required, tag = "2")]
-    mark: RunIdFrame,
+    run_id: RunIdFrame,
     #[prost(uint32, tag = "3")]
     kind: u32,
     #[prost(string, tag = "4")]
@@ -249,7 +249,7 @@
         let kind = END_KINDS.iter().position(|kind| *kind == end.kind);
         Self {
             number: end.number,
-            mark: end.mark.into(),
+            run_id: end.mark.into(),
             kind: kind.unwrap_or_default() as u32,
             checkpoint: end.checkpoint.to_string(),
         }
@@ -258,8 +258,8 @@
 
 impl RunEndFrame {
     /// Which run has ended.
-    pub fn run_mark(&self) -> RunMark {
-        (&self.mark).into()
+    pub fn run_id(&self) -> RunMark {
+        (&self.run_id).into()
     }
 }
 
@@ -268,7 +268,7 @@
         let kind = END_KINDS.get(frame.kind as usize).copied();
         Self {
             number: frame.number,
-            mark: (&frame.mark).into(),
+            mark: (&frame.run_id).into(),
             kind: kind.unwrap_or(RunEndKind::Stopped),
             checkpoint: frame.checkpoint.as_str().into(),
         }
@@ -279,34 +279,34 @@
 #[derive(Clone, PartialEq, Message)]
 pub struct RefusalFrame {
     #[prost(message, required, tag = "1")]
-    mark: RunIdFrame,
+    run_id: RunIdFrame,
     #[prost(uint32, tag = "2")]
-    why: u32,
+    reason: u32,
 }
 
 impl RefusalFrame {
     /// Encodes a refusal.
-    pub fn new(mark: RunMark, refusal: StartRefusal) -> Self {
-        let why = match refusal {
+    pub fn new(run_id: RunMark, refusal: StartRefusal) -> Self {
+        let reason = match refusal {
             StartRefusal::Stale => 0,
             StartRefusal::Room => 1,
             StartRefusal::Unwell => 2,
             StartRefusal::Drained => 3,
         };
         Self {
-            mark: mark.into(),
-            why,
+            run_id: run_id.into(),
+            reason,
         }
     }
 
     /// Decodes it.
     pub fn decode(&self) -> (RunMark, StartRefusal) {
-        let refusal = match self.why {
+        let refusal = match self.reason {
             1 => StartRefusal::Room,
             2 => StartRefusal::Unwell,
             3 => StartRefusal::Drained,
             _ => StartRefusal::Stale,
         };
-        ((&self.mark).into(), refusal)
+        ((&self.run_id).into(), refusal)
     }
 }
--- a/crates/wax-wire/src/relay.rs
+++ b/crates/wax-wire/src/relay.rs
@@ -44,7 +44,7 @@
 pub struct RelayRequest {
     /// Pairs the answer with the question.
     #[prost(uint64, tag = "1")]
-    pub ask: u64,
+    pub request_id: u64,
     /// What must hold.
     #[prost(message, repeated, tag = "2")]
     pub expect: Vec<ExpectFrame>,
@@ -83,10 +83,10 @@
 pub struct RelayReply {
     /// Pairs the answer with the question.
     #[prost(uint64, tag = "1")]
-    pub ask: u64,
+    pub request_id: u64,
     /// What became of it.
     #[prost(enumeration = "RelayResult", tag = "2")]
-    pub fate: i32,
+    pub result: i32,
     /// The version of what was written, if it took effect.
     #[prost(uint64, tag = "3")]
     pub version: u64,
--- a/crates/wax-wire/tests/fuzz.rs
+++ b/crates/wax-wire/tests/fuzz.rs
@@ -27,7 +27,7 @@
     let bodies = [
         PoolBody::AgentHello(AgentHello {
             node: "side-1".into(),
-            dead: vec![(&boot).into()],
+            ended_boots: vec![(&boot).into()],
         }),
         PoolBody::WorkerSnapshot(WorkerSnapshot {
             worker: (&view).into(),
@@ -38,7 +38,7 @@
         PoolBody::AllRunsEnded(AllRunsEnded::new(&boot, true)),
         PoolBody::Ack(AckEnds::new(&boot, 57)),
         PoolBody::Stop(StopRun {
-            mark: RunIdFrame::from(mark),
+            run_id: RunIdFrame::from(mark),
         }),
         PoolBody::RunUpdates(RunUpdates {
             started: vec![mark.into()],
@@ -63,7 +63,13 @@
             Some(PoolBody::AllRunsEnded(gone)) => drop(gone.boot()),
             Some(PoolBody::Ack(ack)) => drop(ack.boot()),
             Some(PoolBody::AgentHello(hello)) => {
-                drop(hello.dead.iter().map(BootId::from).collect::<Vec<_>>());
+                drop(
+                    hello
+                        .ended_boots
+                        .iter()
+                        .map(BootId::from)
+                        .collect::<Vec<_>>(),
+                );
             }
             _ => {}
         }
--- a/crates/wax-wire/tests/pool.rs
+++ b/crates/wax-wire/tests/pool.rs
@@ -72,11 +72,11 @@
 
 fn seat() -> PlacementFrame {
     PlacementFrame {
-        mark: mark().into(),
+        run_id: mark().into(),
         cpu_milli: 100,
         memory_mb: 200,
         accelerators: 0,
-        fills: true,
+        best_effort: true,
         tail_target_ms: 150,
         image: "red".into(),
     }
@@ -108,13 +108,13 @@
 }
 
 survives! {
-    agent_hello: PoolBody::AgentHello(AgentHello { node: "side-1".into(), dead: vec![(&boot()).into()] }),
+    agent_hello: PoolBody::AgentHello(AgentHello { node: "side-1".into(), ended_boots: vec![(&boot()).into()] }),
     entry_hello: PoolBody::FrontHello(FrontHello {
         node: "edge-1".into(),
         address: "10.0.0.1:7700".into(),
     }),
     relay: PoolBody::RelayRequest(RelayRequest {
-        ask: 7,
+        request_id: 7,
         expect: vec![ExpectFrame {
             table: "jobs".into(),
             part: "p".into(),
@@ -127,15 +127,15 @@
         remove: vec![row()],
     }),
     relayed: PoolBody::RelayReply(RelayReply {
-        ask: 7,
-        fate: RelayResult::Conflict.into(),
+        request_id: 7,
+        result: RelayResult::Conflict.into(),
         version: 0,
         rows: vec![row()],
     }),
     welcome: PoolBody::Welcome(OwnerWelcome { epoch: 3, token: 9 }),
     not_owner: PoolBody::NotOwner(NotOwner { address: "10.0.0.1:7".into(), epoch: 3 }),
-    ping: PoolBody::Heartbeat(LinkHeartbeat { sent_us: 5, config: 7, fitness: 500, store_lost: true }),
-    grant: PoolBody::Grant(LeaseGrant { sent_us: 5, valid_ms: 2_500, store_lost: true, config: 7, overload: 0.5, rank: 3, best: 500, period_ms: 900, config_age_ms: Some(40),
+    ping: PoolBody::Heartbeat(LinkHeartbeat { sent_us: 5, config_version: 7, fitness: 500, store_lost: true }),
+    grant: PoolBody::Grant(LeaseGrant { sent_us: 5, valid_ms: 2_500, store_lost: true, config_version: 7, overload: 0.5, takeover_rank: 3, best_fitness: 500, period_ms: 900, config_age_ms: Some(40),
         drains: Some(DrainFrame { version: 9, domains: vec!["a".into(), "b".into()], age_ms: 40 }) }),
     worker_up: PoolBody::WorkerSnapshot(WorkerSnapshot {
         worker: (&view()).into(),
@@ -143,31 +143,31 @@
         ends: vec![(&end()).into()],
         known_pairs: 480,
     }),
-    worker_kept: PoolBody::WorkerAccepted(WorkerAccepted { worker: "i-1".into(), seats: vec![seat()], started_ms: Some(7) }),
+    worker_kept: PoolBody::WorkerAccepted(WorkerAccepted { worker: "i-1".into(), placements: vec![seat()], started_ms: Some(7) }),
     worker_changed: PoolBody::WorkerChanged((&view()).into()),
     worker_gone: PoolBody::AllRunsEnded(AllRunsEnded::new(&boot(), true)),
     news: PoolBody::RunUpdates(RunUpdates {
         started: vec![mark().into()],
         refused: vec![RefusalFrame::new(mark(), StartRefusal::Unwell)],
-        going: vec![(&report()).into()],
+        running: vec![(&report()).into()],
         ends: vec![(&end()).into()],
     }),
     start: PoolBody::Start(StartRun {
-        seat: seat(),
+        placement: seat(),
         text: "work".into(),
         checkpoint: "".into(),
         ticket: "t".into(),
         worker: "i-1".into(),
         started_ms: Some(7),
     }),
-    stop: PoolBody::Stop(StopRun { mark: mark().into() }),
+    stop: PoolBody::Stop(StopRun { run_id: mark().into() }),
     ack: PoolBody::Ack(AckEnds::new(&boot(), 57)),
-    ask: PoolBody::JobQuery(JobQuery { ask: 1, job: 2, queue: "q".into() }),
-    told: PoolBody::JobReply(JobReply { ask: 1, known: true, outcome: 1, begun: true, pending: 4 }),
+    ask: PoolBody::JobQuery(JobQuery { request_id: 1, job: 2, queue: "q".into() }),
+    told: PoolBody::JobReply(JobReply { request_id: 1, known: true, outcome: 1, begun: true, pending: 4 }),
     config: PoolBody::Config(ConfigPush { text: b"{}".to_vec() }),
     presses: PoolBody::Interference(InterferenceUpdate {
         pairs: vec![InterferenceFrame::new("red", "heavy", PairPress { per_core: 0.25, weight: 2.0 })],
-        rooms: vec![HeadroomFrame { serving: "red".into(), room: 0.5 }],
+        headrooms: vec![HeadroomFrame { serving: "red".into(), headroom: 0.5 }],
     }),
     cancelled: PoolBody::Cancelled(JobCancelled { job: 7 }),
     boot_crashed: PoolBody::BootCrashed(BootCrashed {
--- a/tests/pool/links.rs
+++ b/tests/pool/links.rs
@@ -36,7 +36,7 @@
         let (mut reader, mut writer): (PoolReader, PoolWriter) = split_stream(stream);
         let hello = AgentHello {
             node: node.into(),
-            dead: dead.iter().map(Into::into).collect(),
+            ended_boots: dead.iter().map(Into::into).collect(),
         };
         writer.write(PoolBody::AgentHello(hello)).await.ok()?;
         let answer = reader.read().await.ok()??;
@@ -46,7 +46,7 @@
         let (outbox, mut inbox) = unbounded();
         let writing = spawn(async move {
             // The owner's end closes the link.
-            let _ = writer.drain(&mut inbox).await;
+            let _ = writer.forward(&mut inbox).await;
         });
         Some(Self {
             reader,
@@ -99,7 +99,7 @@
 
     async fn next_start(&mut self) -> RunMark {
         self.next(|body| match body {
-            PoolBody::Start(order) => Some(RunMark::from(&order.seat.mark)),
+            PoolBody::Start(order) => Some(RunMark::from(&order.placement.run_id)),
             _ => None,
         })
         .await
--- a/tests/pool/many_agents.rs
+++ b/tests/pool/many_agents.rs
@@ -52,7 +52,7 @@
         let (outbox, mut inbox) = unbounded();
         let writing = spawn(async move {
             // The owner's end closes the link.
-            let _ = writer.drain(&mut inbox).await;
+            let _ = writer.forward(&mut inbox).await;
         });
         let pinging = spawn(ping(outbox.clone()));
         outbox.unbounded_send(worker_up(&worker)).ok()?;
