--- a/crates/wax-ledger/src/entry.rs
+++ b/crates/wax-ledger/src/entry.rs
@@ -62,8 +62,8 @@
     pub fn from_report(report: &UsageReport, team: &str, service: &str, kind: &str) -> Self {
         Self {
             key: UsageKey {
-                task: report.mark.task,
-                epoch: report.mark.epoch,
+                task: report.run_id.task,
+                epoch: report.run_id.epoch,
                 boot: report.boot,
                 interval: report.interval,
             },
--- a/crates/wax-platform/src/group.rs
+++ b/crates/wax-platform/src/group.rs
@@ -11,7 +11,7 @@
 use wax_types::{ErrorKind, ProcessClock, Step, TimePoint, WaxError};
 
 /// Transactions merged into one commit at most.
-const GROUP_LIMIT: usize = 64;
+const MAX_GROUP_SIZE: usize = 64;
 
 #[derive(Debug)]
 struct GroupItem {
@@ -31,7 +31,7 @@
     /// Starts the committing task; it ends when the last clone of the writer is dropped.
     pub fn start(table: TableClient) -> Self {
         let (queue, items) = unbounded();
-        let clock = table.health().clock();
+        let clock = table.store().clock();
         compio::runtime::spawn(write_groups(table, items)).detach();
         Self { queue, clock }
     }
@@ -50,26 +50,26 @@
             deadline,
             reply,
         };
-        let stopped = |text| {
+        let unavailable = |text| {
             let kind = ErrorKind::Unavailable(Duration::from_secs(1));
             WaxError::new(kind, Step::CommitTable, "table", text)
         };
         if self.queue.unbounded_send(item).is_err() {
-            return CommitOutcome::NotSent(stopped("the writer has stopped"));
+            return CommitOutcome::NotSent(unavailable("the writer has stopped"));
         }
         // Whoever waits is told by the deadline, whatever else the writer is busy with.
         match timeout(deadline.since(self.clock.now()), outcome).await {
             Ok(Ok(outcome)) => outcome,
-            Ok(Err(_)) => CommitOutcome::Unknown(stopped("the writer stopped")),
-            Err(_) => CommitOutcome::Unknown(stopped("the table did not answer in time")),
+            Ok(Err(_)) => CommitOutcome::Unknown(unavailable("the writer stopped")),
+            Err(_) => CommitOutcome::Unknown(unavailable("the table did not answer in time")),
         }
     }
 }
 
 async fn write_groups(table: TableClient, mut items: UnboundedReceiver<GroupItem>) {
-    let mut held: Option<GroupItem> = None;
+    let mut deferred: Option<GroupItem> = None;
     loop {
-        let first = match held.take() {
+        let first = match deferred.take() {
             Some(item) => item,
             None => match items.next().await {
                 Some(item) => item,
@@ -77,7 +77,7 @@
             },
         };
         let mut group = vec![first];
-        held = fill_group(&mut group, &mut items);
+        deferred = fill_group(&mut group, &mut items);
         // What nobody waits for any more was never sent, and need not be.
         group.retain(|item| !item.reply.is_canceled());
         if !group.is_empty() {
@@ -91,15 +91,23 @@
     group: &mut Vec<GroupItem>,
     items: &mut UnboundedReceiver<GroupItem>,
 ) -> Option<GroupItem> {
-    let mut keys: HashSet<Box<str>> = group[0].transaction.keys().map(Into::into).collect();
-    while group.len() < GROUP_LIMIT {
+    let mut keys: HashSet<Box<str>> = group[0]
+        .transaction
+        .condition_keys()
+        .map(Into::into)
+        .collect();
+    while group.len() < MAX_GROUP_SIZE {
         let Ok(item) = items.try_recv() else {
             return None;
         };
-        if item.transaction.keys().any(|key| keys.contains(key)) {
+        if item
+            .transaction
+            .condition_keys()
+            .any(|key| keys.contains(key))
+        {
             return Some(item);
         }
-        keys.extend(item.transaction.keys().map(Box::from));
+        keys.extend(item.transaction.condition_keys().map(Box::from));
         group.push(item);
     }
     None
@@ -107,24 +115,24 @@
 
 /// Commits a group; where it meets a conflict or an open fate, each item is committed alone.
 async fn commit_group(table: &TableClient, group: Vec<GroupItem>) {
-    let mut sent = false;
+    let mut may_be_sent = false;
     if group.len() > 1 {
         let merged = merge(&group);
         let deadline = group.iter().map(|item| item.deadline).min();
         match table.commit(&merged, deadline.unwrap_or_default()).await {
             CommitOutcome::Conflict(_) => {}
-            CommitOutcome::Unknown(_) => sent = true,
+            CommitOutcome::Unknown(_) => may_be_sent = true,
             shared => return answer_all(group, &shared),
         }
     }
-    let alone = group.into_iter().map(|item| async move {
+    let commits = group.into_iter().map(|item| async move {
         let outcome = table
-            .commit_again(&item.transaction, item.deadline, sent)
+            .resume_commit(&item.transaction, item.deadline, may_be_sent)
             .await;
         // A requester that went away no longer needs the outcome.
         let _ = item.reply.send(outcome);
     });
-    join_all(alone).await;
+    join_all(commits).await;
 }
 
 fn answer_all(group: Vec<GroupItem>, outcome: &CommitOutcome) {
@@ -136,7 +144,7 @@
 fn merge(group: &[GroupItem]) -> TableTransaction {
     let mut merged = group[0].transaction.clone();
     for item in &group[1..] {
-        merged.absorb(&item.transaction);
+        merged.append(&item.transaction);
     }
     merged
 }
--- a/crates/wax-platform/src/http_call.rs
+++ b/crates/wax-platform/src/http_call.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone)]
 pub struct HttpCaller {
     client: Client,
-    limit: Duration,
+    call_timeout: Duration,
 }
 
 impl HttpCaller {
@@ -24,7 +24,10 @@
     pub fn new(limit: Duration) -> Result<Self, WaxError> {
         let client = Client::new()
             .map_err(|error| WaxError::new(ErrorKind::Invalid, Step::Connect, "http", error))?;
-        Ok(Self { client, limit })
+        Ok(Self {
+            client,
+            call_timeout: limit,
+        })
     }
 
     /// Sends `body` as JSON and decodes the JSON answer.
@@ -106,7 +109,7 @@
             let bytes = response.bytes().await?;
             Ok::<_, cyper::Error>((status, bytes.to_vec()))
         };
-        match timeout(self.limit, call).await {
+        match timeout(self.call_timeout, call).await {
             Err(_) => Err(WaxError::new(
                 ErrorKind::Timeout,
                 step,
--- a/crates/wax-platform/src/lib.rs
+++ b/crates/wax-platform/src/lib.rs
@@ -13,11 +13,12 @@
 pub use group::GroupWriter;
 pub use http_call::HttpCaller;
 pub use objects::{ObjectClient, PutOutcome};
-pub use store::{StoreHealth, StoreLimits};
+pub use store::{StoreHandle, StoreLimits};
 pub use table::{CommitOutcome, RowEntry, TableClient, TableTransaction};
 pub use wire::{
     CheckpointReply, CommitReply, CommitRequest, ControlRequest, ReadReply, ReadRequest,
     RenewReply, RenewRequest, RowCondition, RowWrite, ScanRequest, StartReply, StartRequest,
-    TaskMark, TaskReport, TaskRun, ThrottleRequest, UsageReport, WireRow, WorkerInfo, WorkerList,
+    TaskReport, TaskRunId, TaskRunStatus, ThrottleRequest, UsageReport, WireRow, WorkerInfo,
+    WorkerList,
 };
 pub use workers::{WorkerClient, WorkerDirectory};
--- a/crates/wax-platform/src/objects.rs
+++ b/crates/wax-platform/src/objects.rs
@@ -1,6 +1,6 @@
 //! Immutable objects: written once, read many times.
 
-use crate::store::StoreHealth;
+use crate::store::StoreHandle;
 use http::{Method, StatusCode};
 use serde::Deserialize;
 use wax_types::{ErrorKind, Step, WaxError};
@@ -22,13 +22,13 @@
 /// Reads and writes objects.
 #[derive(Debug, Clone)]
 pub struct ObjectClient {
-    health: StoreHealth,
+    store: StoreHandle,
 }
 
 impl ObjectClient {
-    /// Uses the store behind `health`.
-    pub fn new(health: StoreHealth) -> Self {
-        Self { health }
+    /// Uses the store behind `store`.
+    pub fn new(store: StoreHandle) -> Self {
+        Self { store }
     }
 
     /// Creates an object unless one of this name exists.
@@ -45,7 +45,7 @@
         match status {
             StatusCode::CREATED | StatusCode::OK => Ok(PutOutcome::Created),
             StatusCode::PRECONDITION_FAILED => Ok(PutOutcome::Existed),
-            status => Err(unexpected(Step::WriteObject, key, status)),
+            status => Err(unexpected_status(Step::WriteObject, key, status)),
         }
     }
 
@@ -61,7 +61,7 @@
         match status {
             StatusCode::OK => Ok(Some(bytes)),
             StatusCode::NOT_FOUND => Ok(None),
-            status => Err(unexpected(Step::ReadObject, key, status)),
+            status => Err(unexpected_status(Step::ReadObject, key, status)),
         }
     }
 
@@ -71,12 +71,12 @@
     ///
     /// The store does not answer.
     pub async fn list(&self, prefix: &str) -> Result<Vec<Box<str>>, WaxError> {
-        let url = self.health.url(&format!("/objects?prefix={prefix}"));
+        let url = self.store.url(&format!("/objects?prefix={prefix}"));
         let call = self
-            .health
+            .store
             .caller()
             .get::<ObjectList>(Step::ReadObject, &url);
-        Ok(self.health.guard(Step::ReadObject, call).await?.keys)
+        Ok(self.store.run_call(Step::ReadObject, call).await?.keys)
     }
 
     async fn call(
@@ -87,20 +87,20 @@
         headers: &[(&str, &str)],
         body: Vec<u8>,
     ) -> Result<(StatusCode, Vec<u8>), WaxError> {
-        let url = self.health.url(&format!("/objects/{key}"));
-        let caller = self.health.caller();
+        let url = self.store.url(&format!("/objects/{key}"));
+        let caller = self.store.caller();
         let request = caller.request(step, method, &url, headers, body)?;
         let call = async {
             let (status, bytes) = caller.send(step, &url, request).await?;
             if status.is_server_error() {
-                return Err(unexpected(step, key, status));
+                return Err(unexpected_status(step, key, status));
             }
             Ok((status, bytes))
         };
-        self.health.guard(step, call).await
+        self.store.run_call(step, call).await
     }
 }
 
-fn unexpected(step: Step, key: &str, status: StatusCode) -> WaxError {
+fn unexpected_status(step: Step, key: &str, status: StatusCode) -> WaxError {
     WaxError::new(ErrorKind::Ambiguous, step, key, status)
 }
--- a/crates/wax-platform/src/store.rs
+++ b/crates/wax-platform/src/store.rs
@@ -16,19 +16,19 @@
 #[derive(Debug, Clone, Copy)]
 pub struct StoreLimits {
     /// Longest time for one call.
-    pub call: Duration,
+    pub call_timeout: Duration,
     /// Calls under way at once.
     pub concurrency: usize,
 }
 
 /// The store as this process sees it, shared by the table and object clients.
 #[derive(Debug, Clone)]
-pub struct StoreHealth {
-    shared: Rc<HealthShared>,
+pub struct StoreHandle {
+    shared: Rc<StoreShared>,
 }
 
 #[derive(Debug)]
-struct HealthShared {
+struct StoreShared {
     base: Box<str>,
     caller: HttpCaller,
     clock: ProcessClock,
@@ -37,16 +37,16 @@
     rng: RefCell<Rng>,
 }
 
-impl StoreHealth {
+impl StoreHandle {
     /// Prepares calls to the store at `base`, as `http://IP:port`.
     ///
     /// # Errors
     ///
     /// The HTTP client cannot be built.
     pub fn new(base: &str, limits: StoreLimits, clock: ProcessClock) -> Result<Self, WaxError> {
-        let shared = HealthShared {
+        let shared = StoreShared {
             base: base.trim_end_matches('/').into(),
-            caller: HttpCaller::new(limits.call)?,
+            caller: HttpCaller::new(limits.call_timeout)?,
             clock,
             permits: Semaphore::new(limits.concurrency),
             breaker: RefCell::default(),
@@ -83,24 +83,24 @@
         body: &B,
     ) -> Result<R, WaxError> {
         let url = self.url(path);
-        self.guard(step, self.shared.caller.post(step, &url, body))
+        self.run_call(step, self.shared.caller.post(step, &url, body))
             .await
     }
 
     /// Runs a call unless the store is down, and records how it went.
-    pub(crate) async fn guard<T>(
+    pub(crate) async fn run_call<T>(
         &self,
         step: Step,
         call: impl Future<Output = Result<T, WaxError>>,
     ) -> Result<T, WaxError> {
         let _permit = self.shared.permits.acquire().await;
-        self.admit(step)?;
+        self.check_breaker(step)?;
         let result = call.await;
-        self.record(&result);
+        self.record_result(&result);
         result
     }
 
-    fn admit(&self, step: Step) -> Result<(), WaxError> {
+    fn check_breaker(&self, step: Step) -> Result<(), WaxError> {
         let now = self.shared.clock.now();
         let mut rng = self.shared.rng.borrow_mut();
         match self.shared.breaker.borrow_mut().ask(now, &mut rng) {
@@ -118,7 +118,7 @@
         }
     }
 
-    fn record<T>(&self, result: &Result<T, WaxError>) {
+    fn record_result<T>(&self, result: &Result<T, WaxError>) {
         let mut breaker = self.shared.breaker.borrow_mut();
         let was_down = breaker.down_since();
         let failed = matches!(
--- a/crates/wax-platform/src/table.rs
+++ b/crates/wax-platform/src/table.rs
@@ -1,6 +1,6 @@
 //! Transactions on the table service, with lost replies settled.
 
-use crate::store::StoreHealth;
+use crate::store::StoreHandle;
 use crate::wire::{
     CommitReply, CommitRequest, ReadReply, ReadRequest, RowCondition, RowWrite, ScanRequest,
     WireRow,
@@ -15,9 +15,9 @@
 use wax_types::{ErrorKind, RowVersion, Step, TimePoint, WaxError};
 
 /// Rows asked for in one scan call.
-const SCAN_ROWS: u32 = 1_000;
-const RETRY_FLOOR: Duration = Duration::from_millis(30);
-const RETRY_CEILING: Duration = Duration::from_secs(1);
+const ROWS_PER_SCAN: u32 = 1_000;
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(30);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// A row that was read, decoded.
 #[derive(Debug, Clone, PartialEq)]
@@ -91,7 +91,7 @@
     }
 
     /// Adds the conditions and writes of another transaction, which keep their own nonce.
-    pub(crate) fn absorb(&mut self, other: &Self) {
+    pub(crate) fn append(&mut self, other: &Self) {
         self.conditions.extend(other.conditions.iter().cloned());
         self.writes.extend(other.writes.iter().cloned());
     }
@@ -121,11 +121,11 @@
     }
 
     /// The keys of all conditions.
-    pub fn keys(&self) -> impl Iterator<Item = &str> {
+    pub fn condition_keys(&self) -> impl Iterator<Item = &str> {
         self.conditions.iter().map(|condition| &*condition.key)
     }
 
-    fn settling_key(&self) -> Option<&str> {
+    fn nonce_row_key(&self) -> Option<&str> {
         self.writes
             .first()
             .filter(|write| write.value.is_some())
@@ -149,18 +149,18 @@
 /// Reads and commits rows.
 #[derive(Debug, Clone)]
 pub struct TableClient {
-    health: StoreHealth,
+    store: StoreHandle,
 }
 
 impl TableClient {
-    /// Uses the store behind `health`.
-    pub fn new(health: StoreHealth) -> Self {
-        Self { health }
+    /// Uses the store behind `store`.
+    pub fn new(store: StoreHandle) -> Self {
+        Self { store }
     }
 
-    /// The store's health.
-    pub fn health(&self) -> &StoreHealth {
-        &self.health
+    /// The store's store.
+    pub fn store(&self) -> &StoreHandle {
+        &self.store
     }
 
     /// Reads one row.
@@ -188,7 +188,7 @@
         let keys = keys.iter().map(|key| (*key).into()).collect();
         let request = ReadRequest { keys };
         let reply: ReadReply = self
-            .health
+            .store
             .post(Step::ReadTable, "/table/read", &request)
             .await?;
         reply.rows.into_iter().map(decode_row).collect()
@@ -210,13 +210,13 @@
             let request = ScanRequest {
                 prefix: prefix.into(),
                 after,
-                limit: SCAN_ROWS,
+                limit: ROWS_PER_SCAN,
             };
             let reply: ReadReply = self
-                .health
+                .store
                 .post(Step::ReadTable, "/table/scan", &request)
                 .await?;
-            let full = reply.rows.len() == SCAN_ROWS as usize;
+            let full = reply.rows.len() == ROWS_PER_SCAN as usize;
             after = reply
                 .rows
                 .last()
@@ -239,43 +239,45 @@
         transaction: &TableTransaction,
         deadline: TimePoint,
     ) -> CommitOutcome {
-        self.commit_again(transaction, deadline, false).await
+        self.resume_commit(transaction, deadline, false).await
     }
 
     /// Commits a transaction that may have been sent before, if `sent` says so.
-    pub async fn commit_again(
+    pub async fn resume_commit(
         &self,
         transaction: &TableTransaction,
         deadline: TimePoint,
-        mut sent: bool,
+        mut may_be_sent: bool,
     ) -> CommitOutcome {
         let request = CommitRequest {
             conditions: transaction.conditions.clone(),
             writes: transaction.writes.clone(),
         };
-        let mut backoff = BackoffPlan::new(RETRY_FLOOR, RETRY_CEILING);
+        let mut backoff = BackoffPlan::new(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
         loop {
             let error = match self.send_commit(&request).await {
                 Ok(CommitReply::Committed(version)) => return CommitOutcome::Committed(version),
-                Ok(CommitReply::Conflict(keys)) if !sent => {
+                Ok(CommitReply::Conflict(keys)) if !may_be_sent => {
                     count(Counter::StoreConflicts);
                     return CommitOutcome::Conflict(keys);
                 }
-                Ok(CommitReply::Conflict(keys)) => match self.settle(transaction, keys).await {
-                    Ok(outcome) => return outcome,
-                    Err(error) => error,
-                },
-                Err(error) if !sent && matches!(error.kind, ErrorKind::Unavailable(_)) => {
+                Ok(CommitReply::Conflict(keys)) => {
+                    match self.resolve_conflict(transaction, keys).await {
+                        Ok(outcome) => return outcome,
+                        Err(error) => error,
+                    }
+                }
+                Err(error) if !may_be_sent && matches!(error.kind, ErrorKind::Unavailable(_)) => {
                     // Nothing was sent: whoever waits is told at once.
                     return CommitOutcome::NotSent(error);
                 }
                 Err(error) => {
-                    sent = true;
+                    may_be_sent = true;
                     error
                 }
             };
             let wait = backoff.fail(&mut Rng::new());
-            if self.health.clock().now() + wait >= deadline {
+            if self.store.clock().now() + wait >= deadline {
                 return CommitOutcome::Unknown(error);
             }
             sleep(wait).await;
@@ -285,18 +287,18 @@
     async fn send_commit(&self, request: &CommitRequest) -> Result<CommitReply, WaxError> {
         count(Counter::StoreCommits);
         count_many(Counter::StoreRowsWritten, request.writes.len() as u64);
-        self.health
+        self.store
             .post(Step::CommitTable, "/table/commit", request)
             .await
     }
 
     /// Decides a conflict that followed a lost reply.
-    async fn settle(
+    async fn resolve_conflict(
         &self,
         transaction: &TableTransaction,
         keys: Vec<Box<str>>,
     ) -> Result<CommitOutcome, WaxError> {
-        let Some(key) = transaction.settling_key() else {
+        let Some(key) = transaction.nonce_row_key() else {
             let text = "a transaction without a settling row";
             let error = WaxError::new(ErrorKind::Ambiguous, Step::CommitTable, "table", text);
             return Ok(CommitOutcome::Unknown(error));
@@ -306,14 +308,14 @@
             keys: vec![key.into()],
         };
         let reply: ReadReply = self
-            .health
+            .store
             .post(Step::ReadTable, "/table/read", &request)
             .await?;
-        let ours = reply.rows.first().filter(|row| {
+        let own_row = reply.rows.first().filter(|row| {
             row.value.get("nonce").and_then(serde_json::Value::as_u64) == Some(transaction.nonce)
         });
         count(Counter::StoreSettled);
-        Ok(match ours {
+        Ok(match own_row {
             Some(row) => CommitOutcome::Committed(row.version),
             None => CommitOutcome::Conflict(keys),
         })
--- a/crates/wax-platform/src/wire.rs
+++ b/crates/wax-platform/src/wire.rs
@@ -101,7 +101,7 @@
 
 /// A task at one of its placements.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct TaskMark {
+pub struct TaskRunId {
     /// The task.
     pub task: TaskId,
     /// The placement.
@@ -114,7 +114,8 @@
     /// The owner's fencing token: the worker refuses a lower one than it has seen.
     pub owner: ShardEpoch,
     /// The task and its epoch.
-    pub mark: TaskMark,
+    #[serde(rename = "mark")]
+    pub run_id: TaskRunId,
     /// What it may use.
     pub size: ResourceVector,
     /// The job kind.
@@ -155,9 +156,9 @@
     /// The worker renews nothing after this time on its own clock.
     pub valid_until_ms: u64,
     /// Tasks whose leases are renewed.
-    pub renew: Vec<TaskMark>,
+    pub renew: Vec<TaskRunId>,
     /// Ended tasks that the worker may forget.
-    pub forget: Vec<TaskMark>,
+    pub forget: Vec<TaskRunId>,
     /// Usage reports up to this sequence number may be forgotten.
     pub usage_through: u64,
 }
@@ -165,7 +166,7 @@
 /// How a run of a task stands at its worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum TaskRun {
+pub enum TaskRunStatus {
     /// It runs.
     Running,
     /// It ended and wrote this object.
@@ -180,9 +181,10 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskReport {
     /// The task and its epoch.
-    pub mark: TaskMark,
+    #[serde(rename = "mark")]
+    pub run_id: TaskRunId,
     /// How it stands.
-    pub run: TaskRun,
+    pub run: TaskRunStatus,
 }
 
 /// What a run used in one interval.
@@ -193,7 +195,8 @@
     /// The worker's start that the report belongs to.
     pub boot: u64,
     /// The task and its epoch.
-    pub mark: TaskMark,
+    #[serde(rename = "mark")]
+    pub run_id: TaskRunId,
     /// The position of the interval in the run, from 0.
     pub interval: u32,
     /// Start of the interval, Unix milliseconds.
@@ -233,7 +236,8 @@
     /// The owner's fencing token.
     pub owner: ShardEpoch,
     /// The task and its epoch.
-    pub mark: TaskMark,
+    #[serde(rename = "mark")]
+    pub run_id: TaskRunId,
 }
 
 /// Body of `POST /throttle` at a worker.
@@ -242,7 +246,8 @@
     /// The owner's fencing token.
     pub owner: ShardEpoch,
     /// The task and its epoch.
-    pub mark: TaskMark,
+    #[serde(rename = "mark")]
+    pub run_id: TaskRunId,
     /// Share of its size that it may use.
     pub percent: u8,
 }
@@ -251,7 +256,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CheckpointReply {
     /// `None` if the worker does not know the run.
-    pub run: Option<TaskRun>,
+    pub run: Option<TaskRunStatus>,
     /// The last checkpoint.
     pub checkpoint: Option<Box<str>>,
 }
--- a/crates/wax-platform/src/workers.rs
+++ b/crates/wax-platform/src/workers.rs
@@ -1,7 +1,7 @@
 //! The platform's list of workers, and the interface of one worker.
 
 use crate::http_call::HttpCaller;
-use crate::store::StoreHealth;
+use crate::store::StoreHandle;
 use crate::wire::{
     CheckpointReply, ControlRequest, RenewReply, RenewRequest, StartReply, StartRequest,
     ThrottleRequest, WorkerInfo, WorkerList,
@@ -14,13 +14,13 @@
 /// The platform's list of workers.
 #[derive(Debug, Clone)]
 pub struct WorkerDirectory {
-    health: StoreHealth,
+    store: StoreHandle,
 }
 
 impl WorkerDirectory {
-    /// Asks the platform behind `health`.
-    pub fn new(health: StoreHealth) -> Self {
-        Self { health }
+    /// Asks the platform behind `store`.
+    pub fn new(store: StoreHandle) -> Self {
+        Self { store }
     }
 
     /// All workers.
@@ -29,12 +29,12 @@
     ///
     /// The platform does not answer.
     pub async fn list(&self) -> Result<Vec<WorkerInfo>, WaxError> {
-        let url = self.health.url("/workers");
+        let url = self.store.url("/workers");
         let call = self
-            .health
+            .store
             .caller()
             .get::<WorkerList>(Step::ListWorkers, &url);
-        Ok(self.health.guard(Step::ListWorkers, call).await?.workers)
+        Ok(self.store.run_call(Step::ListWorkers, call).await?.workers)
     }
 }
 
--- a/crates/wax-route/src/process.rs
+++ b/crates/wax-route/src/process.rs
@@ -92,7 +92,7 @@
         services: EntryServices,
         (callers, operators, peers): (TcpListener, TcpListener, TcpListener),
     ) -> Self {
-        let clock = services.table.health().clock();
+        let clock = services.table.store().clock();
         let own = services.members.own_row();
         let shared = EntryShared {
             name: daemon.name.clone(),
--- a/crates/wax-route/src/status.rs
+++ b/crates/wax-route/src/status.rs
@@ -132,7 +132,7 @@
         settings: force_status(shared, shared.settings.version()),
         store_down_ms: shared
             .table
-            .health()
+            .store()
             .down_since()
             .map(|since| now.since(since).as_millis() as u64),
         drained: shared.drains.names(),
--- a/crates/wax-standin/src/worker.rs
+++ b/crates/wax-standin/src/worker.rs
@@ -17,7 +17,7 @@
 };
 use wax_platform::{
     CheckpointReply, ControlRequest, HttpCaller, ObjectClient, RenewReply, RenewRequest,
-    StartRequest, StoreHealth, StoreLimits, TaskMark, TaskRun, ThrottleRequest, WorkerInfo,
+    StartRequest, StoreHandle, StoreLimits, TaskRunId, TaskRunStatus, ThrottleRequest, WorkerInfo,
 };
 use wax_types::{ErrorKind, ProcessClock, ShardEpoch, Step, WaxError};
 
@@ -64,10 +64,10 @@
         .map_err(|error| WaxError::new(ErrorKind::Invalid, Step::Listen, "worker", error))?;
     let base = format!("http://{}", options.platform);
     let limits = StoreLimits {
-        call: Duration::from_secs(2),
+        call_timeout: Duration::from_secs(2),
         concurrency: 16,
     };
-    let health = StoreHealth::new(&base, limits, ProcessClock::start())?;
+    let health = StoreHandle::new(&base, limits, ProcessClock::start())?;
     let usage_every = Duration::from_millis(options.usage_ms);
     let state = Rc::new(WorkerState {
         runs: RefCell::new(RunTable::new(options.capacity, usage_every)),
@@ -117,7 +117,7 @@
 }
 
 impl WorkerState {
-    async fn write_result(&self, mark: TaskMark) {
+    async fn write_result(&self, mark: TaskRunId) {
         let key = format!("results/{}", mark.task);
         let body = json!({ "task": mark.task, "epoch": mark.epoch, "answer": "done" });
         let bytes = serde_json::to_vec(&body).unwrap_or_default();
@@ -126,10 +126,10 @@
             return;
         }
         let mut runs = self.runs.borrow_mut();
-        runs.end(Instant::now(), mark, TaskRun::Done(key.into()));
+        runs.end(Instant::now(), mark, TaskRunStatus::Done(key.into()));
     }
 
-    async fn write_checkpoint(&self, mark: TaskMark) -> Option<Box<str>> {
+    async fn write_checkpoint(&self, mark: TaskRunId) -> Option<Box<str>> {
         let done_ms = self.runs.borrow().get(mark)?.progress_ms(Instant::now());
         let key = format!(
             "checkpoints/{}/{}/{}",
@@ -204,16 +204,16 @@
 
     async fn stop(&self, request: ControlRequest) -> Result<HttpReply, WaxError> {
         self.check_owner(request.owner)?;
-        let mark = request.mark;
+        let mark = request.run_id;
         self.runs.borrow_mut().fence(mark);
         let checkpoint = self.write_checkpoint(mark).await;
         let mut runs = self.runs.borrow_mut();
-        runs.end(Instant::now(), mark, TaskRun::Stopped(checkpoint));
+        runs.end(Instant::now(), mark, TaskRunStatus::Stopped(checkpoint));
         drop(runs);
         Ok(self.run_reply(mark))
     }
 
-    fn run_reply(&self, mark: TaskMark) -> HttpReply {
+    fn run_reply(&self, mark: TaskRunId) -> HttpReply {
         let runs = self.runs.borrow();
         let run = runs.get(mark);
         let reply = CheckpointReply {
@@ -226,10 +226,10 @@
     fn throttle(&self, request: &ThrottleRequest) -> Result<HttpReply, WaxError> {
         self.check_owner(request.owner)?;
         let speed = f64::from(request.percent.clamp(1, 100)) / 100.0;
-        if let Some(run) = self.runs.borrow_mut().get_mut(request.mark) {
+        if let Some(run) = self.runs.borrow_mut().get_mut(request.run_id) {
             run.set_speed(Instant::now(), speed);
         }
-        Ok(self.run_reply(request.mark))
+        Ok(self.run_reply(request.run_id))
     }
 
     async fn answer(&self, request: HttpRequest) -> Result<HttpReply, WaxError> {
@@ -253,8 +253,8 @@
             "/checkpoint" => {
                 let request: ControlRequest = parse_json(request, BODY_LIMIT).await?;
                 self.check_owner(request.owner)?;
-                self.write_checkpoint(request.mark).await;
-                Ok(self.run_reply(request.mark))
+                self.write_checkpoint(request.run_id).await;
+                Ok(self.run_reply(request.run_id))
             }
             "/throttle" => self.throttle(&parse_json(request, BODY_LIMIT).await?),
             _ => Ok(empty_reply(StatusCode::NOT_FOUND)),
--- a/crates/wax-standin/src/worker_runs.rs
+++ b/crates/wax-standin/src/worker_runs.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
-use wax_platform::{StartReply, StartRequest, TaskMark, TaskReport, TaskRun, UsageReport};
+use wax_platform::{StartReply, StartRequest, TaskReport, TaskRunId, TaskRunStatus, UsageReport};
 use wax_types::{ResourceVector, ShardEpoch, TaskEpoch, TaskId, wall_clock_ms};
 
 /// Usage reports sent in one renewal.
@@ -47,7 +47,7 @@
 
 #[derive(Debug)]
 pub(crate) struct RunState {
-    pub(crate) mark: TaskMark,
+    pub(crate) mark: TaskRunId,
     pub(crate) size: ResourceVector,
     pub(crate) input: TaskInput,
     /// Work done before `since`, in milliseconds.
@@ -55,7 +55,7 @@
     since: Instant,
     speed: f64,
     lease_end: Instant,
-    pub(crate) run: TaskRun,
+    pub(crate) run: TaskRunStatus,
     pub(crate) checkpoint: Option<Box<str>>,
     interval: u32,
     interval_start: Instant,
@@ -99,7 +99,7 @@
 #[derive(Debug, PartialEq)]
 pub(crate) enum RunStep {
     /// Write the result object, then call `finish`.
-    WriteResult(TaskMark),
+    WriteResult(TaskRunId),
 }
 
 #[derive(Debug)]
@@ -150,7 +150,7 @@
     }
 
     /// No later start of this epoch or an earlier one has an effect.
-    pub(crate) fn fence(&mut self, mark: TaskMark) {
+    pub(crate) fn fence(&mut self, mark: TaskRunId) {
         let epoch = self.fenced.entry(mark.task).or_default();
         *epoch = mark.epoch.max(*epoch);
     }
@@ -164,45 +164,45 @@
         if self.clock_ms(now) > request.valid_until_ms {
             return StartReply::Late;
         }
-        let fenced = self.fenced.get(&request.mark.task).copied();
-        if fenced.is_some_and(|epoch| epoch >= request.mark.epoch) {
+        let fenced = self.fenced.get(&request.run_id.task).copied();
+        if fenced.is_some_and(|epoch| epoch >= request.run_id.epoch) {
             return StartReply::Fenced;
         }
-        if let Some(run) = self.runs.get(&request.mark.task) {
-            if run.mark.epoch == request.mark.epoch {
+        if let Some(run) = self.runs.get(&request.run_id.task) {
+            if run.mark.epoch == request.run_id.epoch {
                 return StartReply::Already;
             }
-            if run.mark.epoch > request.mark.epoch {
+            if run.mark.epoch > request.run_id.epoch {
                 return StartReply::Fenced;
             }
-            if run.run == TaskRun::Running {
+            if run.run == TaskRunStatus::Running {
                 return StartReply::Refused("an earlier epoch still runs".into());
             }
         }
         let input: TaskInput = serde_json::from_value(request.input.clone()).unwrap_or_default();
         let run = RunState {
-            mark: request.mark,
+            mark: request.run_id,
             size: request.size,
             input: input.clone(),
             done_ms,
             since: now,
             speed: speed_of(request, &input),
             lease_end: now + Duration::from_millis(request.lease_ms),
-            run: TaskRun::Running,
+            run: TaskRunStatus::Running,
             checkpoint: request.checkpoint.clone(),
             interval: 0,
             interval_start: now,
             interval_start_ms: wall_clock_ms(),
         };
         self.audit.push(AuditLine {
-            task: request.mark.task,
-            epoch: request.mark.epoch,
+            task: request.run_id.task,
+            epoch: request.run_id.epoch,
             start_ms: wall_clock_ms(),
             end_ms: None,
             resumed_from: request.checkpoint.clone(),
             cpu_milli_seconds: 0,
         });
-        self.runs.insert(request.mark.task, run);
+        self.runs.insert(request.run_id.task, run);
         self.note_load();
         StartReply::Started
     }
@@ -212,7 +212,7 @@
         let load = self
             .runs
             .values()
-            .filter(|run| run.run == TaskRun::Running)
+            .filter(|run| run.run == TaskRunStatus::Running)
             .fold(ResourceVector::ZERO, |sum, run| {
                 sum.checked_add(run.size).unwrap_or(sum)
             });
@@ -221,22 +221,22 @@
         self.worst_over = self.worst_over.max(over);
     }
 
-    pub(crate) fn get(&self, mark: TaskMark) -> Option<&RunState> {
+    pub(crate) fn get(&self, mark: TaskRunId) -> Option<&RunState> {
         self.runs
             .get(&mark.task)
             .filter(|run| run.mark.epoch == mark.epoch)
     }
 
-    pub(crate) fn get_mut(&mut self, mark: TaskMark) -> Option<&mut RunState> {
+    pub(crate) fn get_mut(&mut self, mark: TaskRunId) -> Option<&mut RunState> {
         self.runs
             .get_mut(&mark.task)
             .filter(|run| run.mark.epoch == mark.epoch)
     }
 
-    pub(crate) fn renew(&mut self, now: Instant, marks: &[TaskMark], lease_ms: u64) {
+    pub(crate) fn renew(&mut self, now: Instant, marks: &[TaskRunId], lease_ms: u64) {
         for mark in marks {
             if let Some(run) = self.get_mut(*mark)
-                && run.run == TaskRun::Running
+                && run.run == TaskRunStatus::Running
                 && now < run.lease_end
             {
                 run.lease_end = now + Duration::from_millis(lease_ms);
@@ -244,11 +244,11 @@
         }
     }
 
-    pub(crate) fn forget(&mut self, marks: &[TaskMark]) {
+    pub(crate) fn forget(&mut self, marks: &[TaskRunId]) {
         for mark in marks {
             if self
                 .get(*mark)
-                .is_some_and(|run| run.run != TaskRun::Running)
+                .is_some_and(|run| run.run != TaskRunStatus::Running)
             {
                 self.runs.remove(&mark.task);
             }
@@ -259,15 +259,18 @@
         self.runs
             .values()
             .map(|run| TaskReport {
-                mark: run.mark,
+                run_id: run.mark,
                 run: run.run.clone(),
             })
             .collect()
     }
 
     /// Ends a run, with its last usage interval.
-    pub(crate) fn end(&mut self, now: Instant, mark: TaskMark, outcome: TaskRun) {
-        if self.get(mark).is_none_or(|run| run.run != TaskRun::Running) {
+    pub(crate) fn end(&mut self, now: Instant, mark: TaskRunId, outcome: TaskRunStatus) {
+        if self
+            .get(mark)
+            .is_none_or(|run| run.run != TaskRunStatus::Running)
+        {
             return;
         }
         self.close_interval(now, mark);
@@ -287,10 +290,10 @@
 
     /// Lets time pass: lapses leases, closes usage intervals, finds finished work.
     pub(crate) fn advance(&mut self, now: Instant) -> Vec<RunStep> {
-        let running: Vec<TaskMark> = self
+        let running: Vec<TaskRunId> = self
             .runs
             .values()
-            .filter(|run| run.run == TaskRun::Running)
+            .filter(|run| run.run == TaskRunStatus::Running)
             .map(|run| run.mark)
             .collect();
         let mut steps = Vec::new();
@@ -303,12 +306,12 @@
             let due = now.saturating_duration_since(run.interval_start) >= self.usage_every;
             let checkpoint = run.checkpoint.clone();
             if lapsed {
-                self.end(lease_end, mark, TaskRun::Stopped(checkpoint));
+                self.end(lease_end, mark, TaskRunStatus::Stopped(checkpoint));
             } else if failed {
                 self.end(
                     now,
                     mark,
-                    TaskRun::Failed("the task exited with status 1".into()),
+                    TaskRunStatus::Failed("the task exited with status 1".into()),
                 );
             } else if finished {
                 steps.push(RunStep::WriteResult(mark));
@@ -319,7 +322,7 @@
         steps
     }
 
-    fn close_interval(&mut self, now: Instant, mark: TaskMark) {
+    fn close_interval(&mut self, now: Instant, mark: TaskRunId) {
         let sequence = self.sequence + 1;
         let boot = self.boot;
         let lag = Duration::from_millis(self.faults.usage_lag_ms);
@@ -332,7 +335,7 @@
         let report = UsageReport {
             sequence,
             boot,
-            mark,
+            run_id: mark,
             interval: run.interval,
             start_ms: run.interval_start_ms,
             length_ms,
--- a/crates/wax-tasks/src/coordinator.rs
+++ b/crates/wax-tasks/src/coordinator.rs
@@ -134,7 +134,7 @@
             renew: Duration::from_millis(settings.renew_ms.into()),
             policy,
         };
-        let clock = table.health().clock();
+        let clock = table.store().clock();
         let workers = WorkerClient::new(WORKER_CALL)?;
         Ok(Self {
             settings,
--- a/crates/wax-tasks/src/desk.rs
+++ b/crates/wax-tasks/src/desk.rs
@@ -101,7 +101,7 @@
         directory: WorkerDirectory,
         shards: u16,
     ) -> Self {
-        let clock = table.health().clock();
+        let clock = table.store().clock();
         Self {
             table,
             writer,
--- a/crates/wax-tasks/src/drains.rs
+++ b/crates/wax-tasks/src/drains.rs
@@ -148,7 +148,7 @@
     }
 
     fn now(&self) -> TimePoint {
-        self.table.health().clock().now()
+        self.table.store().clock().now()
     }
 }
 
--- a/crates/wax-tasks/src/ledger_feed.rs
+++ b/crates/wax-tasks/src/ledger_feed.rs
@@ -63,11 +63,11 @@
     }
 
     fn note_charge(&mut self, state: &ShardState, report: &UsageReport) {
-        let job = report.mark.task.job;
+        let job = report.run_id.task.job;
         if self.charges.contains_key(&job) {
             return;
         }
-        if let Some(part) = state.part_of(report.mark.task) {
+        if let Some(part) = state.part_of(report.run_id.task) {
             let spec = &part.row.spec;
             let charge = JobCharge {
                 team: spec.team.clone(),
@@ -89,7 +89,7 @@
         let mut jobs: Vec<JobId> = self
             .waiting
             .values()
-            .map(|report| report.mark.task.job)
+            .map(|report| report.run_id.task.job)
             .filter(|job| !self.charges.contains_key(job))
             .collect();
         jobs.sort_unstable();
@@ -100,7 +100,7 @@
     fn next_batch(&self) -> Vec<((WorkerId, u64, u64), UsageReport)> {
         self.waiting
             .iter()
-            .filter(|(_, report)| self.charges.contains_key(&report.mark.task.job))
+            .filter(|(_, report)| self.charges.contains_key(&report.run_id.task.job))
             .take(SEGMENT_ENTRIES)
             .map(|(key, report)| (key.clone(), report.clone()))
             .collect()
@@ -110,7 +110,7 @@
         batch
             .iter()
             .filter_map(|(_, report)| {
-                let charge = self.charges.get(&report.mark.task.job)?;
+                let charge = self.charges.get(&report.run_id.task.job)?;
                 let entry =
                     LedgerEntry::from_report(report, &charge.team, &charge.service, &charge.kind);
                 Some(entry)
--- a/crates/wax-tasks/src/placing.rs
+++ b/crates/wax-tasks/src/placing.rs
@@ -8,7 +8,7 @@
 use compio::runtime::spawn;
 use std::cell::RefCell;
 use std::time::Duration;
-use wax_platform::TaskMark;
+use wax_platform::TaskRunId;
 use wax_policy::{FirmWeights, PlaceChoice, PlaceContext, RunningTask};
 use wax_settings::{NodePath, SettingsTree};
 use wax_types::{ResourceVector, TaskId, TimePoint, WorkerId};
@@ -200,7 +200,7 @@
         let Some(row) = entry.row.as_ref().filter(|_| !entry.stopping) else {
             return;
         };
-        let mark = TaskMark {
+        let mark = TaskRunId {
             task,
             epoch: row.epoch,
         };
--- a/crates/wax-tasks/src/reports.rs
+++ b/crates/wax-tasks/src/reports.rs
@@ -9,7 +9,7 @@
 use compio::runtime::spawn;
 use std::collections::HashMap;
 use std::time::Duration;
-use wax_platform::{RenewReply, TaskMark, TaskReport, TaskRun, UsageReport};
+use wax_platform::{RenewReply, TaskReport, TaskRunId, TaskRunStatus, UsageReport};
 use wax_policy::{FirmWeights, ReliefChoice, ReliefView, THROTTLED_PERCENT};
 use wax_settings::SettingsTree;
 use wax_trace::{Counter, count, count_many};
@@ -39,15 +39,15 @@
             WorkerEvent::Report(worker, reply, sent) => self.take_report(&worker, reply, sent),
             WorkerEvent::Run(worker, report) => {
                 let mut state = self.shared.state.borrow_mut();
-                if let Some(task) = state.tasks.get_mut(&report.mark.task) {
+                if let Some(task) = state.tasks.get_mut(&report.run_id.task) {
                     task.stopping = false;
                 }
                 drop(state);
                 self.take_run(&worker, &report).into_iter().collect()
             }
             WorkerEvent::Refused(worker, mark, reason) => {
-                let run = TaskRun::Failed(reason);
-                let report = TaskReport { mark, run };
+                let run = TaskRunStatus::Failed(reason);
+                let report = TaskReport { run_id: mark, run };
                 self.take_run(&worker, &report).into_iter().collect()
             }
             WorkerEvent::StopFailed(mark) => {
@@ -108,7 +108,7 @@
         let Some(row) = state.tasks.get(&task).and_then(|entry| entry.row.as_ref()) else {
             return;
         };
-        let mark = TaskMark {
+        let mark = TaskRunId {
             task,
             epoch: row.epoch,
         };
@@ -132,7 +132,7 @@
     pub(crate) fn take_run(&self, worker: &WorkerId, report: &TaskReport) -> Option<TaskChange> {
         let now = self.shared.now();
         let mut state = self.shared.state.borrow_mut();
-        let mark = report.mark;
+        let mark = report.run_id;
         let attempts = state
             .part_of(mark.task)
             .map_or(1, |part| part.row.spec.attempts);
@@ -183,7 +183,7 @@
         let mut state = self.shared.state.borrow_mut();
         let mut changes = Vec::new();
         for mark in state.marks_at(worker) {
-            if reply.runs.iter().any(|run| run.mark == mark) {
+            if reply.runs.iter().any(|run| run.run_id == mark) {
                 continue;
             }
             let Some(task) = state.tasks.get_mut(&mark.task) else {
@@ -265,7 +265,7 @@
             .iter()
             .filter_map(|report| {
                 let mut urgent = slot.tasks().iter().filter(|task| task.urgent);
-                let task = urgent.find(|task| task.task == report.mark.task)?;
+                let task = urgent.find(|task| task.task == report.run_id.task)?;
                 Some((*task, f64::from(report.slowdown_percent) / 100.0 - 1.0))
             })
             .max_by(|(_, a), (_, b)| a.total_cmp(b));
--- a/crates/wax-tasks/src/round.rs
+++ b/crates/wax-tasks/src/round.rs
@@ -11,7 +11,7 @@
 use futures_channel::mpsc::UnboundedReceiver;
 use std::rc::Rc;
 use std::time::Duration;
-use wax_platform::{CommitOutcome, TaskMark};
+use wax_platform::{CommitOutcome, TaskRunId};
 use wax_trace::{Counter, count};
 use wax_types::{TimePoint, WorkerId};
 
@@ -84,7 +84,7 @@
             let outcome = self
                 .shared
                 .table
-                .commit_again(&group.transaction, deadline, sent)
+                .resume_commit(&group.transaction, deadline, sent)
                 .await;
             match outcome {
                 CommitOutcome::Committed(version) => {
@@ -115,7 +115,7 @@
         for change in &group.changes {
             count_change(&change.next);
             if let Some((worker, _)) = &change.reserve {
-                let mark = TaskMark {
+                let mark = TaskRunId {
                     task: change.task,
                     epoch: change.next.epoch,
                 };
--- a/crates/wax-tasks/src/shard_state.rs
+++ b/crates/wax-tasks/src/shard_state.rs
@@ -4,7 +4,7 @@
 use crate::rows::{AllocEntry, AllocRow, PartRow, TaskRow, TaskState, TasksRow};
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::time::Duration;
-use wax_platform::{TaskMark, UsageReport, WorkerInfo};
+use wax_platform::{TaskRunId, UsageReport, WorkerInfo};
 use wax_policy::{
     KindKey, KindTable, PairTable, ReliefState, RunningTask, SizeTable, TaskDemand, WorkerContact,
     WorkerKey, WorkerTable,
@@ -63,8 +63,8 @@
     /// The worker's clock when it answered, and our time when the answer came.
     pub(crate) clock: Option<(u64, TimePoint)>,
     pub(crate) boot: u64,
-    pub(crate) orphans: HashMap<TaskMark, TimePoint>,
-    pub(crate) forget: HashSet<TaskMark>,
+    pub(crate) orphans: HashMap<TaskRunId, TimePoint>,
+    pub(crate) forget: HashSet<TaskRunId>,
     pub(crate) usage_through: u64,
     /// Runs that failed since one last succeeded.
     pub(crate) failures: u32,
@@ -192,13 +192,13 @@
     }
 
     /// Marks of the runs that should be at a worker.
-    pub(crate) fn marks_at(&self, worker: &WorkerId) -> Vec<TaskMark> {
+    pub(crate) fn marks_at(&self, worker: &WorkerId) -> Vec<TaskRunId> {
         self.workers.get(worker).map_or_else(Vec::new, |entry| {
             entry
                 .alloc
                 .tasks
                 .iter()
-                .map(|alloc| TaskMark {
+                .map(|alloc| TaskRunId {
                     task: alloc.task,
                     epoch: alloc.epoch,
                 })
@@ -257,7 +257,7 @@
     /// A report from before the worker's tasks last changed says nothing about its neighbours of
     /// now, and is used for the size only.
     pub(crate) fn learn(&mut self, worker: &WorkerId, report: &UsageReport) {
-        let Some(part) = self.part_of(report.mark.task) else {
+        let Some(part) = self.part_of(report.run_id.task) else {
             return;
         };
         let (kind, declared) = (part.kind, part.row.spec.size);
@@ -275,7 +275,7 @@
         let others = slot
             .tasks()
             .iter()
-            .filter(|task| task.task != report.mark.task);
+            .filter(|task| task.task != report.run_id.task);
         let neighbours: Vec<KindKey> = others.map(|task| task.kind).collect();
         let band = slot.band();
         let excess = f64::from(report.slowdown_percent) / 100.0 - 1.0;
--- a/crates/wax-tasks/src/transition.rs
+++ b/crates/wax-tasks/src/transition.rs
@@ -1,7 +1,7 @@
 //! Decides what a worker's report of a run means for its task.
 
 use crate::rows::{TaskRow, TaskState};
-use wax_platform::{TaskMark, TaskRun};
+use wax_platform::{TaskRunId, TaskRunStatus};
 use wax_types::WorkerId;
 
 /// What follows from a report.
@@ -21,32 +21,34 @@
 pub fn decide_run(
     row: Option<&TaskRow>,
     worker: &WorkerId,
-    mark: TaskMark,
-    run: &TaskRun,
+    mark: TaskRunId,
+    run: &TaskRunStatus,
     attempts: u32,
 ) -> RunChoice {
     let Some(row) = row.filter(|row| is_current(row, worker, mark)) else {
         return match run {
-            TaskRun::Running => RunChoice::Orphan,
+            TaskRunStatus::Running => RunChoice::Orphan,
             _ => RunChoice::Forget,
         };
     };
     match run {
-        TaskRun::Running => RunChoice::Nothing,
-        TaskRun::Done(result) => {
+        TaskRunStatus::Running => RunChoice::Nothing,
+        TaskRunStatus::Done(result) => {
             RunChoice::Change(with_state(row, TaskState::Done(result.clone())))
         }
-        TaskRun::Stopped(checkpoint) => {
+        TaskRunStatus::Stopped(checkpoint) => {
             let mut next = with_state(row, TaskState::Waiting);
             next.checkpoint = checkpoint.clone().or(next.checkpoint);
             next.evictions += 1;
             RunChoice::Change(next)
         }
-        TaskRun::Failed(reason) => RunChoice::Change(after_failure(row, worker, reason, attempts)),
+        TaskRunStatus::Failed(reason) => {
+            RunChoice::Change(after_failure(row, worker, reason, attempts))
+        }
     }
 }
 
-fn is_current(row: &TaskRow, worker: &WorkerId, mark: TaskMark) -> bool {
+fn is_current(row: &TaskRow, worker: &WorkerId, mark: TaskRunId) -> bool {
     row.epoch == mark.epoch && row.state == TaskState::Placed(worker.clone())
 }
 
--- a/crates/wax-tasks/src/upkeep.rs
+++ b/crates/wax-tasks/src/upkeep.rs
@@ -8,7 +8,7 @@
 use crate::worker_link::{keep_worker, stop_run};
 use compio::runtime::spawn;
 use std::time::Duration;
-use wax_platform::{TaskMark, WorkerInfo};
+use wax_platform::{TaskRunId, WorkerInfo};
 use wax_policy::WorkerContact;
 use wax_trace::{Counter, count};
 use wax_types::{WaxError, WorkerId};
@@ -20,11 +20,11 @@
     /// Stops runs without an allocation, once the ownership was confirmed after they were seen.
     pub(crate) fn stop_orphans(&self) {
         let confirmed = self.shared.term.confirmed();
-        let due: Vec<(WorkerId, TaskMark)> = {
+        let due: Vec<(WorkerId, TaskRunId)> = {
             let mut state = self.shared.state.borrow_mut();
             let mut due = Vec::new();
             for (worker, entry) in &mut state.workers {
-                let marks: Vec<TaskMark> = entry
+                let marks: Vec<TaskRunId> = entry
                     .orphans
                     .iter()
                     .filter(|(_, seen)| **seen < confirmed)
--- a/crates/wax-tasks/src/worker_link.rs
+++ b/crates/wax-tasks/src/worker_link.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wax_platform::{
-    ControlRequest, RenewReply, RenewRequest, StartReply, StartRequest, TaskMark, TaskReport,
-    TaskRun, ThrottleRequest,
+    ControlRequest, RenewReply, RenewRequest, StartReply, StartRequest, TaskReport, TaskRunId,
+    TaskRunStatus, ThrottleRequest,
 };
 use wax_policy::ContactChoice;
 use wax_trace::{Counter, count};
@@ -21,9 +21,9 @@
     /// One run changed, outside of a renewal.
     Run(WorkerId, TaskReport),
     /// The worker cannot run the task.
-    Refused(WorkerId, TaskMark, Box<str>),
+    Refused(WorkerId, TaskRunId, Box<str>),
     /// A stop did not get through.
-    StopFailed(TaskMark),
+    StopFailed(TaskRunId),
     /// Every lease at the worker has surely lapsed.
     Lapsed(WorkerId),
 }
@@ -140,7 +140,7 @@
 }
 
 /// Starts a run that was placed by a committed transaction; a repeated start changes nothing.
-pub(crate) async fn start_run(shared: Rc<ShardShared>, worker: WorkerId, mark: TaskMark) {
+pub(crate) async fn start_run(shared: Rc<ShardShared>, worker: WorkerId, mark: TaskRunId) {
     if shared.is_drained(&worker) {
         // Placed before the drain was heard of, and not seen to run: a stop forbids the start for good,
         // and the task waits again.
@@ -160,8 +160,8 @@
     let (start, event) = match result {
         Ok(StartReply::Started | StartReply::Already) => (None, None),
         Ok(StartReply::Fenced) => {
-            let run = TaskRun::Stopped(None);
-            let report = TaskReport { mark, run };
+            let run = TaskRunStatus::Stopped(None);
+            let report = TaskReport { run_id: mark, run };
             (None, Some(WorkerEvent::Run(worker.clone(), report)))
         }
         Ok(StartReply::Refused(reason)) => {
@@ -193,7 +193,7 @@
 fn build_start(
     shared: &ShardShared,
     worker: &WorkerId,
-    mark: TaskMark,
+    mark: TaskRunId,
 ) -> Option<(Box<str>, StartRequest)> {
     let now = shared.now();
     if !shared.holds() {
@@ -211,7 +211,7 @@
     entry.contact.note_renewal(now, &shared.options.terms);
     let request = StartRequest {
         owner: shared.term.epoch(),
-        mark,
+        run_id: mark,
         size,
         kind: spec.kind,
         input: spec.input,
@@ -223,7 +223,7 @@
 }
 
 /// Stops a run, with a checkpoint.
-pub(crate) async fn stop_run(shared: Rc<ShardShared>, worker: WorkerId, mark: TaskMark) {
+pub(crate) async fn stop_run(shared: Rc<ShardShared>, worker: WorkerId, mark: TaskRunId) {
     let address = {
         let state = shared.state.borrow();
         state
@@ -237,7 +237,7 @@
     }
     let request = ControlRequest {
         owner: shared.term.epoch(),
-        mark,
+        run_id: mark,
     };
     let result = shared.workers.stop(&address, &request).await;
     if !shared.holds() {
@@ -246,8 +246,10 @@
     match result {
         Ok(reply) => {
             // A run that the worker never had is fenced there now, and counts as stopped.
-            let run = reply.run.unwrap_or(TaskRun::Stopped(reply.checkpoint));
-            let report = TaskReport { mark, run };
+            let run = reply
+                .run
+                .unwrap_or(TaskRunStatus::Stopped(reply.checkpoint));
+            let report = TaskReport { run_id: mark, run };
             shared.send(WorkerEvent::Run(worker, report));
         }
         Err(error) if error.kind == ErrorKind::Conflict => shared.fenced(&error),
@@ -259,7 +261,7 @@
 pub(crate) async fn throttle_run(
     shared: Rc<ShardShared>,
     worker: WorkerId,
-    mark: TaskMark,
+    mark: TaskRunId,
     percent: u8,
 ) {
     let Some((_, address)) = shared.look_at(&worker, shared.now()) else {
@@ -270,7 +272,7 @@
     }
     let request = ThrottleRequest {
         owner: shared.term.epoch(),
-        mark,
+        run_id: mark,
         percent,
     };
     let result = shared.workers.throttle(&address, &request).await;
--- a/crates/wax-tasks/tests/decisions.rs
+++ b/crates/wax-tasks/tests/decisions.rs
@@ -3,7 +3,7 @@
 use fastrand::Rng;
 use proptest::prelude::*;
 use std::time::Duration;
-use wax_platform::{TaskMark, TaskRun};
+use wax_platform::{TaskRunId, TaskRunStatus};
 use wax_tasks::{
     OwnIdentity, OwnerTerm, QuotaRow, RunChoice, ShardChoice, ShardRow, TaskRow, TaskState,
     WorkerShape, decide_run, decide_shard, split_job,
@@ -64,8 +64,8 @@
     }
 }
 
-fn mark(epoch: u32) -> TaskMark {
-    TaskMark {
+fn mark(epoch: u32) -> TaskRunId {
+    TaskRunId {
         task: TaskId {
             job: JobId(1),
             index: 0,
@@ -81,19 +81,19 @@
 #[test]
 fn a_run_of_an_earlier_epoch_changes_nothing() {
     let current = row(2, TaskState::Placed(here()));
-    let done = TaskRun::Done("result".into());
+    let done = TaskRunStatus::Done("result".into());
     assert_eq!(
         decide_run(Some(&current), &here(), mark(1), &done, 3),
         RunChoice::Forget
     );
-    let running = decide_run(Some(&current), &here(), mark(1), &TaskRun::Running, 3);
+    let running = decide_run(Some(&current), &here(), mark(1), &TaskRunStatus::Running, 3);
     assert_eq!(running, RunChoice::Orphan);
 }
 
 #[test]
 fn a_run_at_another_worker_changes_nothing() {
     let current = row(2, TaskState::Placed("elsewhere".into()));
-    let done = TaskRun::Done("result".into());
+    let done = TaskRunStatus::Done("result".into());
     assert_eq!(
         decide_run(Some(&current), &here(), mark(2), &done, 3),
         RunChoice::Forget
@@ -104,7 +104,7 @@
 fn a_stopped_run_keeps_the_newest_checkpoint() {
     let current = row(2, TaskState::Placed(here()));
     let newest = |checkpoint: Option<&str>| {
-        let run = TaskRun::Stopped(checkpoint.map(Into::into));
+        let run = TaskRunStatus::Stopped(checkpoint.map(Into::into));
         match decide_run(Some(&current), &here(), mark(2), &run, 3) {
             RunChoice::Change(next) => next.checkpoint,
             other => panic!("expected a change: {other:?}"),
@@ -117,7 +117,7 @@
 #[test]
 fn a_task_is_given_up_after_its_attempts() {
     let mut current = row(2, TaskState::Placed(here()));
-    let failed = TaskRun::Failed("exit 1".into());
+    let failed = TaskRunStatus::Failed("exit 1".into());
     for failures in 1..=3 {
         let RunChoice::Change(next) = decide_run(Some(&current), &here(), mark(2), &failed, 3)
         else {
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -7,7 +7,7 @@
 use wax_http::{ShutdownSignal, bind_listener};
 use wax_member::{MemberHandle, MemberRow, keep_membership};
 use wax_platform::{
-    GroupWriter, ObjectClient, StoreHealth, StoreLimits, TableClient, WorkerDirectory,
+    GroupWriter, ObjectClient, StoreHandle, StoreLimits, TableClient, WorkerDirectory,
 };
 use wax_policy::{PlacePolicy, RoutePolicy};
 use wax_route::{EntryProcess, EntryServices};
@@ -96,13 +96,13 @@
     Ok(())
 }
 
-fn store_health(settings: &DaemonSettings, clock: ProcessClock) -> Result<StoreHealth, WaxError> {
+fn store_health(settings: &DaemonSettings, clock: ProcessClock) -> Result<StoreHandle, WaxError> {
     let limits = StoreLimits {
-        call: Duration::from_millis(settings.platform.call_ms.into()),
+        call_timeout: Duration::from_millis(settings.platform.call_ms.into()),
         concurrency: settings.platform.concurrency as usize,
     };
     let base = format!("http://{}", settings.platform.address);
-    StoreHealth::new(&base, limits, clock)
+    StoreHandle::new(&base, limits, clock)
 }
 
 fn member_handle(
