--- a/crates/wax-wire/src/codec.rs
+++ b/crates/wax-wire/src/codec.rs
@@ -1,4 +1,4 @@
-//! Frames with a four-byte length in front and a bound on it.
+//! Codec for protobuf messages that are each preceded by their length in four bytes.
 
 use crate::peer::PeerFrame;
 use bytes::{Bytes, BytesMut};
@@ -7,10 +7,10 @@
 use std::marker::PhantomData;
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-/// The largest frame accepted, in bytes; a longer length ends the connection.
+/// Maximum size of a frame. A length field above it is a decoding error, which ends the connection.
 pub const MAX_FRAME_BYTES: usize = 4 << 20;
 
-/// Encodes and decodes messages of one type, [`PeerFrame`]s unless it is named.
+/// Encodes and decodes length-delimited messages of type `M`.
 #[derive(Debug)]
 pub struct FrameCodec<M = PeerFrame> {
     lengths: LengthDelimitedCodec,
@@ -18,7 +18,7 @@
 }
 
 impl<M> FrameCodec<M> {
-    /// Builds a codec with the bound [`MAX_FRAME_BYTES`].
+    /// Creates a codec that accepts frames of up to [`MAX_FRAME_BYTES`].
     pub fn new() -> Self {
         let lengths = LengthDelimitedCodec::builder()
             .max_frame_length(MAX_FRAME_BYTES)
--- a/crates/wax-wire/src/lib.rs
+++ b/crates/wax-wire/src/lib.rs
@@ -1,4 +1,7 @@
-//! Frames between an entry and a sidecar: length-delimited protobuf on one TCP connection.
+//! Messages between the processes of the system: length-delimited protobuf over TCP.
+//!
+//! [`PeerFrame`]s go between an entry and a sidecar and carry quick requests. [`PoolFrame`]s go between the
+//! owner of a shard, its agents and its fronts and carry everything about jobs and tasks.
 
 mod codec;
 mod link;
--- a/crates/wax-wire/src/link.rs
+++ b/crates/wax-wire/src/link.rs
@@ -1,4 +1,4 @@
-//! Splits a TCP stream into a reader and a writer of one family of messages.
+//! Reads and writes messages on a TCP connection, for either family of messages.
 
 use crate::codec::FrameCodec;
 use crate::peer::{PeerBody, PeerFrame};
@@ -15,25 +15,25 @@
 use tokio_util::compat::{Compat, FuturesAsyncReadCompatExt};
 use wax_trace::{Counter, count_many};
 
-/// Bytes of one body that may be under way before the receiver grants more.
+/// Flow-control window of one body: the bytes that may be in flight before the receiver grants credit.
 pub const BODY_WINDOW_BYTES: u32 = 256 << 10;
 
-/// What each of a link's four buffers begins with. Nearly all frames are smaller, and an owner keeps a link to
-/// each process of its pool; buffers grow for a larger frame.
+/// Initial size of each of a link's four buffers. It is small because nearly all frames are smaller and an owner
+/// keeps a link to each process of its pool. Buffers grow for larger frames.
 const BUFFER_BYTES: usize = 2 << 10;
 
-/// The length in front of each frame.
+/// Size of the length field that precedes each frame.
 const LENGTH_BYTES: usize = 4;
 
-/// A frame that carries one of several bodies.
+/// Envelope of a family of messages: carries one of several bodies.
 pub trait LinkFrame: Message + Default + From<Self::Body> {
-    /// What it carries.
+    /// The messages of the family.
     type Body;
 
-    /// The body; `None` for a kind that is not known.
+    /// Returns the body; `None` if its kind is unknown.
     fn into_body(self) -> Option<Self::Body>;
 
-    /// Notes that it is about to be sent.
+    /// Counts the frame in the metrics just before it is sent. Does nothing unless overridden.
     fn count_sent(&self) {}
 }
 
@@ -62,13 +62,13 @@
 
 type FramedStream<M> = Framed<Compat<Pin<Box<AsyncStream<TcpStream>>>>, FrameCodec<M>>;
 
-/// The reading half of a connection.
+/// Reads messages from a connection.
 #[derive(Debug)]
 pub struct LinkReader<M> {
     stream: SplitStream<FramedStream<M>>,
 }
 
-/// The writing half of a connection.
+/// Writes messages to a connection.
 #[derive(Debug)]
 pub struct LinkWriter<M> {
     sink: SplitSink<FramedStream<M>, M>,
@@ -78,12 +78,12 @@
 pub type PeerReader = LinkReader<PeerFrame>;
 /// Writes frames between an entry and a sidecar.
 pub type PeerWriter = LinkWriter<PeerFrame>;
-/// Reads messages of the pool.
+/// Reads frames between an owner and its agents or fronts.
 pub type PoolReader = LinkReader<PoolFrame>;
-/// Writes messages of the pool.
+/// Writes frames between an owner and its agents or fronts.
 pub type PoolWriter = LinkWriter<PoolFrame>;
 
-/// Wraps a connected stream in the codec and splits it.
+/// Splits a connected stream into a reader and a writer of messages.
 pub fn split_stream<M: LinkFrame>(stream: TcpStream) -> (LinkReader<M>, LinkWriter<M>) {
     let stream = Box::pin(AsyncStream::with_capacity(BUFFER_BYTES, stream)).compat();
     let framed = Framed::with_capacity(stream, FrameCodec::new(), BUFFER_BYTES);
@@ -92,28 +92,28 @@
 }
 
 impl<M: LinkFrame> LinkReader<M> {
-    /// The next frame's body; `None` once the peer has closed the connection.
+    /// Reads the next message. Returns `None` once the peer has closed the connection.
     ///
     /// # Errors
     ///
-    /// I/O errors, frames over the bound, and frames that do not decode.
+    /// I/O errors, frames larger than [`MAX_FRAME_BYTES`](crate::MAX_FRAME_BYTES), and frames that do not decode.
     pub async fn read(&mut self) -> io::Result<Option<M::Body>> {
         let Some(frame) = self.stream.next().await else {
             return Ok(None);
         };
         frame?.into_body().map(Some).ok_or_else(|| {
-            let text = "frame of an unknown kind";
+            let text = "frame without a body of a known kind";
             io::Error::new(io::ErrorKind::InvalidData, text)
         })
     }
 }
 
 impl<M: LinkFrame> LinkWriter<M> {
-    /// Sends one frame and flushes.
+    /// Sends one message and flushes.
     ///
     /// # Errors
     ///
-    /// I/O errors, and a frame over the bound.
+    /// I/O errors, and a message larger than [`MAX_FRAME_BYTES`](crate::MAX_FRAME_BYTES).
     pub async fn write(&mut self, body: M::Body) -> io::Result<()> {
         self.sink.send(body.into()).await
     }
@@ -124,7 +124,8 @@
         self.sink.feed(frame).await
     }
 
-    /// Sends what arrives on `outbox`, flushing when it is empty, until it closes.
+    /// Sends all messages from `outbox` until its senders are dropped, then closes the connection. Flushes
+    /// whenever `outbox` is empty.
     ///
     /// # Errors
     ///
--- a/crates/wax-wire/src/peer.rs
+++ b/crates/wax-wire/src/peer.rs
@@ -1,59 +1,61 @@
-//! The messages; written by hand with prost's derive, so that no generator is needed.
+//! Messages between an entry and a sidecar.
+//!
+//! The types are written by hand with prost's derive macros, so the build needs no protobuf compiler.
 
 use prost::{Enumeration, Message, Oneof};
 use wax_types::{AttemptKey, ProcessIncarnation};
 
-/// One frame on the connection.
+/// Envelope of each message between an entry and a sidecar.
 #[derive(Clone, PartialEq, Message)]
 pub struct PeerFrame {
-    /// What the frame says; a frame without a known body is a protocol error.
+    /// Content of the frame. `None`, which includes unknown tags, is a protocol error.
     #[prost(oneof = "PeerBody", tags = "1,2,3,4,5,6,7,8,9,10,11,12")]
     pub body: Option<PeerBody>,
 }
 
-/// The kinds of frame.
+/// Content of a [`PeerFrame`].
 #[derive(Clone, PartialEq, Oneof)]
 pub enum PeerBody {
-    /// First frame in each direction.
+    /// First frame in each direction: identifies the sender.
     #[prost(message, tag = "1")]
     Hello(PeerHello),
-    /// Sidecar to entry: state and load of the upstream; also the heartbeat.
+    /// Sidecar to entry: state and load of the upstream. Also the sidecar's heartbeat.
     #[prost(message, tag = "2")]
     Load(LoadReport),
-    /// Entry to sidecar: starts an attempt.
+    /// Entry to sidecar: starts an attempt of a request.
     #[prost(message, tag = "3")]
     Request(RequestHead),
     /// Either direction: a part of a body.
     #[prost(message, tag = "4")]
     Chunk(BodyChunk),
-    /// Either direction: the receiver of a body can take more bytes.
+    /// Either direction: flow-control credit for further bytes of a body.
     #[prost(message, tag = "5")]
     Credit(CreditGrant),
-    /// Entry to sidecar: the answer is no longer wanted.
+    /// Entry to sidecar: cancels an attempt whose answer is no longer needed.
     #[prost(message, tag = "6")]
     Cancel(CancelRequest),
-    /// Sidecar to entry: the upstream answers.
+    /// Sidecar to entry: status and header fields of the upstream's answer.
     #[prost(message, tag = "7")]
     Response(ResponseHead),
     /// Sidecar to entry: the attempt was not dispatched and never will be.
     #[prost(message, tag = "8")]
     NotRun(NotRunAnswer),
-    /// Sidecar to entry: the attempt was dispatched and its answer is lost.
+    /// Sidecar to entry: the attempt was dispatched, but its answer is lost.
     #[prost(message, tag = "9")]
     Lost(RequestLost),
     /// Either direction: a version of the settings tree.
     #[prost(message, tag = "10")]
     Settings(SettingsPush),
-    /// Either direction: the version that the sender applies now; the entry's heartbeat.
+    /// Either direction: the settings version that the sender applies. Also the entry's heartbeat.
     #[prost(message, tag = "11")]
     SettingsAck(SettingsAck),
-    /// Entry to sidecar: addresses of the entries that it knows.
+    /// Entry to sidecar: addresses of the entries that the sender knows.
     #[prost(message, tag = "12")]
     Peers(PeerList),
 }
 
 impl PeerBody {
-    /// Whether the frame is none of a request or an answer.
+    /// Returns whether the frame is control traffic, that is, belongs to no request or answer.
     pub fn is_control(&self) -> bool {
         matches!(
             self,
@@ -72,41 +74,41 @@
     }
 }
 
-/// Says who speaks.
+/// Identifies the sender of a connection's frames.
 #[derive(Clone, PartialEq, Message)]
 pub struct PeerHello {
-    /// Version of this protocol; a peer with another version is refused.
+    /// Protocol version of the sender. A peer with another version than [`PeerHello::PROTOCOL`] is refused.
     #[prost(uint32, tag = "1")]
     pub protocol: u32,
-    /// The run of the speaking process.
+    /// Incarnation of the sender: a value that differs for each start of a process.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
-    /// The name that the process has in its settings.
+    /// Name of the process, from its settings.
     #[prost(string, tag = "3")]
     pub name: String,
-    /// The failure domain of the process.
+    /// Failure domain of the process.
     #[prost(string, tag = "4")]
     pub failure_domain: String,
-    /// Sidecar only: the service of its upstream.
+    /// Sidecar only: name of the service that its upstream provides.
     #[prost(string, tag = "5")]
     pub service: String,
-    /// Sidecar only: requests that the upstream may run at once.
+    /// Sidecar only: number of requests that the upstream may run concurrently.
     #[prost(uint32, tag = "6")]
     pub slots: u32,
 }
 
 impl PeerHello {
-    /// The version of the protocol that this build speaks.
+    /// Protocol version of this build.
     pub const PROTOCOL: u32 = 1;
 }
 
-/// Names an attempt on the wire.
+/// Identifies one attempt of a request.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct AttemptId {
-    /// The run of the entry.
+    /// Incarnation of the entry that started the attempt.
     #[prost(fixed64, tag = "1")]
     pub incarnation: u64,
-    /// The entry's count.
+    /// Number of the attempt, counted by that entry.
     #[prost(uint64, tag = "2")]
     pub sequence: u64,
 }
@@ -129,89 +131,89 @@
     }
 }
 
-/// One header field.
+/// One HTTP header field.
 #[derive(Clone, PartialEq, Message)]
 pub struct HeaderField {
-    /// Lower-case name.
+    /// Name in lower case.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Value as received.
+    /// Value, byte for byte as received.
     #[prost(bytes = "bytes", tag = "2")]
     pub value: bytes::Bytes,
 }
 
-/// The start of an attempt.
+/// Starts an attempt: the head of the request and the first bytes of its body.
 #[derive(Clone, PartialEq, Message)]
 pub struct RequestHead {
-    /// The attempt.
+    /// Attempt to which the frame belongs.
     #[prost(message, optional, tag = "1")]
     pub attempt: Option<AttemptId>,
     /// HTTP method.
     #[prost(string, tag = "2")]
     pub method: String,
-    /// Path and query for the upstream.
+    /// Path and query, as sent to the upstream.
     #[prost(string, tag = "3")]
     pub path: String,
     /// Header fields for the upstream.
     #[prost(message, repeated, tag = "4")]
     pub headers: Vec<HeaderField>,
-    /// Time left until the caller's deadline, in milliseconds.
+    /// Time left until the caller's deadline when the frame was sent, in milliseconds.
     #[prost(uint32, tag = "5")]
     pub deadline_ms: u32,
-    /// The start of the body.
+    /// First bytes of the body.
     #[prost(bytes = "bytes", tag = "6")]
     pub body: bytes::Bytes,
-    /// Whether `body` is all of it; otherwise chunks follow on credit.
+    /// Whether `body` is the whole body. If not, [`BodyChunk`]s follow as credit allows.
     #[prost(bool, tag = "7")]
     pub body_complete: bool,
-    /// The team that is charged.
+    /// Team to which the request is charged.
     #[prost(string, tag = "8")]
     pub team: String,
 }
 
-/// A part of a request's or response's body.
+/// A part of the body of a request or a response.
 #[derive(Clone, PartialEq, Message)]
 pub struct BodyChunk {
-    /// The attempt.
+    /// Attempt to which the frame belongs.
     #[prost(message, optional, tag = "1")]
     pub attempt: Option<AttemptId>,
-    /// The bytes; may be empty with `last`.
+    /// The bytes; may be empty in the last chunk.
     #[prost(bytes = "bytes", tag = "2")]
     pub data: bytes::Bytes,
-    /// Whether the body ends here.
+    /// Whether this is the last chunk of the body.
     #[prost(bool, tag = "3")]
     pub last: bool,
-    /// With `last`: how many bytes the body had in all.
+    /// Length of the whole body in bytes; meaningful only if `last` is set.
     #[prost(uint64, tag = "4")]
     pub total_bytes: u64,
 }
 
-/// The receiver has consumed bytes of a body.
+/// Flow-control credit: the receiver of a body has consumed bytes and accepts more.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct CreditGrant {
-    /// The attempt.
+    /// Attempt to which the frame belongs.
     #[prost(message, optional, tag = "1")]
     pub attempt: Option<AttemptId>,
-    /// How many more bytes may be sent.
+    /// Number of additional bytes that may be sent.
     #[prost(uint32, tag = "2")]
     pub bytes: u32,
 }
 
-/// The entry gives an attempt up.
+/// Cancels an attempt.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct CancelRequest {
-    /// The attempt.
+    /// Attempt to which the frame belongs.
     #[prost(message, optional, tag = "1")]
     pub attempt: Option<AttemptId>,
 }
 
-/// The upstream's status and header fields.
+/// Status and header fields of the upstream's answer.
 #[derive(Clone, PartialEq, Message)]
 pub struct ResponseHead {
-    /// The attempt.
+    /// Attempt to which the frame belongs.
     #[prost(message, optional, tag = "1")]
     pub attempt: Option<AttemptId>,
-    /// HTTP status.
+    /// HTTP status code.
     #[prost(uint32, tag = "2")]
     pub status: u32,
     /// Header fields for the caller.
@@ -219,19 +221,19 @@
     pub headers: Vec<HeaderField>,
 }
 
-/// Why an attempt was not run.
+/// Reason why an attempt was not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration)]
 #[repr(i32)]
 pub enum NotRunReason {
-    /// Not said.
+    /// No reason was given.
     Unspecified = 0,
-    /// The upstream is leaving.
+    /// The upstream is shutting down and takes no new requests.
     Leaving = 1,
-    /// The queue is full.
+    /// The sidecar's queue is full.
     QueueFull = 2,
-    /// The deadline cannot be met.
+    /// The request cannot finish before its deadline.
     DeadlineUnreachable = 3,
-    /// A cancel arrived before dispatch.
+    /// The entry cancelled the attempt before it was dispatched.
     Cancelled = 4,
     /// No connection to the upstream could be opened.
     UpstreamUnreachable = 5,
@@ -239,44 +241,44 @@
     Malformed = 6,
 }
 
-/// The attempt was not run, for certain.
+/// The attempt was not run and will not be; it is safe to retry elsewhere.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct NotRunAnswer {
-    /// The attempt.
+    /// Attempt to which the frame belongs.
     #[prost(message, optional, tag = "1")]
     pub attempt: Option<AttemptId>,
-    /// Why.
+    /// The reason, a [`NotRunReason`].
     #[prost(enumeration = "NotRunReason", tag = "2")]
     pub reason: i32,
-    /// When a slot is expected to be free, in milliseconds.
+    /// Time until a slot is expected to be free, in milliseconds.
     #[prost(uint32, tag = "3")]
     pub retry_after_ms: u32,
 }
 
-/// The attempt was dispatched; its answer will not come, or not whole.
+/// The attempt was dispatched, but its answer is missing or incomplete. Its effect is unknown.
 #[derive(Clone, PartialEq, Message)]
 pub struct RequestLost {
-    /// The attempt.
+    /// Attempt to which the frame belongs.
     #[prost(message, optional, tag = "1")]
     pub attempt: Option<AttemptId>,
-    /// What failed at the upstream.
+    /// Description of the failure at the upstream.
     #[prost(string, tag = "2")]
     pub detail: String,
 }
 
-/// State and load of an upstream, as its sidecar sees it.
+/// State and load of an upstream, as measured by its sidecar.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct LoadReport {
-    /// Slots in use.
+    /// Number of slots in use.
     #[prost(uint32, tag = "1")]
     pub slots_used: u32,
-    /// Requests that wait for a slot.
+    /// Number of requests that wait for a slot.
     #[prost(uint32, tag = "2")]
     pub queued: u32,
-    /// Decayed mean of the upstream's service time, in microseconds.
+    /// Exponentially decayed mean of the upstream's service time, in microseconds.
     #[prost(uint32, tag = "3")]
     pub service_time_us: u32,
-    /// Whether the upstream takes no new work.
+    /// Whether the upstream is shutting down and takes no new requests.
     #[prost(bool, tag = "4")]
     pub leaving: bool,
     /// Whether the sidecar can reach its upstream.
@@ -284,32 +286,32 @@
     pub upstream_up: bool,
 }
 
-/// A version of the settings tree.
+/// A new version of the settings tree, whole or as a change to the version before.
 #[derive(Clone, PartialEq, Message)]
 pub struct SettingsPush {
-    /// The version.
+    /// Number of the version.
     #[prost(uint64, tag = "1")]
     pub version: u64,
-    /// The whole tree as JSON; empty if `delta` is given.
+    /// The whole tree as JSON. Empty if `delta` is set.
     #[prost(bytes = "bytes", tag = "2")]
     pub tree: bytes::Bytes,
-    /// What this version changes in the one before, as JSON.
+    /// The changes from the version before, as JSON. Empty if `tree` is set.
     #[prost(bytes = "bytes", tag = "3")]
     pub delta: bytes::Bytes,
 }
 
-/// The version that the sender applies.
+/// The settings version that the sender applies.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct SettingsAck {
-    /// The version; 0 means that the sender has none.
+    /// Number of the version; 0 if the sender has no settings yet.
     #[prost(uint64, tag = "1")]
     pub version: u64,
 }
 
-/// Addresses of entries, for sidecars to connect to.
+/// Addresses of entries to which a sidecar should connect.
 #[derive(Clone, PartialEq, Message)]
 pub struct PeerList {
-    /// Socket addresses.
+    /// Addresses as `IP:port`.
     #[prost(string, repeated, tag = "1")]
     pub addresses: Vec<String>,
 }
--- a/crates/wax-wire/src/pool.rs
+++ b/crates/wax-wire/src/pool.rs
@@ -1,4 +1,7 @@
-//! Messages between the owner of a shard, the agents beside workers, and entries.
+//! Messages between the owner of a shard, the agents on the workers' VMs, and the fronts.
+//!
+//! A front is a process of the pool that accepts jobs from callers. Fields named `started_ms` tell apart boots
+//! (process lives) of workers that have the same id.
 
 use crate::pool_parts::{
     BootFrame, LostRunFrame, RefusalFrame, RunEndFrame, RunIdFrame, RunReportFrame, WorkerFrame,
@@ -10,13 +13,14 @@
 use wax_policy::{DrainView, PairPress};
 use wax_types::TimePoint;
 
-/// Heartbeats come at least this often, whatever an owner asks for: its grants reach twice as far.
+/// Upper bound on the heartbeat period that an owner can request. Grants are valid for twice as long, so an
+/// agent's authority does not expire between two heartbeats.
 const MAX_HEARTBEAT_PERIOD: Duration = Duration::from_millis(1_200);
 
-/// One message.
+/// Envelope of each message between an owner and an agent or a front.
 #[derive(Clone, PartialEq, Message)]
 pub struct PoolFrame {
-    /// What it says; a message without a known body is a protocol error.
+    /// Content of the message. `None`, which includes unknown tags, is a protocol error.
     #[prost(
         oneof = "PoolBody",
         tags = "1,2,3,4,5,6,7,8,9,10,11,12,13,14,15,16,17,18,19,20,21,22,23"
@@ -24,76 +28,76 @@
     pub body: Option<PoolBody>,
 }
 
-/// The kinds of message.
+/// Content of a [`PoolFrame`].
 #[derive(Clone, PartialEq, Oneof)]
 pub enum PoolBody {
-    /// Agent to owner, first.
+    /// Agent to owner: first message on a link.
     #[prost(message, tag = "1")]
     AgentHello(AgentHello),
-    /// Entry to owner, first.
+    /// Front to owner: first message on a link.
     #[prost(message, tag = "2")]
     FrontHello(FrontHello),
-    /// Owner's answer to either hello.
+    /// Owner to agent or front: accepts the link.
     #[prost(message, tag = "3")]
     Welcome(OwnerWelcome),
-    /// Answer of a process that owns nothing: who does.
+    /// Answer to a hello by a process that does not own the shard: names the owner.
     #[prost(message, tag = "4")]
     NotOwner(NotOwner),
-    /// Agent or entry to owner: heartbeat.
+    /// Agent or front to owner: heartbeat.
     #[prost(message, tag = "5")]
     Heartbeat(LinkHeartbeat),
-    /// Owner's answer to a heartbeat: authority until a time on the asker's clock.
+    /// Owner to agent or front: answer to a heartbeat. Gives an agent authority for a limited time.
     #[prost(message, tag = "6")]
     Grant(LeaseGrant),
-    /// Agent to owner: all that its worker runs and has ended.
+    /// Agent to owner: complete state of its worker, sent after each new link or boot.
     #[prost(message, tag = "7")]
     WorkerSnapshot(WorkerSnapshot),
-    /// Owner to agent: the runs that are kept, and that leases may be extended.
+    /// Owner to agent: accepts a [`WorkerSnapshot`]. From then on the agent may extend the worker's leases.
     #[prost(message, tag = "8")]
     WorkerAccepted(WorkerAccepted),
-    /// Agent to owner: the worker says something new of itself.
+    /// Agent to owner: the worker's own description has changed.
     #[prost(message, tag = "9")]
     WorkerChanged(WorkerFrame),
-    /// Agent to owner: all that ran on the worker has surely ended.
+    /// Agent to owner: all runs on the worker have provably ended.
     #[prost(message, tag = "10")]
     AllRunsEnded(AllRunsEnded),
-    /// Agent to owner: what became of runs.
+    /// Agent to owner: changes of single runs.
     #[prost(message, tag = "11")]
     RunUpdates(RunUpdates),
-    /// Owner to agent.
+    /// Owner to agent: order to start a run.
     #[prost(message, tag = "12")]
     Start(StartRun),
-    /// Owner to agent.
+    /// Owner to agent: order to stop a run.
     #[prost(message, tag = "13")]
     Stop(StopRun),
-    /// Owner to agent: these ends are in the store.
+    /// Owner to agent: acknowledges ends of runs that the store holds.
     #[prost(message, tag = "14")]
     Ack(AckEnds),
-    /// Entry to owner: asks for a job or a queue.
+    /// Front to owner: queries a job or a queue.
     #[prost(message, tag = "15")]
     JobQuery(JobQuery),
-    /// Owner to entry.
+    /// Owner to front: reply to a [`JobQuery`].
     #[prost(message, tag = "16")]
     JobReply(JobReply),
-    /// Either direction between owner and entry: a version of the config.
+    /// Either direction between owner and front: a version of the operator's config that the peer lacks.
     #[prost(message, tag = "17")]
     Config(ConfigPush),
-    /// Either direction between agent and owner: what filling images press on serving ones.
+    /// Either direction between agent and owner: interference of best-effort images with serving images.
     #[prost(message, tag = "18")]
     Interference(InterferenceUpdate),
-    /// Entry to owner: the store has a cancel; the owner's feed may be cut off.
+    /// Front to owner: a cancelled job. Reaches the owner even while its feed from the store is interrupted.
     #[prost(message, tag = "19")]
     Cancelled(JobCancelled),
-    /// Entry to owner: a transaction that the entry cannot send itself.
+    /// Either direction between owner and front: a transaction that the sender cannot send to the store itself.
     #[prost(message, tag = "20")]
     RelayRequest(RelayRequest),
-    /// Owner to entry.
+    /// Either direction between owner and front: reply to a [`RelayRequest`].
     #[prost(message, tag = "21")]
     RelayReply(RelayReply),
-    /// Either direction between owner and entry: boots of workers that are dead for good.
+    /// Either direction between owner and front: boots of workers that have ended for good.
     #[prost(message, tag = "22")]
     BootsEnded(BootsEnded),
-    /// Agent to owner: a boot of its worker crashed under these runs. Told again on a new link.
+    /// Agent to owner: a boot of its worker crashed. Recent crashes are sent again on each new link.
     #[prost(message, tag = "23")]
     BootCrashed(BootCrashed),
 }
@@ -107,102 +111,107 @@
 /// First message of an agent.
 #[derive(Clone, PartialEq, Message)]
 pub struct AgentHello {
-    /// The machine's name.
+    /// Name of the VM on which the sender runs.
     #[prost(string, tag = "1")]
     pub node: String,
-    /// Boots of its worker that it knows to be dead for good.
+    /// Boots of the agent's worker that have ended for good.
     #[prost(message, repeated, tag = "3")]
     pub ended_boots: Vec<BootFrame>,
 }
 
-/// First message of an entry.
+/// First message of a front.
 #[derive(Clone, PartialEq, Message)]
 pub struct FrontHello {
-    /// The machine's name.
+    /// Name of the VM on which the sender runs.
     #[prost(string, tag = "1")]
     pub node: String,
-    /// Where other processes reach it: one of them may own the shard later.
+    /// Address at which other processes reach the front, as `IP:port`. They need it if the front becomes the owner.
     #[prost(string, tag = "2")]
     pub address: String,
 }
 
-/// The owner takes the link.
+/// The owner accepts the link.
 #[derive(Clone, PartialEq, Message)]
 pub struct OwnerWelcome {
-    /// Its term.
+    /// The owner's epoch, the number of its term.
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
-    /// The fencing token of this link: higher than that of any earlier one.
+    /// Fencing token of this link; higher than those of all earlier links.
     #[prost(uint64, tag = "2")]
     pub token: u64,
 }
 
-/// The process is not the owner.
+/// The process that was called does not own the shard.
 #[derive(Clone, PartialEq, Message)]
 pub struct NotOwner {
-    /// The owner's address as this process knows it; empty if it knows none.
+    /// Address of the owner, as far as the sender knows; empty if it knows none.
     #[prost(string, tag = "1")]
     pub address: String,
-    /// The owner's term.
+    /// Epoch of that owner.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
 }
 
-/// A heartbeat.
+/// Heartbeat of an agent or a front.
 #[derive(Clone, PartialEq, Message)]
 pub struct LinkHeartbeat {
-    /// The sender's clock, microseconds.
+    /// The sender's clock, in microseconds.
     #[prost(uint64, tag = "1")]
     pub sent_us: u64,
-    /// The config version in force at the sender.
+    /// Version of the operator's config in force at the sender. Set by fronts only.
     #[prost(uint64, tag = "2")]
     pub config_version: u64,
-    /// Entry: how well its machine would carry an owner, thousandths of a core.
+    /// Capacity that the sender's VM has for running an owner, in thousandths of a core. Set by fronts only.
     #[prost(uint32, tag = "3")]
     pub fitness: u32,
-    /// Entry: whether the store turns it away.
+    /// Whether the sender has lost its connection to the store. Set by fronts only.
     #[prost(bool, tag = "4")]
     pub store_lost: bool,
 }
 
-/// Authority, counted from the heartbeat that it answers.
+/// Answer to a heartbeat.
+///
+/// For an agent it is a grant: authority to start runs and extend leases, valid for a time counted from the
+/// heartbeat.
 #[derive(Clone, PartialEq, Message)]
 pub struct LeaseGrant {
-    /// The clock of the heartbeat.
+    /// [`LinkHeartbeat::sent_us`] of the heartbeat that is answered.
     #[prost(uint64, tag = "1")]
     pub sent_us: u64,
-    /// For how long from then on, milliseconds.
+    /// Duration of the authority from `sent_us` on, in milliseconds. 0 for fronts, and while an owner releases
+    /// its term.
     #[prost(uint64, tag = "2")]
     pub valid_ms: u64,
-    /// Whether the owner's store has not answered for a while.
+    /// Whether the store has not answered the owner for longer than the owner tolerates.
     #[prost(bool, tag = "3")]
     pub store_lost: bool,
-    /// The config version in force at the owner.
+    /// Version of the operator's config in force at the owner. Set for fronts only.
     #[prost(uint64, tag = "4")]
     pub config_version: u64,
-    /// The share of the open jobs that fill which are late, 0 to 1.
+    /// Share of the open best-effort jobs that are late, 0 to 1. Set for agents only.
     #[prost(float, tag = "5")]
     pub overload: f32,
-    /// To an entry: how many others go before it at the next takeover.
+    /// Number of fronts that try before this one at the next takeover. Set for fronts only.
     #[prost(uint32, tag = "6")]
     pub takeover_rank: u32,
-    /// To an entry: how well the strongest machine would carry an owner, thousandths of a core.
+    /// Highest [`LinkHeartbeat::fitness`] among the fronts. Set for fronts only.
     #[prost(uint32, tag = "7")]
     pub best_fitness: u32,
-    /// To an agent: the drained failure domains; nothing before the owner's first reading.
+    /// Drained failure domains. Set for agents only; `None` until the owner has read them once.
     #[prost(message, optional, tag = "8")]
     pub drains: Option<DrainFrame>,
-    /// To an entry: for how long a newer config than `config` may have gone unseen by the owner's own
-    /// readings when this was sent, milliseconds; nothing before the first.
+    /// Age of the owner's latest own reading of the config when this was sent, in milliseconds: a config newer
+    /// than `config_version` may have existed for this long. Set for fronts only; `None` before the first reading.
     #[prost(uint64, optional, tag = "9")]
     pub config_age_ms: Option<u64>,
-    /// When the next heartbeat is due, milliseconds after the one that is answered; 0 leaves it to the sender.
+    /// Requested heartbeat period in milliseconds; 0 if the sender of heartbeats shall use its default.
     #[prost(uint32, tag = "10")]
     pub period_ms: u32,
 }
 
 impl LeaseGrant {
-    /// The pause between two heartbeats: as the owner asks, or `usual`.
+    /// Returns the heartbeat period that the owner requests, limited to between `default` and 1.2 s, or `default`
+    /// if it requests none.
     pub fn heartbeat_period(&self, default: Duration) -> Duration {
         match self.period_ms {
             0 => default,
@@ -213,48 +222,49 @@
     }
 }
 
-/// The failure domains to which nothing new is sent.
+/// Failure domains that are drained: no new tasks start there.
 #[derive(Clone, PartialEq, Message)]
 pub struct DrainFrame {
-    /// The store's version at which they were read.
+    /// Version of the store at which the domains were read.
     #[prost(uint64, tag = "1")]
     pub version: u64,
-    /// Their names.
+    /// Names of the failure domains.
     #[prost(string, repeated, tag = "2")]
     pub domains: Vec<String>,
-    /// For how long a drain may have gone unseen when this was sent, milliseconds.
+    /// Age of the information when it was sent, in milliseconds: a newer drain may have existed for this long.
     #[prost(uint64, tag = "3")]
     pub age_ms: u64,
 }
 
 impl DrainFrame {
-    /// What is told of a view now; nothing before its first reading.
+    /// Encodes a view as of `now`. Returns `None` if the view has not been read yet.
     pub fn new(view: &DrainView, now: TimePoint) -> Option<Self> {
         let age = view.age(now)?;
         Some(Self {
             version: view.version(),
             domains: view.domains().iter().map(ToString::to_string).collect(),
-            // Rounded up: a view is never told to be younger than it is.
+            // Rounded up, so that the view is never reported as younger than it is.
             age_ms: age.as_millis() as u64 + 1,
         })
     }
 
-    /// Takes it as the answer to a heartbeat that was sent at `asked` on the taker's clock; says whether
-    /// other domains are drained now.
+    /// Updates `view` from the answer to a heartbeat that was sent at `sent_at` on the receiver's clock. Returns
+    /// whether the set of drained domains has changed.
     pub fn apply_to(self, view: &mut DrainView, sent_at: TimePoint) -> bool {
-        // The answer is later than the heartbeat, and the age is counted back from the answer.
+        // The age counts back from the answer, which was sent after the heartbeat. Counting back from the heartbeat
+        // instead never makes the view look newer than it is.
         let as_of = sent_at - Duration::from_millis(self.age_ms);
         let domains = self.domains.into_iter().map(Into::into).collect();
         view.replace(self.version, domains, as_of)
     }
 }
 
-/// Messages that name a boot of a worker by its id and its start time.
+/// Implements `boot` for messages with the fields `worker` and `started_ms`.
 macro_rules! impl_boot {
     ($($frame:ident),*) => {
         $(
             impl $frame {
-                /// The boot that is meant.
+                /// Returns the boot of the worker to which the message refers.
                 pub fn boot(&self) -> BootId {
                     BootId::new(&*self.worker, self.started_ms)
                 }
@@ -266,7 +276,7 @@
 impl_boot!(WorkerAccepted, AllRunsEnded, BootCrashed, StartRun, AckEnds);
 
 impl AllRunsEnded {
-    /// Says that all that ran on a boot has ended.
+    /// Creates the message for a boot; `boot_ended` says whether the boot itself has ended for good.
     pub fn new(boot: &BootId, boot_ended: bool) -> Self {
         Self {
             worker: boot.worker_id().into(),
@@ -277,7 +287,7 @@
 }
 
 impl AckEnds {
-    /// Says that a boot's ends up to a number are in the store.
+    /// Creates the acknowledgement of a boot's ends up to number `cursor`.
     pub fn new(boot: &BootId, cursor: u64) -> Self {
         Self {
             worker: boot.worker_id().into(),
@@ -287,51 +297,52 @@
     }
 }
 
-/// All that a worker runs and has ended, as of one moment.
+/// Complete state of a worker at one moment.
 #[derive(Clone, PartialEq, Message)]
 pub struct WorkerSnapshot {
-    /// The worker.
+    /// The worker's description.
     #[prost(message, required, tag = "1")]
     pub worker: WorkerFrame,
-    /// What runs, or may begin yet.
+    /// Runs that are in progress or may still begin.
     #[prost(message, repeated, tag = "2")]
     pub runs: Vec<RunReportFrame>,
-    /// Ends that the worker still lists.
+    /// Ends of runs that the worker still lists because they are not acknowledged.
     #[prost(message, repeated, tag = "3")]
     pub ends: Vec<RunEndFrame>,
-    /// Of how many pairs of images the agent knows the press.
+    /// Number of pairs of images whose interference the agent knows. The owner sends its whole table to an agent
+    /// that knows far fewer pairs than it does.
     #[prost(uint32, tag = "4")]
     pub known_pairs: u32,
 }
 
-/// What a run books and how it behaves.
+/// What a run reserves on a worker, and properties of its task that the agent needs.
 #[derive(Clone, PartialEq, Message)]
 pub struct PlacementFrame {
-    /// The run.
+    /// The task and the number of its run.
     #[prost(message, required, tag = "1")]
     pub run_id: RunIdFrame,
-    /// Thousandths of a core.
+    /// Processors in thousandths of a core.
     #[prost(uint32, tag = "2")]
     pub cpu_milli: u32,
-    /// Mebibytes.
+    /// Memory in mebibytes.
     #[prost(uint32, tag = "3")]
     pub memory_mb: u32,
-    /// Accelerators.
+    /// Number of accelerators.
     #[prost(uint32, tag = "4")]
     pub accelerators: u32,
-    /// Whether it gets only what others leave; its processors are not booked.
+    /// Whether the run only gets processors that others leave free; it reserves none.
     #[prost(bool, tag = "5")]
     pub best_effort: bool,
-    /// Bound on its tail latency, milliseconds; 0 for none.
+    /// Tail latency target in milliseconds; 0 for none.
     #[prost(uint32, tag = "6")]
     pub tail_target_ms: u32,
-    /// Its image.
+    /// Name of the run's image.
     #[prost(string, tag = "7")]
     pub image: String,
 }
 
 impl PlacementFrame {
-    /// What the run books.
+    /// Returns the resources that the run reserves.
     pub fn reserved(&self) -> TaskSize {
         TaskSize {
             cpu_milli: if self.best_effort { 0 } else { self.cpu_milli },
@@ -341,58 +352,58 @@
     }
 }
 
-/// Answer to [`WorkerSnapshot`].
+/// Answer to a [`WorkerSnapshot`].
 #[derive(Clone, PartialEq, Message)]
 pub struct WorkerAccepted {
-    /// The worker's id.
+    /// Id of the worker.
     #[prost(string, tag = "1")]
     pub worker: String,
-    /// The runs that were named, with what is known of them.
+    /// Placements of the reported runs whose jobs the owner knows.
     #[prost(message, repeated, tag = "2")]
     pub placements: Vec<PlacementFrame>,
-    /// When its boot started, Unix milliseconds, if that is known.
+    /// Start time of the worker's boot in Unix milliseconds, if known.
     #[prost(uint64, optional, tag = "3")]
     pub started_ms: Option<u64>,
 }
 
-/// All that ran on the worker has surely ended.
+/// All runs on a boot of a worker have provably ended.
 #[derive(Clone, PartialEq, Message)]
 pub struct AllRunsEnded {
-    /// The worker's id.
+    /// Id of the worker.
     #[prost(string, tag = "1")]
     pub worker: String,
-    /// Whether this boot is dead for good; else only its leases have lapsed.
+    /// Whether the boot itself has ended for good. If not, all its leases have expired.
     #[prost(bool, tag = "2")]
     pub boot_ended: bool,
-    /// When its boot started, Unix milliseconds, if that is known.
+    /// Start time of the worker's boot in Unix milliseconds, if known.
     #[prost(uint64, optional, tag = "3")]
     pub started_ms: Option<u64>,
 }
 
-/// A boot of a worker ended without a word that it would.
+/// A boot of a worker ended without announcing its shutdown.
 #[derive(Clone, PartialEq, Message)]
 pub struct BootCrashed {
-    /// The worker's id.
+    /// Id of the worker.
     #[prost(string, tag = "1")]
     pub worker: String,
-    /// The runs that were there.
+    /// Runs that were on the worker when it crashed.
     #[prost(message, repeated, tag = "2")]
     pub runs: Vec<LostRunFrame>,
-    /// When its boot started, Unix milliseconds, if that is known.
+    /// Start time of the worker's boot in Unix milliseconds, if known.
     #[prost(uint64, optional, tag = "3")]
     pub started_ms: Option<u64>,
 }
 
-/// Boots of workers that are dead for good: nothing runs there, now or later.
+/// Boots of workers that have ended for good: nothing runs on them now or later.
 #[derive(Clone, PartialEq, Message)]
 pub struct BootsEnded {
-    /// Which.
+    /// The boots.
     #[prost(message, repeated, tag = "2")]
     pub boots: Vec<BootFrame>,
 }
 
 impl BootsEnded {
-    /// Names these boots.
+    /// Creates the message for the given boots.
     pub fn new<'a>(boots: impl Iterator<Item = &'a BootId>) -> Self {
         Self {
             boots: boots.map(BootFrame::from).collect(),
@@ -400,127 +411,129 @@
     }
 }
 
-/// What became of runs since the last news.
+/// Changes of runs since the last update.
 #[derive(Clone, PartialEq, Message)]
 pub struct RunUpdates {
-    /// Begun.
+    /// Runs that have started.
     #[prost(message, repeated, tag = "1")]
     pub started: Vec<RunIdFrame>,
-    /// Not begun.
+    /// Runs that the worker did not start and never will.
     #[prost(message, repeated, tag = "2")]
     pub refused: Vec<RefusalFrame>,
-    /// Gone on.
+    /// Runs in progress, with their newest reports.
     #[prost(message, repeated, tag = "3")]
     pub running: Vec<RunReportFrame>,
-    /// Ended.
+    /// Runs that have ended.
     #[prost(message, repeated, tag = "4")]
     pub ends: Vec<RunEndFrame>,
 }
 
-/// An order to start a run.
+/// Order to start a run.
 #[derive(Clone, PartialEq, Message)]
 pub struct StartRun {
-    /// The run and what it books.
+    /// The run and what it reserves.
     #[prost(message, required, tag = "1")]
     pub placement: PlacementFrame,
-    /// The job's text.
+    /// Text of the job, passed to the worker unchanged.
     #[prost(string, tag = "2")]
     pub text: String,
-    /// The checkpoint to resume from; empty for none.
+    /// Checkpoint to resume from; empty for none.
     #[prost(string, tag = "3")]
     pub checkpoint: String,
-    /// The advisor's ticket; empty for none.
+    /// Ticket of the placement advisor; empty for none.
     #[prost(string, tag = "4")]
     pub ticket: String,
-    /// The worker for which it is meant.
+    /// Id of the worker that shall run it.
     #[prost(string, tag = "5")]
     pub worker: String,
-    /// When its boot started, Unix milliseconds, if that is known.
+    /// Start time of the worker's boot in Unix milliseconds, if known.
     #[prost(uint64, optional, tag = "6")]
     pub started_ms: Option<u64>,
 }
 
-/// An order to stop a run.
+/// Order to stop a run.
 #[derive(Clone, PartialEq, Message)]
 pub struct StopRun {
-    /// The run.
+    /// The task and the number of its run.
     #[prost(message, required, tag = "1")]
     pub run_id: RunIdFrame,
 }
 
-/// Ends up to a number are in the store.
+/// Acknowledges ends of runs that the store holds, so that the worker may forget them.
 #[derive(Clone, PartialEq, Message)]
 pub struct AckEnds {
-    /// The worker's id.
+    /// Id of the worker.
     #[prost(string, tag = "1")]
     pub worker: String,
-    /// The number.
+    /// Number up to which ends are acknowledged.
     #[prost(uint64, tag = "2")]
     pub cursor: u64,
-    /// When its boot started, Unix milliseconds, if that is known.
+    /// Start time of the worker's boot in Unix milliseconds, if known.
     #[prost(uint64, optional, tag = "3")]
     pub started_ms: Option<u64>,
 }
 
-/// Asks for a job, or for a queue if it is named.
+/// Query for the state of a job, or of a queue if one is named.
 #[derive(Clone, PartialEq, Message)]
 pub struct JobQuery {
-    /// Pairs the answer with the question.
+    /// Number that pairs the query with its reply, unique per sender.
     #[prost(uint64, tag = "1")]
     pub request_id: u64,
-    /// The job.
+    /// Id of the job; ignored if `queue` is set.
     #[prost(fixed64, tag = "2")]
     pub job: u64,
-    /// The queue; empty for a job.
+    /// Name of the queue; empty to query a job.
     #[prost(string, tag = "3")]
     pub queue: String,
 }
 
-/// Answer to [`JobQuery`].
+/// Reply to a [`JobQuery`].
 #[derive(Clone, PartialEq, Message)]
 pub struct JobReply {
-    /// Pairs the answer with the question.
+    /// Number of the query.
     #[prost(uint64, tag = "1")]
     pub request_id: u64,
-    /// Whether the owner knows the job.
+    /// Whether the owner knows the job or the queue. If not, the other fields are unset.
     #[prost(bool, tag = "2")]
     pub known: bool,
-    /// How it ended, by the store, as in its row.
+    /// Outcome of the job as stored in its row, a `JobOutcome`.
     #[prost(int32, tag = "3")]
     pub outcome: i32,
-    /// Whether any task has begun.
+    /// Whether any task of the job has begun.
     #[prost(bool, tag = "4")]
     pub begun: bool,
-    /// The queue's jobs of which no task has begun.
+    /// Number of the queue's jobs of which no task has begun.
     #[prost(uint64, tag = "5")]
     pub pending: u64,
 }
 
-/// A version of the config, as the operator wrote it.
+/// A version of the operator's config.
 #[derive(Clone, PartialEq, Message)]
 pub struct ConfigPush {
-    /// The operator's text.
+    /// The config's text, byte for byte as the operator wrote it.
     #[prost(bytes = "vec", tag = "1")]
     pub text: Vec<u8>,
 }
 
-/// What a core of a filling image presses on a serving image.
+/// Interference of a best-effort image with a serving image on the same worker.
 #[derive(Clone, PartialEq, Message)]
 pub struct InterferenceFrame {
-    /// The image that serves.
+    /// Name of the serving image.
     #[prost(string, tag = "1")]
     pub serving: String,
-    /// The image that fills.
+    /// Name of the best-effort image.
     #[prost(string, tag = "2")]
     pub best_effort: String,
+    /// Share by which the serving image's load grows for each core that the best-effort image uses.
     #[prost(float, tag = "3")]
     per_core: f32,
+    /// Certainty of `per_core`: one over its variance; 0 without an observation.
     #[prost(float, tag = "4")]
     weight: f32,
 }
 
 impl InterferenceFrame {
-    /// Encodes a pair.
+    /// Encodes what is known of a pair of images.
     pub fn new(serving: &str, best_effort: &str, interference: PairPress) -> Self {
         Self {
             serving: serving.into(),
@@ -530,7 +543,7 @@
         }
     }
 
-    /// Decodes what is known of the pair.
+    /// Decodes what is known of the pair of images.
     pub fn interference(&self) -> PairPress {
         PairPress {
             per_core: f64::from(self.per_core),
@@ -539,32 +552,33 @@
     }
 }
 
-/// Presses that the sender has learned or gathered.
+/// Interference between images: observations of an agent, or what the owner has merged from all agents.
 #[derive(Clone, PartialEq, Message)]
 pub struct InterferenceUpdate {
-    /// The pairs.
+    /// Pairs of images that have changed, or all pairs for an agent that knows too few.
     #[prost(message, repeated, tag = "1")]
     pub pairs: Vec<InterferenceFrame>,
-    /// Agent to owner: how much press each image that serves bears in all.
+    /// Headroom of each serving image on the sender's worker. Set by agents only.
     #[prost(message, repeated, tag = "3")]
     pub headrooms: Vec<HeadroomFrame>,
 }
 
-/// How much press an image that serves bears on the sender's worker, without regard to what fills.
+/// Headroom of a serving image on the sender's worker: the interference that it tolerates in total, independent of
+/// which best-effort images cause it.
 #[derive(Clone, PartialEq, Message)]
 pub struct HeadroomFrame {
-    /// The image.
+    /// Name of the serving image.
     #[prost(string, tag = "1")]
     pub serving: String,
-    /// By what share its load may grow.
+    /// Share by which the image's load may grow before its tail latency nears the target.
     #[prost(float, tag = "2")]
     pub headroom: f32,
 }
 
-/// A cancel that is in the store.
+/// A job whose cancellation is in the store.
 #[derive(Clone, PartialEq, Message)]
 pub struct JobCancelled {
-    /// The job.
+    /// Id of the job.
     #[prost(fixed64, tag = "1")]
     pub job: u64,
 }
--- a/crates/wax-wire/src/pool_parts.rs
+++ b/crates/wax-wire/src/pool_parts.rs
@@ -1,4 +1,4 @@
-//! Runs, workers and ends as they stand in messages of the pool.
+//! Parts of the pool's messages: encodings of run ids, workers, boots, and reports and ends of runs.
 
 use prost::Message;
 use std::time::Duration;
@@ -7,7 +7,7 @@
     TaskSize, WorkerState, WorkerView,
 };
 
-/// A run of a task.
+/// Encoded [`RunMark`]: a task and the number of its run.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct RunIdFrame {
     #[prost(fixed64, tag = "1")]
@@ -48,7 +48,7 @@
     }
 }
 
-/// A worker's own words.
+/// Encoded [`WorkerView`]: a worker's description of itself.
 #[derive(Clone, PartialEq, Message)]
 pub struct WorkerFrame {
     #[prost(string, tag = "1")]
@@ -80,13 +80,13 @@
 }
 
 impl WorkerFrame {
-    /// The boot that speaks.
+    /// Returns the boot of the worker that is described.
     pub fn boot(&self) -> BootId {
         BootId::new(&*self.id, self.started_ms)
     }
 }
 
-/// A boot of a worker.
+/// Encoded [`BootId`]: one process life of a worker, by its id and start time.
 #[derive(Clone, PartialEq, Message)]
 pub struct BootFrame {
     #[prost(string, tag = "1")]
@@ -154,7 +154,7 @@
     }
 }
 
-/// A run that goes on.
+/// Encoded [`RunReport`]: a run in progress.
 #[derive(Clone, PartialEq, Message)]
 pub struct RunReportFrame {
     #[prost(message, required, tag = "1")]
@@ -193,12 +193,12 @@
     }
 }
 
-/// A run that was on a worker when that ended.
+/// Encoded [`LostRun`]: a run that was on a worker when the worker ended.
 #[derive(Clone, PartialEq, Message)]
 pub struct LostRunFrame {
     #[prost(message, required, tag = "1")]
     run_id: RunIdFrame,
-    /// Milliseconds.
+    /// How long the run had been running, if known.
     #[prost(uint64, optional, tag = "2")]
     ran_ms: Option<u64>,
 }
@@ -221,7 +221,7 @@
     }
 }
 
-/// A run that has ended.
+/// Encoded [`RunEnd`]: a run that has ended.
 #[derive(Clone, PartialEq, Message)]
 pub struct RunEndFrame {
     #[prost(uint64, tag = "1")]
@@ -234,7 +234,7 @@
     checkpoint: String,
 }
 
-/// Kinds of end in the order of their numbers on the wire.
+/// Kinds of end; the index of each is its number on the wire.
 const END_KINDS: [RunEndKind; 6] = [
     RunEndKind::Stopped,
     RunEndKind::Done,
@@ -257,7 +257,7 @@
 }
 
 impl RunEndFrame {
-    /// Which run has ended.
+    /// Returns the id of the run that has ended.
     pub fn run_id(&self) -> RunMark {
         (&self.run_id).into()
     }
@@ -275,7 +275,7 @@
     }
 }
 
-/// A run that did not begin and never will.
+/// A run that the worker did not start and never will, with the reason.
 #[derive(Clone, PartialEq, Message)]
 pub struct RefusalFrame {
     #[prost(message, required, tag = "1")]
@@ -285,7 +285,7 @@
 }
 
 impl RefusalFrame {
-    /// Encodes a refusal.
+    /// Encodes the refusal of a run.
     pub fn new(run_id: RunMark, refusal: StartRefusal) -> Self {
         let reason = match refusal {
             StartRefusal::Stale => 0,
@@ -299,7 +299,7 @@
         }
     }
 
-    /// Decodes it.
+    /// Decodes the run and the reason. An unknown reason counts as [`StartRefusal::Stale`].
     pub fn decode(&self) -> (RunMark, StartRefusal) {
         let refusal = match self.reason {
             1 => StartRefusal::Room,
--- a/crates/wax-wire/src/relay.rs
+++ b/crates/wax-wire/src/relay.rs
@@ -1,96 +1,96 @@
-//! Transactions that a front hands to the owner because it cannot reach the store itself.
+//! Store transactions that a front and the owner send for each other when one of them cannot reach the store.
 
 use prost::Message;
 
-/// A row and the version that it must have.
+/// Condition of a transaction: a row and the version that it must have.
 #[derive(Clone, PartialEq, Message)]
 pub struct ExpectFrame {
-    /// The table.
+    /// Name of the table.
     #[prost(string, tag = "1")]
     pub table: String,
-    /// The part.
+    /// Part of the table that contains the row; a transaction stays within one part.
     #[prost(string, tag = "2")]
     pub part: String,
-    /// The key.
+    /// Key of the row within the part.
     #[prost(string, tag = "3")]
     pub key: String,
-    /// The version; 0 for a row that must not exist.
+    /// Required version; 0 if the row must not exist.
     #[prost(uint64, tag = "4")]
     pub version: u64,
 }
 
-/// A row and what is, or is to be, in it.
+/// A row that was read, or that a transaction writes or removes.
 #[derive(Clone, PartialEq, Message)]
 pub struct RowFrame {
-    /// The table.
+    /// Name of the table.
     #[prost(string, tag = "1")]
     pub table: String,
-    /// The part.
+    /// Part of the table that contains the row; a transaction stays within one part.
     #[prost(string, tag = "2")]
     pub part: String,
-    /// The key.
+    /// Key of the row within the part.
     #[prost(string, tag = "3")]
     pub key: String,
-    /// The value.
+    /// The value; empty for a row to remove.
     #[prost(bytes = "vec", tag = "4")]
     pub value: Vec<u8>,
-    /// Its version, where it was read.
+    /// Version of the row if it was read, else 0.
     #[prost(uint64, tag = "5")]
     pub version: u64,
 }
 
-/// Entry to owner: a transaction to be sent to the store, unchanged.
+/// Asks the peer to send a transaction to the store, unchanged.
 #[derive(Clone, PartialEq, Message)]
 pub struct RelayRequest {
-    /// Pairs the answer with the question.
+    /// Number that pairs the request with its reply, unique per sender.
     #[prost(uint64, tag = "1")]
     pub request_id: u64,
-    /// What must hold.
+    /// Conditions; all must hold for the transaction to take effect.
     #[prost(message, repeated, tag = "2")]
     pub expect: Vec<ExpectFrame>,
-    /// What is to be written.
+    /// Rows to write.
     #[prost(message, repeated, tag = "3")]
     pub writes: Vec<RowFrame>,
-    /// How long the asker waits, milliseconds.
+    /// How long the sender waits for the reply, in milliseconds.
     #[prost(uint32, tag = "4")]
     pub wait_ms: u32,
-    /// The asker's clock when it asked, microseconds.
+    /// The sender's clock when it sent the request, in microseconds.
     #[prost(uint64, tag = "5")]
     pub sent_us: u64,
-    /// Rows that are to go.
+    /// Rows to remove.
     #[prost(message, repeated, tag = "6")]
     pub remove: Vec<RowFrame>,
 }
 
-/// What became of a [`RelayRequest`].
+/// Effect of a relayed transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum RelayResult {
-    /// It may have taken effect, or may yet.
+    /// Indeterminate: the transaction may have taken effect or may still do so.
     Unknown = 0,
-    /// It took effect.
+    /// The transaction took effect.
     Committed = 1,
-    /// It did not take effect: the rows tell why.
+    /// A condition failed; the transaction had no effect.
     Conflict = 2,
-    /// It has had no effect and will have none.
+    /// The transaction was not sent; it has no effect and will have none.
     NotSent = 3,
-    /// It has had no effect, and the store takes no such transaction.
+    /// The store rejects the transaction as invalid; it had no effect, and a retry would fail too.
     Refused = 4,
 }
 
-/// Answer to [`RelayRequest`].
+/// Reply to a [`RelayRequest`].
 #[derive(Clone, PartialEq, Message)]
 pub struct RelayReply {
-    /// Pairs the answer with the question.
+    /// Number of the request.
     #[prost(uint64, tag = "1")]
     pub request_id: u64,
-    /// What became of it.
+    /// Effect of the transaction.
     #[prost(enumeration = "RelayResult", tag = "2")]
     pub result: i32,
-    /// The version of what was written, if it took effect.
+    /// Version of the written rows if the transaction was committed, else 0.
     #[prost(uint64, tag = "3")]
     pub version: u64,
-    /// The rows of its conditions that exist, if it did not.
+    /// On a conflict: those rows named by the conditions that exist.
     #[prost(message, repeated, tag = "4")]
     pub rows: Vec<RowFrame>,
 }
--- a/crates/wax-wire/tests/codec.rs
+++ b/crates/wax-wire/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The frame decoder against whatever bytes come.
+//! The frame codec: malformed input, frames split at any position, and the size limit.
 
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
@@ -20,7 +20,7 @@
 
 proptest! {
     #[test]
-    fn hostile_bytes_end_in_an_error_or_wait_for_more(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_give_an_error_or_need_more_input(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let mut codec = FrameCodec::<PeerFrame>::new();
         let mut buffer = BytesMut::from(&bytes[..]);
         while let Ok(Some(_)) = codec.decode(&mut buffer) {}
@@ -28,7 +28,7 @@
     }
 
     #[test]
-    fn frames_survive_any_cut_into_parts(
+    fn frames_decode_from_parts_of_any_size(
         sizes in prop::collection::vec(0_usize..500, 1..6),
         cuts in prop::collection::vec(1_usize..64, 1..50),
     ) {
@@ -40,17 +40,17 @@
         let mut codec = FrameCodec::<PeerFrame>::new();
         let mut wire = BytesMut::new();
         for frame in &frames {
-            codec.encode(frame.clone(), &mut wire).expect("within the bound");
+            codec.encode(frame.clone(), &mut wire).expect("the frame is within the size limit");
         }
         let mut wire = wire.freeze();
         let mut buffer = BytesMut::new();
         let mut seen = Vec::new();
-        let mut turn = 0;
+        let mut part_count = 0;
         while !wire.is_empty() {
-            let part: Bytes = wire.split_to(cuts[turn % cuts.len()].min(wire.len()));
-            turn += 1;
+            let part: Bytes = wire.split_to(cuts[part_count % cuts.len()].min(wire.len()));
+            part_count += 1;
             buffer.extend_from_slice(&part);
-            while let Some(frame) = codec.decode(&mut buffer).expect("well formed") {
+            while let Some(frame) = codec.decode(&mut buffer).expect("the bytes are well formed") {
                 seen.push(frame);
             }
         }
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_length_over_the_bound_is_refused_before_anything_is_reserved() {
+fn a_length_above_the_limit_is_rejected_before_memory_is_allocated() {
     let mut codec = FrameCodec::<PeerFrame>::new();
     let length = (MAX_FRAME_BYTES as u32 + 1).to_be_bytes();
     let mut buffer = BytesMut::from(&length[..]);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_frame_over_the_bound_is_not_sent() {
+fn a_frame_above_the_limit_is_not_encoded() {
     let mut codec = FrameCodec::<PeerFrame>::new();
     let frame = chunk(1, vec![0; MAX_FRAME_BYTES]);
     assert!(codec.encode(frame, &mut BytesMut::new()).is_err());
--- a/crates/wax-wire/tests/fuzz.rs
+++ b/crates/wax-wire/tests/fuzz.rs
@@ -1,4 +1,4 @@
-//! Whatever a peer sends, decoding it ends no process.
+//! Decoding damaged frames of the pool must not panic.
 
 #[path = "../../../tests/common/fuzz.rs"]
 mod fuzz;
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn damaged_frames_of_the_pool_end_nothing() {
+fn decoding_damaged_pool_frames_does_not_panic() {
     fuzz(&samples(), damage_bytes, |bytes| {
         let Ok(frame) = PoolFrame::decode(bytes) else {
             return;
--- a/crates/wax-wire/tests/link.rs
+++ b/crates/wax-wire/tests/link.rs
@@ -1,24 +1,28 @@
-//! Frames on real connections.
+//! Messages on real TCP connections.
 
 use compio::net::{TcpListener, TcpStream};
 use std::net::SocketAddr;
 use wax_wire::{ConfigPush, LinkHeartbeat, PoolBody, PoolReader, PoolWriter, split_stream};
 
-fn nowhere() -> SocketAddr {
-    "127.0.0.1:0".parse().expect("an address")
+fn any_port() -> SocketAddr {
+    "127.0.0.1:0".parse().expect("a valid address")
 }
 
-/// A link's buffers begin small: a config with many routes is hundreds of times as large.
+/// A link's buffers start at 2 KiB, while a config with many routes is hundreds of times as large.
 #[test]
-fn a_frame_far_larger_than_the_buffers_passes_whole_between_small_ones() {
+fn a_frame_larger_than_the_buffers_arrives_intact_between_small_frames() {
     let runtime = compio::runtime::Runtime::new().expect("the runtime starts");
     runtime.block_on(async {
-        let listener = TcpListener::bind(nowhere()).await.expect("it binds");
-        let address = listener.local_addr().expect("it has an address");
-        let near = TcpStream::connect(address).await.expect("it connects");
-        let (far, _) = listener.accept().await.expect("it accepts");
-        let (_near_reader, mut writer): (PoolReader, PoolWriter) = split_stream(near);
-        let (mut reader, _far_writer): (PoolReader, PoolWriter) = split_stream(far);
+        let listener = TcpListener::bind(any_port())
+            .await
+            .expect("the listener binds");
+        let address = listener.local_addr().expect("the listener has an address");
+        let client = TcpStream::connect(address)
+            .await
+            .expect("the client connects");
+        let (server, _) = listener.accept().await.expect("the listener accepts");
+        let (_client_reader, mut writer): (PoolReader, PoolWriter) = split_stream(client);
+        let (mut reader, _server_writer): (PoolReader, PoolWriter) = split_stream(server);
         let text: Vec<u8> = (0..900_000_u32).map(|byte| byte as u8).collect();
         let sent = [
             PoolBody::Heartbeat(LinkHeartbeat::default()),
@@ -28,12 +32,12 @@
         let bodies = sent.clone();
         let writing = compio::runtime::spawn(async move {
             for body in bodies {
-                writer.write(body).await.expect("it is written");
+                writer.write(body).await.expect("the frame is written");
             }
         });
         for body in sent {
-            assert_eq!(reader.read().await.expect("it is read"), Some(body));
+            assert_eq!(reader.read().await.expect("the frame is read"), Some(body));
         }
-        writing.await.expect("the writer ends");
+        writing.await.expect("the writing task finishes");
     });
 }
--- a/crates/wax-wire/tests/pool.rs
+++ b/crates/wax-wire/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Every kind of message of the pool survives the wire.
+//! Every kind of message of the pool is unchanged after encoding and decoding.
 
 use bytes::BytesMut;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use wax_policy::PairPress;
 use wax_wire::*;
 
-fn mark() -> RunMark {
+fn run_id() -> RunMark {
     RunMark {
         task: TaskName {
             job: JobName(0x5c0e_7a21_d94b_36f8),
@@ -44,9 +44,9 @@
     }
 }
 
-fn report() -> RunReport {
+fn run_report() -> RunReport {
     RunReport {
-        mark: mark(),
+        mark: run_id(),
         checkpoint: "00bb".into(),
         percent: 41,
         figure: 12,
@@ -54,25 +54,25 @@
     }
 }
 
-fn lost() -> LostRun {
+fn lost_run() -> LostRun {
     LostRun {
-        mark: mark(),
+        mark: run_id(),
         ran: Some(Duration::from_millis(12)),
     }
 }
 
-fn end() -> RunEnd {
+fn run_end() -> RunEnd {
     RunEnd {
         number: 58,
-        mark: mark(),
+        mark: run_id(),
         kind: RunEndKind::Broken,
         checkpoint: "".into(),
     }
 }
 
-fn seat() -> PlacementFrame {
+fn placement() -> PlacementFrame {
     PlacementFrame {
-        run_id: mark().into(),
+        run_id: run_id().into(),
         cpu_milli: 100,
         memory_mb: 200,
         accelerators: 0,
@@ -92,28 +92,28 @@
     }
 }
 
-macro_rules! survives {
+macro_rules! round_trips {
     ($($name:ident: $body:expr,)*) => {
         $(
             #[test]
             fn $name() {
                 let frame = PoolFrame::from($body);
                 let mut bytes = BytesMut::new();
-                FrameCodec::new().encode(frame.clone(), &mut bytes).expect("it encodes");
-                let decoded = FrameCodec::<PoolFrame>::new().decode(&mut bytes).expect("it decodes");
+                FrameCodec::new().encode(frame.clone(), &mut bytes).expect("the frame encodes");
+                let decoded = FrameCodec::<PoolFrame>::new().decode(&mut bytes).expect("the frame decodes");
                 assert_eq!(decoded, Some(frame));
             }
         )*
     };
 }
 
-survives! {
+round_trips! {
     agent_hello: PoolBody::AgentHello(AgentHello { node: "side-1".into(), ended_boots: vec![(&boot()).into()] }),
-    entry_hello: PoolBody::FrontHello(FrontHello {
+    front_hello: PoolBody::FrontHello(FrontHello {
         node: "edge-1".into(),
         address: "10.0.0.1:7700".into(),
     }),
-    relay: PoolBody::RelayRequest(RelayRequest {
+    relay_request: PoolBody::RelayRequest(RelayRequest {
         request_id: 7,
         expect: vec![ExpectFrame {
             table: "jobs".into(),
@@ -126,7 +126,7 @@
         sent_us: 12,
         remove: vec![row()],
     }),
-    relayed: PoolBody::RelayReply(RelayReply {
+    relay_reply: PoolBody::RelayReply(RelayReply {
         request_id: 7,
         result: RelayResult::Conflict.into(),
         version: 0,
@@ -134,65 +134,71 @@
     }),
     welcome: PoolBody::Welcome(OwnerWelcome { epoch: 3, token: 9 }),
     not_owner: PoolBody::NotOwner(NotOwner { address: "10.0.0.1:7".into(), epoch: 3 }),
-    ping: PoolBody::Heartbeat(LinkHeartbeat { sent_us: 5, config_version: 7, fitness: 500, store_lost: true }),
+    heartbeat: PoolBody::Heartbeat(LinkHeartbeat { sent_us: 5, config_version: 7, fitness: 500, store_lost: true }),
     grant: PoolBody::Grant(LeaseGrant { sent_us: 5, valid_ms: 2_500, store_lost: true, config_version: 7, overload: 0.5, takeover_rank: 3, best_fitness: 500, period_ms: 900, config_age_ms: Some(40),
         drains: Some(DrainFrame { version: 9, domains: vec!["a".into(), "b".into()], age_ms: 40 }) }),
-    worker_up: PoolBody::WorkerSnapshot(WorkerSnapshot {
+    worker_snapshot: PoolBody::WorkerSnapshot(WorkerSnapshot {
         worker: (&view()).into(),
-        runs: vec![(&report()).into()],
-        ends: vec![(&end()).into()],
+        runs: vec![(&run_report()).into()],
+        ends: vec![(&run_end()).into()],
         known_pairs: 480,
     }),
-    worker_kept: PoolBody::WorkerAccepted(WorkerAccepted { worker: "i-1".into(), placements: vec![seat()], started_ms: Some(7) }),
+    worker_accepted: PoolBody::WorkerAccepted(WorkerAccepted { worker: "i-1".into(), placements: vec![placement()], started_ms: Some(7) }),
     worker_changed: PoolBody::WorkerChanged((&view()).into()),
-    worker_gone: PoolBody::AllRunsEnded(AllRunsEnded::new(&boot(), true)),
-    news: PoolBody::RunUpdates(RunUpdates {
-        started: vec![mark().into()],
-        refused: vec![RefusalFrame::new(mark(), StartRefusal::Unwell)],
-        running: vec![(&report()).into()],
-        ends: vec![(&end()).into()],
+    all_runs_ended: PoolBody::AllRunsEnded(AllRunsEnded::new(&boot(), true)),
+    run_updates: PoolBody::RunUpdates(RunUpdates {
+        started: vec![run_id().into()],
+        refused: vec![RefusalFrame::new(run_id(), StartRefusal::Unwell)],
+        running: vec![(&run_report()).into()],
+        ends: vec![(&run_end()).into()],
     }),
     start: PoolBody::Start(StartRun {
-        placement: seat(),
+        placement: placement(),
         text: "work".into(),
         checkpoint: "".into(),
         ticket: "t".into(),
         worker: "i-1".into(),
         started_ms: Some(7),
     }),
-    stop: PoolBody::Stop(StopRun { run_id: mark().into() }),
+    stop: PoolBody::Stop(StopRun { run_id: run_id().into() }),
     ack: PoolBody::Ack(AckEnds::new(&boot(), 57)),
-    ask: PoolBody::JobQuery(JobQuery { request_id: 1, job: 2, queue: "q".into() }),
-    told: PoolBody::JobReply(JobReply { request_id: 1, known: true, outcome: 1, begun: true, pending: 4 }),
+    job_query: PoolBody::JobQuery(JobQuery { request_id: 1, job: 2, queue: "q".into() }),
+    job_reply: PoolBody::JobReply(JobReply { request_id: 1, known: true, outcome: 1, begun: true, pending: 4 }),
     config: PoolBody::Config(ConfigPush { text: b"{}".to_vec() }),
-    presses: PoolBody::Interference(InterferenceUpdate {
+    interference: PoolBody::Interference(InterferenceUpdate {
         pairs: vec![InterferenceFrame::new("red", "heavy", PairPress { per_core: 0.25, weight: 2.0 })],
         headrooms: vec![HeadroomFrame { serving: "red".into(), headroom: 0.5 }],
     }),
     cancelled: PoolBody::Cancelled(JobCancelled { job: 7 }),
     boot_crashed: PoolBody::BootCrashed(BootCrashed {
         worker: "i-1".into(),
-        runs: vec![(&lost()).into(), (&LostRun { ran: None, ..lost() }).into()],
+        runs: vec![(&lost_run()).into(), (&LostRun { ran: None, ..lost_run() }).into()],
         started_ms: None,
     }),
 }
 
 #[test]
-fn typed_parts_come_back_as_they_were() {
-    assert_eq!(RunMark::from(&RunIdFrame::from(mark())), mark());
+fn parts_of_messages_convert_back_to_the_same_values() {
+    assert_eq!(RunMark::from(&RunIdFrame::from(run_id())), run_id());
     assert_eq!(WorkerView::from(WorkerFrame::from(&view())), view());
-    assert_eq!(RunReport::from(&RunReportFrame::from(&report())), report());
-    assert_eq!(RunEnd::from(&RunEndFrame::from(&end())), end());
-    assert_eq!(LostRun::from(&LostRunFrame::from(&lost())), lost());
+    assert_eq!(
+        RunReport::from(&RunReportFrame::from(&run_report())),
+        run_report()
+    );
+    assert_eq!(RunEnd::from(&RunEndFrame::from(&run_end())), run_end());
+    assert_eq!(LostRun::from(&LostRunFrame::from(&lost_run())), lost_run());
     for boot in [boot(), "i-1".into()] {
         assert_eq!(BootId::from(&BootFrame::from(&boot)), boot);
     }
-    for why in [
+    for reason in [
         StartRefusal::Room,
         StartRefusal::Unwell,
         StartRefusal::Stale,
         StartRefusal::Drained,
     ] {
-        assert_eq!(RefusalFrame::new(mark(), why).decode(), (mark(), why));
+        assert_eq!(
+            RefusalFrame::new(run_id(), reason).decode(),
+            (run_id(), reason)
+        );
     }
 }
