--- a/crates/wax-platform/src/group.rs
+++ b/crates/wax-platform/src/group.rs
@@ -1,4 +1,4 @@
-//! Merges small transactions of many requests into few commits.
+//! Group commit: merges small transactions of many requests into few commits.
 
 use crate::table::{CommitOutcome, TableClient, TableTransaction};
 use compio::time::timeout;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use wax_types::{ErrorKind, ProcessClock, Step, TimePoint, WaxError};
 
-/// Transactions merged into one commit at most.
+/// Maximum number of transactions that are merged into one commit.
 const MAX_GROUP_SIZE: usize = 64;
 
 #[derive(Debug)]
@@ -20,7 +20,7 @@
     reply: oneshot::Sender<CommitOutcome>,
 }
 
-/// Queues transactions; one task commits them, one group at a time.
+/// Writer that queues transactions. A background task commits them, one group at a time.
 #[derive(Debug, Clone)]
 pub struct GroupWriter {
     queue: UnboundedSender<GroupItem>,
@@ -28,7 +28,7 @@
 }
 
 impl GroupWriter {
-    /// Starts the committing task; it ends when the last clone of the writer is dropped.
+    /// Starts the background task. It ends when the last clone of the writer is dropped.
     pub fn start(table: TableClient) -> Self {
         let (queue, items) = unbounded();
         let clock = table.store().clock();
@@ -36,9 +36,10 @@
         Self { queue, clock }
     }
 
-    /// Commits a transaction together with others that wait.
+    /// Commits a transaction, merged with others that are queued.
     ///
-    /// Its outcome is its own: a conflict of another one does not reach it.
+    /// A conflict of another transaction in the group does not affect the outcome. If there is no outcome by
+    /// `deadline`, the result is `Unknown`.
     pub async fn commit(
         &self,
         transaction: TableTransaction,
@@ -57,7 +58,7 @@
         if self.queue.unbounded_send(item).is_err() {
             return CommitOutcome::NotSent(unavailable("the writer has stopped"));
         }
-        // Whoever waits is told by the deadline, whatever else the writer is busy with.
+        // The caller gets an answer by the deadline even if the writer is busy with other groups.
         match timeout(deadline.since(self.clock.now()), outcome).await {
             Ok(Ok(outcome)) => outcome,
             Ok(Err(_)) => CommitOutcome::Unknown(unavailable("the writer stopped")),
@@ -78,7 +79,7 @@
         };
         let mut group = vec![first];
         deferred = fill_group(&mut group, &mut items);
-        // What nobody waits for any more was never sent, and need not be.
+        // Callers that have stopped waiting: their transactions were never sent and are dropped.
         group.retain(|item| !item.reply.is_canceled());
         if !group.is_empty() {
             commit_group(&table, group).await;
@@ -86,7 +87,7 @@
     }
 }
 
-/// Adds waiting items with keys of their own; returns the first whose keys overlap.
+/// Adds queued items whose keys do not overlap with those of the group. Returns the first item whose keys do.
 fn fill_group(
     group: &mut Vec<GroupItem>,
     items: &mut UnboundedReceiver<GroupItem>,
@@ -113,7 +114,7 @@
     None
 }
 
-/// Commits a group; where it meets a conflict or an open fate, each item is committed alone.
+/// Commits a group as one transaction. After a conflict or an indeterminate result, commits each item on its own.
 async fn commit_group(table: &TableClient, group: Vec<GroupItem>) {
     let mut may_be_sent = false;
     if group.len() > 1 {
@@ -129,7 +130,7 @@
         let outcome = table
             .resume_commit(&item.transaction, item.deadline, may_be_sent)
             .await;
-        // A requester that went away no longer needs the outcome.
+        // Fails only if the caller no longer waits.
         let _ = item.reply.send(outcome);
     });
     join_all(commits).await;
--- a/crates/wax-platform/src/http_call.rs
+++ b/crates/wax-platform/src/http_call.rs
@@ -1,4 +1,4 @@
-//! One HTTP call with JSON bodies and a time limit.
+//! HTTP calls with JSON bodies and a time-out.
 
 use compio::time::timeout;
 use cyper::{Client, RequestBuilder};
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use wax_types::{ErrorKind, Step, WaxError};
 
-/// Calls a peer by HTTP with a limit on the whole call.
+/// HTTP client whose time-out covers the whole call.
 #[derive(Debug, Clone)]
 pub struct HttpCaller {
     client: Client,
@@ -16,7 +16,7 @@
 }
 
 impl HttpCaller {
-    /// Builds a caller whose calls take at most `limit`.
+    /// Creates a client whose calls time out after `limit`.
     ///
     /// # Errors
     ///
@@ -30,12 +30,12 @@
         })
     }
 
-    /// Sends `body` as JSON and decodes the JSON answer.
+    /// Sends a POST request with `body` as JSON and decodes the JSON answer.
     ///
     /// # Errors
     ///
-    /// `Unavailable` if no connection was made, so that nothing was sent; `Timeout`, `Ambiguous`
-    /// or `Protocol` if something may have been.
+    /// `Unavailable`: no connection was made, so nothing was sent. `Timeout`, `Ambiguous` or `Protocol`: the request
+    /// may have been sent and carried out.
     pub async fn post<B: Serialize, R: DeserializeOwned>(
         &self,
         step: Step,
@@ -53,11 +53,11 @@
         decode(step, url, status, &bytes)
     }
 
-    /// Gets a JSON document.
+    /// Sends a GET request and decodes the JSON answer.
     ///
     /// # Errors
     ///
-    /// As for [`HttpCaller::post`].
+    /// See [`HttpCaller::post`].
     pub async fn get<R: DeserializeOwned>(&self, step: Step, url: &str) -> Result<R, WaxError> {
         let request = self
             .client
@@ -92,11 +92,11 @@
         Ok(request.body(body))
     }
 
-    /// Sends a request and reads the whole answer within the limit.
+    /// Sends a request and reads the whole answer. Error statuses are answers too.
     ///
     /// # Errors
     ///
-    /// `Unavailable`, `Timeout` or `Ambiguous` as for [`HttpCaller::post`].
+    /// `Unavailable`, `Timeout` or `Ambiguous`; see [`HttpCaller::post`].
     pub async fn send(
         &self,
         step: Step,
@@ -122,7 +122,8 @@
     }
 }
 
-/// A refused connection means that nothing was sent; anything else may have been.
+/// Converts an error of the HTTP client. Only a refused connection proves that nothing was sent; after any other error
+/// the request may have been sent.
 fn classify(step: Step, url: &str, error: &cyper::Error) -> WaxError {
     let mut source: Option<&(dyn std::error::Error + 'static)> = Some(error);
     while let Some(current) = source {
--- a/crates/wax-platform/src/lib.rs
+++ b/crates/wax-platform/src/lib.rs
@@ -1,6 +1,7 @@
-//! The platform's edges: table service, object store and workers, over HTTP and JSON.
+//! Clients for the table service, object store and workers that entry processes use, over HTTP and JSON.
 //!
-//! Nothing outside this crate knows the wire forms.
+//! No other crate knows these wire formats, except the stand-in servers of the tests. The processes of the pool use
+//! the crate `platform` instead.
 
 mod group;
 mod http_call;
--- a/crates/wax-platform/src/objects.rs
+++ b/crates/wax-platform/src/objects.rs
@@ -1,16 +1,16 @@
-//! Immutable objects: written once, read many times.
+//! Client for the object store. Objects are immutable: written once, read many times.
 
 use crate::store::StoreHandle;
 use http::{Method, StatusCode};
 use serde::Deserialize;
 use wax_types::{ErrorKind, Step, WaxError};
 
-/// What a put found.
+/// Result of creating an object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PutOutcome {
-    /// The object was created now.
+    /// The object was created by this call.
     Created,
-    /// An object of this name was there before and is unchanged.
+    /// An object with this name already existed and is unchanged.
     Existed,
 }
 
@@ -19,24 +19,23 @@
     keys: Vec<Box<str>>,
 }
 
-/// Reads and writes objects.
+/// Client for the object store.
 #[derive(Debug, Clone)]
 pub struct ObjectClient {
     store: StoreHandle,
 }
 
 impl ObjectClient {
-    /// Uses the store behind `store`.
+    /// Creates a client that makes its calls through `store`.
     pub fn new(store: StoreHandle) -> Self {
         Self { store }
     }
 
-    /// Creates an object unless one of this name exists.
+    /// Creates an object unless one with this name exists.
     ///
     /// # Errors
     ///
-    /// The store does not answer; the object may or may not have been created, and the same call
-    /// may be made again.
+    /// The store does not answer. The object may have been created; a retry with the same arguments is safe.
     pub async fn create(&self, key: &str, bytes: Vec<u8>) -> Result<PutOutcome, WaxError> {
         let headers = [("if-none-match", "*")];
         let (status, _) = self
@@ -49,7 +48,7 @@
         }
     }
 
-    /// Reads an object; `None` if there is none of this name.
+    /// Reads an object; `None` if none has this name.
     ///
     /// # Errors
     ///
@@ -65,7 +64,7 @@
         }
     }
 
-    /// The names of the objects that start with `prefix`, in order.
+    /// Returns the names of all objects that start with `prefix`, in order.
     ///
     /// # Errors
     ///
--- a/crates/wax-platform/src/store.rs
+++ b/crates/wax-platform/src/store.rs
@@ -1,4 +1,4 @@
-//! What all calls to the platform's store share: its health, the limit on concurrency, the counts.
+//! Shared handle for all calls to the platform's store: circuit breaker, limit on concurrency, and metrics.
 
 use crate::http_call::HttpCaller;
 use async_lock::Semaphore;
@@ -12,16 +12,16 @@
 use wax_trace::{Counter, count};
 use wax_types::{ErrorKind, ProcessClock, Step, TimePoint, WaxError};
 
-/// Bounds on the calls of one process to the store.
+/// Limits on the calls of one process to the store.
 #[derive(Debug, Clone, Copy)]
 pub struct StoreLimits {
-    /// Longest time for one call.
+    /// Time-out of one call.
     pub call_timeout: Duration,
-    /// Calls under way at once.
+    /// Maximum number of concurrent calls.
     pub concurrency: usize,
 }
 
-/// The store as this process sees it, shared by the table and object clients.
+/// Handle through which the table and object clients call the store. Clones share one circuit breaker.
 #[derive(Debug, Clone)]
 pub struct StoreHandle {
     shared: Rc<StoreShared>,
@@ -38,7 +38,7 @@
 }
 
 impl StoreHandle {
-    /// Prepares calls to the store at `base`, as `http://IP:port`.
+    /// Creates a handle for the store at `base`, a URL like `http://IP:port`. Opens no connection yet.
     ///
     /// # Errors
     ///
@@ -57,12 +57,12 @@
         })
     }
 
-    /// Since when the store has been down for this process.
+    /// Returns since when the store has been down, as seen by this process; `None` if it is up.
     pub fn down_since(&self) -> Option<TimePoint> {
         self.shared.breaker.borrow().down_since()
     }
 
-    /// The clock that the limits are counted on.
+    /// Returns the clock by which deadlines and the circuit breaker's times are measured.
     pub fn clock(&self) -> ProcessClock {
         self.shared.clock
     }
@@ -75,7 +75,7 @@
         format!("{}{path}", self.shared.base)
     }
 
-    /// Posts JSON under the breaker and the limit on concurrency.
+    /// Sends a POST request with a JSON body, subject to the circuit breaker and the limit on concurrency.
     pub(crate) async fn post<B: Serialize, R: DeserializeOwned>(
         &self,
         step: Step,
@@ -87,7 +87,8 @@
             .await
     }
 
-    /// Runs a call unless the store is down, and records how it went.
+    /// Runs a call and records its result in the circuit breaker. Fails without running the call while the store
+    /// is down.
     pub(crate) async fn run_call<T>(
         &self,
         step: Step,
--- a/crates/wax-platform/src/table.rs
+++ b/crates/wax-platform/src/table.rs
@@ -1,4 +1,4 @@
-//! Transactions on the table service, with lost replies settled.
+//! Client for the table service. Resolves by a nonce whether a transaction took effect when its reply was lost.
 
 use crate::store::StoreHandle;
 use crate::wire::{
@@ -14,33 +14,33 @@
 use wax_trace::{Counter, count, count_many};
 use wax_types::{ErrorKind, RowVersion, Step, TimePoint, WaxError};
 
-/// Rows asked for in one scan call.
+/// Number of rows requested by one scan call.
 const ROWS_PER_SCAN: u32 = 1_000;
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(30);
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// A row that was read, decoded.
+/// Row that was read, with its decoded value.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RowEntry<T> {
-    /// The key.
+    /// Key of the row.
     pub key: Box<str>,
-    /// Its version, for conditions.
+    /// Version of the row, for use in conditions.
     pub version: RowVersion,
-    /// Its value.
+    /// Decoded value of the row.
     pub value: T,
 }
 
-/// Every value carries the nonce of the transaction that wrote it.
+/// Stored form of a value: contains the nonce of the transaction that wrote it.
 #[derive(Debug, Serialize, Deserialize)]
 struct Envelope<T> {
     nonce: u64,
     value: T,
 }
 
-/// Conditions and writes that take effect together or not at all.
+/// Transaction: all conditions hold and all writes take effect, or none does.
 ///
-/// The first write must be a put of a row that is also a condition: it is the row that settles a
-/// lost reply.
+/// The first write must be a put of a row that is also a condition. If a reply is lost, the nonce in that row tells
+/// whether the transaction took effect.
 #[derive(Debug, Clone)]
 pub struct TableTransaction {
     nonce: u64,
@@ -59,14 +59,14 @@
 }
 
 impl TableTransaction {
-    /// Requires that the row has this version, without writing it.
+    /// Adds the condition that a row has this version. The row is not written.
     pub fn require(&mut self, key: impl Into<Box<str>>, version: RowVersion) -> &mut Self {
         let key = key.into();
         self.conditions.push(RowCondition { key, version });
         self
     }
 
-    /// Replaces the row if it has this version; version 0 inserts.
+    /// Adds a write of a row, with the condition that it has this version; 0 if the row must not exist.
     pub fn put<T: Serialize>(
         &mut self,
         key: impl Into<Box<str>>,
@@ -82,7 +82,7 @@
         self
     }
 
-    /// Deletes the row if it has this version.
+    /// Adds the deletion of a row, with the condition that it has this version.
     pub fn delete(&mut self, key: impl Into<Box<str>>, version: RowVersion) -> &mut Self {
         let key = key.into();
         self.require(key.clone(), version);
@@ -90,23 +90,23 @@
         self
     }
 
-    /// Adds the conditions and writes of another transaction, which keep their own nonce.
+    /// Adds the conditions and writes of another transaction. Values that it writes keep their own nonce.
     pub(crate) fn append(&mut self, other: &Self) {
         self.conditions.extend(other.conditions.iter().cloned());
         self.writes.extend(other.writes.iter().cloned());
     }
 
-    /// Whether there is nothing to write.
+    /// Returns whether the transaction writes and deletes nothing.
     pub fn is_empty(&self) -> bool {
         self.writes.is_empty()
     }
 
-    /// How many rows are written.
+    /// Returns the number of rows that are written or deleted.
     pub fn rows_written(&self) -> usize {
         self.writes.len()
     }
 
-    /// The version that a row must have, if the row is a condition.
+    /// Returns the version that a row must have; `None` if no condition names the row.
     pub fn required_version(&self, key: &str) -> Option<RowVersion> {
         let condition = self
             .conditions
@@ -115,16 +115,17 @@
         Some(condition.version)
     }
 
-    /// The keys of all rows that are written or deleted.
+    /// Returns the keys of all rows that are written or deleted.
     pub fn written_keys(&self) -> impl Iterator<Item = &str> {
         self.writes.iter().map(|write| &*write.key)
     }
 
-    /// The keys of all conditions.
+    /// Returns the keys of all conditions. Written rows are among them.
     pub fn condition_keys(&self) -> impl Iterator<Item = &str> {
         self.conditions.iter().map(|condition| &*condition.key)
     }
 
+    /// Returns the key of the row whose nonce tells whether the transaction took effect.
     fn nonce_row_key(&self) -> Option<&str> {
         self.writes
             .first()
@@ -133,37 +134,37 @@
     }
 }
 
-/// What became of a transaction.
+/// Outcome of a transaction.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CommitOutcome {
-    /// It took effect, once; rows written have this version.
+    /// The transaction took effect exactly once. Contains the version of the written rows.
     Committed(RowVersion),
-    /// It did not and will not take effect: these rows have other versions.
+    /// The transaction did not and will not take effect. Contains the keys of the rows that have other versions.
     Conflict(Vec<Box<str>>),
-    /// Nothing was ever sent to the store.
+    /// The transaction was never sent to the store, so it has no effect.
     NotSent(WaxError),
-    /// It may have taken effect, or may yet.
+    /// Indeterminate: the transaction may have taken effect or may still do so.
     Unknown(WaxError),
 }
 
-/// Reads and commits rows.
+/// Client for the table service.
 #[derive(Debug, Clone)]
 pub struct TableClient {
     store: StoreHandle,
 }
 
 impl TableClient {
-    /// Uses the store behind `store`.
+    /// Creates a client that makes its calls through `store`.
     pub fn new(store: StoreHandle) -> Self {
         Self { store }
     }
 
-    /// The store's store.
+    /// Returns the handle of the store.
     pub fn store(&self) -> &StoreHandle {
         &self.store
     }
 
-    /// Reads one row.
+    /// Reads one row; `None` if it does not exist.
     ///
     /// # Errors
     ///
@@ -179,7 +180,7 @@
     ///
     /// # Errors
     ///
-    /// As for [`TableClient::read`].
+    /// See [`TableClient::read`].
     pub async fn read_many<T: DeserializeOwned>(
         &self,
         keys: &[&str],
@@ -194,11 +195,11 @@
         reply.rows.into_iter().map(decode_row).collect()
     }
 
-    /// Reads every row whose key starts with `prefix`, in the order of keys.
+    /// Reads all rows whose keys start with `prefix`, ordered by key.
     ///
     /// # Errors
     ///
-    /// As for [`TableClient::read`].
+    /// See [`TableClient::read`].
     pub async fn scan<T: DeserializeOwned>(
         &self,
         prefix: &str,
@@ -230,10 +231,10 @@
         }
     }
 
-    /// Commits, trying again until `deadline` while the fate is open.
+    /// Commits a transaction. Retries until `deadline` while the effect is indeterminate.
     ///
-    /// A transaction is sent again unchanged: its conditions let it take effect only once. A
-    /// conflict after a lost reply is settled by the nonce in the first row written.
+    /// Retries are safe because the conditions let the transaction take effect only once. A conflict after a lost
+    /// reply is resolved by the nonce in the first row written.
     pub async fn commit(
         &self,
         transaction: &TableTransaction,
@@ -242,7 +243,7 @@
         self.resume_commit(transaction, deadline, false).await
     }
 
-    /// Commits a transaction that may have been sent before, if `sent` says so.
+    /// Like [`TableClient::commit`], for a transaction that may have been sent before if `may_be_sent` is true.
     pub async fn resume_commit(
         &self,
         transaction: &TableTransaction,
@@ -268,7 +269,7 @@
                     }
                 }
                 Err(error) if !may_be_sent && matches!(error.kind, ErrorKind::Unavailable(_)) => {
-                    // Nothing was sent: whoever waits is told at once.
+                    // Nothing was sent, so the caller can be answered at once.
                     return CommitOutcome::NotSent(error);
                 }
                 Err(error) => {
@@ -292,7 +293,8 @@
             .await
     }
 
-    /// Decides a conflict that followed a lost reply.
+    /// Resolves a conflict that followed a lost reply: reads the first written row and compares its nonce. The row
+    /// has the nonce of this transaction if the conflict is with the transaction's own earlier commit.
     async fn resolve_conflict(
         &self,
         transaction: &TableTransaction,
--- a/crates/wax-platform/src/wire.rs
+++ b/crates/wax-platform/src/wire.rs
@@ -1,4 +1,4 @@
-//! The first wire form of the platform: JSON bodies.
+//! JSON bodies of the calls to the table service and the workers.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -7,63 +7,63 @@
 /// Body of `POST /table/read`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ReadRequest {
-    /// Keys to read.
+    /// Keys of the rows to read.
     pub keys: Vec<Box<str>>,
 }
 
 /// Body of `POST /table/scan`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ScanRequest {
-    /// Only keys that start with it.
+    /// Prefix of the keys to return.
     pub prefix: Box<str>,
-    /// Only keys after this one; empty for all.
+    /// Only keys after this one are returned; empty for no such limit.
     pub after: Box<str>,
-    /// At most this many rows.
+    /// Maximum number of rows to return.
     pub limit: u32,
 }
 
-/// One row that exists.
+/// Row that exists.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WireRow {
-    /// The key.
+    /// Key of the row.
     pub key: Box<str>,
-    /// The version that the last write gave it.
+    /// Version of the row, set by its last write.
     pub version: RowVersion,
-    /// The value.
+    /// Value of the row.
     pub value: Value,
 }
 
 /// Answer to a read or a scan.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ReadReply {
-    /// The rows that exist, by key.
+    /// The rows that exist, ordered by key.
     pub rows: Vec<WireRow>,
 }
 
-/// A row must have this version for the commit to take effect.
+/// Condition of a commit: a row must have this version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RowCondition {
-    /// The key.
+    /// Key of the row.
     pub key: Box<str>,
-    /// The version; 0 means that the row must be absent.
+    /// Required version; 0 if the row must not exist.
     pub version: RowVersion,
 }
 
-/// A row to write or, without a value, to delete.
+/// Row to write or to delete.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RowWrite {
-    /// The key.
+    /// Key of the row.
     pub key: Box<str>,
-    /// The value; `None` deletes.
+    /// New value; `None` deletes the row.
     pub value: Option<Value>,
 }
 
 /// Body of `POST /table/commit`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CommitRequest {
-    /// All must hold.
+    /// Conditions; all must hold for the commit to take effect.
     pub conditions: Vec<RowCondition>,
-    /// Written together.
+    /// Rows that are written and deleted together.
     pub writes: Vec<RowWrite>,
 }
 
@@ -71,24 +71,24 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CommitReply {
-    /// It took effect; the rows written have this version.
+    /// The commit took effect. Contains the version of the written rows.
     Committed(RowVersion),
-    /// These rows failed their conditions; nothing was written.
+    /// Nothing was written. Contains the keys of the rows whose conditions failed.
     Conflict(Vec<Box<str>>),
 }
 
-/// A worker as the platform lists it.
+/// Worker as listed by the platform.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkerInfo {
-    /// The platform's name for it.
+    /// Id of the worker.
     pub id: WorkerId,
-    /// `IP:port` of its interface.
+    /// Address of the worker's HTTP interface, as `IP:port`.
     pub address: Box<str>,
-    /// Its rack.
+    /// Rack of the worker.
     pub rack: Box<str>,
-    /// Its failure domain.
+    /// Failure domain of the worker.
     pub failure_domain: Box<str>,
-    /// What it has.
+    /// Resources of the worker.
     pub capacity: ResourceVector,
 }
 
@@ -99,34 +99,34 @@
     pub workers: Vec<WorkerInfo>,
 }
 
-/// A task at one of its placements.
+/// One run of a task: the task and the epoch of its placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TaskRunId {
-    /// The task.
+    /// Id of the task.
     pub task: TaskId,
-    /// The placement.
+    /// Epoch of the placement; rises with each placement of the task.
     pub epoch: TaskEpoch,
 }
 
 /// Body of `POST /start` at a worker.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StartRequest {
-    /// The owner's fencing token: the worker refuses a lower one than it has seen.
+    /// Fencing token of the owner. The worker refuses a token lower than the highest that it has seen.
     pub owner: ShardEpoch,
-    /// The task and its epoch.
+    /// The run: its task and epoch.
     #[serde(rename = "mark")]
     pub run_id: TaskRunId,
-    /// What it may use.
+    /// Resources that the run may use.
     pub size: ResourceVector,
-    /// The job kind.
+    /// Kind of the job.
     pub kind: Box<str>,
-    /// Input of the job, passed on as it is.
+    /// Input of the job, passed on unchanged.
     pub input: Value,
-    /// Object to resume from.
+    /// Name of the object with the checkpoint to resume from, if any.
     pub checkpoint: Option<Box<str>>,
-    /// The worker stops the task when no renewal comes for this long.
+    /// Lease duration in milliseconds. The worker stops the task if the lease is not renewed for this long.
     pub lease_ms: u64,
-    /// The worker refuses the call after this time on its own clock.
+    /// Time on the worker's clock, in milliseconds, after which the worker refuses the call.
     pub valid_until_ms: u64,
 }
 
@@ -134,108 +134,108 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StartReply {
-    /// It runs now.
+    /// The run has started.
     Started,
-    /// This epoch was started before.
+    /// A run with this epoch had already been started.
     Already,
-    /// The worker knows a later epoch of the task.
+    /// The worker knows a run of the task with a later epoch.
     Fenced,
-    /// The call came after the time until which it was valid.
+    /// The call arrived after [`StartRequest::valid_until_ms`].
     Late,
-    /// The worker cannot run it.
+    /// The worker cannot run the task; contains the reason.
     Refused(Box<str>),
 }
 
 /// Body of `POST /renew` at a worker.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RenewRequest {
-    /// The owner's fencing token.
+    /// Fencing token of the owner.
     pub owner: ShardEpoch,
-    /// New term, counted by the worker from the arrival.
+    /// New lease duration in milliseconds, counted by the worker from the arrival of the request.
     pub lease_ms: u64,
-    /// The worker renews nothing after this time on its own clock.
+    /// Time on the worker's clock, in milliseconds, after which the worker renews nothing.
     pub valid_until_ms: u64,
-    /// Tasks whose leases are renewed.
+    /// Runs whose leases are renewed.
     pub renew: Vec<TaskRunId>,
-    /// Ended tasks that the worker may forget.
+    /// Ended runs that the worker may forget.
     pub forget: Vec<TaskRunId>,
-    /// Usage reports up to this sequence number may be forgotten.
+    /// Sequence number up to which the worker may forget usage reports.
     pub usage_through: u64,
 }
 
-/// How a run of a task stands at its worker.
+/// Status of a run on its worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskRunStatus {
-    /// It runs.
+    /// The run is in progress.
     Running,
-    /// It ended and wrote this object.
+    /// The run finished. Contains the name of the object with its result.
     Done(Box<str>),
-    /// It ended without a result.
+    /// The run failed. Contains the reason.
     Failed(Box<str>),
-    /// It was stopped, or its lease lapsed; the object holds its last checkpoint.
+    /// The run was stopped or its lease expired. Contains the name of the object with its last checkpoint, if any.
     Stopped(Option<Box<str>>),
 }
 
-/// A run that a worker knows.
+/// Report about a run that a worker knows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskReport {
-    /// The task and its epoch.
+    /// The run: its task and epoch.
     #[serde(rename = "mark")]
     pub run_id: TaskRunId,
-    /// How it stands.
+    /// Status of the run.
     pub run: TaskRunStatus,
 }
 
-/// What a run used in one interval.
+/// Resources that a run used in one interval.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageReport {
-    /// The worker's own count of reports since its start, from 1.
+    /// Number of the report, counted by the worker since its start, from 1.
     pub sequence: u64,
-    /// The worker's start that the report belongs to.
+    /// Number of the worker's boot to which the report belongs; see [`RenewReply::boot`].
     pub boot: u64,
-    /// The task and its epoch.
+    /// The run: its task and epoch.
     #[serde(rename = "mark")]
     pub run_id: TaskRunId,
-    /// The position of the interval in the run, from 0.
+    /// Position of the interval in the run, from 0.
     pub interval: u32,
-    /// Start of the interval, Unix milliseconds.
+    /// Start of the interval in Unix milliseconds.
     pub start_ms: u64,
     /// Length of the interval in milliseconds.
     pub length_ms: u32,
-    /// Thousandths of core seconds used.
+    /// Processor time used, in thousandths of a core second.
     pub cpu_milli_seconds: u64,
-    /// Mebibyte seconds used.
+    /// Memory used, in mebibyte seconds.
     pub memory_mib_seconds: u64,
-    /// Accelerator milliseconds used.
+    /// Accelerator time used, in milliseconds.
     pub accelerator_ms: u64,
-    /// The most processors used at once, thousandths of a core.
+    /// Peak processor use, in thousandths of a core.
     pub peak_cpu_milli: u32,
-    /// The most memory used at once, mebibytes.
+    /// Peak memory use, in mebibytes.
     pub peak_memory_mib: u32,
-    /// How much longer each unit of work took than alone, in percent; 100 means no slowdown.
+    /// Time per unit of work relative to a run without interference, in percent; 100 means no slowdown.
     pub slowdown_percent: u32,
 }
 
-/// Answer to a renewal: every run that the worker knows, and late usage.
+/// Answer to a renewal: all runs that the worker knows, and usage reports not yet acknowledged.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct RenewReply {
-    /// All runs, also those not named in the request.
+    /// All runs that the worker knows, including those not named in the request.
     pub runs: Vec<TaskReport>,
-    /// Reports after `usage_through`, oldest first, bounded.
+    /// Usage reports after [`RenewRequest::usage_through`], oldest first, up to a limit.
     pub usage: Vec<UsageReport>,
-    /// Drawn at the worker's start: another number means that it has lost all runs.
+    /// Random number drawn when the worker starts. If it changes, the worker has restarted and lost all runs.
     pub boot: u64,
-    /// The worker's monotonic clock, milliseconds since its start.
+    /// The worker's monotonic clock, in milliseconds since its start.
     pub clock_ms: u64,
 }
 
 /// Body of `POST /checkpoint` and `POST /stop` at a worker.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct ControlRequest {
-    /// The owner's fencing token.
+    /// Fencing token of the owner.
     pub owner: ShardEpoch,
-    /// The task and its epoch.
+    /// The run: its task and epoch.
     #[serde(rename = "mark")]
     pub run_id: TaskRunId,
 }
@@ -243,20 +243,20 @@
 /// Body of `POST /throttle` at a worker.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ThrottleRequest {
-    /// The owner's fencing token.
+    /// Fencing token of the owner.
     pub owner: ShardEpoch,
-    /// The task and its epoch.
+    /// The run: its task and epoch.
     #[serde(rename = "mark")]
     pub run_id: TaskRunId,
-    /// Share of its size that it may use.
+    /// Share of its resources that the run may use, in percent.
     pub percent: u8,
 }
 
-/// Answer to `POST /checkpoint` and `POST /stop` at a worker: the run after the call.
+/// Answer to `POST /checkpoint` and `POST /stop` at a worker: state of the run after the call.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CheckpointReply {
-    /// `None` if the worker does not know the run.
+    /// Status of the run; `None` if the worker does not know it.
     pub run: Option<TaskRunStatus>,
-    /// The last checkpoint.
+    /// Name of the object with the last checkpoint, if any.
     pub checkpoint: Option<Box<str>>,
 }
--- a/crates/wax-platform/src/workers.rs
+++ b/crates/wax-platform/src/workers.rs
@@ -1,4 +1,4 @@
-//! The platform's list of workers, and the interface of one worker.
+//! Clients for the platform's list of workers and for the HTTP interface of a worker.
 
 use crate::http_call::HttpCaller;
 use crate::store::StoreHandle;
@@ -11,19 +11,19 @@
 use std::time::Duration;
 use wax_types::{Step, WaxError};
 
-/// The platform's list of workers.
+/// Client for the platform's list of workers.
 #[derive(Debug, Clone)]
 pub struct WorkerDirectory {
     store: StoreHandle,
 }
 
 impl WorkerDirectory {
-    /// Asks the platform behind `store`.
+    /// Creates a client that makes its calls through `store`.
     pub fn new(store: StoreHandle) -> Self {
         Self { store }
     }
 
-    /// All workers.
+    /// Lists all workers.
     ///
     /// # Errors
     ///
@@ -38,14 +38,14 @@
     }
 }
 
-/// Calls workers; works while the store is down.
+/// Client for workers. Calls go directly to the worker, so they also work while the store is down.
 #[derive(Debug, Clone)]
 pub struct WorkerClient {
     caller: HttpCaller,
 }
 
 impl WorkerClient {
-    /// Builds a client whose calls take at most `limit`.
+    /// Creates a client whose calls time out after `limit`.
     ///
     /// # Errors
     ///
@@ -55,7 +55,7 @@
         Ok(Self { caller })
     }
 
-    /// Starts a run; a repeated start of the same epoch changes nothing.
+    /// Starts a run. Idempotent: a repeated start with the same epoch has no effect.
     ///
     /// # Errors
     ///
@@ -68,7 +68,7 @@
         self.post(address, "/start", request).await
     }
 
-    /// Renews leases and learns how all runs stand.
+    /// Renews leases and returns the status of all runs of the worker.
     ///
     /// # Errors
     ///
@@ -81,7 +81,7 @@
         self.post(address, "/renew", request).await
     }
 
-    /// Writes a checkpoint of a run, which goes on.
+    /// Writes a checkpoint of a run. The run continues.
     ///
     /// # Errors
     ///
@@ -94,7 +94,7 @@
         self.post(address, "/checkpoint", request).await
     }
 
-    /// Stops a run; afterwards no start of this epoch has an effect.
+    /// Stops a run. Later starts with the same epoch have no effect.
     ///
     /// # Errors
     ///
@@ -107,7 +107,7 @@
         self.post(address, "/stop", request).await
     }
 
-    /// Limits a run to a share of its size.
+    /// Limits a run to a share of its resources.
     ///
     /// # Errors
     ///
