--- a/crates/wax-platform/src/lib.rs
+++ b/crates/wax-platform/src/lib.rs
@@ -17,9 +17,8 @@
 pub use store::{StoreHandle, StoreLimits};
 pub use table::{CommitOutcome, RowEntry, TableClient, TableTransaction};
 pub use wire::{
-    CheckpointReply, CommitReply, CommitRequest, ControlRequest, ReadReply, ReadRequest,
-    RenewReply, RenewRequest, RowCondition, RowWrite, ScanRequest, StartReply, StartRequest,
-    TaskReport, TaskRunId, TaskRunStatus, ThrottleRequest, UsageReport, WireRow, WorkerInfo,
-    WorkerList,
+    CommitReply, CommitRequest, ControlReply, ControlRequest, ReadReply, ReadRequest, RenewReply,
+    RenewRequest, RowCondition, RowWrite, ScanRequest, StartReply, StartRequest, TaskReport,
+    TaskRunId, TaskRunStatus, ThrottleRequest, UsageReport, WireRow, WorkerInfo, WorkerList,
 };
 pub use workers::{WorkerClient, WorkerDirectory};
--- a/crates/wax-platform/src/wire.rs
+++ b/crates/wax-platform/src/wire.rs
@@ -254,7 +254,7 @@
 
 /// Answer to `POST /checkpoint` and `POST /stop` at a worker: state of the run after the call.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct CheckpointReply {
+pub struct ControlReply {
     /// Status of the run; `None` if the worker does not know it.
     pub run: Option<TaskRunStatus>,
     /// Name of the object with the last checkpoint, if any.
--- a/crates/wax-platform/src/workers.rs
+++ b/crates/wax-platform/src/workers.rs
@@ -3,7 +3,7 @@
 use crate::http_call::HttpCaller;
 use crate::store::StoreHandle;
 use crate::wire::{
-    CheckpointReply, ControlRequest, RenewReply, RenewRequest, StartReply, StartRequest,
+    ControlReply, ControlRequest, RenewReply, RenewRequest, StartReply, StartRequest,
     ThrottleRequest, WorkerInfo, WorkerList,
 };
 use serde::Serialize;
@@ -90,7 +90,7 @@
         &self,
         address: &str,
         request: &ControlRequest,
-    ) -> Result<CheckpointReply, WaxError> {
+    ) -> Result<ControlReply, WaxError> {
         self.post(address, "/checkpoint", request).await
     }
 
@@ -103,7 +103,7 @@
         &self,
         address: &str,
         request: &ControlRequest,
-    ) -> Result<CheckpointReply, WaxError> {
+    ) -> Result<ControlReply, WaxError> {
         self.post(address, "/stop", request).await
     }
 
@@ -116,7 +116,7 @@
         &self,
         address: &str,
         request: &ThrottleRequest,
-    ) -> Result<CheckpointReply, WaxError> {
+    ) -> Result<ControlReply, WaxError> {
         self.post(address, "/throttle", request).await
     }
 
--- a/crates/wax-standin/src/worker.rs
+++ b/crates/wax-standin/src/worker.rs
@@ -16,8 +16,8 @@
     error_reply, json_reply, parse_json,
 };
 use wax_platform::{
-    CheckpointReply, ControlRequest, HttpCaller, ObjectClient, RenewReply, RenewRequest,
-    StartRequest, StoreHandle, StoreLimits, TaskRunId, TaskRunStatus, ThrottleRequest, WorkerInfo,
+    ControlReply, ControlRequest, HttpCaller, ObjectClient, RenewReply, RenewRequest, StartRequest,
+    StoreHandle, StoreLimits, TaskRunId, TaskRunStatus, ThrottleRequest, WorkerInfo,
 };
 use wax_types::{ErrorKind, ProcessClock, ShardEpoch, Step, WaxError};
 
@@ -216,7 +216,7 @@
     fn run_reply(&self, mark: TaskRunId) -> HttpReply {
         let runs = self.runs.borrow();
         let run = runs.get(mark);
-        let reply = CheckpointReply {
+        let reply = ControlReply {
             run: run.map(|run| run.run.clone()),
             checkpoint: run.and_then(|run| run.checkpoint.clone()),
         };
