--- a/crates/wax-platform/src/group.rs
+++ b/crates/wax-platform/src/group.rs
@@ -79,7 +79,7 @@
         };
         let mut group = vec![first];
         deferred = fill_group(&mut group, &mut items);
-        // Callers that have stopped waiting: their transactions were never sent and are dropped.
+        // Drops transactions that are not sent yet and whose callers no longer wait.
         group.retain(|item| !item.reply.is_canceled());
         if !group.is_empty() {
             commit_group(&table, group).await;
