--- a/crates/wax-route/src/request.rs
+++ b/crates/wax-route/src/request.rs
@@ -442,7 +442,7 @@
         match self.last_refusal.map(|answer| answer.reason()) {
             Some(NotRunReason::Leaving) => "the upstream is leaving".into(),
             Some(NotRunReason::QueueFull) => "the upstream's queue is full".into(),
-            Some(NotRunReason::DeadlineUnreachable) => "the deadline cannot be met".into(),
+            Some(NotRunReason::CannotMeetDeadline) => "the deadline cannot be met".into(),
             Some(NotRunReason::UpstreamUnreachable) => "the upstream cannot be reached".into(),
             Some(NotRunReason::Malformed) => "the upstream cannot take this request".into(),
             _ => detail.into(),
--- a/crates/wax-sidecar/src/attempt.rs
+++ b/crates/wax-sidecar/src/attempt.rs
@@ -304,7 +304,7 @@
             };
             if shared.clock().now() > self.deadline {
                 shared.pool().put_back(connection);
-                return CallEnd::NotSent(NotRunReason::DeadlineUnreachable);
+                return CallEnd::NotSent(NotRunReason::CannotMeetDeadline);
             }
             if self.handle.is_unwanted() {
                 shared.pool().put_back(connection);
--- a/crates/wax-sidecar/src/process.rs
+++ b/crates/wax-sidecar/src/process.rs
@@ -231,7 +231,7 @@
                 self.table.borrow_mut().insert(key, state);
             }
             GateChoice::Full(after) => attempt.refuse(NotRunReason::QueueFull, after),
-            GateChoice::Hopeless(after) => attempt.refuse(NotRunReason::DeadlineUnreachable, after),
+            GateChoice::Hopeless(after) => attempt.refuse(NotRunReason::CannotMeetDeadline, after),
         }
     }
 
@@ -288,7 +288,7 @@
                 ReleaseChoice::Drop(key) => {
                     let wait = self.gate.borrow().expected_wait();
                     if let Some(attempt) = self.table.borrow_mut().take_queued(key) {
-                        attempt.refuse(NotRunReason::DeadlineUnreachable, wait);
+                        attempt.refuse(NotRunReason::CannotMeetDeadline, wait);
                     }
                 }
             }
--- a/crates/wax-wire/src/peer.rs
+++ b/crates/wax-wire/src/peer.rs
@@ -232,7 +232,7 @@
     /// The sidecar's queue is full.
     QueueFull = 2,
     /// The request cannot finish before its deadline.
-    DeadlineUnreachable = 3,
+    CannotMeetDeadline = 3,
     /// The entry cancelled the attempt before it was dispatched.
     Cancelled = 4,
     /// No connection to the upstream could be opened.
--- a/crates/wax-wire/src/pool.rs
+++ b/crates/wax-wire/src/pool.rs
@@ -529,7 +529,7 @@
     per_core: f32,
     /// Certainty of `per_core`: one over its variance; 0 without an observation.
     #[prost(float, tag = "4")]
-    weight: f32,
+    precision: f32,
 }
 
 impl InterferenceFrame {
@@ -539,7 +539,7 @@
             serving: serving.into(),
             best_effort: best_effort.into(),
             per_core: interference.per_core as f32,
-            weight: interference.weight as f32,
+            precision: interference.weight as f32,
         }
     }
 
@@ -547,7 +547,7 @@
     pub fn interference(&self) -> PairPress {
         PairPress {
             per_core: f64::from(self.per_core),
-            weight: f64::from(self.weight),
+            weight: f64::from(self.precision),
         }
     }
 }
