--- a/crates/wax-agent/src/check_ins.rs
+++ b/crates/wax-agent/src/check_ins.rs
@@ -3,14 +3,14 @@
 use crate::boots::{BootReport, CheckInStep};
 use crate::state::{AgentState, WorkerBoot};
 use http::StatusCode;
-use platform::{CheckInReply, CheckInRoute, decode_check_in, decode_leave, match_check_in};
+use platform::{CheckInReply, CheckInRoute, decode_check_in, decode_leave, parse_check_in_path};
 use std::rc::Rc;
 use wax_batch::BootId;
 use wax_http::{
     HttpHandler, HttpReply, HttpRequest, collect_body, empty_reply, error_reply, json_reply,
 };
 use wax_types::{ErrorKind, Step, WaxError};
-use wax_wire::{PoolBody, WorkerGone};
+use wax_wire::{AllRunsEnded, PoolBody};
 
 /// The longest report that is read, bytes.
 const REPORT_BYTES: usize = 1 << 20;
@@ -22,7 +22,7 @@
 
 impl HttpHandler for CheckInHandler {
     async fn handle(&self, request: HttpRequest) -> HttpReply {
-        let route = match_check_in(request.method(), request.uri().path());
+        let route = parse_check_in_path(request.method(), request.uri().path());
         match route {
             None => empty_reply(StatusCode::NOT_FOUND),
             Some(CheckInRoute::Leave(id)) => match collect_body(request, REPORT_BYTES).await {
@@ -88,7 +88,7 @@
             left.lose_runs(self.state.now(), &[]);
         }
         self.state
-            .tell(PoolBody::WorkerGone(WorkerGone::new(boot, true)));
+            .tell(PoolBody::AllRunsEnded(AllRunsEnded::new(boot, true)));
         self.state.changed.notify(usize::MAX);
     }
 }
--- a/crates/wax-agent/src/orders.rs
+++ b/crates/wax-agent/src/orders.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use wax_batch::{BootId, RunId, StartRefusal};
 use wax_trace::{Counter, Latency, count, count_many, note_latency};
-use wax_wire::{PoolBody, RefusalFrame, RunNews, SeatFrame, StartRun};
+use wax_wire::{PlacementFrame, PoolBody, RefusalFrame, RunUpdates, StartRun};
 
 /// A start that is not answered for this long is stopped instead.
 const START_LIMIT: Duration = Duration::from_millis(700);
@@ -19,12 +19,12 @@
 /// Between two tries of a stop.
 const STOP_PAUSE: Duration = Duration::from_millis(100);
 
-impl From<&SeatFrame> for SeatInfo {
-    fn from(frame: &SeatFrame) -> Self {
+impl From<&PlacementFrame> for SeatInfo {
+    fn from(frame: &PlacementFrame) -> Self {
         Self {
-            booked: frame.booked(),
+            booked: frame.reserved(),
             cpu_milli: frame.cpu_milli,
-            fills: frame.fills,
+            fills: frame.best_effort,
             tail_target_ms: frame.tail_target_ms,
             image: frame.image.as_str().into(),
         }
@@ -34,7 +34,7 @@
 impl AgentState {
     /// Starts a run, if the worker is the one that was meant and has room.
     pub(crate) fn order_start(self: &Rc<Self>, order: StartRun) {
-        let mark = RunId::from(&order.seat.mark);
+        let mark = RunId::from(&order.placement.run_id);
         match self.admit(&order, mark) {
             Err(refusal) => self.tell_refusal(mark, refusal),
             Ok((boot, request)) => {
@@ -65,9 +65,9 @@
             return Err(StartRefusal::Stale);
         };
         boot.table
-            .begin(mark, (&order.seat).into(), &boot.view, now)?;
+            .begin(mark, (&order.placement).into(), &boot.view, now)?;
         let request = StartRequest {
-            mark,
+            run_id: mark,
             text: order.text.as_str().into(),
             lease_until_ms,
             token: self.token.get(),
@@ -78,7 +78,7 @@
     }
 
     async fn start(self: Rc<Self>, boot: BootId, request: StartRequest) {
-        let mark = request.mark;
+        let mark = request.run_id;
         let sent = self.now();
         let answer = self.worker.start(&boot, &request, START_LIMIT).await;
         note_latency(Latency::StartRun, self.now().since(sent));
@@ -137,7 +137,7 @@
     fn tell_refusal(&self, mark: RunId, refusal: StartRefusal) {
         count(Counter::StartsRefused);
         tracing::info!(task = %mark.task, run = mark.run, why = ?refusal, "start refused");
-        let news = RunNews {
+        let news = RunUpdates {
             refused: vec![RefusalFrame::new(mark, refusal)],
             ..Default::default()
         };
@@ -145,7 +145,7 @@
             Some(boot) => boot.news.complete(news),
             None => news,
         };
-        self.tell(PoolBody::News(news));
+        self.tell(PoolBody::RunUpdates(news));
     }
 
     /// Stops a run by the owner's order.
--- a/crates/wax-agent/src/owner_link.rs
+++ b/crates/wax-agent/src/owner_link.rs
@@ -15,7 +15,9 @@
 use wax_batch::RunId;
 use wax_policy::AGENT_HEARTBEAT_PERIOD;
 use wax_types::TimePoint;
-use wax_wire::{AgentHello, LinkPing, PoolBody, PoolReader, PoolWriter, WorkerKept, split_stream};
+use wax_wire::{
+    AgentHello, LinkHeartbeat, PoolBody, PoolReader, PoolWriter, WorkerAccepted, split_stream,
+};
 
 /// Longest time for a connection and its first answer.
 const CONNECT_LIMIT: Duration = Duration::from_millis(600);
@@ -167,7 +169,7 @@
     let (mut reader, mut writer) = split_stream(stream);
     let hello = AgentHello {
         node: state.node.to_string(),
-        dead: state.boots.borrow().newest_dead().map(Into::into).collect(),
+        ended_boots: state.boots.borrow().newest_dead().map(Into::into).collect(),
     };
     writer.write(PoolBody::AgentHello(hello)).await?;
     match reader.read().await? {
@@ -218,7 +220,7 @@
 }
 
 async fn write_link(mut writer: PoolWriter, mut inbox: UnboundedReceiver<PoolBody>) {
-    if let Err(error) = writer.drain(&mut inbox).await {
+    if let Err(error) = writer.forward(&mut inbox).await {
         tracing::info!(%error, "writing to the owner failed");
     }
 }
@@ -229,12 +231,12 @@
     heard: Rc<Cell<TimePoint>>,
 ) {
     while state.now().since(heard.get()) < silence_limit(&state) {
-        let ping = LinkPing {
+        let ping = LinkHeartbeat {
             sent_us: state.now().0,
             ..Default::default()
         };
         state.tell_gathered();
-        if outbox.unbounded_send(PoolBody::Ping(ping)).is_err() {
+        if outbox.unbounded_send(PoolBody::Heartbeat(ping)).is_err() {
             return;
         }
         sleep(state.period.get()).await;
@@ -274,7 +276,9 @@
     match body {
         PoolBody::Grant(grant) => {
             state.owner_cut_off.set(grant.store_lost);
-            state.period.set(grant.period(AGENT_HEARTBEAT_PERIOD));
+            state
+                .period
+                .set(grant.heartbeat_period(AGENT_HEARTBEAT_PERIOD));
             state.overload.set(f64::from(grant.overload));
             if let Some(frame) = grant.drains {
                 state.take_drains(frame, TimePoint(grant.sent_us));
@@ -282,9 +286,9 @@
             let until = TimePoint(grant.sent_us) + Duration::from_millis(grant.valid_ms);
             state.take_grant(until);
         }
-        PoolBody::WorkerKept(kept) => keep_worker(state, &kept),
+        PoolBody::WorkerAccepted(kept) => keep_worker(state, &kept),
         PoolBody::Start(order) => state.order_start(order),
-        PoolBody::Stop(order) => state.order_stop(RunId::from(&order.mark)),
+        PoolBody::Stop(order) => state.order_stop(RunId::from(&order.run_id)),
         PoolBody::Ack(ack) => {
             let mut boot = state.boot.borrow_mut();
             let meant = ack.boot();
@@ -295,11 +299,11 @@
                 boot.ack_cursor = boot.ack_cursor.max(ack.cursor);
             }
         }
-        PoolBody::Presses(news) => {
+        PoolBody::Interference(news) => {
             if let Some(boot) = state.boot.borrow_mut().as_mut() {
                 for pair in &news.pairs {
                     boot.pace
-                        .set_pair(&pair.serving, &pair.filling, pair.press());
+                        .set_pair(&pair.serving, &pair.best_effort, pair.interference());
                 }
             }
         }
@@ -307,7 +311,7 @@
     }
 }
 
-fn keep_worker(state: &AgentState, kept: &WorkerKept) {
+fn keep_worker(state: &AgentState, kept: &WorkerAccepted) {
     let meant = kept.boot();
     let mut boot = state.boot.borrow_mut();
     let Some(boot) = boot
@@ -316,8 +320,8 @@
     else {
         return;
     };
-    for seat in &kept.seats {
-        boot.table.learn(RunId::from(&seat.mark), seat.into());
+    for seat in &kept.placements {
+        boot.table.learn(RunId::from(&seat.run_id), seat.into());
     }
     if let Some(link) = state.link.borrow_mut().as_mut() {
         link.kept = true;
--- a/crates/wax-agent/src/state.rs
+++ b/crates/wax-agent/src/state.rs
@@ -171,7 +171,7 @@
         let mut boot = self.boot.borrow_mut();
         let boot = boot.as_mut().filter(|boot| Some(boot.told) == generation);
         if let Some(news) = boot.and_then(|boot| boot.news.take()) {
-            self.tell(PoolBody::News(news));
+            self.tell(PoolBody::RunUpdates(news));
         }
     }
 
@@ -206,7 +206,7 @@
     pub(crate) fn take_drains(&self, frame: DrainFrame, asked: TimePoint) {
         let mut view = self.drains.borrow_mut();
         let age_ms = frame.age_ms;
-        if frame.take_into(&mut view, asked) {
+        if frame.apply_to(&mut view, asked) {
             tracing::info!(version = view.version(), domains = ?view.domains(), age_ms, "drained failure domains");
         }
     }
--- a/crates/wax-owner/src/agent_links.rs
+++ b/crates/wax-owner/src/agent_links.rs
@@ -17,8 +17,9 @@
 use wax_trace::{Counter, count_many};
 use wax_types::{TimePoint, wall_clock_ms};
 use wax_wire::{
-    AckEnds, AgentHello, BootCrashed, DrainFrame, LeaseGrant, LinkPing, OwnerWelcome, PoolBody,
-    PoolReader, PoolWriter, PressFrame, PressNews, RunNews, WorkerGone, WorkerKept, WorkerUp,
+    AckEnds, AgentHello, AllRunsEnded, BootCrashed, DrainFrame, InterferenceFrame,
+    InterferenceUpdate, LeaseGrant, LinkHeartbeat, OwnerWelcome, PoolBody, PoolReader, PoolWriter,
+    RunUpdates, WorkerAccepted, WorkerSnapshot,
 };
 
 /// Serves one link until it breaks, becomes silent, or the term ends.
@@ -39,7 +40,7 @@
     // The queue is new and accepts the first message.
     let _ = outbox.unbounded_send(PoolBody::Welcome(welcome));
     open_link(shared, term, &node, link, &outbox);
-    let ended_boots: Vec<BootId> = hello.dead.iter().map(BootId::from).collect();
+    let ended_boots: Vec<BootId> = hello.ended_boots.iter().map(BootId::from).collect();
     for boot in &ended_boots {
         // The report of the end may have been lost with the previous link.
         term.worker_ended(&node, boot, shared.now());
@@ -68,7 +69,7 @@
 }
 
 pub(crate) async fn write_link(mut writer: PoolWriter, mut inbox: UnboundedReceiver<PoolBody>) {
-    if let Err(error) = writer.drain(&mut inbox).await {
+    if let Err(error) = writer.forward(&mut inbox).await {
         tracing::info!(%error, "could not write to a peer");
     }
 }
@@ -157,13 +158,13 @@
 
     async fn handle(&self, body: PoolBody) {
         match body {
-            PoolBody::Ping(ping) => self.grant_lease(&ping),
-            PoolBody::WorkerUp(up) => self.worker_up(up).await,
+            PoolBody::Heartbeat(ping) => self.grant_lease(&ping),
+            PoolBody::WorkerSnapshot(up) => self.worker_up(up).await,
             PoolBody::WorkerChanged(frame) => self.worker_changed(frame.into()),
             PoolBody::BootCrashed(crash) => self.boot_crashed(&crash).await,
-            PoolBody::WorkerGone(message) => self.worker_ended(&message),
-            PoolBody::News(updates) => self.apply_run_updates(&updates),
-            PoolBody::Presses(updates) => self.merge_interference(&updates),
+            PoolBody::AllRunsEnded(message) => self.worker_ended(&message),
+            PoolBody::RunUpdates(updates) => self.apply_run_updates(&updates),
+            PoolBody::Interference(updates) => self.merge_interference(&updates),
             other => tracing::warn!(
                 ?other,
                 agent = self.node,
@@ -172,7 +173,7 @@
         }
     }
 
-    fn grant_lease(&self, ping: &LinkPing) {
+    fn grant_lease(&self, ping: &LinkHeartbeat) {
         let now = self.shared.now();
         let timeouts = &self.shared.timeouts;
         let validity_left = (self.term.confirmed_at.get() + timeouts.term_validity).since(now);
@@ -208,15 +209,15 @@
         drop(log);
         match pending {
             PendingInterference::Nothing => {}
-            PendingInterference::Changes(updates) => self.send(PoolBody::Presses(updates)),
+            PendingInterference::Changes(updates) => self.send(PoolBody::Interference(updates)),
             PendingInterference::All => {
-                self.send(PoolBody::Presses(self.term.interference_snapshot()))
+                self.send(PoolBody::Interference(self.term.interference_snapshot()))
             }
         }
     }
 
     /// Takes over a worker's runs once the store has a row that permits orders to the worker.
-    async fn worker_up(&self, up: WorkerUp) {
+    async fn worker_up(&self, up: WorkerSnapshot) {
         self.term.loaded.wait().await;
         self.wait_row_stored(&up.worker.boot()).await;
         if self.term.ended.is_raised() || !self.is_current() {
@@ -242,14 +243,14 @@
         let cursor = scheduler.acknowledged_end(worker);
         drop(scheduler);
         tracing::info!(agent = self.node, worker = %boot, runs = runs.len(), ends = ends.len(), "worker taken over");
-        let kept = WorkerKept {
+        let kept = WorkerAccepted {
             worker: boot.worker_id().into(),
-            seats: placements,
+            placements,
             started_ms: boot.started_ms(),
         };
-        self.send(PoolBody::WorkerKept(kept));
+        self.send(PoolBody::WorkerAccepted(kept));
         if self.term.needs_all_pairs(up.known_pairs) {
-            self.send(PoolBody::Presses(self.term.interference_snapshot()));
+            self.send(PoolBody::Interference(self.term.interference_snapshot()));
         }
         // An acknowledgement may have been lost with the previous link.
         self.send(PoolBody::Ack(AckEnds::new(&boot, cursor)));
@@ -336,28 +337,33 @@
         self.term.write.notify(usize::MAX);
     }
 
-    fn worker_ended(&self, message: &WorkerGone) {
+    fn worker_ended(&self, message: &AllRunsEnded) {
         let boot = message.boot();
-        tracing::warn!(agent = self.node, worker = %boot, dead = message.dead, "worker is gone");
+        tracing::warn!(agent = self.node, worker = %boot, dead = message.boot_ended, "worker is gone");
         self.term.worker_ended(self.node, &boot, self.shared.now());
-        if message.dead {
+        if message.boot_ended {
             self.term.record_ended_boots(self.shared, [boot]);
         }
     }
 
     /// Merges the interference estimates of an agent, and queues the changed ones for all agents.
-    fn merge_interference(&self, updates: &PressNews) {
+    fn merge_interference(&self, updates: &InterferenceUpdate) {
         let Some(worker) = self.worker() else {
             return;
         };
         let mut scheduler = self.term.scheduler.borrow_mut();
-        for update in &updates.rooms {
-            scheduler.set_headroom(worker, &update.serving, f64::from(update.room));
+        for update in &updates.headrooms {
+            scheduler.set_headroom(worker, &update.serving, f64::from(update.headroom));
         }
         let mut merged = Vec::with_capacity(updates.pairs.len());
         for pair in &updates.pairs {
-            let known = scheduler.merge_interference(&pair.serving, &pair.filling, pair.press());
-            merged.push(PressFrame::new(&pair.serving, &pair.filling, known));
+            let known =
+                scheduler.merge_interference(&pair.serving, &pair.best_effort, pair.interference());
+            merged.push(InterferenceFrame::new(
+                &pair.serving,
+                &pair.best_effort,
+                known,
+            ));
         }
         drop(scheduler);
         self.term
@@ -370,7 +376,7 @@
         }
     }
 
-    fn apply_run_updates(&self, updates: &RunNews) {
+    fn apply_run_updates(&self, updates: &RunUpdates) {
         let Some(worker) = self.worker() else {
             return;
         };
@@ -395,7 +401,7 @@
             tracing::info!(task = %mark.task, run = mark.run, agent = self.node, why = ?reason, "start refused");
             scheduler.record_refusal(worker, mark, reason, now, now_ms);
         }
-        for report in &updates.going {
+        for report in &updates.running {
             scheduler.adopt_run(worker, &report.into(), now);
         }
         for end in &updates.ends {
--- a/crates/wax-owner/src/chain_write.rs
+++ b/crates/wax-owner/src/chain_write.rs
@@ -7,7 +7,7 @@
     job_key, owner_key, progress_key,
 };
 use crate::shared::PoolShared;
-use platform::{RowWrite, TX_BYTES, TX_ENTRIES, TxRequest, encoded_bytes};
+use platform::{MAX_TX_BYTES, MAX_TX_ENTRIES, RowWrite, TxRequest, base64_length};
 use prost::Message;
 use std::time::Duration;
 use wax_batch::{JobName, ProgressUpdate};
@@ -26,10 +26,11 @@
 const OTHER_ENTRIES: usize = 5;
 /// The store always refuses a transaction that exceeds its limit on entries.
 const _: () = assert!(
-    OTHER_ENTRIES + JOBS_PER_TX + AGENTS_PER_TX + ROWS_PER_JOB * REMOVED_JOBS_PER_TX <= TX_ENTRIES
+    OTHER_ENTRIES + JOBS_PER_TX + AGENTS_PER_TX + ROWS_PER_JOB * REMOVED_JOBS_PER_TX
+        <= MAX_TX_ENTRIES
 );
 /// Encoded bytes of progress in one transaction; the other half is left for the other rows.
-const PROGRESS_BYTES: usize = TX_BYTES / 2;
+const PROGRESS_BYTES: usize = MAX_TX_BYTES / 2;
 /// Shortest time between two writes of the interference row, which is added to a transaction that
 /// is sent anyway.
 const INTERFERENCE_WRITE_PERIOD: Duration = Duration::from_secs(3);
@@ -106,7 +107,12 @@
             };
             put(&mut tx, owner_key(), &row);
         }
-        debug_assert!(tx.fits(), "{} entries, {} bytes", tx.entries(), tx.bytes());
+        debug_assert!(
+            tx.is_within_limits(),
+            "{} entries, {} bytes",
+            tx.entry_count(),
+            tx.max_body_bytes()
+        );
         Self {
             tx,
             updates,
@@ -142,7 +148,7 @@
     let mut bytes = 0;
     let fitting = updates.iter().take_while(|update| {
         let is_first = bytes == 0;
-        bytes += encoded_bytes(update.progress.encoded_len());
+        bytes += base64_length(update.progress.encoded_len());
         is_first || bytes <= PROGRESS_BYTES
     });
     let fitting = fitting.count();
--- a/crates/wax-owner/src/dispatch.rs
+++ b/crates/wax-owner/src/dispatch.rs
@@ -8,7 +8,7 @@
 use wax_batch::{BootId, StartOrder, UnreconciledRuns, WorkerKey};
 use wax_trace::{Counter, Latency, count, count_many, note_latency};
 use wax_types::{TimePoint, wall_clock_ms};
-use wax_wire::{AckEnds, PoolBody, SeatFrame, StartRun, StopRun};
+use wax_wire::{AckEnds, PlacementFrame, PoolBody, StartRun, StopRun};
 
 /// Longest time between two dispatch rounds without a change; some decisions depend on time alone.
 const IDLE_PERIOD: Duration = Duration::from_millis(100);
@@ -69,8 +69,8 @@
     for stop in stops {
         tracing::info!(task = %stop.run_id.task, run = stop.run_id.run, why = %stop.reason, "stop ordered");
         count(Counter::StopsOrdered);
-        let mark = stop.run_id.into();
-        term.send_to_worker(stop.worker, PoolBody::Stop(StopRun { mark }));
+        let run_id = stop.run_id.into();
+        term.send_to_worker(stop.worker, PoolBody::Stop(StopRun { run_id }));
     }
     let cursors = term.scheduler.borrow_mut().advance_ack_cursors();
     for (worker, cursor) in cursors {
@@ -158,7 +158,7 @@
         "start ordered"
     );
     let start = StartRun {
-        seat: placement_frame(order.run_id, step),
+        placement: placement_frame(order.run_id, step),
         text: order.spec.text.to_string(),
         checkpoint: order.checkpoint.to_string(),
         ticket: order.ticket.to_string(),
@@ -169,13 +169,16 @@
 }
 
 /// Describes a run's reservation to its agent.
-pub(crate) fn placement_frame(mark: wax_batch::RunId, step: &wax_batch::StepSpec) -> SeatFrame {
-    SeatFrame {
-        mark: mark.into(),
+pub(crate) fn placement_frame(
+    mark: wax_batch::RunId,
+    step: &wax_batch::StepSpec,
+) -> PlacementFrame {
+    PlacementFrame {
+        run_id: mark.into(),
         cpu_milli: step.size.cpu_milli,
         memory_mb: step.size.memory_mb,
         accelerators: step.size.accelerators,
-        fills: step.best_effort,
+        best_effort: step.best_effort,
         tail_target_ms: step.tail_target_ms,
         image: step.image.to_string(),
     }
--- a/crates/wax-owner/src/front_links.rs
+++ b/crates/wax-owner/src/front_links.rs
@@ -18,8 +18,8 @@
 use wax_policy::front_heartbeat_period;
 use wax_types::TimePoint;
 use wax_wire::{
-    ConfigPush, JobAsk, JobTold, LeaseGrant, LinkPing, OwnerWelcome, PoolBody, PoolReader,
-    PoolWriter, RelayAsk,
+    ConfigPush, JobQuery, JobReply, LeaseGrant, LinkHeartbeat, OwnerWelcome, PoolBody, PoolReader,
+    PoolWriter, RelayRequest,
 };
 
 /// Serves one link until it breaks, becomes silent, or the term ends.
@@ -46,14 +46,14 @@
     let serving = async {
         while let Ok(Ok(Some(body))) = timeout(shared.timeouts.link, reader.read()).await {
             let body = match body {
-                PoolBody::Relay(request) => {
+                PoolBody::RelayRequest(request) => {
                     let delay = transit_delay.delay_of(request.sent_us, shared.now());
                     spawn_relay(shared.clone(), outbox.clone(), request, delay);
                     continue;
                 }
-                PoolBody::Ping(ping) => {
+                PoolBody::Heartbeat(ping) => {
                     transit_delay.record_heartbeat(ping.sent_us, shared.now());
-                    PoolBody::Ping(ping)
+                    PoolBody::Heartbeat(ping)
                 }
                 body => body,
             };
@@ -78,14 +78,14 @@
 fn spawn_relay(
     shared: Rc<PoolShared>,
     outbox: UnboundedSender<PoolBody>,
-    request: RelayAsk,
+    request: RelayRequest,
     transit_delay: Duration,
 ) {
     spawn(async move {
         let reply = relay_transaction(&shared, request, transit_delay).await;
         // If the link has closed, the front does not know the transaction's effect and sends the
         // request again.
-        let _ = outbox.unbounded_send(PoolBody::Relayed(reply));
+        let _ = outbox.unbounded_send(PoolBody::RelayReply(reply));
     })
     .detach();
 }
@@ -97,8 +97,8 @@
     body: PoolBody,
 ) -> Vec<PoolBody> {
     match body {
-        PoolBody::Ping(ping) => answer_heartbeat(shared, term, node, &ping),
-        PoolBody::Ask(request) => vec![PoolBody::Told(answer_job_query(
+        PoolBody::Heartbeat(ping) => answer_heartbeat(shared, term, node, &ping),
+        PoolBody::JobQuery(request) => vec![PoolBody::JobReply(answer_job_query(
             term,
             &request,
             shared.now(),
@@ -107,14 +107,14 @@
             term.cancel(JobName(cancel.job));
             Vec::new()
         }
-        PoolBody::Relayed(reply) => {
-            if let Some(waiter) = term.pending_relays.borrow_mut().remove(&reply.ask) {
+        PoolBody::RelayReply(reply) => {
+            if let Some(waiter) = term.pending_relays.borrow_mut().remove(&reply.request_id) {
                 // A waiter that has timed out sends a new request.
                 let _ = waiter.send(reply);
             }
             Vec::new()
         }
-        PoolBody::BootsDead(ended) => {
+        PoolBody::BootsEnded(ended) => {
             term.record_ended_boots(shared, ended.boots.iter().map(BootId::from));
             Vec::new()
         }
@@ -135,7 +135,7 @@
     shared: &PoolShared,
     term: &OwnerTerm,
     node: &str,
-    ping: &LinkPing,
+    ping: &LinkHeartbeat,
 ) -> Vec<PoolBody> {
     let now = shared.now();
     let version = shared.config_version();
@@ -143,7 +143,7 @@
     let mut pushes_config = false;
     if let Some(front) = fronts.get_mut(node) {
         front.record_heartbeat(OwnerFitness(ping.fitness), ping.store_lost, now);
-        pushes_config = front.should_push_config(ping.config, version, now);
+        pushes_config = front.should_push_config(ping.config_version, version, now);
     }
     let rank = fronts.rank(node, now);
     fronts.notify_early_candidates(&shared.ended_boots.borrow());
@@ -153,10 +153,10 @@
         sent_us: ping.sent_us,
         valid_ms: 0,
         store_lost: store_silence(term, now) > shared.timeouts.store_suspected,
-        config: version,
+        config_version: version,
         overload: 0.0,
-        rank: rank.rank,
-        best: rank.best_fitness.0,
+        takeover_rank: rank.rank,
+        best_fitness: rank.best_fitness.0,
         period_ms: period.as_millis() as u32,
         drains: None,
         config_age_ms: shared
@@ -172,9 +172,9 @@
     answers
 }
 
-fn answer_job_query(term: &OwnerTerm, request: &JobAsk, now: TimePoint) -> JobTold {
-    let mut reply = JobTold {
-        ask: request.ask,
+fn answer_job_query(term: &OwnerTerm, request: &JobQuery, now: TimePoint) -> JobReply {
+    let mut reply = JobReply {
+        request_id: request.request_id,
         ..Default::default()
     };
     if !request.queue.is_empty() {
--- a/crates/wax-owner/src/front_relay.rs
+++ b/crates/wax-owner/src/front_relay.rs
@@ -56,7 +56,7 @@
 
 async fn relay_via_front(shared: &PoolShared, term: &OwnerTerm, tx: &TxRequest) -> RelayAttempt {
     let id = term.next_front_id();
-    let request = PoolBody::Relay(encode_relay_request(id, tx, RELAY_TIMEOUT, shared.now()));
+    let request = PoolBody::RelayRequest(encode_relay_request(id, tx, RELAY_TIMEOUT, shared.now()));
     if !send_to_best_front(shared, term, request) {
         return RelayAttempt::NoLink;
     }
--- a/crates/wax-owner/src/fronts.rs
+++ b/crates/wax-owner/src/fronts.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use wax_policy::is_early_candidate;
 use wax_types::TimePoint;
-use wax_wire::{BootsDead, PoolBody};
+use wax_wire::{BootsEnded, PoolBody};
 
 /// What the owner keeps of a linked front.
 #[derive(Debug)]
@@ -87,9 +87,9 @@
 
     /// Returns the next ended boots that the front has not received, up to the limit of one
     /// message.
-    fn next_ended_boots(&mut self, ended_boots: &EndedBoots) -> Option<BootsDead> {
+    fn next_ended_boots(&mut self, ended_boots: &EndedBoots) -> Option<BootsEnded> {
         let message =
-            BootsDead::new(ended_boots.after(self.ended_boots_sent, MAX_BOOTS_PER_MESSAGE));
+            BootsEnded::new(ended_boots.after(self.ended_boots_sent, MAX_BOOTS_PER_MESSAGE));
         self.ended_boots_sent = ended_boots
             .count()
             .min(self.ended_boots_sent + message.boots.len() as u64);
@@ -184,7 +184,7 @@
                 messages += 1;
                 // If the link has just closed, the message is lost, and this front would wait for
                 // leases to expire after a takeover.
-                let _ = front.outbox.unbounded_send(PoolBody::BootsDead(message));
+                let _ = front.outbox.unbounded_send(PoolBody::BootsEnded(message));
             }
         }
         messages
--- a/crates/wax-owner/src/interference_log.rs
+++ b/crates/wax-owner/src/interference_log.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 use wax_types::TimePoint;
-use wax_wire::{PressFrame, PressNews};
+use wax_wire::{InterferenceFrame, InterferenceUpdate};
 
 /// Length of a round; changes of one pair within a round are merged.
 const ROUND_PERIOD: Duration = Duration::from_millis(1_000);
@@ -17,7 +17,7 @@
     /// No pair has changed.
     Nothing,
     /// These pairs have changed.
-    Changes(PressNews),
+    Changes(InterferenceUpdate),
     /// The agent has missed more rounds than are kept and must receive all pairs.
     All,
 }
@@ -25,18 +25,18 @@
 /// Changes of interference estimates, grouped into rounds.
 #[derive(Debug, Default)]
 pub struct InterferenceLog {
-    open: BTreeMap<(String, String), PressFrame>,
+    open: BTreeMap<(String, String), InterferenceFrame>,
     opened_at: Option<TimePoint>,
-    rounds: VecDeque<Vec<PressFrame>>,
+    rounds: VecDeque<Vec<InterferenceFrame>>,
     /// Number of rounds closed so far.
     closed_rounds: u64,
 }
 
 impl InterferenceLog {
     /// Records a changed pair.
-    pub fn record(&mut self, pair: PressFrame, now: TimePoint) {
+    pub fn record(&mut self, pair: InterferenceFrame, now: TimePoint) {
         self.opened_at.get_or_insert(now);
-        let names = (pair.serving.clone(), pair.filling.clone());
+        let names = (pair.serving.clone(), pair.best_effort.clone());
         self.open.insert(names, pair);
     }
 
@@ -57,9 +57,9 @@
             return PendingInterference::All;
         }
         let rounds = self.rounds.iter().skip(self.rounds.len() - missed);
-        PendingInterference::Changes(PressNews {
+        PendingInterference::Changes(InterferenceUpdate {
             pairs: rounds.flatten().cloned().collect(),
-            rooms: Vec::new(),
+            headrooms: Vec::new(),
         })
     }
 
--- a/crates/wax-owner/src/job_feed.rs
+++ b/crates/wax-owner/src/job_feed.rs
@@ -7,7 +7,7 @@
 use crate::shared::PoolShared;
 use compio::time::sleep;
 use futures_util::future::{Either, select};
-use platform::{FEED_SLACK, FeedReply, RowChange, StoredRow};
+use platform::{FEED_TIMEOUT_MARGIN, FeedReply, RowChange, StoredRow};
 use std::collections::HashMap;
 use std::pin::pin;
 use std::rc::Rc;
@@ -35,7 +35,7 @@
 // cancelled job.
 const _: () = assert!(
     FEED_WAIT.as_millis()
-        + FEED_SLACK.as_millis()
+        + FEED_TIMEOUT_MARGIN.as_millis()
         + RETRY_DELAY.as_millis()
         + ANSWER_MARGIN.as_millis()
         <= CANCEL_BOUND.as_millis()
--- a/crates/wax-owner/src/listener.rs
+++ b/crates/wax-owner/src/listener.rs
@@ -50,7 +50,7 @@
         PoolBody::AgentHello(hello) => {
             serve_agent(shared, &term, hello, reader, writer).await;
         }
-        PoolBody::EntryHello(hello) => {
+        PoolBody::FrontHello(hello) => {
             shared.record_front(&hello.address);
             serve_front(shared, &term, &hello.node, reader, writer).await
         }
--- a/crates/wax-owner/src/load.rs
+++ b/crates/wax-owner/src/load.rs
@@ -12,7 +12,7 @@
 use wax_batch::{JobName, JobProgress, JobRow};
 use wax_trace::{Latency, note_latency};
 use wax_types::{TimePoint, WaxError, wall_clock_ms};
-use wax_wire::PressNews;
+use wax_wire::InterferenceUpdate;
 
 /// Timeout for one page of a read.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -65,11 +65,15 @@
             return;
         }
     };
-    match PressNews::decode(&*row.value) {
+    match InterferenceUpdate::decode(&*row.value) {
         Ok(news) => {
             let mut scheduler = term.scheduler.borrow_mut();
             for pair in &news.pairs {
-                scheduler.restore_interference(&pair.serving, &pair.filling, pair.press());
+                scheduler.restore_interference(
+                    &pair.serving,
+                    &pair.best_effort,
+                    pair.interference(),
+                );
             }
         }
         Err(error) => tracing::error!(%error, "could not decode the interference row"),
--- a/crates/wax-owner/src/owner_term.rs
+++ b/crates/wax-owner/src/owner_term.rs
@@ -17,7 +17,7 @@
 use wax_policy::DrainView;
 use wax_trace::{Counter, count};
 use wax_types::{TimePoint, wall_clock_ms};
-use wax_wire::{PoolBody, PressFrame, PressNews, RelayTold};
+use wax_wire::{InterferenceFrame, InterferenceUpdate, PoolBody, RelayReply};
 
 /// What the owner knows of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -54,7 +54,7 @@
     /// process.
     pub(crate) write_relayed: Cell<bool>,
     /// Transactions that fronts were asked to send and have not answered yet, by request id.
-    pub(crate) pending_relays: RefCell<HashMap<u64, oneshot::Sender<RelayTold>>>,
+    pub(crate) pending_relays: RefCell<HashMap<u64, oneshot::Sender<RelayReply>>>,
     /// Raised when everything that the store held at the takeover has been loaded.
     pub(crate) loaded: ShutdownSignal,
     /// When the last transaction that confirmed the term was sent.
@@ -286,14 +286,14 @@
     }
 
     /// Returns all interference estimates in the form that the store and new agents receive.
-    pub(crate) fn interference_snapshot(&self) -> PressNews {
+    pub(crate) fn interference_snapshot(&self) -> InterferenceUpdate {
         let scheduler = self.scheduler.borrow();
         let pairs = scheduler.interference_table().iter().take(MAX_PAIRS);
-        PressNews {
+        InterferenceUpdate {
             pairs: pairs
-                .map(|(serving, filling, press)| PressFrame::new(serving, filling, press))
+                .map(|(serving, filling, press)| InterferenceFrame::new(serving, filling, press))
                 .collect(),
-            rooms: Vec::new(),
+            headrooms: Vec::new(),
         }
     }
 
--- a/crates/wax-owner/src/relay.rs
+++ b/crates/wax-owner/src/relay.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use wax_trace::{Counter, count};
 use wax_types::{ErrorKind, Step, TimePoint, WaxError};
-use wax_wire::{ExpectFrame, RelayAsk, RelayFate, RelayTold, RowFrame};
+use wax_wire::{ExpectFrame, RelayReply, RelayRequest, RelayResult, RowFrame};
 
 /// Longest time for which a relayed transaction is retried.
 const MAX_WAIT_MS: u32 = 10_000;
@@ -19,7 +19,7 @@
     /// The request was handed to a link, and no answer came.
     NoAnswer,
     /// The other process has answered.
-    Answered(RelayTold),
+    Answered(RelayReply),
 }
 
 /// Tracks over several relay requests whether the transaction may still take effect.
@@ -43,16 +43,18 @@
             }
             RelayAttempt::Answered(reply) => reply,
         };
-        match reply.fate() {
-            RelayFate::Committed => Some(TxResolution::Committed(reply.version)),
-            RelayFate::Conflict => Some(TxResolution::Conflict(relayed_rows(reply))),
-            RelayFate::Unknown => {
+        match reply.result() {
+            RelayResult::Committed => Some(TxResolution::Committed(reply.version)),
+            RelayResult::Conflict => Some(TxResolution::Conflict(relayed_rows(reply))),
+            RelayResult::Unknown => {
                 self.may_take_effect = true;
                 None
             }
-            RelayFate::NotSent => None,
-            RelayFate::Refused if self.may_take_effect => None,
-            RelayFate::Refused => Some(TxResolution::Refused(relay_error("the store refuses it"))),
+            RelayResult::NotSent => None,
+            RelayResult::Refused if self.may_take_effect => None,
+            RelayResult::Refused => {
+                Some(TxResolution::Refused(relay_error("the store refuses it")))
+            }
         }
     }
 
@@ -102,11 +104,11 @@
 /// after its deadline is not sent to the store.
 pub async fn relay_transaction(
     shared: &PoolShared,
-    request: RelayAsk,
+    request: RelayRequest,
     delay: Duration,
-) -> RelayTold {
+) -> RelayReply {
     let wait = Duration::from_millis(request.wait_ms.min(MAX_WAIT_MS).into());
-    let id = request.ask;
+    let id = request.request_id;
     let left = wait.saturating_sub(delay);
     if left.is_zero() {
         tracing::info!(
@@ -126,7 +128,12 @@
 }
 
 /// Encodes a relay request for a transaction, sent at `now`.
-pub fn encode_relay_request(id: u64, tx: &TxRequest, wait: Duration, now: TimePoint) -> RelayAsk {
+pub fn encode_relay_request(
+    id: u64,
+    tx: &TxRequest,
+    wait: Duration,
+    now: TimePoint,
+) -> RelayRequest {
     let expect = tx.expect.iter().map(|(key, version)| ExpectFrame {
         table: key.table.to_string(),
         part: key.part.to_string(),
@@ -137,8 +144,8 @@
         .writes
         .iter()
         .map(|row| row_frame(&row.key, &row.value, 0));
-    RelayAsk {
-        ask: id,
+    RelayRequest {
+        request_id: id,
         expect: expect.collect(),
         writes: writes.collect(),
         wait_ms: wait.as_millis() as u32,
@@ -151,7 +158,7 @@
     row_frame(key, &[], 0)
 }
 
-fn decode_relay_request(request: RelayAsk) -> TxRequest {
+fn decode_relay_request(request: RelayRequest) -> TxRequest {
     let expect = request
         .expect
         .into_iter()
@@ -171,26 +178,26 @@
     }
 }
 
-fn encode_reply(id: u64, resolution: TxResolution) -> RelayTold {
-    let mut reply = RelayTold {
-        ask: id,
+fn encode_reply(id: u64, resolution: TxResolution) -> RelayReply {
+    let mut reply = RelayReply {
+        request_id: id,
         ..Default::default()
     };
     match resolution {
         TxResolution::Committed(version) => {
-            reply.set_fate(RelayFate::Committed);
+            reply.set_result(RelayResult::Committed);
             reply.version = version;
         }
         TxResolution::Conflict(rows) => {
-            reply.set_fate(RelayFate::Conflict);
+            reply.set_result(RelayResult::Conflict);
             let rows = rows
                 .iter()
                 .map(|row| row_frame(&row.key, &row.value, row.version));
             reply.rows = rows.collect();
         }
-        TxResolution::NotSent(_) => reply.set_fate(RelayFate::NotSent),
-        TxResolution::Unknown(_) => reply.set_fate(RelayFate::Unknown),
-        TxResolution::Refused(_) => reply.set_fate(RelayFate::Refused),
+        TxResolution::NotSent(_) => reply.set_result(RelayResult::NotSent),
+        TxResolution::Unknown(_) => reply.set_result(RelayResult::Unknown),
+        TxResolution::Refused(_) => reply.set_result(RelayResult::Refused),
     }
     reply
 }
@@ -206,7 +213,7 @@
 }
 
 /// Returns the current rows from the reply to a transaction that conflicted.
-fn relayed_rows(reply: RelayTold) -> Vec<StoredRow> {
+fn relayed_rows(reply: RelayReply) -> Vec<StoredRow> {
     let rows = reply.rows.into_iter().map(|row| StoredRow {
         key: RowKey::new(&row.table, &row.part, row.key),
         value: row.value,
--- a/crates/wax-owner/src/writer.rs
+++ b/crates/wax-owner/src/writer.rs
@@ -137,7 +137,7 @@
             TxResolution::Conflict(rows) => return resolve_conflict(term, &rows, number),
             TxResolution::Refused(error) => {
                 wax_trace::count(Counter::ChainRefused);
-                tracing::error!(%error, entries = write.tx.entries(), bytes = write.tx.bytes(), "the store refused a transaction");
+                tracing::error!(%error, entries = write.tx.entry_count(), bytes = write.tx.max_body_bytes(), "the store refused a transaction");
                 return WriteResult::Refused;
             }
             TxResolution::NotSent(error) | TxResolution::Unknown(error) => {
--- a/crates/wax-owner/tests/drains.rs
+++ b/crates/wax-owner/tests/drains.rs
@@ -277,7 +277,7 @@
                     domains,
                     age_ms,
                 };
-                frame.take_into(&mut self.agents[agent], clock(OWNERS + agent, requested_at));
+                frame.apply_to(&mut self.agents[agent], clock(OWNERS + agent, requested_at));
             }
             Event::Order {
                 owner,
--- a/crates/wax-owner/tests/interference_log.rs
+++ b/crates/wax-owner/tests/interference_log.rs
@@ -5,7 +5,7 @@
 use wax_owner::{InterferenceLog, PendingInterference};
 use wax_policy::PairInterference;
 use wax_types::TimePoint;
-use wax_wire::{PressFrame, PressNews};
+use wax_wire::{InterferenceFrame, InterferenceUpdate};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -13,18 +13,18 @@
     TimePoint::from_millis(100_000 + millis)
 }
 
-fn pair(filling: &str, per_core: f64) -> PressFrame {
+fn pair(filling: &str, per_core: f64) -> InterferenceFrame {
     let press = PairInterference {
         per_core,
         precision: 10.0,
     };
-    PressFrame::new("serving", filling, press)
+    InterferenceFrame::new("serving", filling, press)
 }
 
-fn changes(pairs: &[PressFrame]) -> PendingInterference {
-    PendingInterference::Changes(PressNews {
+fn changes(pairs: &[InterferenceFrame]) -> PendingInterference {
+    PendingInterference::Changes(InterferenceUpdate {
         pairs: pairs.to_vec(),
-        rooms: Vec::new(),
+        headrooms: Vec::new(),
     })
 }
 
--- a/crates/wax-owner/tests/scale/simulation.rs
+++ b/crates/wax-owner/tests/scale/simulation.rs
@@ -421,7 +421,7 @@
         }
         self.answer(PoolBody::Grant(LeaseGrant {
             sent_us: self.now.0,
-            rank,
+            takeover_rank: rank,
             period_ms: period.as_millis() as u32,
             ..Default::default()
         }));
--- a/crates/wax-owner/tests/transaction_resolution.rs
+++ b/crates/wax-owner/tests/transaction_resolution.rs
@@ -9,15 +9,15 @@
     relay_transaction,
 };
 use wax_types::{ErrorKind, Step, TimePoint, WaxError};
-use wax_wire::{RelayFate, RelayTold};
+use wax_wire::{RelayReply, RelayResult};
 
 fn any_error() -> WaxError {
     WaxError::new(ErrorKind::Timeout, Step::SubmitJob, "store", "no answer")
 }
 
-fn answered(fate: RelayFate) -> RelayAttempt {
-    RelayAttempt::Answered(RelayTold {
-        fate: fate.into(),
+fn answered(fate: RelayResult) -> RelayAttempt {
+    RelayAttempt::Answered(RelayReply {
+        result: fate.into(),
         ..Default::default()
     })
 }
@@ -77,9 +77,9 @@
             }
             Attempt::NoLink => RelayAttempt::NoLink,
             Attempt::NoAnswer => RelayAttempt::NoAnswer,
-            Attempt::OwnerIndeterminate => answered(RelayFate::Unknown),
-            Attempt::OwnerSentNothing => answered(RelayFate::NotSent),
-            Attempt::OwnerRefused => answered(RelayFate::Refused),
+            Attempt::OwnerIndeterminate => answered(RelayResult::Unknown),
+            Attempt::OwnerSentNothing => answered(RelayResult::NotSent),
+            Attempt::OwnerRefused => answered(RelayResult::Refused),
         };
         relayed = relayed.or(tracker.record(outcome));
     }
@@ -109,7 +109,7 @@
     let mut tracker = RelayTracker::default();
     assert!(tracker.record(RelayAttempt::NoAnswer).is_none());
     // Replies to later requests do not settle the first one.
-    assert!(tracker.record(answered(RelayFate::NotSent)).is_none());
+    assert!(tracker.record(answered(RelayResult::NotSent)).is_none());
     assert!(tracker.record(RelayAttempt::NoLink).is_none());
     assert!(matches!(tracker.finish(), TxResolution::Unknown(_)));
 }
@@ -141,5 +141,8 @@
     let request = encode_relay_request(4, &TxRequest::default(), wait, TimePoint::default());
     let runtime = Runtime::new().expect("the runtime starts");
     let answer = runtime.block_on(relay_transaction(&shared, request, wait));
-    assert_eq!((answer.ask, answer.fate()), (4, RelayFate::NotSent));
+    assert_eq!(
+        (answer.request_id, answer.result()),
+        (4, RelayResult::NotSent)
+    );
 }
--- a/crates/wax-platform/src/lib.rs
+++ b/crates/wax-platform/src/lib.rs
@@ -1,6 +1,7 @@
-//! The platform's edges: table service, object store and workers, over HTTP and JSON.
+//! Clients for the table service, object store and workers that entry processes use, over HTTP and JSON.
 //!
-//! Nothing outside this crate knows the wire forms.
+//! No other crate knows these wire formats, except the stand-in servers of the tests. The processes of the pool use
+//! the crate `platform` instead.
 
 mod group;
 mod http_call;
@@ -13,11 +14,11 @@
 pub use group::GroupWriter;
 pub use http_call::HttpCaller;
 pub use objects::{ObjectClient, PutOutcome};
-pub use store::{StoreHealth, StoreLimits};
+pub use store::{StoreHandle, StoreLimits};
 pub use table::{CommitOutcome, RowEntry, TableClient, TableTransaction};
 pub use wire::{
-    CheckpointReply, CommitReply, CommitRequest, ControlRequest, ReadReply, ReadRequest,
-    RenewReply, RenewRequest, RowCondition, RowWrite, ScanRequest, StartReply, StartRequest,
-    TaskMark, TaskReport, TaskRun, ThrottleRequest, UsageReport, WireRow, WorkerInfo, WorkerList,
+    CommitReply, CommitRequest, ControlReply, ControlRequest, ReadReply, ReadRequest, RenewReply,
+    RenewRequest, RowCondition, RowWrite, ScanRequest, StartReply, StartRequest, TaskReport,
+    TaskRunId, TaskRunStatus, ThrottleRequest, UsageReport, WireRow, WorkerInfo, WorkerList,
 };
 pub use workers::{WorkerClient, WorkerDirectory};
--- a/crates/wax-platform/src/objects.rs
+++ b/crates/wax-platform/src/objects.rs
@@ -1,16 +1,16 @@
-//! Immutable objects: written once, read many times.
+//! Client for the object store. Objects are immutable: written once, read many times.
 
-use crate::store::StoreHealth;
+use crate::store::StoreHandle;
 use http::{Method, StatusCode};
 use serde::Deserialize;
 use wax_types::{ErrorKind, Step, WaxError};
 
-/// What a put found.
+/// Result of creating an object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PutOutcome {
-    /// The object was created now.
+    /// The object was created by this call.
     Created,
-    /// An object of this name was there before and is unchanged.
+    /// An object with this name already existed and is unchanged.
     Existed,
 }
 
@@ -19,24 +19,23 @@
     keys: Vec<Box<str>>,
 }
 
-/// Reads and writes objects.
+/// Client for the object store.
 #[derive(Debug, Clone)]
 pub struct ObjectClient {
-    health: StoreHealth,
+    store: StoreHandle,
 }
 
 impl ObjectClient {
-    /// Uses the store behind `health`.
-    pub fn new(health: StoreHealth) -> Self {
-        Self { health }
+    /// Creates a client that makes its calls through `store`.
+    pub fn new(store: StoreHandle) -> Self {
+        Self { store }
     }
 
-    /// Creates an object unless one of this name exists.
+    /// Creates an object unless one with this name exists.
     ///
     /// # Errors
     ///
-    /// The store does not answer; the object may or may not have been created, and the same call
-    /// may be made again.
+    /// The store does not answer. The object may have been created; a retry with the same arguments is safe.
     pub async fn create(&self, key: &str, bytes: Vec<u8>) -> Result<PutOutcome, WaxError> {
         let headers = [("if-none-match", "*")];
         let (status, _) = self
@@ -45,11 +44,11 @@
         match status {
             StatusCode::CREATED | StatusCode::OK => Ok(PutOutcome::Created),
             StatusCode::PRECONDITION_FAILED => Ok(PutOutcome::Existed),
-            status => Err(unexpected(Step::WriteObject, key, status)),
+            status => Err(unexpected_status(Step::WriteObject, key, status)),
         }
     }
 
-    /// Reads an object; `None` if there is none of this name.
+    /// Reads an object; `None` if none has this name.
     ///
     /// # Errors
     ///
@@ -61,22 +60,22 @@
         match status {
             StatusCode::OK => Ok(Some(bytes)),
             StatusCode::NOT_FOUND => Ok(None),
-            status => Err(unexpected(Step::ReadObject, key, status)),
+            status => Err(unexpected_status(Step::ReadObject, key, status)),
         }
     }
 
-    /// The names of the objects that start with `prefix`, in order.
+    /// Returns the names of all objects that start with `prefix`, in order.
     ///
     /// # Errors
     ///
     /// The store does not answer.
     pub async fn list(&self, prefix: &str) -> Result<Vec<Box<str>>, WaxError> {
-        let url = self.health.url(&format!("/objects?prefix={prefix}"));
+        let url = self.store.url(&format!("/objects?prefix={prefix}"));
         let call = self
-            .health
+            .store
             .caller()
             .get::<ObjectList>(Step::ReadObject, &url);
-        Ok(self.health.guard(Step::ReadObject, call).await?.keys)
+        Ok(self.store.run_call(Step::ReadObject, call).await?.keys)
     }
 
     async fn call(
@@ -87,20 +86,20 @@
         headers: &[(&str, &str)],
         body: Vec<u8>,
     ) -> Result<(StatusCode, Vec<u8>), WaxError> {
-        let url = self.health.url(&format!("/objects/{key}"));
-        let caller = self.health.caller();
+        let url = self.store.url(&format!("/objects/{key}"));
+        let caller = self.store.caller();
         let request = caller.request(step, method, &url, headers, body)?;
         let call = async {
             let (status, bytes) = caller.send(step, &url, request).await?;
             if status.is_server_error() {
-                return Err(unexpected(step, key, status));
+                return Err(unexpected_status(step, key, status));
             }
             Ok((status, bytes))
         };
-        self.health.guard(step, call).await
+        self.store.run_call(step, call).await
     }
 }
 
-fn unexpected(step: Step, key: &str, status: StatusCode) -> WaxError {
+fn unexpected_status(step: Step, key: &str, status: StatusCode) -> WaxError {
     WaxError::new(ErrorKind::Ambiguous, step, key, status)
 }
--- a/crates/wax-platform/src/store.rs
+++ b/crates/wax-platform/src/store.rs
@@ -1,4 +1,4 @@
-//! What all calls to the platform's store share: its health, the limit on concurrency, the counts.
+//! Shared handle for all calls to the platform's store: circuit breaker, limit on concurrency, and metrics.
 
 use crate::http_call::HttpCaller;
 use async_lock::Semaphore;
@@ -12,23 +12,23 @@
 use wax_trace::{Counter, count};
 use wax_types::{ErrorKind, ProcessClock, Step, TimePoint, WaxError};
 
-/// Bounds on the calls of one process to the store.
+/// Limits on the calls of one process to the store.
 #[derive(Debug, Clone, Copy)]
 pub struct StoreLimits {
-    /// Longest time for one call.
-    pub call: Duration,
-    /// Calls under way at once.
+    /// Time-out of one call.
+    pub call_timeout: Duration,
+    /// Maximum number of concurrent calls.
     pub concurrency: usize,
 }
 
-/// The store as this process sees it, shared by the table and object clients.
+/// Handle through which the table and object clients call the store. Clones share one circuit breaker.
 #[derive(Debug, Clone)]
-pub struct StoreHealth {
-    shared: Rc<HealthShared>,
+pub struct StoreHandle {
+    shared: Rc<StoreShared>,
 }
 
 #[derive(Debug)]
-struct HealthShared {
+struct StoreShared {
     base: Box<str>,
     caller: HttpCaller,
     clock: ProcessClock,
@@ -37,16 +37,16 @@
     rng: RefCell<Rng>,
 }
 
-impl StoreHealth {
-    /// Prepares calls to the store at `base`, as `http://IP:port`.
+impl StoreHandle {
+    /// Creates a handle for the store at `base`, a URL like `http://IP:port`. Opens no connection yet.
     ///
     /// # Errors
     ///
     /// The HTTP client cannot be built.
     pub fn new(base: &str, limits: StoreLimits, clock: ProcessClock) -> Result<Self, WaxError> {
-        let shared = HealthShared {
+        let shared = StoreShared {
             base: base.trim_end_matches('/').into(),
-            caller: HttpCaller::new(limits.call)?,
+            caller: HttpCaller::new(limits.call_timeout)?,
             clock,
             permits: Semaphore::new(limits.concurrency),
             breaker: RefCell::default(),
@@ -57,12 +57,12 @@
         })
     }
 
-    /// Since when the store has been down for this process.
+    /// Returns since when the store has been down, as seen by this process; `None` if it is up.
     pub fn down_since(&self) -> Option<TimePoint> {
         self.shared.breaker.borrow().down_since()
     }
 
-    /// The clock that the limits are counted on.
+    /// Returns the clock by which deadlines and the circuit breaker's times are measured.
     pub fn clock(&self) -> ProcessClock {
         self.shared.clock
     }
@@ -75,7 +75,7 @@
         format!("{}{path}", self.shared.base)
     }
 
-    /// Posts JSON under the breaker and the limit on concurrency.
+    /// Sends a POST request with a JSON body, subject to the circuit breaker and the limit on concurrency.
     pub(crate) async fn post<B: Serialize, R: DeserializeOwned>(
         &self,
         step: Step,
@@ -83,24 +83,25 @@
         body: &B,
     ) -> Result<R, WaxError> {
         let url = self.url(path);
-        self.guard(step, self.shared.caller.post(step, &url, body))
+        self.run_call(step, self.shared.caller.post(step, &url, body))
             .await
     }
 
-    /// Runs a call unless the store is down, and records how it went.
-    pub(crate) async fn guard<T>(
+    /// Runs a call and records its result in the circuit breaker. Fails without running the call while the store
+    /// is down.
+    pub(crate) async fn run_call<T>(
         &self,
         step: Step,
         call: impl Future<Output = Result<T, WaxError>>,
     ) -> Result<T, WaxError> {
         let _permit = self.shared.permits.acquire().await;
-        self.admit(step)?;
+        self.check_breaker(step)?;
         let result = call.await;
-        self.record(&result);
+        self.record_result(&result);
         result
     }
 
-    fn admit(&self, step: Step) -> Result<(), WaxError> {
+    fn check_breaker(&self, step: Step) -> Result<(), WaxError> {
         let now = self.shared.clock.now();
         let mut rng = self.shared.rng.borrow_mut();
         match self.shared.breaker.borrow_mut().check(now, &mut rng) {
@@ -118,7 +119,7 @@
         }
     }
 
-    fn record<T>(&self, result: &Result<T, WaxError>) {
+    fn record_result<T>(&self, result: &Result<T, WaxError>) {
         let mut breaker = self.shared.breaker.borrow_mut();
         let was_down = breaker.down_since();
         let failed = matches!(
--- a/crates/wax-platform/src/table.rs
+++ b/crates/wax-platform/src/table.rs
@@ -1,6 +1,6 @@
-//! Transactions on the table service, with lost replies settled.
+//! Client for the table service. Resolves by a nonce whether a transaction took effect when its reply was lost.
 
-use crate::store::StoreHealth;
+use crate::store::StoreHandle;
 use crate::wire::{
     CommitReply, CommitRequest, ReadReply, ReadRequest, RowCondition, RowWrite, ScanRequest,
     WireRow,
@@ -14,33 +14,33 @@
 use wax_trace::{Counter, count, count_many};
 use wax_types::{ErrorKind, RowVersion, Step, TimePoint, WaxError};
 
-/// Rows asked for in one scan call.
-const SCAN_ROWS: u32 = 1_000;
-const RETRY_FLOOR: Duration = Duration::from_millis(30);
-const RETRY_CEILING: Duration = Duration::from_secs(1);
+/// Number of rows requested by one scan call.
+const ROWS_PER_SCAN: u32 = 1_000;
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(30);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// A row that was read, decoded.
+/// Row that was read, with its decoded value.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RowEntry<T> {
-    /// The key.
+    /// Key of the row.
     pub key: Box<str>,
-    /// Its version, for conditions.
+    /// Version of the row, for use in conditions.
     pub version: RowVersion,
-    /// Its value.
+    /// Decoded value of the row.
     pub value: T,
 }
 
-/// Every value carries the nonce of the transaction that wrote it.
+/// Stored form of a value: contains the nonce of the transaction that wrote it.
 #[derive(Debug, Serialize, Deserialize)]
 struct Envelope<T> {
     nonce: u64,
     value: T,
 }
 
-/// Conditions and writes that take effect together or not at all.
+/// Transaction: all conditions hold and all writes take effect, or none does.
 ///
-/// The first write must be a put of a row that is also a condition: it is the row that settles a
-/// lost reply.
+/// The first write must be a put of a row that is also a condition. If a reply is lost, the nonce in that row tells
+/// whether the transaction took effect.
 #[derive(Debug, Clone)]
 pub struct TableTransaction {
     nonce: u64,
@@ -59,14 +59,14 @@
 }
 
 impl TableTransaction {
-    /// Requires that the row has this version, without writing it.
+    /// Adds the condition that a row has this version. The row is not written.
     pub fn require(&mut self, key: impl Into<Box<str>>, version: RowVersion) -> &mut Self {
         let key = key.into();
         self.conditions.push(RowCondition { key, version });
         self
     }
 
-    /// Replaces the row if it has this version; version 0 inserts.
+    /// Adds a write of a row, with the condition that it has this version; 0 if the row must not exist.
     pub fn put<T: Serialize>(
         &mut self,
         key: impl Into<Box<str>>,
@@ -82,7 +82,7 @@
         self
     }
 
-    /// Deletes the row if it has this version.
+    /// Adds the deletion of a row, with the condition that it has this version.
     pub fn delete(&mut self, key: impl Into<Box<str>>, version: RowVersion) -> &mut Self {
         let key = key.into();
         self.require(key.clone(), version);
@@ -90,23 +90,23 @@
         self
     }
 
-    /// Adds the conditions and writes of another transaction, which keep their own nonce.
-    pub(crate) fn absorb(&mut self, other: &Self) {
+    /// Adds the conditions and writes of another transaction. Values that it writes keep their own nonce.
+    pub(crate) fn append(&mut self, other: &Self) {
         self.conditions.extend(other.conditions.iter().cloned());
         self.writes.extend(other.writes.iter().cloned());
     }
 
-    /// Whether there is nothing to write.
+    /// Returns whether the transaction writes and deletes nothing.
     pub fn is_empty(&self) -> bool {
         self.writes.is_empty()
     }
 
-    /// How many rows are written.
+    /// Returns the number of rows that are written or deleted.
     pub fn rows_written(&self) -> usize {
         self.writes.len()
     }
 
-    /// The version that a row must have, if the row is a condition.
+    /// Returns the version that a row must have; `None` if no condition names the row.
     pub fn required_version(&self, key: &str) -> Option<RowVersion> {
         let condition = self
             .conditions
@@ -115,17 +115,18 @@
         Some(condition.version)
     }
 
-    /// The keys of all rows that are written or deleted.
+    /// Returns the keys of all rows that are written or deleted.
     pub fn written_keys(&self) -> impl Iterator<Item = &str> {
         self.writes.iter().map(|write| &*write.key)
     }
 
-    /// The keys of all conditions.
-    pub fn keys(&self) -> impl Iterator<Item = &str> {
+    /// Returns the keys of all conditions. Written rows are among them.
+    pub fn condition_keys(&self) -> impl Iterator<Item = &str> {
         self.conditions.iter().map(|condition| &*condition.key)
     }
 
-    fn settling_key(&self) -> Option<&str> {
+    /// Returns the key of the row whose nonce tells whether the transaction took effect.
+    fn nonce_row_key(&self) -> Option<&str> {
         self.writes
             .first()
             .filter(|write| write.value.is_some())
@@ -133,37 +134,37 @@
     }
 }
 
-/// What became of a transaction.
+/// Outcome of a transaction.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CommitOutcome {
-    /// It took effect, once; rows written have this version.
+    /// The transaction took effect exactly once. Contains the version of the written rows.
     Committed(RowVersion),
-    /// It did not and will not take effect: these rows have other versions.
+    /// The transaction did not and will not take effect. Contains the keys of the rows that have other versions.
     Conflict(Vec<Box<str>>),
-    /// Nothing was ever sent to the store.
+    /// The transaction was never sent to the store, so it has no effect.
     NotSent(WaxError),
-    /// It may have taken effect, or may yet.
+    /// Indeterminate: the transaction may have taken effect or may still do so.
     Unknown(WaxError),
 }
 
-/// Reads and commits rows.
+/// Client for the table service.
 #[derive(Debug, Clone)]
 pub struct TableClient {
-    health: StoreHealth,
+    store: StoreHandle,
 }
 
 impl TableClient {
-    /// Uses the store behind `health`.
-    pub fn new(health: StoreHealth) -> Self {
-        Self { health }
+    /// Creates a client that makes its calls through `store`.
+    pub fn new(store: StoreHandle) -> Self {
+        Self { store }
     }
 
-    /// The store's health.
-    pub fn health(&self) -> &StoreHealth {
-        &self.health
+    /// Returns the handle of the store.
+    pub fn store(&self) -> &StoreHandle {
+        &self.store
     }
 
-    /// Reads one row.
+    /// Reads one row; `None` if it does not exist.
     ///
     /// # Errors
     ///
@@ -179,7 +180,7 @@
     ///
     /// # Errors
     ///
-    /// As for [`TableClient::read`].
+    /// See [`TableClient::read`].
     pub async fn read_many<T: DeserializeOwned>(
         &self,
         keys: &[&str],
@@ -188,17 +189,17 @@
         let keys = keys.iter().map(|key| (*key).into()).collect();
         let request = ReadRequest { keys };
         let reply: ReadReply = self
-            .health
+            .store
             .post(Step::ReadTable, "/table/read", &request)
             .await?;
         reply.rows.into_iter().map(decode_row).collect()
     }
 
-    /// Reads every row whose key starts with `prefix`, in the order of keys.
+    /// Reads all rows whose keys start with `prefix`, ordered by key.
     ///
     /// # Errors
     ///
-    /// As for [`TableClient::read`].
+    /// See [`TableClient::read`].
     pub async fn scan<T: DeserializeOwned>(
         &self,
         prefix: &str,
@@ -210,13 +211,13 @@
             let request = ScanRequest {
                 prefix: prefix.into(),
                 after,
-                limit: SCAN_ROWS,
+                limit: ROWS_PER_SCAN,
             };
             let reply: ReadReply = self
-                .health
+                .store
                 .post(Step::ReadTable, "/table/scan", &request)
                 .await?;
-            let full = reply.rows.len() == SCAN_ROWS as usize;
+            let full = reply.rows.len() == ROWS_PER_SCAN as usize;
             after = reply
                 .rows
                 .last()
@@ -230,52 +231,54 @@
         }
     }
 
-    /// Commits, trying again until `deadline` while the fate is open.
+    /// Commits a transaction. Retries until `deadline` while the effect is indeterminate.
     ///
-    /// A transaction is sent again unchanged: its conditions let it take effect only once. A
-    /// conflict after a lost reply is settled by the nonce in the first row written.
+    /// Retries are safe because the conditions let the transaction take effect only once. A conflict after a lost
+    /// reply is resolved by the nonce in the first row written.
     pub async fn commit(
         &self,
         transaction: &TableTransaction,
         deadline: TimePoint,
     ) -> CommitOutcome {
-        self.commit_again(transaction, deadline, false).await
+        self.resume_commit(transaction, deadline, false).await
     }
 
-    /// Commits a transaction that may have been sent before, if `sent` says so.
-    pub async fn commit_again(
+    /// Like [`TableClient::commit`], for a transaction that may have been sent before if `may_be_sent` is true.
+    pub async fn resume_commit(
         &self,
         transaction: &TableTransaction,
         deadline: TimePoint,
-        mut sent: bool,
+        mut may_be_sent: bool,
     ) -> CommitOutcome {
         let request = CommitRequest {
             conditions: transaction.conditions.clone(),
             writes: transaction.writes.clone(),
         };
-        let mut backoff = BackoffPlan::new(RETRY_FLOOR, RETRY_CEILING);
+        let mut backoff = BackoffPlan::new(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
         loop {
             let error = match self.send_commit(&request).await {
                 Ok(CommitReply::Committed(version)) => return CommitOutcome::Committed(version),
-                Ok(CommitReply::Conflict(keys)) if !sent => {
+                Ok(CommitReply::Conflict(keys)) if !may_be_sent => {
                     count(Counter::StoreConflicts);
                     return CommitOutcome::Conflict(keys);
                 }
-                Ok(CommitReply::Conflict(keys)) => match self.settle(transaction, keys).await {
-                    Ok(outcome) => return outcome,
-                    Err(error) => error,
-                },
-                Err(error) if !sent && matches!(error.kind, ErrorKind::Unavailable(_)) => {
-                    // Nothing was sent: whoever waits is told at once.
+                Ok(CommitReply::Conflict(keys)) => {
+                    match self.resolve_conflict(transaction, keys).await {
+                        Ok(outcome) => return outcome,
+                        Err(error) => error,
+                    }
+                }
+                Err(error) if !may_be_sent && matches!(error.kind, ErrorKind::Unavailable(_)) => {
+                    // Nothing was sent, so the caller can be answered at once.
                     return CommitOutcome::NotSent(error);
                 }
                 Err(error) => {
-                    sent = true;
+                    may_be_sent = true;
                     error
                 }
             };
             let wait = backoff.next_delay(&mut Rng::new());
-            if self.health.clock().now() + wait >= deadline {
+            if self.store.clock().now() + wait >= deadline {
                 return CommitOutcome::Unknown(error);
             }
             sleep(wait).await;
@@ -285,18 +288,19 @@
     async fn send_commit(&self, request: &CommitRequest) -> Result<CommitReply, WaxError> {
         count(Counter::StoreCommits);
         count_many(Counter::StoreRowsWritten, request.writes.len() as u64);
-        self.health
+        self.store
             .post(Step::CommitTable, "/table/commit", request)
             .await
     }
 
-    /// Decides a conflict that followed a lost reply.
-    async fn settle(
+    /// Resolves a conflict that followed a lost reply: reads the first written row and compares its nonce. The row
+    /// has the nonce of this transaction if the conflict is with the transaction's own earlier commit.
+    async fn resolve_conflict(
         &self,
         transaction: &TableTransaction,
         keys: Vec<Box<str>>,
     ) -> Result<CommitOutcome, WaxError> {
-        let Some(key) = transaction.settling_key() else {
+        let Some(key) = transaction.nonce_row_key() else {
             let text = "a transaction without a settling row";
             let error = WaxError::new(ErrorKind::Ambiguous, Step::CommitTable, "table", text);
             return Ok(CommitOutcome::Unknown(error));
@@ -306,14 +310,14 @@
             keys: vec![key.into()],
         };
         let reply: ReadReply = self
-            .health
+            .store
             .post(Step::ReadTable, "/table/read", &request)
             .await?;
-        let ours = reply.rows.first().filter(|row| {
+        let own_row = reply.rows.first().filter(|row| {
             row.value.get("nonce").and_then(serde_json::Value::as_u64) == Some(transaction.nonce)
         });
         count(Counter::StoreSettled);
-        Ok(match ours {
+        Ok(match own_row {
             Some(row) => CommitOutcome::Committed(row.version),
             None => CommitOutcome::Conflict(keys),
         })
--- a/crates/wax-sidecar/src/process.rs
+++ b/crates/wax-sidecar/src/process.rs
@@ -232,7 +232,7 @@
             }
             GateChoice::Full(after) => attempt.refuse(NotRunReason::QueueFull, after),
             GateChoice::CannotMeetDeadline(after) => {
-                attempt.refuse(NotRunReason::DeadlineHopeless, after)
+                attempt.refuse(NotRunReason::CannotMeetDeadline, after)
             }
         }
     }
@@ -290,7 +290,7 @@
                 DequeueChoice::Drop(key) => {
                     let wait = self.gate.borrow().expected_wait();
                     if let Some(attempt) = self.table.borrow_mut().take_queued(key) {
-                        attempt.refuse(NotRunReason::DeadlineHopeless, wait);
+                        attempt.refuse(NotRunReason::CannotMeetDeadline, wait);
                     }
                 }
             }
--- a/crates/wax-wire/src/codec.rs
+++ b/crates/wax-wire/src/codec.rs
@@ -1,24 +1,24 @@
-//! Frames with a four-byte length in front and a bound on it.
+//! Codec for protobuf messages that are each preceded by their length in four bytes.
 
-use crate::frame::PeerFrame;
+use crate::peer::PeerFrame;
 use bytes::{Bytes, BytesMut};
 use prost::Message;
 use std::io;
 use std::marker::PhantomData;
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-/// The largest frame accepted, in bytes; a longer length ends the connection.
+/// Maximum size of a frame. A length field above it is a decoding error, which ends the connection.
 pub const MAX_FRAME_BYTES: usize = 4 << 20;
 
-/// Encodes and decodes messages of one type, [`PeerFrame`]s unless it is named.
+/// Encodes and decodes length-delimited messages of type `M`.
 #[derive(Debug)]
-pub struct PeerCodec<M = PeerFrame> {
+pub struct FrameCodec<M = PeerFrame> {
     lengths: LengthDelimitedCodec,
     message: PhantomData<M>,
 }
 
-impl<M> PeerCodec<M> {
-    /// Builds a codec with the bound [`MAX_FRAME_BYTES`].
+impl<M> FrameCodec<M> {
+    /// Creates a codec that accepts frames of up to [`MAX_FRAME_BYTES`].
     pub fn new() -> Self {
         let lengths = LengthDelimitedCodec::builder()
             .max_frame_length(MAX_FRAME_BYTES)
@@ -30,13 +30,13 @@
     }
 }
 
-impl<M> Default for PeerCodec<M> {
+impl<M> Default for FrameCodec<M> {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl<M: Message + Default> Decoder for PeerCodec<M> {
+impl<M: Message + Default> Decoder for FrameCodec<M> {
     type Item = M;
     type Error = io::Error;
 
@@ -50,7 +50,7 @@
     }
 }
 
-impl<M: Message> Encoder<M> for PeerCodec<M> {
+impl<M: Message> Encoder<M> for FrameCodec<M> {
     type Error = io::Error;
 
     fn encode(&mut self, frame: M, buffer: &mut BytesMut) -> io::Result<()> {
--- a/crates/wax-wire/src/lib.rs
+++ b/crates/wax-wire/src/lib.rs
@@ -1,29 +1,32 @@
-//! Frames between an entry and a sidecar: length-delimited protobuf on one TCP connection.
+//! Messages between the processes of the system: length-delimited protobuf over TCP.
+//!
+//! [`PeerFrame`]s go between an entry and a sidecar and carry quick requests. [`PoolFrame`]s go between the
+//! owner of a shard, its agents and its fronts and carry everything about jobs and tasks.
 
 mod codec;
-mod frame;
 mod link;
+mod peer;
 mod pool;
 mod pool_parts;
 mod relay;
 
-pub use codec::{MAX_FRAME_BYTES, PeerCodec};
-pub use frame::{
+pub use codec::{FrameCodec, MAX_FRAME_BYTES};
+pub use link::{
+    BODY_WINDOW_BYTES, LinkFrame, LinkReader, LinkWriter, PeerReader, PeerWriter, PoolReader,
+    PoolWriter, split_stream,
+};
+pub use peer::{
     AttemptId, BodyChunk, CancelRequest, CreditGrant, HeaderField, LoadReport, NotRunAnswer,
     NotRunReason, PeerBody, PeerFrame, PeerHello, PeerList, RequestHead, RequestLost, ResponseHead,
     SettingsAck, SettingsPush,
 };
-pub use link::{
-    FrameReader, FrameWriter, LinkFrame, LinkReader, LinkWriter, PoolReader, PoolWriter,
-    WINDOW_BYTES, split_stream,
-};
 pub use pool::{
-    AckEnds, AgentHello, BootCrashed, BootsDead, ConfigPush, DrainFrame, EntryHello, JobAsk,
-    JobCancelled, JobTold, LeaseGrant, LinkPing, NotOwner, OwnerWelcome, PoolBody, PoolFrame,
-    PressFrame, PressNews, RoomFrame, RunNews, SeatFrame, StartRun, StopRun, WorkerGone,
-    WorkerKept, WorkerUp,
+    AckEnds, AgentHello, AllRunsEnded, BootCrashed, BootsEnded, ConfigPush, DrainFrame, FrontHello,
+    HeadroomFrame, InterferenceFrame, InterferenceUpdate, JobCancelled, JobQuery, JobReply,
+    LeaseGrant, LinkHeartbeat, NotOwner, OwnerWelcome, PlacementFrame, PoolBody, PoolFrame,
+    RunUpdates, StartRun, StopRun, WorkerAccepted, WorkerSnapshot,
 };
 pub use pool_parts::{
-    BootFrame, EndFrame, LostFrame, MarkFrame, RefusalFrame, ReportFrame, WorkerFrame,
+    BootFrame, LostRunFrame, RefusalFrame, RunEndFrame, RunIdFrame, RunReportFrame, WorkerFrame,
 };
-pub use relay::{ExpectFrame, RelayAsk, RelayFate, RelayTold, RowFrame};
+pub use relay::{ExpectFrame, RelayReply, RelayRequest, RelayResult, RowFrame};
--- a/crates/wax-wire/src/link.rs
+++ b/crates/wax-wire/src/link.rs
@@ -1,7 +1,7 @@
-//! Splits a TCP stream into a reader and a writer of one family of messages.
+//! Reads and writes messages on a TCP connection, for either family of messages.
 
-use crate::codec::PeerCodec;
-use crate::frame::{PeerBody, PeerFrame};
+use crate::codec::FrameCodec;
+use crate::peer::{PeerBody, PeerFrame};
 use crate::pool::{PoolBody, PoolFrame};
 use compio::io::compat::AsyncStream;
 use compio::net::TcpStream;
@@ -15,26 +15,26 @@
 use tokio_util::compat::{Compat, FuturesAsyncReadCompatExt};
 use wax_trace::{Counter, count_many};
 
-/// Bytes of one body that may be under way before the receiver grants more.
-pub const WINDOW_BYTES: u32 = 256 << 10;
+/// Flow-control window of one body: the bytes that may be in flight before the receiver grants credit.
+pub const BODY_WINDOW_BYTES: u32 = 256 << 10;
 
-/// What each of a link's four buffers begins with. Nearly all frames are smaller, and an owner keeps a link to
-/// each process of its pool; buffers grow for a larger frame.
+/// Initial size of each of a link's four buffers. It is small because nearly all frames are smaller and an owner
+/// keeps a link to each process of its pool. Buffers grow for larger frames.
 const BUFFER_BYTES: usize = 2 << 10;
 
-/// The length in front of each frame.
+/// Size of the length field that precedes each frame.
 const LENGTH_BYTES: usize = 4;
 
-/// A frame that carries one of several bodies.
+/// Envelope of a family of messages: carries one of several bodies.
 pub trait LinkFrame: Message + Default + From<Self::Body> {
-    /// What it carries.
+    /// The messages of the family.
     type Body;
 
-    /// The body; `None` for a kind that is not known.
+    /// Returns the body; `None` if its kind is unknown.
     fn into_body(self) -> Option<Self::Body>;
 
-    /// Notes that it is about to be sent.
-    fn note_sent(&self) {}
+    /// Counts the frame in the metrics just before it is sent. Does nothing unless overridden.
+    fn count_sent(&self) {}
 }
 
 impl LinkFrame for PeerFrame {
@@ -44,7 +44,7 @@
         self.body
     }
 
-    fn note_sent(&self) {
+    fn count_sent(&self) {
         if self.body.as_ref().is_some_and(PeerBody::is_control) {
             let bytes = self.encoded_len() + LENGTH_BYTES;
             count_many(Counter::LinksControlBytes, bytes as u64);
@@ -60,76 +60,77 @@
     }
 }
 
-type FramedStream<M> = Framed<Compat<Pin<Box<AsyncStream<TcpStream>>>>, PeerCodec<M>>;
+type FramedStream<M> = Framed<Compat<Pin<Box<AsyncStream<TcpStream>>>>, FrameCodec<M>>;
 
-/// The reading half of a connection.
+/// Reads messages from a connection.
 #[derive(Debug)]
 pub struct LinkReader<M> {
     stream: SplitStream<FramedStream<M>>,
 }
 
-/// The writing half of a connection.
+/// Writes messages to a connection.
 #[derive(Debug)]
 pub struct LinkWriter<M> {
     sink: SplitSink<FramedStream<M>, M>,
 }
 
 /// Reads frames between an entry and a sidecar.
-pub type FrameReader = LinkReader<PeerFrame>;
+pub type PeerReader = LinkReader<PeerFrame>;
 /// Writes frames between an entry and a sidecar.
-pub type FrameWriter = LinkWriter<PeerFrame>;
-/// Reads messages of the pool.
+pub type PeerWriter = LinkWriter<PeerFrame>;
+/// Reads frames between an owner and its agents or fronts.
 pub type PoolReader = LinkReader<PoolFrame>;
-/// Writes messages of the pool.
+/// Writes frames between an owner and its agents or fronts.
 pub type PoolWriter = LinkWriter<PoolFrame>;
 
-/// Wraps a connected stream in the codec and splits it.
+/// Splits a connected stream into a reader and a writer of messages.
 pub fn split_stream<M: LinkFrame>(stream: TcpStream) -> (LinkReader<M>, LinkWriter<M>) {
     let stream = Box::pin(AsyncStream::with_capacity(BUFFER_BYTES, stream)).compat();
-    let framed = Framed::with_capacity(stream, PeerCodec::new(), BUFFER_BYTES);
+    let framed = Framed::with_capacity(stream, FrameCodec::new(), BUFFER_BYTES);
     let (sink, stream) = framed.split();
     (LinkReader { stream }, LinkWriter { sink })
 }
 
 impl<M: LinkFrame> LinkReader<M> {
-    /// The next frame's body; `None` once the peer has closed the connection.
+    /// Reads the next message. Returns `None` once the peer has closed the connection.
     ///
     /// # Errors
     ///
-    /// I/O errors, frames over the bound, and frames that do not decode.
+    /// I/O errors, frames larger than [`MAX_FRAME_BYTES`](crate::MAX_FRAME_BYTES), and frames that do not decode.
     pub async fn read(&mut self) -> io::Result<Option<M::Body>> {
         let Some(frame) = self.stream.next().await else {
             return Ok(None);
         };
         frame?.into_body().map(Some).ok_or_else(|| {
-            let text = "frame of an unknown kind";
+            let text = "frame without a body of a known kind";
             io::Error::new(io::ErrorKind::InvalidData, text)
         })
     }
 }
 
 impl<M: LinkFrame> LinkWriter<M> {
-    /// Sends one frame and flushes.
+    /// Sends one message and flushes.
     ///
     /// # Errors
     ///
-    /// I/O errors, and a frame over the bound.
+    /// I/O errors, and a message larger than [`MAX_FRAME_BYTES`](crate::MAX_FRAME_BYTES).
     pub async fn write(&mut self, body: M::Body) -> io::Result<()> {
         self.sink.send(body.into()).await
     }
 
     async fn feed(&mut self, body: M::Body) -> io::Result<()> {
         let frame = M::from(body);
-        frame.note_sent();
+        frame.count_sent();
         self.sink.feed(frame).await
     }
 
-    /// Sends what arrives on `outbox`, flushing when it is empty, until it closes.
+    /// Sends all messages from `outbox` until its senders are dropped, then closes the connection. Flushes
+    /// whenever `outbox` is empty.
     ///
     /// # Errors
     ///
     /// The first I/O error.
-    pub async fn drain(&mut self, outbox: &mut UnboundedReceiver<M::Body>) -> io::Result<()> {
+    pub async fn forward(&mut self, outbox: &mut UnboundedReceiver<M::Body>) -> io::Result<()> {
         while let Some(body) = outbox.next().await {
             self.feed(body).await?;
             while let Ok(body) = outbox.try_recv() {
--- a/crates/wax-wire/src/pool_parts.rs
+++ b/crates/wax-wire/src/pool_parts.rs
@@ -1,4 +1,4 @@
-//! Runs, workers and ends as they stand in messages of the pool.
+//! Parts of the pool's messages: encodings of run ids, workers, boots, and reports and ends of runs.
 
 use prost::Message;
 use std::time::Duration;
@@ -7,9 +7,9 @@
     TaskSize, WorkerState, WorkerView,
 };
 
-/// A run of a task.
+/// Encoded [`RunMark`]: a task and the number of its run.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct MarkFrame {
+pub struct RunIdFrame {
     #[prost(fixed64, tag = "1")]
     job: u64,
     #[prost(uint32, tag = "2")]
@@ -22,20 +22,20 @@
     run: u64,
 }
 
-impl From<RunId> for MarkFrame {
-    fn from(mark: RunId) -> Self {
+impl From<RunId> for RunIdFrame {
+    fn from(run_id: RunId) -> Self {
         Self {
-            job: mark.task.job.0,
-            occurrence: mark.task.occurrence,
-            step: mark.task.step.into(),
-            index: mark.task.index,
-            run: mark.run,
+            job: run_id.task.job.0,
+            occurrence: run_id.task.occurrence,
+            step: run_id.task.step.into(),
+            index: run_id.task.index,
+            run: run_id.run,
         }
     }
 }
 
-impl From<&MarkFrame> for RunId {
-    fn from(frame: &MarkFrame) -> Self {
+impl From<&RunIdFrame> for RunId {
+    fn from(frame: &RunIdFrame) -> Self {
         Self {
             task: TaskName {
                 job: JobName(frame.job),
@@ -48,7 +48,7 @@
     }
 }
 
-/// A worker's own words.
+/// Encoded [`WorkerView`]: a worker's description of itself.
 #[derive(Clone, PartialEq, Message)]
 pub struct WorkerFrame {
     #[prost(string, tag = "1")]
@@ -80,13 +80,13 @@
 }
 
 impl WorkerFrame {
-    /// The boot that speaks.
+    /// Returns the boot of the worker that is described.
     pub fn boot(&self) -> BootId {
         BootId::new(&*self.id, self.started_ms)
     }
 }
 
-/// A boot of a worker.
+/// Encoded [`BootId`]: one process life of a worker, by its id and start time.
 #[derive(Clone, PartialEq, Message)]
 pub struct BootFrame {
     #[prost(string, tag = "1")]
@@ -154,11 +154,11 @@
     }
 }
 
-/// A run that goes on.
+/// Encoded [`RunReport`]: a run in progress.
 #[derive(Clone, PartialEq, Message)]
-pub struct ReportFrame {
+pub struct RunReportFrame {
     #[prost(message, required, tag = "1")]
-    mark: MarkFrame,
+    run_id: RunIdFrame,
     #[prost(string, tag = "2")]
     checkpoint: String,
     #[prost(uint32, tag = "3")]
@@ -169,10 +169,10 @@
     listed: bool,
 }
 
-impl From<&RunReport> for ReportFrame {
+impl From<&RunReport> for RunReportFrame {
     fn from(report: &RunReport) -> Self {
         Self {
-            mark: report.run_id.into(),
+            run_id: report.run_id.into(),
             checkpoint: report.checkpoint.to_string(),
             percent: report.percent,
             figure: report.load_metric,
@@ -181,10 +181,10 @@
     }
 }
 
-impl From<&ReportFrame> for RunReport {
-    fn from(frame: &ReportFrame) -> Self {
+impl From<&RunReportFrame> for RunReport {
+    fn from(frame: &RunReportFrame) -> Self {
         Self {
-            run_id: (&frame.mark).into(),
+            run_id: (&frame.run_id).into(),
             checkpoint: frame.checkpoint.as_str().into(),
             percent: frame.percent,
             load_metric: frame.figure,
@@ -193,48 +193,48 @@
     }
 }
 
-/// A run that was on a worker when that ended.
+/// Encoded [`LostRun`]: a run that was on a worker when the worker ended.
 #[derive(Clone, PartialEq, Message)]
-pub struct LostFrame {
+pub struct LostRunFrame {
     #[prost(message, required, tag = "1")]
-    mark: MarkFrame,
-    /// Milliseconds.
+    run_id: RunIdFrame,
+    /// How long the run had been running, in milliseconds, if known.
     #[prost(uint64, optional, tag = "2")]
     ran_ms: Option<u64>,
 }
 
-impl From<&LostRun> for LostFrame {
+impl From<&LostRun> for LostRunFrame {
     fn from(lost: &LostRun) -> Self {
         Self {
-            mark: lost.run_id.into(),
+            run_id: lost.run_id.into(),
             ran_ms: lost.min_run_time.map(|ran| ran.as_millis() as u64),
         }
     }
 }
 
-impl From<&LostFrame> for LostRun {
-    fn from(frame: &LostFrame) -> Self {
+impl From<&LostRunFrame> for LostRun {
+    fn from(frame: &LostRunFrame) -> Self {
         Self {
-            run_id: (&frame.mark).into(),
+            run_id: (&frame.run_id).into(),
             min_run_time: frame.ran_ms.map(Duration::from_millis),
         }
     }
 }
 
-/// A run that has ended.
+/// Encoded [`RunEnd`]: a run that has ended.
 #[derive(Clone, PartialEq, Message)]
-pub struct EndFrame {
+pub struct RunEndFrame {
     #[prost(uint64, tag = "1")]
     number: u64,
     #[prost(message, required, tag = "2")]
-    mark: MarkFrame,
+    run_id: RunIdFrame,
     #[prost(uint32, tag = "3")]
     kind: u32,
     #[prost(string, tag = "4")]
     checkpoint: String,
 }
 
-/// Kinds of end in the order of their numbers on the wire.
+/// Kinds of end; the index of each is its number on the wire.
 const END_KINDS: [RunEndKind; 6] = [
     RunEndKind::Stopped,
     RunEndKind::Done,
@@ -244,69 +244,69 @@
     RunEndKind::Alone,
 ];
 
-impl From<&RunEnd> for EndFrame {
+impl From<&RunEnd> for RunEndFrame {
     fn from(end: &RunEnd) -> Self {
         let kind = END_KINDS.iter().position(|kind| *kind == end.kind);
         Self {
             number: end.number,
-            mark: end.run_id.into(),
+            run_id: end.run_id.into(),
             kind: kind.unwrap_or_default() as u32,
             checkpoint: end.checkpoint.to_string(),
         }
     }
 }
 
-impl EndFrame {
-    /// Which run has ended.
-    pub fn run_mark(&self) -> RunId {
-        (&self.mark).into()
+impl RunEndFrame {
+    /// Returns the id of the run that has ended.
+    pub fn run_id(&self) -> RunId {
+        (&self.run_id).into()
     }
 }
 
-impl From<&EndFrame> for RunEnd {
-    fn from(frame: &EndFrame) -> Self {
+impl From<&RunEndFrame> for RunEnd {
+    fn from(frame: &RunEndFrame) -> Self {
         let kind = END_KINDS.get(frame.kind as usize).copied();
         Self {
             number: frame.number,
-            run_id: (&frame.mark).into(),
+            run_id: (&frame.run_id).into(),
             kind: kind.unwrap_or(RunEndKind::Stopped),
             checkpoint: frame.checkpoint.as_str().into(),
         }
     }
 }
 
-/// A run that did not begin and never will.
+/// A run that the worker did not start and never will, with the reason.
 #[derive(Clone, PartialEq, Message)]
 pub struct RefusalFrame {
     #[prost(message, required, tag = "1")]
-    mark: MarkFrame,
+    run_id: RunIdFrame,
     #[prost(uint32, tag = "2")]
-    why: u32,
+    reason: u32,
 }
 
 impl RefusalFrame {
-    /// Encodes a refusal.
-    pub fn new(mark: RunId, refusal: StartRefusal) -> Self {
-        let why = match refusal {
+    /// Encodes the refusal of a run.
+    pub fn new(run_id: RunId, refusal: StartRefusal) -> Self {
+        let reason = match refusal {
             StartRefusal::Stale => 0,
             StartRefusal::Room => 1,
             StartRefusal::Unwell => 2,
             StartRefusal::Drained => 3,
         };
         Self {
-            mark: mark.into(),
-            why,
+            run_id: run_id.into(),
+            reason,
         }
     }
 
-    /// Decodes it.
+    /// Decodes the run and the reason. An unknown reason counts as [`StartRefusal::Stale`].
     pub fn decode(&self) -> (RunId, StartRefusal) {
-        let refusal = match self.why {
+        let refusal = match self.reason {
             1 => StartRefusal::Room,
             2 => StartRefusal::Unwell,
             3 => StartRefusal::Drained,
             _ => StartRefusal::Stale,
         };
-        ((&self.mark).into(), refusal)
+        ((&self.run_id).into(), refusal)
     }
 }
--- a/crates/wax-wire/tests/fuzz.rs
+++ b/crates/wax-wire/tests/fuzz.rs
@@ -1,4 +1,4 @@
-//! Whatever a peer sends, decoding it ends no process.
+//! Decoding damaged frames of the pool must not panic.
 
 #[path = "../../../tests/common/fuzz.rs"]
 mod fuzz;
@@ -7,8 +7,8 @@
 use prost::Message;
 use wax_batch::{BootId, JobName, RunId, TaskName, WorkerView};
 use wax_wire::{
-    AckEnds, AgentHello, MarkFrame, PoolBody, PoolFrame, ReportFrame, RunNews, StopRun, WorkerGone,
-    WorkerUp,
+    AckEnds, AgentHello, AllRunsEnded, PoolBody, PoolFrame, RunIdFrame, RunReportFrame, RunUpdates,
+    StopRun, WorkerSnapshot,
 };
 
 fn samples() -> Vec<Vec<u8>> {
@@ -27,20 +27,20 @@
     let bodies = [
         PoolBody::AgentHello(AgentHello {
             node: "side-1".into(),
-            dead: vec![(&boot).into()],
+            ended_boots: vec![(&boot).into()],
         }),
-        PoolBody::WorkerUp(WorkerUp {
+        PoolBody::WorkerSnapshot(WorkerSnapshot {
             worker: (&view).into(),
-            runs: vec![ReportFrame::default()],
+            runs: vec![RunReportFrame::default()],
             ends: Vec::new(),
             known_pairs: 3,
         }),
-        PoolBody::WorkerGone(WorkerGone::new(&boot, true)),
+        PoolBody::AllRunsEnded(AllRunsEnded::new(&boot, true)),
         PoolBody::Ack(AckEnds::new(&boot, 57)),
         PoolBody::Stop(StopRun {
-            mark: MarkFrame::from(mark),
+            run_id: RunIdFrame::from(mark),
         }),
-        PoolBody::News(RunNews {
+        PoolBody::RunUpdates(RunUpdates {
             started: vec![mark.into()],
             ..Default::default()
         }),
@@ -50,20 +50,26 @@
 }
 
 #[test]
-fn damaged_frames_of_the_pool_end_nothing() {
+fn decoding_damaged_pool_frames_does_not_panic() {
     fuzz(&samples(), damage_bytes, |bytes| {
         let Ok(frame) = PoolFrame::decode(bytes) else {
             return;
         };
         match frame.body {
-            Some(PoolBody::WorkerUp(up)) => {
+            Some(PoolBody::WorkerSnapshot(up)) => {
                 let runs = up.runs.iter().map(wax_batch::RunReport::from);
                 drop((WorkerView::from(up.worker), runs.count()));
             }
-            Some(PoolBody::WorkerGone(gone)) => drop(gone.boot()),
+            Some(PoolBody::AllRunsEnded(gone)) => drop(gone.boot()),
             Some(PoolBody::Ack(ack)) => drop(ack.boot()),
             Some(PoolBody::AgentHello(hello)) => {
-                drop(hello.dead.iter().map(BootId::from).collect::<Vec<_>>());
+                drop(
+                    hello
+                        .ended_boots
+                        .iter()
+                        .map(BootId::from)
+                        .collect::<Vec<_>>(),
+                );
             }
             _ => {}
         }
--- a/crates/wax-wire/tests/pool.rs
+++ b/crates/wax-wire/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Every kind of message of the pool survives the wire.
+//! Every kind of message of the pool is unchanged after encoding and decoding.
 
 use bytes::BytesMut;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use wax_policy::PairInterference;
 use wax_wire::*;
 
-fn mark() -> RunId {
+fn run_id() -> RunId {
     RunId {
         task: TaskName {
             job: JobName(0x5c0e_7a21_d94b_36f8),
@@ -44,9 +44,9 @@
     }
 }
 
-fn report() -> RunReport {
+fn run_report() -> RunReport {
     RunReport {
-        run_id: mark(),
+        run_id: run_id(),
         checkpoint: "00bb".into(),
         percent: 41,
         load_metric: 12,
@@ -54,29 +54,29 @@
     }
 }
 
-fn lost() -> LostRun {
+fn lost_run() -> LostRun {
     LostRun {
-        run_id: mark(),
+        run_id: run_id(),
         min_run_time: Some(Duration::from_millis(12)),
     }
 }
 
-fn end() -> RunEnd {
+fn run_end() -> RunEnd {
     RunEnd {
         number: 58,
-        run_id: mark(),
+        run_id: run_id(),
         kind: RunEndKind::Broken,
         checkpoint: "".into(),
     }
 }
 
-fn seat() -> SeatFrame {
-    SeatFrame {
-        mark: mark().into(),
+fn placement() -> PlacementFrame {
+    PlacementFrame {
+        run_id: run_id().into(),
         cpu_milli: 100,
         memory_mb: 200,
         accelerators: 0,
-        fills: true,
+        best_effort: true,
         tail_target_ms: 150,
         image: "red".into(),
     }
@@ -92,29 +92,29 @@
     }
 }
 
-macro_rules! survives {
+macro_rules! round_trips {
     ($($name:ident: $body:expr,)*) => {
         $(
             #[test]
             fn $name() {
                 let frame = PoolFrame::from($body);
                 let mut bytes = BytesMut::new();
-                PeerCodec::new().encode(frame.clone(), &mut bytes).expect("it encodes");
-                let decoded = PeerCodec::<PoolFrame>::new().decode(&mut bytes).expect("it decodes");
+                FrameCodec::new().encode(frame.clone(), &mut bytes).expect("the frame encodes");
+                let decoded = FrameCodec::<PoolFrame>::new().decode(&mut bytes).expect("the frame decodes");
                 assert_eq!(decoded, Some(frame));
             }
         )*
     };
 }
 
-survives! {
-    agent_hello: PoolBody::AgentHello(AgentHello { node: "side-1".into(), dead: vec![(&boot()).into()] }),
-    entry_hello: PoolBody::EntryHello(EntryHello {
+round_trips! {
+    agent_hello: PoolBody::AgentHello(AgentHello { node: "side-1".into(), ended_boots: vec![(&boot()).into()] }),
+    front_hello: PoolBody::FrontHello(FrontHello {
         node: "edge-1".into(),
         address: "10.0.0.1:7700".into(),
     }),
-    relay: PoolBody::Relay(RelayAsk {
-        ask: 7,
+    relay_request: PoolBody::RelayRequest(RelayRequest {
+        request_id: 7,
         expect: vec![ExpectFrame {
             table: "jobs".into(),
             part: "p".into(),
@@ -126,73 +126,79 @@
         sent_us: 12,
         remove: vec![row()],
     }),
-    relayed: PoolBody::Relayed(RelayTold {
-        ask: 7,
-        fate: RelayFate::Conflict.into(),
+    relay_reply: PoolBody::RelayReply(RelayReply {
+        request_id: 7,
+        result: RelayResult::Conflict.into(),
         version: 0,
         rows: vec![row()],
     }),
     welcome: PoolBody::Welcome(OwnerWelcome { epoch: 3, token: 9 }),
     not_owner: PoolBody::NotOwner(NotOwner { address: "10.0.0.1:7".into(), epoch: 3 }),
-    ping: PoolBody::Ping(LinkPing { sent_us: 5, config: 7, fitness: 500, store_lost: true }),
-    grant: PoolBody::Grant(LeaseGrant { sent_us: 5, valid_ms: 2_500, store_lost: true, config: 7, overload: 0.5, rank: 3, best: 500, period_ms: 900, config_age_ms: Some(40),
+    heartbeat: PoolBody::Heartbeat(LinkHeartbeat { sent_us: 5, config_version: 7, fitness: 500, store_lost: true }),
+    grant: PoolBody::Grant(LeaseGrant { sent_us: 5, valid_ms: 2_500, store_lost: true, config_version: 7, overload: 0.5, takeover_rank: 3, best_fitness: 500, period_ms: 900, config_age_ms: Some(40),
         drains: Some(DrainFrame { version: 9, domains: vec!["a".into(), "b".into()], age_ms: 40 }) }),
-    worker_up: PoolBody::WorkerUp(WorkerUp {
+    worker_snapshot: PoolBody::WorkerSnapshot(WorkerSnapshot {
         worker: (&view()).into(),
-        runs: vec![(&report()).into()],
-        ends: vec![(&end()).into()],
+        runs: vec![(&run_report()).into()],
+        ends: vec![(&run_end()).into()],
         known_pairs: 480,
     }),
-    worker_kept: PoolBody::WorkerKept(WorkerKept { worker: "i-1".into(), seats: vec![seat()], started_ms: Some(7) }),
+    worker_accepted: PoolBody::WorkerAccepted(WorkerAccepted { worker: "i-1".into(), placements: vec![placement()], started_ms: Some(7) }),
     worker_changed: PoolBody::WorkerChanged((&view()).into()),
-    worker_gone: PoolBody::WorkerGone(WorkerGone::new(&boot(), true)),
-    news: PoolBody::News(RunNews {
-        started: vec![mark().into()],
-        refused: vec![RefusalFrame::new(mark(), StartRefusal::Unwell)],
-        going: vec![(&report()).into()],
-        ends: vec![(&end()).into()],
+    all_runs_ended: PoolBody::AllRunsEnded(AllRunsEnded::new(&boot(), true)),
+    run_updates: PoolBody::RunUpdates(RunUpdates {
+        started: vec![run_id().into()],
+        refused: vec![RefusalFrame::new(run_id(), StartRefusal::Unwell)],
+        running: vec![(&run_report()).into()],
+        ends: vec![(&run_end()).into()],
     }),
     start: PoolBody::Start(StartRun {
-        seat: seat(),
+        placement: placement(),
         text: "work".into(),
         checkpoint: "".into(),
         ticket: "t".into(),
         worker: "i-1".into(),
         started_ms: Some(7),
     }),
-    stop: PoolBody::Stop(StopRun { mark: mark().into() }),
+    stop: PoolBody::Stop(StopRun { run_id: run_id().into() }),
     ack: PoolBody::Ack(AckEnds::new(&boot(), 57)),
-    ask: PoolBody::Ask(JobAsk { ask: 1, job: 2, queue: "q".into() }),
-    told: PoolBody::Told(JobTold { ask: 1, known: true, outcome: 1, begun: true, pending: 4 }),
+    job_query: PoolBody::JobQuery(JobQuery { request_id: 1, job: 2, queue: "q".into() }),
+    job_reply: PoolBody::JobReply(JobReply { request_id: 1, known: true, outcome: 1, begun: true, pending: 4 }),
     config: PoolBody::Config(ConfigPush { text: b"{}".to_vec() }),
-    presses: PoolBody::Presses(PressNews {
-        pairs: vec![PressFrame::new("red", "heavy", PairInterference { per_core: 0.25, precision: 2.0 })],
-        rooms: vec![RoomFrame { serving: "red".into(), room: 0.5 }],
+    interference: PoolBody::Interference(InterferenceUpdate {
+        pairs: vec![InterferenceFrame::new("red", "heavy", PairInterference { per_core: 0.25, precision: 2.0 })],
+        headrooms: vec![HeadroomFrame { serving: "red".into(), headroom: 0.5 }],
     }),
     cancelled: PoolBody::Cancelled(JobCancelled { job: 7 }),
     boot_crashed: PoolBody::BootCrashed(BootCrashed {
         worker: "i-1".into(),
-        runs: vec![(&lost()).into(), (&LostRun { min_run_time: None, ..lost() }).into()],
+        runs: vec![(&lost_run()).into(), (&LostRun { min_run_time: None, ..lost_run() }).into()],
         started_ms: None,
     }),
 }
 
 #[test]
-fn typed_parts_come_back_as_they_were() {
-    assert_eq!(RunId::from(&MarkFrame::from(mark())), mark());
+fn parts_of_messages_convert_back_to_the_same_values() {
+    assert_eq!(RunId::from(&RunIdFrame::from(run_id())), run_id());
     assert_eq!(WorkerView::from(WorkerFrame::from(&view())), view());
-    assert_eq!(RunReport::from(&ReportFrame::from(&report())), report());
-    assert_eq!(RunEnd::from(&EndFrame::from(&end())), end());
-    assert_eq!(LostRun::from(&LostFrame::from(&lost())), lost());
+    assert_eq!(
+        RunReport::from(&RunReportFrame::from(&run_report())),
+        run_report()
+    );
+    assert_eq!(RunEnd::from(&RunEndFrame::from(&run_end())), run_end());
+    assert_eq!(LostRun::from(&LostRunFrame::from(&lost_run())), lost_run());
     for boot in [boot(), "i-1".into()] {
         assert_eq!(BootId::from(&BootFrame::from(&boot)), boot);
     }
-    for why in [
+    for reason in [
         StartRefusal::Room,
         StartRefusal::Unwell,
         StartRefusal::Stale,
         StartRefusal::Drained,
     ] {
-        assert_eq!(RefusalFrame::new(mark(), why).decode(), (mark(), why));
+        assert_eq!(
+            RefusalFrame::new(run_id(), reason).decode(),
+            (run_id(), reason)
+        );
     }
 }
