--- a/benches/owner_load.rs
+++ b/benches/owner_load.rs
@@ -26,7 +26,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use wax_agent::GatheredNews;
+use wax_agent::PendingUpdates;
 use wax_batch::{RunEnd, RunEndKind, RunMark, RunReport, TaskSize, WorkerView};
 use wax_wire::{
     AgentHello, EntryHello, LinkPing, PoolBody, PoolReader, PoolWriter, RunNews, StartRun,
@@ -49,7 +49,7 @@
     outbox: UnboundedSender<PoolBody>,
     ends: Cell<u64>,
     running: RefCell<Vec<(RunMark, Instant)>>,
-    gathered: RefCell<GatheredNews>,
+    gathered: RefCell<PendingUpdates>,
     period: Cell<Duration>,
 }
 
@@ -78,7 +78,7 @@
             ends: vec![(&end).into()],
             ..Default::default()
         };
-        let news = self.gathered.borrow_mut().complete(news);
+        let news = self.gathered.borrow_mut().merge_into(news);
         self.tell(PoolBody::News(news));
     }
 
@@ -87,7 +87,7 @@
             sleep(HOLD_PERIOD).await;
             let running = self.running.borrow();
             for (mark, since) in &*running {
-                self.gathered.borrow_mut().note_going(RunReport {
+                self.gathered.borrow_mut().note_progress(RunReport {
                     mark: *mark,
                     checkpoint: "".into(),
                     percent: (100.0 * since.elapsed().div_duration_f64(TASK_TIME)) as u32,
--- a/crates/wax-agent/src/boots.rs
+++ b/crates/wax-agent/src/boots.rs
@@ -8,10 +8,10 @@
 use wax_batch::{BootId, WorkerView};
 
 /// Dead boots that an owner is told: more than one machine has within a term.
-const MOST_TOLD: usize = 8;
+const MAX_REPORTED_ENDED: usize = 8;
 /// Dead boots that are remembered: more than end within the longest time that a check-in may be late. One that is
 /// forgotten gives no answer, and is not driven either.
-const MOST_DEAD: usize = 256;
+const MAX_REMEMBERED_ENDED: usize = 256;
 
 /// What a worker says of itself in one check-in.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -24,9 +24,9 @@
 
 /// What a check-in leads to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum CheckInStep {
+pub enum CheckInAction {
     /// Its boot is dead: it counts for nothing.
-    Dead,
+    Ignore,
     /// Its boot is driven: this is news of it.
     Update(BootReport),
     /// Its boot has to answer before it is driven.
@@ -35,7 +35,7 @@
 
 /// What to do with a boot that has checked in and was not driven then.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum CandidateStep {
+pub enum CandidateAction {
     /// There is none.
     None,
     /// Ask it, and register it if it answers.
@@ -46,81 +46,81 @@
 
 /// The boots that are known beside the one that is driven.
 #[derive(Debug, Default)]
-pub struct BootWatch {
+pub struct BootRegistry {
     candidate: Option<BootReport>,
-    dead: HashSet<BootId>,
+    ended: HashSet<BootId>,
     /// The dead boots, the newest last.
-    buried: VecDeque<BootId>,
+    ended_order: VecDeque<BootId>,
     /// By worker id: the boot that was driven last, and the highest token of its orders.
-    ordered: HashMap<Box<str>, (BootId, u64)>,
+    last_tokens: HashMap<Box<str>, (BootId, u64)>,
 }
 
-impl BootWatch {
+impl BootRegistry {
     /// Takes a check-in while the boot `driven` is driven.
-    pub fn check_in(&mut self, report: BootReport, driven: Option<&BootId>) -> CheckInStep {
-        if self.dead.contains(&report.view.boot) {
-            return CheckInStep::Dead;
+    pub fn check_in(&mut self, report: BootReport, active: Option<&BootId>) -> CheckInAction {
+        if self.ended.contains(&report.view.boot) {
+            return CheckInAction::Ignore;
         }
-        if driven.is_some_and(|driven| driven.may_be(&report.view.boot)) {
-            return CheckInStep::Update(report);
+        if active.is_some_and(|active| active.may_be(&report.view.boot)) {
+            return CheckInAction::Update(report);
         }
         self.candidate = Some(report);
-        CheckInStep::Verify
+        CheckInAction::Verify
     }
 
     /// Offers a boot again that was driven and must be verified anew.
-    pub fn offer(&mut self, report: BootReport) {
+    pub fn set_candidate(&mut self, report: BootReport) {
         self.candidate = Some(report);
     }
 
     /// Takes the candidate while the boot `driven` is driven.
     ///
     /// A boot checks in again while its first answer is awaited, and is driven once that has come.
-    pub fn take_candidate(&mut self, driven: Option<&BootId>) -> CandidateStep {
+    pub fn take_candidate(&mut self, active: Option<&BootId>) -> CandidateAction {
         match self.candidate.take() {
-            Some(report) if self.dead.contains(&report.view.boot) => CandidateStep::None,
-            Some(report) if driven.is_some_and(|driven| driven.may_be(&report.view.boot)) => {
-                CandidateStep::Update(report)
+            Some(report) if self.ended.contains(&report.view.boot) => CandidateAction::None,
+            Some(report) if active.is_some_and(|active| active.may_be(&report.view.boot)) => {
+                CandidateAction::Update(report)
             }
-            Some(report) => CandidateStep::Verify(report),
-            None => CandidateStep::None,
+            Some(report) => CandidateAction::Verify(report),
+            None => CandidateAction::None,
         }
     }
 
     /// Notes that the boot is given orders with this fencing token.
     pub fn note_token(&mut self, boot: &BootId, token: u64) {
-        self.ordered.retain(|_, (_, known)| *known == token);
-        self.ordered
+        self.last_tokens.retain(|_, (_, known)| *known == token);
+        self.last_tokens
             .insert(boot.worker_id().into(), (boot.clone(), token));
     }
 
     /// Whether orders with this token were meant for an earlier boot of the worker: carried out late, they would
     /// pass on this one.
-    pub fn needs_token(&self, boot: &BootId, token: u64) -> bool {
-        let ordered = self.ordered.get(boot.worker_id());
-        ordered.is_some_and(|(known, used)| *used == token && known.is_other_boot(boot))
+    pub fn needs_higher_token(&self, boot: &BootId, token: u64) -> bool {
+        let last_token = self.last_tokens.get(boot.worker_id());
+        last_token.is_some_and(|(known, used)| *used == token && known.is_other_boot(boot))
     }
 
     /// The boot has ended: its late check-ins count for nothing.
-    pub fn bury(&mut self, boot: &BootId) {
-        if !self.dead.insert(boot.clone()) {
+    pub fn note_ended(&mut self, boot: &BootId) {
+        if !self.ended.insert(boot.clone()) {
             return;
         }
-        self.buried.push_back(boot.clone());
-        if self.buried.len() > MOST_DEAD
-            && let Some(oldest) = self.buried.pop_front()
+        self.ended_order.push_back(boot.clone());
+        if self.ended_order.len() > MAX_REMEMBERED_ENDED
+            && let Some(oldest) = self.ended_order.pop_front()
         {
-            self.dead.remove(&oldest);
+            self.ended.remove(&oldest);
         }
     }
 
     /// The boots that ended last, for an owner that may wait for one of them.
-    pub fn newest_dead(&self) -> impl Iterator<Item = &BootId> {
-        self.buried.iter().rev().take(MOST_TOLD)
+    pub fn newest_ended(&self) -> impl Iterator<Item = &BootId> {
+        self.ended_order.iter().rev().take(MAX_REPORTED_ENDED)
     }
 
     /// Whether the boot has ended.
-    pub fn is_dead(&self, boot: &BootId) -> bool {
-        self.dead.contains(boot)
+    pub fn has_ended(&self, boot: &BootId) -> bool {
+        self.ended.contains(boot)
     }
 }
--- a/crates/wax-agent/src/check_ins.rs
+++ b/crates/wax-agent/src/check_ins.rs
@@ -1,6 +1,6 @@
 //! Check-ins of the worker on this machine.
 
-use crate::boots::{BootReport, CheckInStep};
+use crate::boots::{BootReport, CheckInAction};
 use crate::state::{AgentState, WorkerBoot};
 use http::StatusCode;
 use platform::{CheckInReply, CheckInRoute, decode_check_in, decode_leave, match_check_in};
@@ -13,7 +13,7 @@
 use wax_wire::{PoolBody, WorkerGone};
 
 /// The longest report that is read, bytes.
-const REPORT_BYTES: usize = 1 << 20;
+const MAX_REPORT_BYTES: usize = 1 << 20;
 
 /// Answers the worker's calls.
 pub(crate) struct CheckInHandler {
@@ -25,7 +25,7 @@
         let route = match_check_in(request.method(), request.uri().path());
         match route {
             None => empty_reply(StatusCode::NOT_FOUND),
-            Some(CheckInRoute::Leave(id)) => match collect_body(request, REPORT_BYTES).await {
+            Some(CheckInRoute::Leave(id)) => match collect_body(request, MAX_REPORT_BYTES).await {
                 Ok(body) => {
                     self.leave(&decode_leave(&id, &body));
                     empty_reply(StatusCode::OK)
@@ -42,26 +42,26 @@
 
 impl CheckInHandler {
     async fn report(&self, id: &str, request: HttpRequest) -> Result<(), WaxError> {
-        let body = collect_body(request, REPORT_BYTES).await?;
+        let body = collect_body(request, MAX_REPORT_BYTES).await?;
         let report = decode_check_in(id, &body).map_err(|error| {
             WaxError::new(ErrorKind::Invalid, Step::ParseRequest, id, error)
                 .with_help("send a worker's report as the platform's pages describe it")
         })?;
         let report = BootReport {
-            view: self.state.place_worker(report.view),
+            view: self.state.with_own_domain(report.view),
             sequence: report.sequence,
         };
         let said = report.view.boot.clone();
-        let driven = self.state.driven();
+        let active = self.state.active_boot();
         let step = self
             .state
             .boots
             .borrow_mut()
-            .check_in(report, driven.as_ref());
+            .check_in(report, active.as_ref());
         match step {
-            CheckInStep::Dead => tracing::info!(worker = %said, "late check-in of a dead boot"),
-            CheckInStep::Update(report) => self.state.update_boot(report),
-            CheckInStep::Verify => {
+            CheckInAction::Ignore => tracing::info!(worker = %said, "late check-in of a dead boot"),
+            CheckInAction::Update(report) => self.state.update_boot(report),
+            CheckInAction::Verify => {
                 self.state.changed.notify(usize::MAX);
             }
         }
@@ -70,25 +70,28 @@
 
     /// The worker's word that it ends; the owner may wait for a boot that this process never drove.
     fn leave(&self, said: &BootId) {
-        let driven = self.state.driven().filter(|driven| driven.may_be(said));
-        if driven.is_some() && !self.state.takes_leave(said) {
+        let active = self
+            .state
+            .active_boot()
+            .filter(|active| active.may_be(said));
+        if active.is_some() && !self.state.is_leave_of_active(said) {
             tracing::warn!(worker = %said, "leave that may be of an earlier boot is passed over");
             return;
         }
-        let boot = driven.as_ref().unwrap_or(said);
-        self.state.boots.borrow_mut().bury(boot);
+        let boot = active.as_ref().unwrap_or(said);
+        self.state.boots.borrow_mut().note_ended(boot);
         let left = self
             .state
             .boot
             .borrow_mut()
-            .take_if(|life: &mut WorkerBoot| life.view.boot == *boot);
+            .take_if(|boot_state: &mut WorkerBoot| boot_state.view.boot == *boot);
         tracing::info!(worker = %boot, driven = left.is_some(), "worker has left");
         self.state.crashes.borrow_mut().note_left(boot);
         if let Some(left) = left {
-            left.lose_runs(self.state.now(), &[]);
+            left.log_lost_runs(self.state.now(), &[]);
         }
         self.state
-            .tell(PoolBody::WorkerGone(WorkerGone::new(boot, true)));
+            .send(PoolBody::WorkerGone(WorkerGone::new(boot, true)));
         self.state.changed.notify(usize::MAX);
     }
 }
--- a/crates/wax-agent/src/crash_log.rs
+++ b/crates/wax-agent/src/crash_log.rs
@@ -7,34 +7,34 @@
 use wax_wire::BootCrashed;
 
 /// A crash is told on new links for so long: an owner that ends while it is told is replaced sooner.
-const TELL_FOR: Duration = Duration::from_secs(10);
+const REPORT_PERIOD: Duration = Duration::from_secs(10);
 /// Crashes that are kept: more do not happen within that time, even if a worker is back at once.
-const MOST_KEPT: usize = 8;
+const MAX_CRASHES: usize = 8;
 
 /// What ran on boots that crashed lately, and on one whose leases have lapsed: that may have crashed.
 #[derive(Debug, Default)]
 pub struct CrashLog {
-    lapsed: Option<(BootId, Vec<LostRun>)>,
+    expired: Option<(BootId, Vec<LostRun>)>,
     crashes: VecDeque<(TimePoint, BootCrashed)>,
 }
 
 impl CrashLog {
     /// The leases of a boot have lapsed; whether it crashed shows once another one checks in.
-    pub fn note_lapsed(&mut self, view: &WorkerView, runs: Vec<LostRun>) {
+    pub fn note_expired(&mut self, view: &WorkerView, runs: Vec<LostRun>) {
         if view.state != WorkerState::Draining {
-            self.lapsed = Some((view.boot.clone(), runs));
+            self.expired = Some((view.boot.clone(), runs));
         }
     }
 
     /// A boot is driven from now on; returns the crash of the one that lapsed before, if that was another.
-    pub fn note_driven(&mut self, boot: &BootId, now: TimePoint) -> Option<BootCrashed> {
-        let (lapsed, runs) = self.lapsed.take()?;
-        (!lapsed.may_be(boot)).then(|| self.keep(&lapsed, &runs, now))
+    pub fn note_active(&mut self, boot: &BootId, now: TimePoint) -> Option<BootCrashed> {
+        let (expired, runs) = self.expired.take()?;
+        (!expired.may_be(boot)).then(|| self.record(&expired, &runs, now))
     }
 
     /// A boot has said that it ends.
     pub fn note_left(&mut self, boot: &BootId) {
-        self.lapsed.take_if(|(lapsed, _)| lapsed.may_be(boot));
+        self.expired.take_if(|(expired, _)| expired.may_be(boot));
     }
 
     /// A boot has ended while it was driven; returns its crash, if it did not say that it would end.
@@ -44,26 +44,26 @@
         runs: &[LostRun],
         now: TimePoint,
     ) -> Option<BootCrashed> {
-        (view.state != WorkerState::Draining).then(|| self.keep(&view.boot, runs, now))
+        (view.state != WorkerState::Draining).then(|| self.record(&view.boot, runs, now))
     }
 
-    fn keep(&mut self, boot: &BootId, runs: &[LostRun], now: TimePoint) -> BootCrashed {
+    fn record(&mut self, boot: &BootId, runs: &[LostRun], now: TimePoint) -> BootCrashed {
         let crash = BootCrashed {
             worker: boot.worker_id().into(),
             runs: runs.iter().map(Into::into).collect(),
             started_ms: boot.started_ms(),
         };
         self.crashes.push_back((now, crash.clone()));
-        if self.crashes.len() > MOST_KEPT {
+        if self.crashes.len() > MAX_CRASHES {
             self.crashes.pop_front();
         }
         crash
     }
 
     /// What a new owner is told: crashes that the one before may not have written down.
-    pub fn lately(&self, now: TimePoint) -> impl Iterator<Item = &BootCrashed> {
+    pub fn recent(&self, now: TimePoint) -> impl Iterator<Item = &BootCrashed> {
         let crashes = self.crashes.iter();
-        let fresh = crashes.filter(move |(at, _)| now.since(*at) < TELL_FOR);
-        fresh.map(|(_, crash)| crash)
+        let recent = crashes.filter(move |(at, _)| now.since(*at) < REPORT_PERIOD);
+        recent.map(|(_, crash)| crash)
     }
 }
--- a/crates/wax-agent/src/orders.rs
+++ b/crates/wax-agent/src/orders.rs
@@ -1,8 +1,8 @@
 //! Carries out the owner's orders, one task each, until their fate is known.
 
 use crate::pace::PaceChange;
+use crate::run_table::{PlacementInfo, RunState, RunTable};
 use crate::state::{AgentState, WorkerBoot};
-use crate::table::{RunStand, RunTable, SeatInfo};
 use compio::runtime::spawn;
 use compio::time::sleep;
 use platform::{CallError, OrderOutcome, StartRequest, WorkerRefusal};
@@ -13,18 +13,18 @@
 use wax_wire::{PoolBody, RefusalFrame, RunNews, SeatFrame, StartRun};
 
 /// A start that is not answered for this long is stopped instead.
-const START_LIMIT: Duration = Duration::from_millis(700);
+const START_TIMEOUT: Duration = Duration::from_millis(700);
 /// Longest time for a stop or a change of pace.
-const ORDER_LIMIT: Duration = Duration::from_millis(500);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
 /// Between two tries of a stop.
-const STOP_PAUSE: Duration = Duration::from_millis(100);
+const STOP_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-impl From<&SeatFrame> for SeatInfo {
+impl From<&SeatFrame> for PlacementInfo {
     fn from(frame: &SeatFrame) -> Self {
         Self {
-            booked: frame.booked(),
+            reserved: frame.booked(),
             cpu_milli: frame.cpu_milli,
-            fills: frame.fills,
+            best_effort: frame.fills,
             tail_target_ms: frame.tail_target_ms,
             image: frame.image.as_str().into(),
         }
@@ -33,13 +33,13 @@
 
 impl AgentState {
     /// Starts a run, if the worker is the one that was meant and has room.
-    pub(crate) fn order_start(self: &Rc<Self>, order: StartRun) {
-        let mark = RunMark::from(&order.seat.mark);
-        match self.admit(&order, mark) {
-            Err(refusal) => self.tell_refusal(mark, refusal),
+    pub(crate) fn handle_start(self: &Rc<Self>, order: StartRun) {
+        let run_id = RunMark::from(&order.seat.mark);
+        match self.admit(&order, run_id) {
+            Err(refusal) => self.report_refusal(run_id, refusal),
             Ok((boot, request)) => {
                 let state = self.clone();
-                spawn(async move { state.start(boot, request).await }).detach();
+                spawn(async move { state.send_start(boot, request).await }).detach();
             }
         }
     }
@@ -49,111 +49,112 @@
     fn admit(
         &self,
         order: &StartRun,
-        mark: RunMark,
+        run_id: RunMark,
     ) -> Result<(BootId, StartRequest), StartRefusal> {
-        let meant = order.boot();
+        let target = order.boot();
         let now = self.now();
         let mut boot = self.boot.borrow_mut();
         let Some(boot) = boot
             .as_mut()
-            .filter(|boot| boot.view.boot.may_be(&meant) && !boot.is_replaced)
+            .filter(|boot| boot.view.boot.may_be(&target) && !boot.is_replaced)
         else {
             return Err(StartRefusal::Stale);
         };
-        if now >= self.authority.get() || !self.is_kept() {
+        if now >= self.authority_until.get() || !self.is_reconciled() {
             return Err(StartRefusal::Stale);
         }
-        self.may_start(now)?;
-        let authority = self.authority.get();
+        self.check_drains(now)?;
+        let authority = self.authority_until.get();
         let Some(lease_until_ms) = boot.lease.extend(now, authority, &self.lease_rules) else {
             return Err(StartRefusal::Stale);
         };
         boot.table
-            .begin(mark, (&order.seat).into(), &boot.view, now)?;
+            .reserve(run_id, (&order.seat).into(), &boot.view, now)?;
         let request = StartRequest {
-            mark,
+            mark: run_id,
             text: order.text.as_str().into(),
             lease_until_ms,
-            token: self.token.get(),
+            token: self.fencing_token.get(),
             checkpoint: order.checkpoint.as_str().into(),
             ticket: order.ticket.as_str().into(),
         };
         Ok((boot.view.boot.clone(), request))
     }
 
-    async fn start(self: Rc<Self>, boot: BootId, request: StartRequest) {
-        let mark = request.mark;
+    async fn send_start(self: Rc<Self>, boot: BootId, request: StartRequest) {
+        let run_id = request.mark;
         let sent = self.now();
-        let answer = self.worker.start(&boot, &request, START_LIMIT).await;
+        let answer = self.worker.start(&boot, &request, START_TIMEOUT).await;
         note_latency(Latency::StartRun, self.now().since(sent));
         if answer.is_ok() {
-            self.note_heard(&boot);
+            self.note_order_answer(&boot);
         }
         match answer {
-            Ok(OrderOutcome::Done) => self.note_started(&boot, mark),
-            Ok(OrderOutcome::Refused(refusal)) => self.note_refused(&boot, mark, refusal),
+            Ok(OrderOutcome::Done) => self.note_started(&boot, run_id),
+            Ok(OrderOutcome::Refused(refusal)) => self.note_refused(&boot, run_id, refusal),
             Err(CallError::NotSent(error)) => {
-                tracing::warn!(%error, task = %mark.task, run = mark.run, "start was not sent");
-                self.note_refused(&boot, mark, WorkerRefusal::Unwell);
+                tracing::warn!(%error, task = %run_id.task, run = run_id.run, "start was not sent");
+                self.note_refused(&boot, run_id, WorkerRefusal::Unwell);
             }
             Err(CallError::Unknown(error)) => {
                 count(Counter::StartsUnanswered);
-                tracing::warn!(%error, task = %mark.task, run = mark.run, "start without an answer");
-                self.settle_start(boot, mark).await;
+                tracing::warn!(%error, task = %run_id.task, run = run_id.run, "start without an answer");
+                self.resolve_start(boot, run_id).await;
             }
         }
     }
 
     /// Ends the doubt about a start: a hold may have shown it running, else a stop forbids it.
-    async fn settle_start(self: Rc<Self>, boot: BootId, mark: RunMark) {
-        let starting =
-            self.with_table(&boot, |table| table.stand(mark) == Some(RunStand::Starting));
-        if starting == Some(true) {
-            self.stop(boot, mark).await;
+    async fn resolve_start(self: Rc<Self>, boot: BootId, run_id: RunMark) {
+        let is_starting = self.with_table(&boot, |table| {
+            table.state(run_id) == Some(RunState::Starting)
+        });
+        if is_starting == Some(true) {
+            self.send_stop(boot, run_id).await;
         }
     }
 
-    fn note_started(self: &Rc<Self>, boot: &BootId, mark: RunMark) {
-        let known = self.with_boot(boot, |boot| {
-            boot.table.started(mark);
-            let runs = boot.table.stand(mark) == Some(RunStand::Running);
-            if runs {
-                boot.news.note_started(mark);
+    fn note_started(self: &Rc<Self>, boot: &BootId, run_id: RunMark) {
+        let is_running = self.with_boot(boot, |boot| {
+            boot.table.mark_running(run_id);
+            let is_running = boot.table.state(run_id) == Some(RunState::Running);
+            if is_running {
+                boot.updates.note_started(run_id);
             }
-            runs
+            is_running
         });
-        if known == Some(true) {
-            self.order_paces();
+        if is_running == Some(true) {
+            self.send_pace_orders();
         }
     }
 
-    fn note_refused(&self, boot: &BootId, mark: RunMark, refusal: WorkerRefusal) {
+    fn note_refused(&self, boot: &BootId, run_id: RunMark, refusal: WorkerRefusal) {
         let refusal = match refusal {
             WorkerRefusal::Room => StartRefusal::Room,
             WorkerRefusal::Unwell | WorkerRefusal::Invalid => StartRefusal::Unwell,
             _ => StartRefusal::Stale,
         };
-        if self.with_table(boot, |table| table.remove(mark)) == Some(true) {
-            self.tell_refusal(mark, refusal);
+        if self.with_table(boot, |table| table.remove(run_id)) == Some(true) {
+            self.report_refusal(run_id, refusal);
         }
     }
 
-    fn tell_refusal(&self, mark: RunMark, refusal: StartRefusal) {
+    fn report_refusal(&self, run_id: RunMark, refusal: StartRefusal) {
         count(Counter::StartsRefused);
-        tracing::info!(task = %mark.task, run = mark.run, why = ?refusal, "start refused");
-        let news = RunNews {
-            refused: vec![RefusalFrame::new(mark, refusal)],
+        tracing::info!(task = %run_id.task, run = run_id.run, why = ?refusal, "start refused");
+        let message = RunNews {
+            refused: vec![RefusalFrame::new(run_id, refusal)],
             ..Default::default()
         };
-        let news = match self.boot.borrow_mut().as_mut() {
-            Some(boot) => boot.news.complete(news),
-            None => news,
+        let message = match self.boot.borrow_mut().as_mut() {
+            Some(boot) => boot.updates.merge_into(message),
+            None => message,
         };
-        self.tell(PoolBody::News(news));
+        self.send(PoolBody::News(message));
     }
 
     /// Stops a run by the owner's order.
-    pub(crate) fn order_stop(self: &Rc<Self>, mark: RunMark) {
+    pub(crate) fn handle_stop(self: &Rc<Self>, run_id: RunMark) {
         let Some(boot) = self
             .boot
             .borrow()
@@ -163,66 +164,70 @@
             return;
         };
         let state = self.clone();
-        spawn(async move { state.stop(boot, mark).await }).detach();
+        spawn(async move { state.send_stop(boot, run_id).await }).detach();
     }
 
     /// Sends a stop until it is answered, or the boot is another.
-    pub(crate) async fn stop(self: Rc<Self>, boot: BootId, mark: RunMark) {
+    pub(crate) async fn send_stop(self: Rc<Self>, boot: BootId, run_id: RunMark) {
         loop {
-            if self.with_table(&boot, |table| table.stopping(mark)) != Some(true) {
+            if self.with_table(&boot, |table| table.mark_stopping(run_id)) != Some(true) {
                 // The run has ended, or its boot has: the end tells, on this link or the next. To
                 // answer that the run never began would let a task that is done run again.
                 return;
             }
             let answer = self
                 .worker
-                .stop(&boot, mark, self.token.get(), ORDER_LIMIT)
+                .stop(&boot, run_id, self.fencing_token.get(), ORDER_TIMEOUT)
                 .await;
             match answer {
                 Ok(OrderOutcome::Done) => {
                     let mut state = self.boot.borrow_mut();
                     if let Some(state) = state.as_mut().filter(|state| state.view.boot == boot) {
-                        let hold = state.hold;
-                        state.table.stopped(mark, hold);
+                        let hold = state.hold_number;
+                        state.table.mark_stopped(run_id, hold);
                     }
                     return;
                 }
                 Ok(OrderOutcome::Refused(WorkerRefusal::OtherBoot)) => return,
                 Ok(OrderOutcome::Refused(refusal)) => {
-                    tracing::warn!(task = %mark.task, run = mark.run, ?refusal, "stop refused");
+                    tracing::warn!(task = %run_id.task, run = run_id.run, ?refusal, "stop refused");
                 }
                 Err(error) => {
-                    tracing::warn!(%error, task = %mark.task, run = mark.run, "stop without an answer");
+                    tracing::warn!(%error, task = %run_id.task, run = run_id.run, "stop without an answer");
                 }
             }
-            sleep(STOP_PAUSE).await;
+            sleep(STOP_RETRY_PAUSE).await;
         }
     }
 
     /// Sets the paces of runs that fill.
-    pub(crate) fn order_paces(self: &Rc<Self>) {
-        let (boot, marks) = {
+    pub(crate) fn send_pace_orders(self: &Rc<Self>) {
+        let (boot, orders) = {
             let mut boot = self.boot.borrow_mut();
             let Some(boot) = boot.as_mut() else {
                 return;
             };
             let sample = boot.table.pace_sample();
-            boot.pace.plan(&sample, self.now(), &self.pace_rules_now());
-            log_changes(&boot.view.boot, &boot.pace.take_changes());
-            (boot.view.boot.clone(), boot.table.repace(&boot.pace))
+            boot.pace
+                .plan_paces(&sample, self.now(), &self.current_pace_rules());
+            log_pace_changes(&boot.view.boot, &boot.pace.take_changes());
+            (
+                boot.view.boot.clone(),
+                boot.table.take_pace_orders(&boot.pace),
+            )
         };
-        count_many(Counter::PaceOrders, marks.len() as u64);
-        for (mark, percent) in marks {
+        count_many(Counter::PaceOrders, orders.len() as u64);
+        for (run_id, percent) in orders {
             let state = self.clone();
             let boot = boot.clone();
             spawn(async move {
-                let token = state.token.get();
+                let token = state.fencing_token.get();
                 let answer = state
                     .worker
-                    .pace(&boot, mark, percent, token, ORDER_LIMIT)
+                    .pace(&boot, run_id, percent, token, ORDER_TIMEOUT)
                     .await;
                 if !matches!(answer, Ok(OrderOutcome::Done)) {
-                    state.with_table(&boot, |table| table.pace_lost(mark));
+                    state.with_table(&boot, |table| table.forget_pace(run_id));
                 }
             })
             .detach();
@@ -232,32 +237,32 @@
     pub(crate) fn with_table<T>(
         &self,
         boot: &BootId,
-        act: impl FnOnce(&mut RunTable) -> T,
+        update: impl FnOnce(&mut RunTable) -> T,
     ) -> Option<T> {
-        self.with_boot(boot, |boot| act(&mut boot.table))
+        self.with_boot(boot, |boot| update(&mut boot.table))
     }
 
-    fn with_boot<T>(&self, boot: &BootId, act: impl FnOnce(&mut WorkerBoot) -> T) -> Option<T> {
+    fn with_boot<T>(&self, boot: &BootId, update: impl FnOnce(&mut WorkerBoot) -> T) -> Option<T> {
         let mut state = self.boot.borrow_mut();
         let state = state.as_mut().filter(|state| state.view.boot == *boot)?;
-        Some(act(state))
+        Some(update(state))
     }
 }
 
 /// One line for each pace that has changed by much, with the run that it protects.
-fn log_changes(worker: &BootId, changes: &[PaceChange]) {
+fn log_pace_changes(worker: &BootId, changes: &[PaceChange]) {
     let rounded = |value: f64| (value * 1_000.0).round() / 1_000.0;
     for change in changes {
         let cause = change.cause.as_ref();
         tracing::info!(
             %worker,
-            image = %change.filling,
+            image = %change.image,
             percent = change.percent,
             protects = cause.map(|cause| tracing::field::display(cause.run.task)),
-            tail = cause.map(|cause| rounded(cause.tail)),
-            own = cause.map(|cause| rounded(cause.own)),
-            room = cause.map(|cause| rounded(cause.room)),
-            press = cause.map(|cause| rounded(cause.press)),
+            tail = cause.map(|cause| rounded(cause.tail_ratio)),
+            own = cause.map(|cause| rounded(cause.baseline_load)),
+            room = cause.map(|cause| rounded(cause.headroom)),
+            press = cause.map(|cause| rounded(cause.interference)),
             "pace changed"
         );
     }
--- a/crates/wax-agent/src/owner_link.rs
+++ b/crates/wax-agent/src/owner_link.rs
@@ -18,15 +18,15 @@
 use wax_wire::{AgentHello, LinkPing, PoolBody, PoolReader, PoolWriter, WorkerKept, split_stream};
 
 /// Longest time for a connection and its first answer.
-const CONNECT_LIMIT: Duration = Duration::from_millis(600);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 /// A link without an answer to its heartbeats for this long is given up.
-const LINK_LIMIT: Duration = Duration::from_millis(1_800);
+const LINK_TIMEOUT: Duration = Duration::from_millis(1_800);
 /// The same while the owner still loads its shard and has not taken over the worker's runs.
-const TAKEOVER_LIMIT: Duration = Duration::from_millis(5_000);
+const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(5_000);
 /// Beside an owner that has lost the store, another is looked for this often.
-const SEEK_PERIOD: Duration = Duration::from_millis(400);
+const SUCCESSOR_SEARCH_PERIOD: Duration = Duration::from_millis(400);
 /// How long a link that is closed on purpose may take to send what was told on it.
-const FLUSH_LIMIT: Duration = Duration::from_millis(200);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 /// Between two rounds of the search, with as much again at random.
 const SEARCH_PAUSE: Duration = Duration::from_millis(120);
 
@@ -52,19 +52,19 @@
     let mut found: Option<(Box<OpenLink>, SocketAddr)> = None;
     loop {
         let Some((link, address)) = found.take() else {
-            found = search.look(&state, None).await;
+            found = search.try_next(&state, None).await;
             if found.is_none() && search.hint.is_none() {
-                pause().await;
+                pause_search().await;
             }
             continue;
         };
         generation += 1;
         tracing::info!(owner = %address, epoch = link.epoch, "linked to the owner");
-        let why = {
+        let reason = {
             let run = pin!(run_link(&state, *link, generation));
             let seek = pin!(seek_successor(&state, &mut search, address));
             match select(run, seek).await {
-                Either::Left((why, _)) => why,
+                Either::Left((reason, _)) => reason,
                 Either::Right((successor, _)) => {
                     found = Some(successor);
                     "another owner was found"
@@ -72,7 +72,7 @@
             }
         };
         search.hint = found.is_none().then_some(address);
-        tracing::warn!(owner = %address, why, "link to the owner lost");
+        tracing::warn!(owner = %address, why = reason, "link to the owner lost");
         *state.link.borrow_mut() = None;
     }
 }
@@ -87,19 +87,21 @@
 
 impl<D: OwnerDirectory> OwnerSearch<D> {
     /// Tries one address, other than `current`; keeps the hint that it may give.
-    async fn look(
+    async fn try_next(
         &mut self,
         state: &AgentState,
         current: Option<SocketAddr>,
     ) -> Option<(Box<OpenLink>, SocketAddr)> {
         let address = self.next_address().await;
         let address = address.filter(|address| Some(*address) != current)?;
-        match open(state, address).await {
-            Ok(Opened::Owner(link)) => return Some((link, address)),
-            Ok(Opened::Elsewhere(Some(other))) if other != address && Some(other) != current => {
+        match connect(state, address).await {
+            Ok(ConnectResult::Owner(link)) => return Some((link, address)),
+            Ok(ConnectResult::NotOwner(Some(other)))
+                if other != address && Some(other) != current =>
+            {
                 self.hint = Some(other);
             }
-            Ok(Opened::Elsewhere(_)) | Err(_) => {}
+            Ok(ConnectResult::NotOwner(_)) | Err(_) => {}
         }
         None
     }
@@ -127,18 +129,20 @@
     current: SocketAddr,
 ) -> (Box<OpenLink>, SocketAddr) {
     loop {
-        sleep(SEEK_PERIOD).await;
-        if !state.owner_cut_off.get() {
+        sleep(SUCCESSOR_SEARCH_PERIOD).await;
+        if !state.owner_store_lost.get() {
             continue;
         }
-        let found = search.look(state, Some(current)).await;
-        if let Some((link, address)) = found.filter(|(link, _)| link.token > state.token.get()) {
+        let found = search.try_next(state, Some(current)).await;
+        if let Some((link, address)) =
+            found.filter(|(link, _)| link.token > state.fencing_token.get())
+        {
             return (link, address);
         }
     }
 }
 
-async fn pause() {
+async fn pause_search() {
     sleep(SEARCH_PAUSE + SEARCH_PAUSE.mul_f64(fastrand::f64())).await;
 }
 
@@ -149,72 +153,81 @@
     token: u64,
 }
 
-enum Opened {
+enum ConnectResult {
     Owner(Box<OpenLink>),
-    Elsewhere(Option<SocketAddr>),
+    NotOwner(Option<SocketAddr>),
 }
 
-async fn open(state: &AgentState, address: SocketAddr) -> io::Result<Opened> {
-    let late = || io::Error::new(io::ErrorKind::TimedOut, "no answer in time");
-    timeout(CONNECT_LIMIT, greet(state, address))
+async fn connect(state: &AgentState, address: SocketAddr) -> io::Result<ConnectResult> {
+    let timed_out = || io::Error::new(io::ErrorKind::TimedOut, "no answer in time");
+    timeout(CONNECT_TIMEOUT, handshake(state, address))
         .await
-        .map_err(|_| late())?
+        .map_err(|_| timed_out())?
 }
 
-async fn greet(state: &AgentState, address: SocketAddr) -> io::Result<Opened> {
+async fn handshake(state: &AgentState, address: SocketAddr) -> io::Result<ConnectResult> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let (mut reader, mut writer) = split_stream(stream);
     let hello = AgentHello {
         node: state.node.to_string(),
-        dead: state.boots.borrow().newest_dead().map(Into::into).collect(),
+        dead: state
+            .boots
+            .borrow()
+            .newest_ended()
+            .map(Into::into)
+            .collect(),
     };
     writer.write(PoolBody::AgentHello(hello)).await?;
     match reader.read().await? {
-        Some(PoolBody::Welcome(welcome)) => Ok(Opened::Owner(Box::new(OpenLink {
+        Some(PoolBody::Welcome(welcome)) => Ok(ConnectResult::Owner(Box::new(OpenLink {
             reader,
             writer,
             epoch: welcome.epoch,
             token: welcome.token,
         }))),
-        Some(PoolBody::NotOwner(other)) => Ok(Opened::Elsewhere(other.address.parse().ok())),
+        Some(PoolBody::NotOwner(other)) => Ok(ConnectResult::NotOwner(other.address.parse().ok())),
         _ => Err(io::Error::new(io::ErrorKind::InvalidData, "no welcome")),
     }
 }
 
 async fn run_link(state: &Rc<AgentState>, link: OpenLink, generation: u64) -> &'static str {
-    if link.token <= state.token.get() {
+    if link.token <= state.fencing_token.get() {
         return "an owner of the past";
     }
     let (outbox, inbox) = unbounded();
-    let token_wanted = state.token_wanted.listen();
-    state.token.set(link.token);
-    state.granted.set(TimePoint::default());
-    state.owner_cut_off.set(false);
+    let higher_token_wanted = state.higher_token_wanted.listen();
+    state.fencing_token.set(link.token);
+    state.granted_until.set(TimePoint::default());
+    state.owner_store_lost.set(false);
     *state.link.borrow_mut() = Some(OwnerLink {
         generation,
         outbox: outbox.clone(),
-        kept: false,
+        is_reconciled: false,
     });
     state.changed.notify(usize::MAX);
-    let heard = Rc::new(Cell::new(state.now()));
+    let last_received = Rc::new(Cell::new(state.now()));
     let writing = spawn(write_link(link.writer, inbox));
-    let pinging = spawn(ping(state.clone(), outbox, heard.clone()));
-    let why = {
-        let read = pin!(read_link(state, link.reader, &heard));
-        match select(read, token_wanted).await {
-            Either::Left((why, _)) => Some(why),
+    let heartbeats = spawn(send_heartbeats(
+        state.clone(),
+        outbox,
+        last_received.clone(),
+    ));
+    let reason = {
+        let read = pin!(read_link(state, link.reader, &last_received));
+        match select(read, higher_token_wanted).await {
+            Either::Left((reason, _)) => Some(reason),
             Either::Right(_) => None,
         }
     };
     // Dropped tasks are cancelled; the connection closes with them.
-    drop(pinging);
+    drop(heartbeats);
     *state.link.borrow_mut() = None;
-    if why.is_none() {
+    if reason.is_none() {
         // The owner is to hear what was told before on this link.
-        let _ = timeout(FLUSH_LIMIT, writing).await;
+        let _ = timeout(FLUSH_TIMEOUT, writing).await;
     }
-    why.unwrap_or("a higher token is needed")
+    reason.unwrap_or("a higher token is needed")
 }
 
 async fn write_link(mut writer: PoolWriter, mut inbox: UnboundedReceiver<PoolBody>) {
@@ -223,68 +236,70 @@
     }
 }
 
-async fn ping(
+async fn send_heartbeats(
     state: Rc<AgentState>,
     outbox: futures_channel::mpsc::UnboundedSender<PoolBody>,
-    heard: Rc<Cell<TimePoint>>,
+    last_received: Rc<Cell<TimePoint>>,
 ) {
-    while state.now().since(heard.get()) < silence_limit(&state) {
+    while state.now().since(last_received.get()) < link_timeout(&state) {
         let ping = LinkPing {
             sent_us: state.now().0,
             ..Default::default()
         };
-        state.tell_gathered();
+        state.send_pending_updates();
         if outbox.unbounded_send(PoolBody::Ping(ping)).is_err() {
             return;
         }
-        sleep(state.period.get()).await;
+        sleep(state.heartbeat_period.get()).await;
     }
 }
 
-fn silence_limit(state: &AgentState) -> Duration {
-    let longer = state.period.get().saturating_sub(AGENT_PERIOD);
-    if state.is_kept() || state.boot.borrow().is_none() {
-        LINK_LIMIT + longer
+fn link_timeout(state: &AgentState) -> Duration {
+    let extension = state.heartbeat_period.get().saturating_sub(AGENT_PERIOD);
+    if state.is_reconciled() || state.boot.borrow().is_none() {
+        LINK_TIMEOUT + extension
     } else {
-        TAKEOVER_LIMIT
+        TAKEOVER_TIMEOUT
     }
 }
 
 async fn read_link(
     state: &Rc<AgentState>,
     mut reader: PoolReader,
-    heard: &Cell<TimePoint>,
+    last_received: &Cell<TimePoint>,
 ) -> &'static str {
     loop {
-        let limit = silence_limit(state);
-        let left = limit.saturating_sub(state.now().since(heard.get()));
-        let body = match timeout(left.max(Duration::from_millis(1)), reader.read()).await {
+        let limit = link_timeout(state);
+        let remaining = limit.saturating_sub(state.now().since(last_received.get()));
+        let body = match timeout(remaining.max(Duration::from_millis(1)), reader.read()).await {
             Ok(Ok(Some(body))) => body,
             Ok(Ok(None)) => return "the owner closed it",
             Ok(Err(_)) => return "it broke",
-            Err(_) if state.now().since(heard.get()) >= limit => return "the owner is silent",
+            Err(_) if state.now().since(last_received.get()) >= limit => {
+                return "the owner is silent";
+            }
             Err(_) => continue,
         };
-        heard.set(state.now());
-        take_message(state, body);
+        last_received.set(state.now());
+        handle_message(state, body);
     }
 }
 
-fn take_message(state: &Rc<AgentState>, body: PoolBody) {
+fn handle_message(state: &Rc<AgentState>, body: PoolBody) {
     match body {
         PoolBody::Grant(grant) => {
-            state.owner_cut_off.set(grant.store_lost);
-            state.period.set(grant.period(AGENT_PERIOD));
+            state.owner_store_lost.set(grant.store_lost);
+            state.heartbeat_period.set(grant.period(AGENT_PERIOD));
             state.overload.set(f64::from(grant.overload));
             if let Some(frame) = grant.drains {
-                state.take_drains(frame, TimePoint(grant.sent_us));
+                state.apply_drains(frame, TimePoint(grant.sent_us));
             }
             let until = TimePoint(grant.sent_us) + Duration::from_millis(grant.valid_ms);
-            state.take_grant(until);
+            state.apply_grant(until);
         }
-        PoolBody::WorkerKept(kept) => keep_worker(state, &kept),
-        PoolBody::Start(order) => state.order_start(order),
-        PoolBody::Stop(order) => state.order_stop(RunMark::from(&order.mark)),
+        PoolBody::WorkerKept(kept) => mark_reconciled(state, &kept),
+        PoolBody::Start(order) => state.handle_start(order),
+        PoolBody::Stop(order) => state.handle_stop(RunMark::from(&order.mark)),
         PoolBody::Ack(ack) => {
             let mut boot = state.boot.borrow_mut();
             let meant = ack.boot();
@@ -292,9 +307,9 @@
                 boot.ack_cursor = boot.ack_cursor.max(ack.cursor);
             }
         }
-        PoolBody::Presses(news) => {
+        PoolBody::Presses(update) => {
             if let Some(boot) = state.boot.borrow_mut().as_mut() {
-                for pair in &news.pairs {
+                for pair in &update.pairs {
                     boot.pace
                         .set_pair(&pair.serving, &pair.filling, pair.press());
                 }
@@ -304,17 +319,18 @@
     }
 }
 
-fn keep_worker(state: &AgentState, kept: &WorkerKept) {
+fn mark_reconciled(state: &AgentState, kept: &WorkerKept) {
     let meant = kept.boot();
     let mut boot = state.boot.borrow_mut();
     let Some(boot) = boot.as_mut().filter(|boot| boot.view.boot.may_be(&meant)) else {
         return;
     };
-    for seat in &kept.seats {
-        boot.table.learn(RunMark::from(&seat.mark), seat.into());
+    for placement in &kept.seats {
+        boot.table
+            .set_placement(RunMark::from(&placement.mark), placement.into());
     }
     if let Some(link) = state.link.borrow_mut().as_mut() {
-        link.kept = true;
+        link.is_reconciled = true;
     }
-    state.take_grant(state.granted.get());
+    state.apply_grant(state.granted_until.get());
 }
--- a/crates/wax-agent/src/state.rs
+++ b/crates/wax-agent/src/state.rs
@@ -1,11 +1,11 @@
 //! What the tasks of one agent share.
 
-use crate::boots::{BootReport, BootWatch};
+use crate::boots::{BootRegistry, BootReport};
 use crate::crash_log::CrashLog;
 use crate::lease::{LeaseClock, LeaseRules};
-use crate::news::GatheredNews;
 use crate::pace::PaceControl;
-use crate::table::RunTable;
+use crate::pending_updates::PendingUpdates;
+use crate::run_table::RunTable;
 use event_listener::Event;
 use futures_channel::mpsc::UnboundedSender;
 use platform::WorkerClient;
@@ -25,7 +25,7 @@
     pub(crate) generation: u64,
     pub(crate) outbox: UnboundedSender<PoolBody>,
     /// Whether the owner has taken over the worker's runs on this link.
-    pub(crate) kept: bool,
+    pub(crate) is_reconciled: bool,
 }
 
 /// One boot of the worker.
@@ -34,35 +34,35 @@
     pub(crate) view: WorkerView,
     pub(crate) sequence: u64,
     /// The start time by which its answers are told from another boot's, Unix milliseconds.
-    pub(crate) answers: Option<u64>,
+    pub(crate) answering_start_ms: Option<u64>,
     /// Holds without an answer since the last one with it.
-    pub(crate) unanswered: u32,
+    pub(crate) unanswered_holds: u32,
     /// When it last answered.
-    pub(crate) answered: TimePoint,
+    pub(crate) answered_at: TimePoint,
     /// The link on which its runs were told last.
-    pub(crate) told: u64,
+    pub(crate) reported_link: u64,
     pub(crate) table: RunTable,
     pub(crate) lease: LeaseClock,
     pub(crate) pace: PaceControl,
     /// What the owner is told of its runs with the next heartbeat.
-    pub(crate) news: GatheredNews,
+    pub(crate) updates: PendingUpdates,
     /// Ends up to here are in the store.
     pub(crate) ack_cursor: u64,
     /// The number of the hold that is under way.
-    pub(crate) hold: u64,
+    pub(crate) hold_number: u64,
     /// Whether its worker has started again under its id, and some of its runs may be on the next boot.
     pub(crate) is_replaced: bool,
 }
 
 /// After this many holds without an answer a worker counts as silent.
-const SILENT_AFTER: u32 = 2;
+const MAX_UNANSWERED_HOLDS: u32 = 2;
 
 impl WorkerBoot {
     /// What was on it when it ended, a line for each run; `kept` names those that are on the next boot.
-    pub(crate) fn lose_runs(&self, now: TimePoint, kept: &[RunMark]) -> Vec<LostRun> {
-        let silent_ms = now.since(self.answered).as_millis() as u64;
-        let mut runs = self.table.lost_runs(self.answered);
-        runs.retain(|lost| !kept.contains(&lost.mark));
+    pub(crate) fn log_lost_runs(&self, now: TimePoint, on_next: &[RunMark]) -> Vec<LostRun> {
+        let silent_ms = now.since(self.answered_at).as_millis() as u64;
+        let mut runs = self.table.lost_runs(self.answered_at);
+        runs.retain(|lost| !on_next.contains(&lost.mark));
         for lost in &runs {
             count(Counter::RunsLost);
             tracing::info!(
@@ -78,9 +78,9 @@
     }
 
     /// What the owner is shown of the worker.
-    pub(crate) fn shown_view(&self) -> WorkerView {
+    pub(crate) fn reported_view(&self) -> WorkerView {
         let mut view = self.view.clone();
-        if self.unanswered >= SILENT_AFTER && view.state == WorkerState::Ready {
+        if self.unanswered_holds >= MAX_UNANSWERED_HOLDS && view.state == WorkerState::Ready {
             view.state = WorkerState::Silent;
         }
         view
@@ -89,18 +89,18 @@
     /// A boot that has answered now.
     pub(crate) fn new(view: WorkerView, sequence: u64, now: TimePoint) -> Self {
         Self {
-            answers: view.boot.started_ms(),
+            answering_start_ms: view.boot.started_ms(),
             view,
             sequence,
-            unanswered: 0,
-            answered: now,
-            told: 0,
+            unanswered_holds: 0,
+            answered_at: now,
+            reported_link: 0,
             table: RunTable::default(),
             lease: LeaseClock::default(),
             pace: PaceControl::default(),
-            news: GatheredNews::default(),
+            updates: PendingUpdates::default(),
             ack_cursor: 0,
-            hold: 0,
+            hold_number: 0,
             is_replaced: false,
         }
     }
@@ -113,7 +113,7 @@
     /// The machine's failure domain, which is its worker's too.
     pub(crate) failure_domain: Box<str>,
     /// The last boot that named another one: it is told once.
-    pub(crate) named_elsewhere: RefCell<BootId>,
+    pub(crate) warned_domain_boot: RefCell<BootId>,
     pub(crate) clock: ProcessClock,
     pub(crate) worker: WorkerClient,
     pub(crate) lease_rules: LeaseRules,
@@ -123,33 +123,33 @@
     /// The boot that is driven.
     pub(crate) boot: RefCell<Option<WorkerBoot>>,
     /// Boots that have checked in and are not verified yet, and those that are dead.
-    pub(crate) boots: RefCell<BootWatch>,
+    pub(crate) boots: RefCell<BootRegistry>,
     /// Crashes that owners may not have heard of.
     pub(crate) crashes: RefCell<CrashLog>,
     /// The last grant of this link; it counts once the owner has taken over the worker's runs.
-    pub(crate) granted: Cell<TimePoint>,
+    pub(crate) granted_until: Cell<TimePoint>,
     /// Until when the owner's authority reaches.
-    pub(crate) authority: Cell<TimePoint>,
+    pub(crate) authority_until: Cell<TimePoint>,
     /// Whether the owner has lost the store, by its last grant: another may have taken over.
-    pub(crate) owner_cut_off: Cell<bool>,
+    pub(crate) owner_store_lost: Cell<bool>,
     /// Failure domains that get nothing new, by the owners' words.
     pub(crate) drains: RefCell<DrainView>,
     pub(crate) drain_rules: DrainRules,
     /// Between two heartbeats, by the owner's last grant.
-    pub(crate) period: Cell<Duration>,
+    pub(crate) heartbeat_period: Cell<Duration>,
     /// The share of the jobs that fill which are late, by the owner's last word.
     pub(crate) overload: Cell<f64>,
     /// The highest token that was ever used.
-    pub(crate) token: Cell<u64>,
+    pub(crate) fencing_token: Cell<u64>,
     /// Something has changed that the driver waits for.
     pub(crate) changed: Event,
     /// A new link is asked for, with a higher token.
-    pub(crate) token_wanted: Event,
+    pub(crate) higher_token_wanted: Event,
 }
 
 impl AgentState {
     /// The rules of pacing as matters stand.
-    pub(crate) fn pace_rules_now(&self) -> PaceRules {
+    pub(crate) fn current_pace_rules(&self) -> PaceRules {
         self.pace_rules.get().strained(self.overload.get())
     }
 
@@ -158,7 +158,7 @@
     }
 
     /// Sends a message to the owner, if there is a link.
-    pub(crate) fn tell(&self, body: PoolBody) {
+    pub(crate) fn send(&self, body: PoolBody) {
         if let Some(link) = &*self.link.borrow() {
             // A link that is closing is replaced, and all is told anew on the next one.
             let _ = link.outbox.unbounded_send(body);
@@ -166,29 +166,32 @@
     }
 
     /// Sends what was gathered of the worker's runs, once the owner has their list on this link.
-    pub(crate) fn tell_gathered(&self) {
+    pub(crate) fn send_pending_updates(&self) {
         let generation = self.link.borrow().as_ref().map(|link| link.generation);
         let mut boot = self.boot.borrow_mut();
-        let boot = boot.as_mut().filter(|boot| Some(boot.told) == generation);
-        if let Some(news) = boot.and_then(|boot| boot.news.take()) {
-            self.tell(PoolBody::News(news));
+        let boot = boot
+            .as_mut()
+            .filter(|boot| Some(boot.reported_link) == generation);
+        if let Some(updates) = boot.and_then(|boot| boot.updates.take()) {
+            self.send(PoolBody::News(updates));
         }
     }
 
     /// Notes a grant; before the owner has taken over the worker's runs it extends nothing.
-    pub(crate) fn take_grant(&self, until: TimePoint) {
-        self.granted.set(self.granted.get().max(until));
-        if self.is_kept() {
-            self.authority.set(self.authority.get().max(until));
+    pub(crate) fn apply_grant(&self, until: TimePoint) {
+        self.granted_until.set(self.granted_until.get().max(until));
+        if self.is_reconciled() {
+            self.authority_until
+                .set(self.authority_until.get().max(until));
         }
     }
 
     /// A worker is where its machine is, whatever it says: by another name, or none, it would be given
     /// starts while its failure domain is drained.
-    pub(crate) fn place_worker(&self, said: WorkerView) -> WorkerView {
+    pub(crate) fn with_own_domain(&self, said: WorkerView) -> WorkerView {
         let is_elsewhere = said.failure_domain != self.failure_domain;
-        if is_elsewhere && *self.named_elsewhere.borrow() != said.boot {
-            *self.named_elsewhere.borrow_mut() = said.boot.clone();
+        if is_elsewhere && *self.warned_domain_boot.borrow() != said.boot {
+            *self.warned_domain_boot.borrow_mut() = said.boot.clone();
             tracing::warn!(
                 worker = %said.boot,
                 said = %said.failure_domain,
@@ -203,7 +206,7 @@
     }
 
     /// Takes an owner's word of the drains, its answer to a heartbeat sent at `asked`.
-    pub(crate) fn take_drains(&self, frame: DrainFrame, asked: TimePoint) {
+    pub(crate) fn apply_drains(&self, frame: DrainFrame, asked: TimePoint) {
         let mut view = self.drains.borrow_mut();
         let age_ms = frame.age_ms;
         if frame.take_into(&mut view, asked) {
@@ -212,10 +215,10 @@
     }
 
     /// The guard of drains: whether a start may be sent to this machine's worker now.
-    pub(crate) fn may_start(&self, now: TimePoint) -> Result<(), StartRefusal> {
+    pub(crate) fn check_drains(&self, now: TimePoint) -> Result<(), StartRefusal> {
         let view = self.drains.borrow();
-        let most = self.drain_rules.start_age();
-        let verdict = view.verdict(&self.failure_domain, now, most);
+        let max_age = self.drain_rules.start_age();
+        let verdict = view.verdict(&self.failure_domain, now, max_age);
         if verdict == DrainVerdict::Open {
             return Ok(());
         }
@@ -225,45 +228,49 @@
     }
 
     /// Notes whether a hold was answered; the owner hears of a worker that falls silent or is back.
-    pub(crate) fn note_answer(&self, driven: &BootId, answered: bool) {
+    pub(crate) fn note_hold_answer(&self, active: &BootId, answered: bool) {
         let mut boot = self.boot.borrow_mut();
-        let Some(boot) = boot.as_mut().filter(|boot| boot.view.boot == *driven) else {
+        let Some(boot) = boot.as_mut().filter(|boot| boot.view.boot == *active) else {
             return;
         };
         if answered {
-            boot.answered = self.now();
+            boot.answered_at = self.now();
         }
-        let was_silent = boot.unanswered >= SILENT_AFTER;
-        boot.unanswered = if answered { 0 } else { boot.unanswered + 1 };
-        let is_silent = boot.unanswered >= SILENT_AFTER;
+        let was_silent = boot.unanswered_holds >= MAX_UNANSWERED_HOLDS;
+        boot.unanswered_holds = if answered {
+            0
+        } else {
+            boot.unanswered_holds + 1
+        };
+        let is_silent = boot.unanswered_holds >= MAX_UNANSWERED_HOLDS;
         if was_silent != is_silent {
-            tracing::info!(worker = %driven, silent = is_silent, "worker answers changed");
-            self.tell(PoolBody::WorkerChanged((&boot.shown_view()).into()));
+            tracing::info!(worker = %active, silent = is_silent, "worker answers changed");
+            self.send(PoolBody::WorkerChanged((&boot.reported_view()).into()));
         }
     }
 
     /// The boot has answered an order.
-    pub(crate) fn note_heard(&self, driven: &BootId) {
+    pub(crate) fn note_order_answer(&self, active: &BootId) {
         let mut boot = self.boot.borrow_mut();
-        if let Some(boot) = boot.as_mut().filter(|boot| boot.view.boot == *driven) {
-            boot.answered = self.now();
+        if let Some(boot) = boot.as_mut().filter(|boot| boot.view.boot == *active) {
+            boot.answered_at = self.now();
         }
     }
 
     /// The boot that is driven.
-    pub(crate) fn driven(&self) -> Option<BootId> {
+    pub(crate) fn active_boot(&self) -> Option<BootId> {
         let boot = self.boot.borrow();
         boot.as_ref().map(|boot| boot.view.boot.clone())
     }
 
     /// Whether a leave is surely of the boot that is driven. One without a start time may be a late call of an
     /// earlier boot, unless this one has said that it drains, as workers do before they leave.
-    pub(crate) fn takes_leave(&self, said: &BootId) -> bool {
+    pub(crate) fn is_leave_of_active(&self, said: &BootId) -> bool {
         let boot = self.boot.borrow();
         boot.as_ref().is_some_and(|boot| {
             let is_draining = boot.view.state == WorkerState::Draining;
-            let is_told = said.started_ms() == boot.view.boot.started_ms();
-            !boot.is_replaced && boot.view.boot.may_be(said) && (is_told || is_draining)
+            let is_same_start = said.started_ms() == boot.view.boot.started_ms();
+            !boot.is_replaced && boot.view.boot.may_be(said) && (is_same_start || is_draining)
         })
     }
 
@@ -280,19 +287,19 @@
             return;
         }
         boot.sequence = report.sequence;
-        let told = boot.view.clone();
+        let before = boot.view.clone();
         boot.view = WorkerView {
-            boot: told.boot.clone(),
+            boot: before.boot.clone(),
             ..report.view
         };
-        if told.state == WorkerState::Draining {
+        if before.state == WorkerState::Draining {
             // A worker that has said that it leaves does not come back in this boot.
             boot.view.state = WorkerState::Draining;
         }
-        if told.state != boot.view.state {
+        if before.state != boot.view.state {
             tracing::info!(worker = %boot.view.boot, state = ?boot.view.state, "worker state");
         }
-        let (had, has) = (told.capacity, boot.view.capacity);
+        let (had, has) = (before.capacity, boot.view.capacity);
         if had != has {
             tracing::info!(
                 worker = %boot.view.boot,
@@ -302,13 +309,16 @@
                 "worker capacity"
             );
         }
-        if told.state != boot.view.state || told.cold_ms != boot.view.cold_ms || had != has {
-            self.tell(PoolBody::WorkerChanged((&boot.shown_view()).into()));
+        if before.state != boot.view.state || before.cold_ms != boot.view.cold_ms || had != has {
+            self.send(PoolBody::WorkerChanged((&boot.reported_view()).into()));
         }
     }
 
     /// Whether the link has taken over the worker's runs, so that orders and news count.
-    pub(crate) fn is_kept(&self) -> bool {
-        self.link.borrow().as_ref().is_some_and(|link| link.kept)
+    pub(crate) fn is_reconciled(&self) -> bool {
+        self.link
+            .borrow()
+            .as_ref()
+            .is_some_and(|link| link.is_reconciled)
     }
 }
--- a/crates/wax-agent/tests/pacing.rs
+++ b/crates/wax-agent/tests/pacing.rs
@@ -1,12 +1,12 @@
 //! Tasks that fill give way to tasks that serve, and only where they press.
 
 use std::time::Duration;
-use wax_agent::{FillingSample, PaceControl, PaceSample, ServingSample};
+use wax_agent::{BestEffortSample, PaceControl, PaceSample, ServingSample};
 use wax_batch::{JobName, RunMark, TaskName};
 use wax_policy::{PaceRules, PairPress};
 use wax_types::TimePoint;
 
-fn mark() -> RunMark {
+fn run_id() -> RunMark {
     RunMark {
         task: TaskName {
             job: JobName(1),
@@ -18,19 +18,19 @@
     }
 }
 
-fn sample(tail: f64, fills: &[(&str, f64, f64)]) -> PaceSample {
+fn sample(tail_ratio: f64, best_effort: &[(&str, f64, f64)]) -> PaceSample {
     PaceSample {
         serving: vec![ServingSample {
-            mark: mark(),
+            run_id: run_id(),
             image: "red".into(),
-            tail,
+            tail_ratio,
         }],
-        filling: fills
+        best_effort: best_effort
             .iter()
-            .map(|(image, used, wanted)| {
-                let sample = FillingSample {
-                    used: *used,
-                    wanted: *wanted,
+            .map(|(image, used, requested)| {
+                let sample = BestEffortSample {
+                    used_cores: *used,
+                    requested_cores: *requested,
                 };
                 (Box::from(*image), sample)
             })
@@ -39,8 +39,8 @@
 }
 
 /// The tail of a serving task with this own load beside fills that press on it.
-fn tail(own: f64, press: f64) -> f64 {
-    0.17 / (1.0 - (own * (1.0 + press)).min(0.98))
+fn tail_ratio(baseline_load: f64, interference: f64) -> f64 {
+    0.17 / (1.0 - (baseline_load * (1.0 + interference)).min(0.98))
 }
 
 struct World {
@@ -58,26 +58,26 @@
         }
     }
 
-    fn look(&mut self, sample: &PaceSample) {
+    fn apply(&mut self, sample: &PaceSample) {
         self.now = self.now + Duration::from_millis(500);
-        self.control.look(sample, self.now, &self.rules);
+        self.control.update(sample, self.now, &self.rules);
     }
 
     /// Half a second of a worker on which `heavy` presses with 0.3 a core and `light` not at all.
-    fn live(&mut self, own: f64) -> f64 {
-        let pace = |image: &str| f64::from(self.control.pace(image)) / 100.0;
+    fn simulate(&mut self, baseline_load: f64) -> f64 {
+        let pace = |image: &str| f64::from(self.control.pace_percent(image)) / 100.0;
         let (heavy, light) = (4.0 * pace("heavy"), 4.0 * pace("light"));
-        let tail = tail(own, 0.3 * heavy);
-        self.look(&sample(
-            tail,
+        let tail_ratio = tail_ratio(baseline_load, 0.3 * heavy);
+        self.apply(&sample(
+            tail_ratio,
             &[("heavy", heavy, 4.0), ("light", light, 4.0)],
         ));
-        tail
+        tail_ratio
     }
 }
 
 #[test]
-fn what_presses_is_slowed_and_what_does_not_goes_on() {
+fn only_interfering_images_are_throttled() {
     let mut world = World::new();
     world.control.set_pair(
         "red",
@@ -88,39 +88,48 @@
         },
     );
     for _ in 0..40 {
-        world.live(0.55);
+        world.simulate(0.55);
     }
-    let mut looks = Vec::new();
+    let mut samples = Vec::new();
     for _ in 0..20 {
-        let tail = world.live(0.55);
-        looks.push((
-            tail,
-            world.control.pace("heavy"),
-            world.control.pace("light"),
+        let tail_ratio = world.simulate(0.55);
+        samples.push((
+            tail_ratio,
+            world.control.pace_percent("heavy"),
+            world.control.pace_percent("light"),
         ));
     }
-    let over = looks.iter().filter(|(tail, ..)| *tail > 1.0).count();
+    let over_target = samples
+        .iter()
+        .filter(|(tail_ratio, ..)| *tail_ratio > 1.0)
+        .count();
     assert!(
-        over <= 2,
-        "over its target in {over} of 20 looks: {looks:?}"
+        over_target <= 2,
+        "tail over its target in {over_target} of 20 samples: {samples:?}"
+    );
+    let unthrottled = samples.iter().filter(|(.., light)| *light == 100).count();
+    assert!(
+        unthrottled >= 18,
+        "image without interference was throttled: {samples:?}"
+    );
+    assert!(
+        samples.iter().all(|(_, heavy, _)| *heavy < 70),
+        "{samples:?}"
     );
-    let whole = looks.iter().filter(|(.., light)| *light == 100).count();
-    assert!(whole >= 18, "what does not press was slowed: {looks:?}");
-    assert!(looks.iter().all(|(_, heavy, _)| *heavy < 70), "{looks:?}");
 }
 
 #[test]
-fn without_load_nothing_is_slowed() {
+fn nothing_is_throttled_at_low_load() {
     let mut world = World::new();
     for _ in 0..20 {
-        world.live(0.1);
+        world.simulate(0.1);
     }
-    assert_eq!(world.control.pace("light"), 100);
-    assert_eq!(world.control.pace("heavy"), 100);
+    assert_eq!(world.control.pace_percent("light"), 100);
+    assert_eq!(world.control.pace_percent("heavy"), 100);
 }
 
 #[test]
-fn a_tail_that_stays_too_long_stops_all_that_fills_whatever_was_learned() {
+fn persistent_high_tail_stops_all_best_effort_tasks() {
     let mut world = World::new();
     world.control.set_pair(
         "red",
@@ -130,9 +139,9 @@
             weight: 200.0,
         },
     );
-    world.look(&sample(0.4, &[("sly", 2.0, 2.0)]));
-    let mut looks = 0;
-    while world.control.pace("sly") > 0 {
+    world.apply(&sample(0.4, &[("sly", 2.0, 2.0)]));
+    let mut samples = 0;
+    while world.control.pace_percent("sly") > 0 {
         world.control.set_pair(
             "red",
             "sly",
@@ -141,14 +150,14 @@
                 weight: 200.0,
             },
         );
-        world.look(&sample(1.2, &[("sly", 2.0, 2.0)]));
-        looks += 1;
-        assert!(looks <= 4, "longer than two seconds over its target");
+        world.apply(&sample(1.2, &[("sly", 2.0, 2.0)]));
+        samples += 1;
+        assert!(samples <= 4, "longer than two seconds over its target");
     }
 }
 
 #[test]
-fn a_tail_that_stays_long_by_itself_does_not_stop_others_for_ever() {
+fn high_tail_without_interference_stops_others_only_for_a_while() {
     let mut world = World::new();
     let mut stopped = 0;
     for _ in 0..60 {
@@ -160,39 +169,39 @@
                 weight: 200.0,
             },
         );
-        world.look(&sample(1.5, &[("calm", 2.0, 2.0)]));
-        stopped += u32::from(world.control.pace("calm") == 0);
+        world.apply(&sample(1.5, &[("calm", 2.0, 2.0)]));
+        stopped += u32::from(world.control.pace_percent("calm") == 0);
     }
     assert!(
         (10..50).contains(&stopped),
-        "stopped in {stopped} of 60 looks"
+        "stopped in {stopped} of 60 samples"
     );
 }
 
 /// After an overload the figure fades by 0.27 each half second; what is over holds nobody back.
 #[test]
-fn a_tail_that_fades_is_not_taken_for_a_load() {
+fn decaying_tail_is_not_taken_for_load() {
     let mut world = World::new();
-    let known = PairPress {
+    let pair = PairPress {
         per_core: 0.15,
         weight: 2_000.0,
     };
-    world.control.set_pair("red", "heavy", known);
+    world.control.set_pair("red", "heavy", pair);
     for _ in 0..6 {
-        world.look(&sample(tail(0.4, 0.0), &[("heavy", 0.0, 3.0)]));
+        world.apply(&sample(tail_ratio(0.4, 0.0), &[("heavy", 0.0, 3.0)]));
     }
-    let mut shown = 9.0;
-    world.look(&sample(shown, &[("heavy", 3.0, 3.0)]));
+    let mut reported_ratio = 9.0;
+    world.apply(&sample(reported_ratio, &[("heavy", 3.0, 3.0)]));
     assert!(
-        world.control.pace("heavy") <= 5,
+        world.control.pace_percent("heavy") <= 5,
         "an alarm stops what presses"
     );
     for _ in 0..4 {
-        shown = 0.27 * shown + 0.73 * tail(0.4, 0.0);
-        world.look(&sample(shown, &[("heavy", 0.1, 3.0)]));
+        reported_ratio = 0.27 * reported_ratio + 0.73 * tail_ratio(0.4, 0.0);
+        world.apply(&sample(reported_ratio, &[("heavy", 0.1, 3.0)]));
     }
     assert_eq!(
-        world.control.pace("heavy"),
+        world.control.pace_percent("heavy"),
         100,
         "its press of 0.45 is borne"
     );
--- a/crates/wax-front/src/accept.rs
+++ b/crates/wax-front/src/accept.rs
@@ -1,7 +1,7 @@
 //! Accepts a job: stored once, then acknowledged.
 
-use crate::state::{FrontState, STORE_RETRY};
-use crate::store_way::transact_any_way;
+use crate::state::{FrontState, STORE_RETRY_AFTER};
+use crate::store_route::transact_by_any_route;
 use platform::{RowWrite, TxRequest};
 use prost::Message;
 use wax_batch::{JobName, JobRow, JobSpec, QueueRules};
@@ -14,7 +14,7 @@
     /// By this request.
     Stored,
     /// By an earlier request of the same name.
-    Known,
+    AlreadyStored,
 }
 
 /// Stores a job if no job of its name is stored.
@@ -53,16 +53,16 @@
             }],
             remove: Vec::new(),
         };
-        match transact_any_way(state, &tx, deadline).await {
+        match transact_by_any_route(state, &tx, deadline).await {
             TxFate::Committed(_) => return Ok(AcceptOutcome::Stored),
             TxFate::Conflict(rows) => {
                 if let Some(stored) = rows.iter().find(|row| row.key == job_key(job)) {
-                    let ours = JobRow::decode(&*stored.value)
+                    let is_ours = JobRow::decode(&*stored.value)
                         .is_ok_and(|stored| stored.nonce == row.nonce);
-                    return Ok(if ours {
+                    return Ok(if is_ours {
                         AcceptOutcome::Stored
                     } else {
-                        AcceptOutcome::Known
+                        AcceptOutcome::AlreadyStored
                     });
                 }
                 // The owner has changed meanwhile; its row is taken from the answer.
@@ -94,7 +94,7 @@
 
 fn not_stored(text: &str) -> WaxError {
     WaxError::new(
-        ErrorKind::Unavailable(STORE_RETRY),
+        ErrorKind::Unavailable(STORE_RETRY_AFTER),
         Step::SubmitJob,
         "store",
         text,
--- a/crates/wax-front/src/cancel.rs
+++ b/crates/wax-front/src/cancel.rs
@@ -1,6 +1,6 @@
 //! Cancels a job: stored, then acknowledged; its owner stops what runs.
 
-use crate::state::{FrontState, STORE_RETRY};
+use crate::state::{FrontState, STORE_RETRY_AFTER};
 use platform::{RowWrite, StoredRow, TxRequest};
 use std::time::Duration;
 use wax_batch::JobName;
@@ -30,7 +30,7 @@
         .store
         .read(JOB_TABLE, &own.part, &own.key, &end, limit)
         .await;
-    state.note_store(page.is_ok());
+    state.note_store_answer(page.is_ok());
     Ok(page?.rows)
 }
 
@@ -46,8 +46,8 @@
 ) -> Result<CancelOutcome, WaxError> {
     let shared = &state.shared;
     loop {
-        let left = deadline.since(shared.now());
-        let rows = read_job_rows(state, job, left).await?;
+        let time_left = deadline.since(shared.now());
+        let rows = read_job_rows(state, job, time_left).await?;
         let Some(own) = rows.iter().find(|row| row.key == job_key(job)) else {
             return Ok(CancelOutcome::NoJob);
         };
@@ -64,20 +64,20 @@
         };
         match transact(&shared.store, shared.clock, &tx, deadline).await {
             TxFate::Committed(_) => {
-                tell_owner(state, job);
+                notify_owner(state, job);
                 return Ok(CancelOutcome::Cancelled);
             }
             // Another cancel was first, or the job was forgotten: the rows tell.
             TxFate::Conflict(_) => {}
             TxFate::NotSent(error) | TxFate::Unknown(error) | TxFate::Refused(error) => {
-                state.note_store(false);
+                state.note_store_answer(false);
                 let kind = ErrorKind::Timeout;
                 return Err(WaxError::new(kind, Step::SubmitJob, "store", error.label)
                     .with_help("cancel the job again"));
             }
         }
         if shared.now() >= deadline {
-            let kind = ErrorKind::Unavailable(STORE_RETRY);
+            let kind = ErrorKind::Unavailable(STORE_RETRY_AFTER);
             return Err(WaxError::new(
                 kind,
                 Step::SubmitJob,
@@ -89,9 +89,9 @@
 }
 
 /// Tells the owner at once: its own feed may be cut off while callers are served.
-fn tell_owner(state: &FrontState, job: JobName) {
-    if let Some(tenure) = state.shared.current_tenure() {
-        tenure.cancel(job);
+fn notify_owner(state: &FrontState, job: JobName) {
+    if let Some(term) = state.shared.current_tenure() {
+        term.cancel(job);
     } else if let Some(outbox) = &*state.outbox.borrow() {
         // Without a link the feed of the owner brings it.
         let _ = outbox.unbounded_send(PoolBody::Cancelled(JobCancelled { job: job.0 }));
--- a/crates/wax-front/src/handler.rs
+++ b/crates/wax-front/src/handler.rs
@@ -2,7 +2,7 @@
 
 use crate::accept::{AcceptOutcome, accept_job};
 use crate::cancel::{CancelOutcome, cancel_job};
-use crate::show::{job_state, queue_pending};
+use crate::show::{read_job_state, read_queue_pending};
 use crate::state::FrontState;
 use http::{HeaderMap, Method, StatusCode, header};
 use platform::{WAIT_HEADER, decode_job, pending_body, state_body};
@@ -20,9 +20,9 @@
 /// An answer leaves this long before its caller gives up.
 const ANSWER_MARGIN: Duration = Duration::from_millis(150);
 /// Longest wait that is believed.
-const MOST_WAIT: Duration = Duration::from_secs(60);
+const MAX_WAIT: Duration = Duration::from_secs(60);
 /// Without a config, or by one that may be old, callers are told to come back after this.
-const CONFIG_RETRY: Duration = Duration::from_millis(500);
+const CONFIG_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Answers callers.
 pub(crate) struct CallerHandler {
@@ -38,13 +38,13 @@
     }
 }
 
-fn wait_of(headers: &HeaderMap) -> Duration {
+fn parse_wait(headers: &HeaderMap) -> Duration {
     let millis = headers
         .get(WAIT_HEADER)
         .and_then(|value| value.to_str().ok()?.trim().parse().ok());
     millis
         .map_or(DEFAULT_WAIT, Duration::from_millis)
-        .min(MOST_WAIT)
+        .min(MAX_WAIT)
 }
 
 fn invalid(text: impl std::fmt::Display, help: &str) -> WaxError {
@@ -54,18 +54,18 @@
 impl CallerHandler {
     async fn answer(&self, request: HttpRequest) -> Result<HttpReply, WaxError> {
         let shared = &self.state.shared;
-        let deadline = shared.now() + wait_of(request.headers()).saturating_sub(ANSWER_MARGIN);
-        let (queue, body_bytes) = self.route(&request)?;
-        let rest = request.uri().path()[queue.prefix.len()..].to_owned();
-        if rest.is_empty() {
+        let deadline = shared.now() + parse_wait(request.headers()).saturating_sub(ANSWER_MARGIN);
+        let (queue, max_body_bytes) = self.route(&request)?;
+        let job_part = request.uri().path()[queue.prefix.len()..].to_owned();
+        if job_part.is_empty() {
             return self.show_queue(request.method(), &queue).await;
         }
-        let job = rest.parse::<JobName>().map_err(|error| {
+        let job = job_part.parse::<JobName>().map_err(|error| {
             invalid(error, "end the path with 16 lower-case hexadecimal digits")
         })?;
         match *request.method() {
             Method::POST => {
-                self.submit(request, &queue, job, body_bytes, deadline)
+                self.submit(request, &queue, job, max_body_bytes, deadline)
                     .await
             }
             Method::GET => self.show_job(job, deadline).await,
@@ -77,7 +77,7 @@
     fn route(&self, request: &HttpRequest) -> Result<(Rc<QueueRules>, usize), WaxError> {
         let config = self.state.shared.config.borrow();
         let Some(version) = config.config() else {
-            let kind = ErrorKind::Unavailable(CONFIG_RETRY);
+            let kind = ErrorKind::Unavailable(CONFIG_RETRY_AFTER);
             return Err(WaxError::new(
                 kind,
                 Step::RouteRequest,
@@ -92,22 +92,29 @@
         let path = request.uri().path();
         match config.route(host.unwrap_or_default(), path) {
             Some(queue) => Ok((queue.clone(), version.body_bytes)),
-            None => Err(self.no_queue(host, path, version.version)),
+            None => Err(self.no_queue_error(host, path, version.version)),
         }
     }
 
     /// A 404 is final for a caller, so that it is given only by a config that is surely in force.
-    fn no_queue(&self, host: Option<&str>, path: &str, config: u64) -> WaxError {
+    fn no_queue_error(&self, host: Option<&str>, path: &str, config: u64) -> WaxError {
         let shared = &self.state.shared;
         let age_ms = shared.config_age().map(|age| age.as_millis() as u64);
-        let unsure = shared.may_config_be_old();
-        tracing::info!(host, path, config, age_ms, unsure, "no such queue");
-        if !unsure {
+        let is_stale = shared.may_config_be_old();
+        tracing::info!(
+            host,
+            path,
+            config,
+            age_ms,
+            unsure = is_stale,
+            "no such queue"
+        );
+        if !is_stale {
             let text = "no such queue";
             return WaxError::new(ErrorKind::NotFound, Step::RouteRequest, "config", text);
         }
         count(Counter::RoutesUnsure);
-        let kind = ErrorKind::Unavailable(CONFIG_RETRY);
+        let kind = ErrorKind::Unavailable(CONFIG_RETRY_AFTER);
         let text = "no such queue in the config of a while ago; there may be a newer one";
         WaxError::new(kind, Step::RouteRequest, "config", text)
             .with_help("ask again after the given time, or at another front")
@@ -117,7 +124,7 @@
         if *method != Method::GET {
             return Ok(empty_reply(StatusCode::METHOD_NOT_ALLOWED));
         }
-        let pending = queue_pending(&self.state, &queue.name).await?;
+        let pending = read_queue_pending(&self.state, &queue.name).await?;
         Ok(json_reply(StatusCode::OK, &pending_body(pending)))
     }
 
@@ -126,19 +133,19 @@
         request: HttpRequest,
         queue: &QueueRules,
         job: JobName,
-        body_bytes: usize,
+        max_body_bytes: usize,
         deadline: TimePoint,
     ) -> Result<HttpReply, WaxError> {
-        let began = self.state.shared.now();
-        let body = collect_body(request, body_bytes).await?;
+        let started_at = self.state.shared.now();
+        let body = collect_body(request, max_body_bytes).await?;
         let spec = decode_job(&body)
             .map_err(|text| invalid(text, "correct the job and submit it again"))?;
         let outcome = accept_job(&self.state, queue, job, &spec, deadline).await;
-        let took_ms = self.state.shared.now().since(began).as_millis() as u64;
+        let took_ms = self.state.shared.now().since(started_at).as_millis() as u64;
         note_latency(Latency::AcceptJob, Duration::from_millis(took_ms));
         count(match &outcome {
             Ok(AcceptOutcome::Stored) => Counter::JobsAccepted,
-            Ok(AcceptOutcome::Known) => Counter::JobsRepeated,
+            Ok(AcceptOutcome::AlreadyStored) => Counter::JobsRepeated,
             Err(_) => Counter::JobsNotAccepted,
         });
         match &outcome {
@@ -157,7 +164,7 @@
                     "job accepted"
                 )
             }
-            Ok(AcceptOutcome::Known) => {
+            Ok(AcceptOutcome::AlreadyStored) => {
                 tracing::info!(%job, queue = %queue.name, took_ms, "job known")
             }
             Err(error) => {
@@ -168,7 +175,7 @@
     }
 
     async fn show_job(&self, job: JobName, deadline: TimePoint) -> Result<HttpReply, WaxError> {
-        Ok(match job_state(&self.state, job, deadline).await? {
+        Ok(match read_job_state(&self.state, job, deadline).await? {
             Some(state) => json_reply(StatusCode::OK, &state_body(state)),
             None => empty_reply(StatusCode::GONE),
         })
--- a/crates/wax-front/src/lib.rs
+++ b/crates/wax-front/src/lib.rs
@@ -8,6 +8,6 @@
 mod readiness;
 mod show;
 mod state;
-mod store_way;
+mod store_route;
 
 pub use process::run_front;
--- a/crates/wax-front/src/owner_link.rs
+++ b/crates/wax-front/src/owner_link.rs
@@ -20,11 +20,11 @@
 };
 
 /// Longest time for a connection and its first answer.
-const CONNECT_LIMIT: Duration = Duration::from_millis(600);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 /// A link without an answer for this long is given up.
-const LINK_LIMIT: Duration = Duration::from_millis(800);
+const LINK_TIMEOUT: Duration = Duration::from_millis(800);
 /// Dead boots that one message names: some kilobytes.
-const MOST_DEAD_TOLD: usize = 256;
+const MAX_BOOTS_PER_MESSAGE: usize = 256;
 /// Between two tries, with as much again at random.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
@@ -38,15 +38,15 @@
         round += 1;
         let address = hint.take().or(known).or(seed);
         match address.filter(|address| *address != state.shared.address) {
-            Some(address) if looks_for_owner(&state) => {
-                hint = try_owner(&state, address).await;
+            Some(address) if should_seek_owner(&state) => {
+                hint = link_to_owner(&state, address).await;
             }
             _ => {}
         }
         let pause = RETRY_PAUSE + RETRY_PAUSE.mul_f64(fastrand::f64());
-        let began = state.shared.now();
+        let started_at = state.shared.now();
         sleep(pause).await;
-        state.shared.note_timer(pause, began);
+        state.shared.note_timer(pause, started_at);
     }
 }
 
@@ -58,9 +58,9 @@
 }
 
 /// An owner looks for another only once its store is silent: it cannot know that it was replaced.
-fn looks_for_owner(state: &FrontState) -> bool {
-    let tenure = state.shared.current_tenure();
-    tenure.is_none_or(|tenure| tenure.is_in_doubt(state.shared.now()))
+fn should_seek_owner(state: &FrontState) -> bool {
+    let term = state.shared.current_tenure();
+    term.is_none_or(|term| term.is_in_doubt(state.shared.now()))
 }
 
 /// The owner as the store had it last, if it is another process than this one.
@@ -71,18 +71,18 @@
 }
 
 /// Links to the owner at `address`; returns where else it may be.
-async fn try_owner(state: &Rc<FrontState>, address: SocketAddr) -> Option<SocketAddr> {
-    match timeout(CONNECT_LIMIT, greet(state, address)).await {
-        Ok(Ok(Greeting::Owner(stream, epoch))) => {
+async fn link_to_owner(state: &Rc<FrontState>, address: SocketAddr) -> Option<SocketAddr> {
+    match timeout(CONNECT_TIMEOUT, handshake(state, address)).await {
+        Ok(Ok(HandshakeResult::Owner(stream, epoch))) => {
             let (reader, writer) = *stream;
             tracing::info!(owner = %address, "linked to the owner");
             run_link(state, epoch, reader, writer).await;
             tracing::info!(owner = %address, "link to the owner ended");
             None
         }
-        Ok(Ok(Greeting::Elsewhere(other))) => other,
+        Ok(Ok(HandshakeResult::NotOwner(other))) => other,
         Ok(Err(error)) => {
-            note_refused(state, address, &error);
+            note_connection_refused(state, address, &error);
             None
         }
         Err(_) => None,
@@ -90,7 +90,7 @@
 }
 
 /// The owner listens for the life of its process: where nobody does, its term is over.
-fn note_refused(state: &FrontState, address: SocketAddr, error: &io::Error) {
+fn note_connection_refused(state: &FrontState, address: SocketAddr, error: &io::Error) {
     let owner = state.shared.owner.borrow();
     let refused = owner.as_ref().filter(|owner| {
         owner.address == Some(address) && error.kind() == io::ErrorKind::ConnectionRefused
@@ -103,13 +103,13 @@
     }
 }
 
-enum Greeting {
+enum HandshakeResult {
     /// With the owner's term.
     Owner(Box<(PoolReader, PoolWriter)>, u64),
-    Elsewhere(Option<SocketAddr>),
+    NotOwner(Option<SocketAddr>),
 }
 
-async fn greet(state: &FrontState, address: SocketAddr) -> io::Result<Greeting> {
+async fn handshake(state: &FrontState, address: SocketAddr) -> io::Result<HandshakeResult> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let (mut reader, mut writer) = split_stream(stream);
@@ -120,14 +120,19 @@
     writer.write(PoolBody::EntryHello(hello)).await?;
     match reader.read().await? {
         Some(PoolBody::Welcome(welcome)) => {
-            let tenure = state.shared.current_tenure();
-            if tenure.is_some_and(|tenure| !tenure.give_way(welcome.epoch)) {
+            let term = state.shared.current_tenure();
+            if term.is_some_and(|term| !term.give_way(welcome.epoch)) {
                 let error = "it is of an earlier term than this process";
                 return Err(io::Error::new(io::ErrorKind::InvalidData, error));
             }
-            Ok(Greeting::Owner(Box::new((reader, writer)), welcome.epoch))
+            Ok(HandshakeResult::Owner(
+                Box::new((reader, writer)),
+                welcome.epoch,
+            ))
+        }
+        Some(PoolBody::NotOwner(other)) => {
+            Ok(HandshakeResult::NotOwner(other.address.parse().ok()))
         }
-        Some(PoolBody::NotOwner(other)) => Ok(Greeting::Elsewhere(other.address.parse().ok())),
         _ => Err(io::Error::new(io::ErrorKind::InvalidData, "no welcome")),
     }
 }
@@ -136,40 +141,40 @@
     let (outbox, inbox) = unbounded();
     *state.outbox.borrow_mut() = Some(outbox.clone());
     state.shared.owner_heard.set(state.shared.now());
-    tell_dead(state, &outbox);
+    send_ended_boots(state, &outbox);
     let writing = spawn(write_link(writer, inbox));
-    let pinging = spawn(ping(state.clone(), outbox));
+    let heartbeats = spawn(send_heartbeats(state.clone(), outbox));
     {
         let read = pin!(read_link(state, reader));
-        let replaced = pin!(wait_replaced(state, epoch));
-        select(read, replaced).await;
+        let superseded = pin!(wait_until_superseded(state, epoch));
+        select(read, superseded).await;
     }
     // What was heard on the link says no more than a heartbeat at the usual period would.
     state.shared.heartbeat.set(FRONT_PERIOD);
     *state.outbox.borrow_mut() = None;
-    state.asks.borrow_mut().clear();
-    state.relays.borrow_mut().clear();
+    state.queries.borrow_mut().clear();
+    state.pending_relays.borrow_mut().clear();
     // Dropped tasks are cancelled; the connection closes with them.
-    drop(pinging);
+    drop(heartbeats);
     drop(writing);
 }
 
 /// A new owner may wait for workers that this front knows to be gone. The fronts that go first at a takeover hear
 /// of each sooner than others; what all would tell is the same.
-fn tell_dead(state: &FrontState, outbox: &UnboundedSender<PoolBody>) {
+fn send_ended_boots(state: &FrontState, outbox: &UnboundedSender<PoolBody>) {
     let is_watcher = state
         .shared
         .rank
         .get()
-        .is_none_or(|turn| is_watcher(turn.rank));
-    let gone = state.shared.gone.borrow();
-    let mut told = if is_watcher { 0 } else { gone.count() };
+        .is_none_or(|candidate| is_watcher(candidate.rank));
+    let ended = state.shared.gone.borrow();
+    let mut sent = if is_watcher { 0 } else { ended.count() };
     loop {
-        let page = BootsDead::new(gone.after(told, MOST_DEAD_TOLD));
+        let page = BootsDead::new(ended.after(sent, MAX_BOOTS_PER_MESSAGE));
         if page.boots.is_empty() {
             return;
         }
-        told += page.boots.len() as u64;
+        sent += page.boots.len() as u64;
         // A link that has just closed is replaced, and all is told on the next one.
         let _ = outbox.unbounded_send(PoolBody::BootsDead(page));
     }
@@ -177,16 +182,16 @@
 
 async fn read_link(state: &Rc<FrontState>, mut reader: PoolReader) {
     loop {
-        let limit = state.shared.heard_within(LINK_LIMIT);
+        let limit = state.shared.heard_within(LINK_TIMEOUT);
         match timeout(limit, reader.read()).await {
-            Ok(Ok(Some(body))) => take_message(state, body),
+            Ok(Ok(Some(body))) => handle_message(state, body),
             _ => return,
         }
     }
 }
 
 /// Waits until a later term than the link's is known: what its owner says is of the past.
-async fn wait_replaced(state: &FrontState, epoch: u64) {
+async fn wait_until_superseded(state: &FrontState, epoch: u64) {
     loop {
         let listener = state.shared.owner_changed.listen();
         let known = state
@@ -208,14 +213,14 @@
     }
 }
 
-async fn ping(state: Rc<FrontState>, outbox: UnboundedSender<PoolBody>) {
+async fn send_heartbeats(state: Rc<FrontState>, outbox: UnboundedSender<PoolBody>) {
     loop {
         let now = state.shared.now();
         let ping = LinkPing {
             sent_us: now.0,
             config: state.shared.config_version(),
             fitness: state.shared.fitness().0,
-            store_lost: state.store_lost.get().is_some(),
+            store_lost: state.store_lost_since.get().is_some(),
         };
         if outbox.unbounded_send(PoolBody::Ping(ping)).is_err() {
             return;
@@ -227,30 +232,30 @@
 }
 
 /// The store turns the owner away: this front sends its transaction.
-fn send_for_owner(state: &Rc<FrontState>, ask: RelayAsk) {
+fn relay_for_owner(state: &Rc<FrontState>, request: RelayAsk) {
     let Some(outbox) = state.outbox.borrow().clone() else {
         return;
     };
     let state = state.clone();
     spawn(async move {
         // What waits longer than a link may be silent is dropped with the link.
-        let told = relay_transaction(&state.shared, ask, Duration::ZERO).await;
+        let reply = relay_transaction(&state.shared, request, Duration::ZERO).await;
         // An owner that has gone asks nobody any more.
-        let _ = outbox.unbounded_send(PoolBody::Relayed(told));
+        let _ = outbox.unbounded_send(PoolBody::Relayed(reply));
     })
     .detach();
 }
 
-fn take_message(state: &Rc<FrontState>, body: PoolBody) {
+fn handle_message(state: &Rc<FrontState>, body: PoolBody) {
     match body {
         PoolBody::Grant(grant) => {
             // An owner without its store is in doubt at once: its beat is looked at.
-            let heard = if grant.store_lost {
+            let heard_at = if grant.store_lost {
                 TimePoint::default()
             } else {
                 state.shared.now()
             };
-            state.shared.owner_heard.set(heard);
+            state.shared.owner_heard.set(heard_at);
             state.shared.link_heard.set(state.shared.now());
             state.shared.heartbeat.set(grant.period(FRONT_PERIOD));
             state.shared.rank.set(Some(CandidateRank {
@@ -258,8 +263,8 @@
                 best: OwnerFitness(grant.best),
             }));
             if let Some(age_ms) = grant.config_age_ms {
-                let (sent, age) = (TimePoint(grant.sent_us), Duration::from_millis(age_ms));
-                state.shared.note_owners_config(grant.config, sent, age);
+                let (sent_at, age) = (TimePoint(grant.sent_us), Duration::from_millis(age_ms));
+                state.shared.note_owners_config(grant.config, sent_at, age);
             }
             if grant.config < state.shared.config_version() {
                 let text = state.shared.config_text.borrow().clone();
@@ -269,23 +274,23 @@
                 }
             }
         }
-        PoolBody::Told(told) => {
-            if let Some(asker) = state.asks.borrow_mut().remove(&told.ask) {
+        PoolBody::Told(reply) => {
+            if let Some(caller) = state.queries.borrow_mut().remove(&reply.ask) {
                 // An asker that has given up does not need the answer.
-                let _ = asker.send(told);
+                let _ = caller.send(reply);
             }
         }
-        PoolBody::Relayed(told) => {
-            if let Some(asker) = state.relays.borrow_mut().remove(&told.ask) {
+        PoolBody::Relayed(reply) => {
+            if let Some(caller) = state.pending_relays.borrow_mut().remove(&reply.ask) {
                 // As above.
-                let _ = asker.send(told);
+                let _ = caller.send(reply);
             }
         }
-        PoolBody::Relay(ask) => send_for_owner(state, ask),
+        PoolBody::Relay(request) => relay_for_owner(state, request),
         PoolBody::BootsDead(dead) => {
-            let mut gone = state.shared.gone.borrow_mut();
+            let mut ended = state.shared.gone.borrow_mut();
             for boot in &dead.boots {
-                gone.note(&boot.into());
+                ended.note(&boot.into());
             }
         }
         PoolBody::Config(push) => {
--- a/crates/wax-front/src/process.rs
+++ b/crates/wax-front/src/process.rs
@@ -2,7 +2,7 @@
 
 use crate::handler::CallerHandler;
 use crate::owner_link::keep_owner_link;
-use crate::readiness::{ReadinessHandler, look_after_store};
+use crate::readiness::{ReadinessHandler, watch_store};
 use crate::state::FrontState;
 use compio::runtime::spawn;
 use compio::time::sleep;
@@ -18,7 +18,7 @@
 use wax_types::{ErrorKind, Step, WaxError};
 
 /// After a stop is asked for, connections are taken this long: the balancer notices by two misses.
-const LEAVE_ROTATION: Duration = Duration::from_millis(2_300);
+const ROTATION_DELAY: Duration = Duration::from_millis(2_300);
 /// Before the process is killed it must be done this long.
 const KILL_MARGIN: Duration = Duration::from_millis(600);
 
@@ -48,19 +48,19 @@
         store,
         pool.advisor,
         keep_ended,
-        strength(&pool.machine),
+        vm_strength(&pool.machine),
     );
     shared.set_bounds(pool.config_bound(), pool.drain_bound());
     let shared = Rc::new(shared);
     shared.set_place_rules(settings.policy.place);
     let state = Rc::new(FrontState::new(shared.clone()));
-    let closed = ShutdownSignal::default();
+    let callers_shutdown = ShutdownSignal::default();
     let callers_server = HttpServer::new(
         bind_listener(callers)?,
         Rc::new(CallerHandler {
             state: state.clone(),
         }),
-        closed.clone(),
+        callers_shutdown.clone(),
     );
     let readiness_server = HttpServer::new(
         bind_listener(readiness)?,
@@ -75,13 +75,13 @@
     spawn(readiness_server.run()).detach();
     spawn(keep_operator_rows(shared.clone())).detach();
     spawn(keep_owner_link(state.clone(), pool.peer_seeds())).detach();
-    spawn(look_after_store(state)).detach();
+    spawn(watch_store(state)).detach();
     let ownership = spawn(keep_ownership(shared, shutdown.clone()));
     tracing::info!(name = %settings.name, %callers, peers = %pool.peers, "front started");
-    spawn(close_later(shutdown, closed)).detach();
+    spawn(close_after_rotation(shutdown, callers_shutdown)).detach();
     callers_server.run().await;
     let grace =
-        Duration::from_secs(pool.stop_grace_s.into()).saturating_sub(LEAVE_ROTATION + KILL_MARGIN);
+        Duration::from_secs(pool.stop_grace_s.into()).saturating_sub(ROTATION_DELAY + KILL_MARGIN);
     // What is left of the grace lets the store take the last notes; another owner waits for nothing else.
     let _ = compio::time::timeout(grace, ownership).await;
     tracing::info!(name = %settings.name, "front stopped");
@@ -89,12 +89,12 @@
 }
 
 /// What the settings leave open counts as that of a common machine.
-fn strength(machine: &MachineSettings) -> MachineStrength {
-    let common = MachineStrength::default();
+fn vm_strength(vm: &MachineSettings) -> MachineStrength {
+    let default = MachineStrength::default();
     MachineStrength {
-        cores: machine.cpu_share.unwrap_or(common.cores) * machine.cores.unwrap_or(1.0),
-        link_mbps: machine.link_mbps.unwrap_or(common.link_mbps),
-        memory_mb: machine.memory_mb.unwrap_or(common.memory_mb),
+        cores: vm.cpu_share.unwrap_or(default.cores) * vm.cores.unwrap_or(1.0),
+        link_mbps: vm.link_mbps.unwrap_or(default.link_mbps),
+        memory_mb: vm.memory_mb.unwrap_or(default.memory_mb),
     }
 }
 
@@ -107,8 +107,8 @@
     }
 }
 
-async fn close_later(shutdown: ShutdownSignal, closed: ShutdownSignal) {
+async fn close_after_rotation(shutdown: ShutdownSignal, callers_shutdown: ShutdownSignal) {
     shutdown.wait().await;
-    sleep(LEAVE_ROTATION).await;
-    closed.raise();
+    sleep(ROTATION_DELAY).await;
+    callers_shutdown.raise();
 }
--- a/crates/wax-front/src/readiness.rs
+++ b/crates/wax-front/src/readiness.rs
@@ -10,9 +10,9 @@
 use wax_owner::read_operator_rows;
 
 /// Between two looks at a store that does not answer: callers are refused until it is seen to answer.
-const LOOK_PERIOD: Duration = Duration::from_millis(250);
+const CHECK_PERIOD: Duration = Duration::from_millis(250);
 /// Longest time for a look.
-const LOOK_LIMIT: Duration = Duration::from_millis(800);
+const CHECK_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Answers the balancer.
 pub(crate) struct ReadinessHandler {
@@ -25,9 +25,10 @@
         if request.uri().path() != READY_PATH {
             return empty_reply(StatusCode::NOT_FOUND);
         }
-        let configured = self.state.shared.config.borrow().config().is_some();
-        let stored = self.state.store_lost.get().is_none() || self.state.hears_owner();
-        if configured && stored && !self.shutdown.is_raised() {
+        let has_config = self.state.shared.config.borrow().config().is_some();
+        let can_store =
+            self.state.store_lost_since.get().is_none() || self.state.is_owner_reachable();
+        if has_config && can_store && !self.shutdown.is_raised() {
             empty_reply(StatusCode::OK)
         } else {
             empty_reply(StatusCode::SERVICE_UNAVAILABLE)
@@ -36,13 +37,13 @@
 }
 
 /// Looks after the store while it does not answer.
-pub(crate) async fn look_after_store(state: Rc<FrontState>) {
+pub(crate) async fn watch_store(state: Rc<FrontState>) {
     loop {
-        sleep(LOOK_PERIOD + LOOK_PERIOD.mul_f64(fastrand::f64() / 2.0)).await;
-        if state.store_lost.get().is_none() && !state.is_store_overdue() {
+        sleep(CHECK_PERIOD + CHECK_PERIOD.mul_f64(fastrand::f64() / 2.0)).await;
+        if state.store_lost_since.get().is_none() && !state.is_store_overdue() {
             continue;
         }
-        let look = read_operator_rows(&state.shared, LOOK_LIMIT).await;
-        state.note_store(look.is_ok());
+        let result = read_operator_rows(&state.shared, CHECK_TIMEOUT).await;
+        state.note_store_answer(result.is_ok());
     }
 }
--- a/crates/wax-front/src/show.rs
+++ b/crates/wax-front/src/show.rs
@@ -13,19 +13,19 @@
 use wax_wire::{JobAsk, JobTold, PoolBody};
 
 /// The owner is asked for this long before the store is.
-const OWNER_LIMIT: Duration = Duration::from_millis(400);
+const OWNER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// The state of a job; `None` if there is no such job.
 ///
 /// # Errors
 ///
 /// Neither the owner nor the store answers.
-pub(crate) async fn job_state(
+pub(crate) async fn read_job_state(
     state: &FrontState,
     job: JobName,
     deadline: TimePoint,
 ) -> Result<Option<JobState>, WaxError> {
-    if let Some((outcome, begun)) = ask_owner(state, job).await {
+    if let Some((outcome, begun)) = query_owner(state, job).await {
         return Ok(Some(to_state(outcome, begun)));
     }
     let left = deadline.since(state.shared.now());
@@ -61,16 +61,16 @@
     }
 }
 
-async fn ask_owner(state: &FrontState, job: JobName) -> Option<(JobOutcome, bool)> {
-    if let Some(tenure) = state.shared.current_tenure() {
-        return match tenure.job_word(job) {
+async fn query_owner(state: &FrontState, job: JobName) -> Option<(JobOutcome, bool)> {
+    if let Some(term) = state.shared.current_tenure() {
+        return match term.job_word(job) {
             JobWord::Known { outcome, begun } => Some((outcome, begun)),
             JobWord::Unknown => None,
         };
     }
-    let told = ask(state, job.0, "").await.filter(|told| told.known)?;
-    let outcome = JobOutcome::try_from(told.outcome).ok()?;
-    Some((outcome, told.begun))
+    let reply = query(state, job.0, "").await.filter(|reply| reply.known)?;
+    let outcome = JobOutcome::try_from(reply.outcome).ok()?;
+    Some((outcome, reply.begun))
 }
 
 /// How many accepted jobs of a queue have not begun.
@@ -78,13 +78,13 @@
 /// # Errors
 ///
 /// The owner does not answer.
-pub(crate) async fn queue_pending(state: &FrontState, queue: &str) -> Result<u64, WaxError> {
+pub(crate) async fn read_queue_pending(state: &FrontState, queue: &str) -> Result<u64, WaxError> {
     let pending = match state.shared.current_tenure() {
-        Some(tenure) => tenure.pending(queue, state.shared.now()),
-        None => ask(state, 0, queue)
+        Some(term) => term.pending(queue, state.shared.now()),
+        None => query(state, 0, queue)
             .await
-            .filter(|told| told.known)
-            .map(|told| told.pending),
+            .filter(|reply| reply.known)
+            .map(|reply| reply.pending),
     };
     pending.ok_or_else(|| {
         let kind = ErrorKind::Unavailable(Duration::from_secs(1));
@@ -98,11 +98,11 @@
     })
 }
 
-async fn ask(state: &FrontState, job: u64, queue: &str) -> Option<JobTold> {
-    let number = state.next_ask.get();
-    state.next_ask.set(number + 1);
+async fn query(state: &FrontState, job: u64, queue: &str) -> Option<JobTold> {
+    let number = state.next_request.get();
+    state.next_request.set(number + 1);
     let (sender, answer) = oneshot::channel();
-    let ask = JobAsk {
+    let query = JobAsk {
         ask: number,
         job,
         queue: queue.into(),
@@ -111,10 +111,10 @@
         .outbox
         .borrow()
         .as_ref()?
-        .unbounded_send(PoolBody::Ask(ask))
+        .unbounded_send(PoolBody::Ask(query))
         .ok()?;
-    state.asks.borrow_mut().insert(number, sender);
-    let told = timeout(OWNER_LIMIT, answer).await;
-    state.asks.borrow_mut().remove(&number);
-    told.ok()?.ok()
+    state.queries.borrow_mut().insert(number, sender);
+    let reply = timeout(OWNER_TIMEOUT, answer).await;
+    state.queries.borrow_mut().remove(&number);
+    reply.ok()?.ok()
 }
