--- a/crates/wax-agent/src/boot_change.rs
+++ b/crates/wax-agent/src/boot_change.rs
@@ -1,4 +1,4 @@
-//! Which boot of the worker is driven: how one is registered, replaced and given up.
+//! Registers boots of the worker, replaces the active boot, and ends it.
 
 use crate::boots::{BootReport, CandidateAction};
 use crate::driver::HOLD_TIMEOUT;
@@ -9,7 +9,7 @@
 use wax_trace::{Counter, count};
 use wax_wire::{BootCrashed, PoolBody, WorkerGone};
 
-/// Looks whether a boot that has checked in answers; if so it replaces the one before.
+/// Checks with a hold whether the candidate boot answers; if it does, it becomes the active boot.
 pub(crate) async fn verify_candidate(state: &Rc<AgentState>) {
     if state.fencing_token.get() == 0 {
         return;
@@ -39,7 +39,8 @@
     }
 }
 
-/// The boot that answers may be an earlier or a later one than that which has checked in.
+/// Registers the boot that has answered. It may be an earlier or a later one than the boot that has
+/// checked in.
 fn register_boot(state: &Rc<AgentState>, report: BootReport, reply: &HoldReply) {
     let BootReport { view, sequence } = report;
     let said = view.boot.clone();
@@ -55,7 +56,7 @@
         return;
     }
     if state.boots.borrow().has_ended(&boot) {
-        tracing::info!(worker = %boot, "boot has left before it was registered");
+        tracing::info!(worker = %boot, "boot ended before it was registered");
         return;
     }
     if let Some(active) = active.filter(|active| active.is_other_boot(&boot)) {
@@ -75,12 +76,12 @@
 }
 
 fn reject_candidate(state: &AgentState, boot: &BootId) {
-    tracing::info!(worker = %boot, "check-in of a boot that does not answer");
+    tracing::info!(worker = %boot, "ignored check-in of a boot that does not answer");
     state.boots.borrow_mut().note_ended(boot);
 }
 
-/// Drives a boot that has answered a call with a token that no boot of its worker has seen: `on_next` is all that
-/// came to it with older ones.
+/// Makes `view` the active boot. It has answered a call with a fencing token that no earlier boot
+/// of this worker got; `on_next` lists all runs whose starts, sent with older tokens, reached it.
 fn replace_boot(state: &Rc<AgentState>, view: WorkerView, sequence: u64, on_next: &[RunMark]) {
     if is_replaced(state) {
         end_replaced(state, on_next);
@@ -94,7 +95,7 @@
         .note_active(&view.boot, state.now());
     send_crash(state, crash);
     let mut boot = WorkerBoot::new(view, sequence, state.now());
-    // An earlier process on this machine may have extended leases this far.
+    // An earlier agent process on this VM may have extended leases this far.
     let max_length = state.lease_rules.length + state.lease_rules.grace;
     boot.lease.assume_granted(state.now(), max_length);
     *state.boot.borrow_mut() = Some(boot);
@@ -121,14 +122,15 @@
             .crashes
             .borrow_mut()
             .note_ended(&ended.view, &runs, now);
-        // Before the end itself: by that its tasks wait again.
+        // Sent before the end of the boot: on that message the owner queues the boot's tasks again.
         send_crash(state, crash);
         state.send(PoolBody::WorkerGone(WorkerGone::new(active, true)));
     }
 }
 
-/// The driven boot's worker has started again under its id. What the boot has listed is lost with it; other runs
-/// may have come to the next one, which tells once it is driven.
+/// Handles a restart of the worker under the same id. Runs that the active boot has listed are
+/// lost with it. Unlisted ones may have been started by the next boot; they are resolved once that
+/// boot is active.
 pub(crate) fn handle_restart(state: &Rc<AgentState>, active: &BootId) {
     let has_unlisted = {
         let mut boot = state.boot.borrow_mut();
@@ -144,14 +146,15 @@
         boot.is_replaced
     };
     if has_unlisted {
-        tracing::warn!(worker = %active, "worker has started again: some runs may be on its next boot");
+        tracing::warn!(worker = %active, "worker restarted under the same id; some runs may be on its next boot");
     } else {
-        end_boot(state, active, "it has started again under its id");
+        end_boot(state, active, "worker restarted under the same id");
     }
 }
 
-/// Ends the replaced boot but for the runs that are on the next one. The owner hears of both at once, from what
-/// the next boot lists: in between, the tasks of those runs would be started elsewhere.
+/// Ends the replaced boot, except for the runs that are on the next boot. No `WorkerGone`
+/// is sent: the owner learns of the end from the next boot's run list. With an earlier message it
+/// would start the tasks of the runs on the next boot elsewhere.
 fn end_replaced(state: &Rc<AgentState>, on_next: &[RunMark]) {
     let Some(ended) = state.boot.borrow_mut().take() else {
         return;
@@ -168,7 +171,8 @@
     send_crash(state, crash);
 }
 
-/// Once all leases have lapsed nothing runs there any more; the boot must be verified anew.
+/// Ends the active boot once all its leases have expired, so that nothing runs there any more. The
+/// boot may become active again after a new verification.
 pub(crate) fn expire_boot(state: &Rc<AgentState>, active: &BootId) {
     let now = state.now();
     let mut boot = state.boot.borrow_mut();
@@ -194,7 +198,7 @@
     }
 }
 
-/// Whether the driven boot was replaced, and the next one is not driven yet.
+/// Returns whether the active boot was replaced and the next boot is not active yet.
 pub(crate) fn is_replaced(state: &AgentState) -> bool {
     let boot = state.boot.borrow();
     boot.as_ref().is_some_and(|boot| boot.is_replaced)
--- a/crates/wax-agent/src/boots.rs
+++ b/crates/wax-agent/src/boots.rs
@@ -1,62 +1,64 @@
-//! Boots of the worker on this machine: which has checked in, which is dead, which is driven.
+//! Registry of the worker's boots: the candidate that has checked in, and the boots that have
+//! ended.
 //!
-//! A boot that is driven is never registered a second time: all that runs on it would count as lost,
-//! and would be started elsewhere while it runs. Which of two boots lives is told by what answers a
-//! call: check-ins may be late, and the time of day by which boots start may step back.
+//! The active boot must not be registered a second time: all its runs would count as lost and be
+//! started elsewhere while they still run. Which of two boots is alive shows from which one answers
+//! a call: check-ins may be late, and the wall clock that gives the start times may step back.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use wax_batch::{BootId, WorkerView};
 
-/// Dead boots that an owner is told: more than one machine has within a term.
+/// Number of ended boots that are sent to an owner: more than one VM's worker has within a term.
 const MAX_REPORTED_ENDED: usize = 8;
-/// Dead boots that are remembered: more than end within the longest time that a check-in may be late. One that is
-/// forgotten gives no answer, and is not driven either.
+/// Number of ended boots that are remembered: more than end within the longest delay of a check-in.
+/// A boot that was dropped from the registry does not answer, and so does not become active again.
 const MAX_REMEMBERED_ENDED: usize = 256;
 
-/// What a worker says of itself in one check-in.
+/// Content of one check-in of a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BootReport {
-    /// The boot, with its state.
+    /// The boot and its state.
     pub view: WorkerView,
-    /// Rises with each check-in of a boot.
+    /// Number of the check-in; each boot counts from 1.
     pub sequence: u64,
 }
 
-/// What a check-in leads to.
+/// What to do after a check-in.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CheckInAction {
-    /// Its boot is dead: it counts for nothing.
+    /// The boot has ended: ignore its late check-in.
     Ignore,
-    /// Its boot is driven: this is news of it.
+    /// The boot is active: update its state.
     Update(BootReport),
-    /// Its boot has to answer before it is driven.
+    /// The boot is not active: verify that it answers first.
     Verify,
 }
 
-/// What to do with a boot that has checked in and was not driven then.
+/// What to do with the candidate, which was not active when it checked in.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CandidateAction {
-    /// There is none.
+    /// There is no candidate.
     None,
-    /// Ask it, and register it if it answers.
+    /// Verify that the candidate answers, and register it then.
     Verify(BootReport),
-    /// It is driven by now: this is news of it.
+    /// The candidate has become active meanwhile: update its state.
     Update(BootReport),
 }
 
-/// The boots that are known beside the one that is driven.
+/// The worker's boots besides the active one.
 #[derive(Debug, Default)]
 pub struct BootRegistry {
     candidate: Option<BootReport>,
     ended: HashSet<BootId>,
-    /// The dead boots, the newest last.
+    /// The ended boots in the order of their ends.
     ended_order: VecDeque<BootId>,
-    /// By worker id: the boot that was driven last, and the highest token of its orders.
+    /// By worker id: the boot that got the last orders, and the highest fencing token of its
+    /// orders.
     last_tokens: HashMap<Box<str>, (BootId, u64)>,
 }
 
 impl BootRegistry {
-    /// Takes a check-in while the boot `driven` is driven.
+    /// Handles a check-in while `active` is the active boot.
     pub fn check_in(&mut self, report: BootReport, active: Option<&BootId>) -> CheckInAction {
         if self.ended.contains(&report.view.boot) {
             return CheckInAction::Ignore;
@@ -68,14 +70,14 @@
         CheckInAction::Verify
     }
 
-    /// Offers a boot again that was driven and must be verified anew.
+    /// Makes a formerly active boot the candidate again, so that it is verified again.
     pub fn set_candidate(&mut self, report: BootReport) {
         self.candidate = Some(report);
     }
 
-    /// Takes the candidate while the boot `driven` is driven.
+    /// Takes the candidate while `active` is the active boot.
     ///
-    /// A boot checks in again while its first answer is awaited, and is driven once that has come.
+    /// A boot may check in again while its first answer is awaited, and be active when it arrives.
     pub fn take_candidate(&mut self, active: Option<&BootId>) -> CandidateAction {
         match self.candidate.take() {
             Some(report) if self.ended.contains(&report.view.boot) => CandidateAction::None,
@@ -87,21 +89,21 @@
         }
     }
 
-    /// Notes that the boot is given orders with this fencing token.
+    /// Records that orders with this fencing token are sent to the boot.
     pub fn note_token(&mut self, boot: &BootId, token: u64) {
         self.last_tokens.retain(|_, (_, known)| *known == token);
         self.last_tokens
             .insert(boot.worker_id().into(), (boot.clone(), token));
     }
 
-    /// Whether orders with this token were meant for an earlier boot of the worker: carried out late, they would
-    /// pass on this one.
+    /// Returns whether orders with this token were sent to an earlier boot of the worker. Orders
+    /// that arrive late would be accepted by the new boot, unless it gets a higher token first.
     pub fn needs_higher_token(&self, boot: &BootId, token: u64) -> bool {
         let last_token = self.last_tokens.get(boot.worker_id());
         last_token.is_some_and(|(known, used)| *used == token && known.is_other_boot(boot))
     }
 
-    /// The boot has ended: its late check-ins count for nothing.
+    /// Records that the boot has ended; its late check-ins are ignored from now on.
     pub fn note_ended(&mut self, boot: &BootId) {
         if !self.ended.insert(boot.clone()) {
             return;
@@ -114,12 +116,12 @@
         }
     }
 
-    /// The boots that ended last, for an owner that may wait for one of them.
+    /// Returns the boots that ended last, newest first. A new owner may be waiting for one of them.
     pub fn newest_ended(&self) -> impl Iterator<Item = &BootId> {
         self.ended_order.iter().rev().take(MAX_REPORTED_ENDED)
     }
 
-    /// Whether the boot has ended.
+    /// Returns whether the boot is known to have ended.
     pub fn has_ended(&self, boot: &BootId) -> bool {
         self.ended.contains(boot)
     }
--- a/crates/wax-agent/src/check_ins.rs
+++ b/crates/wax-agent/src/check_ins.rs
@@ -1,4 +1,4 @@
-//! Check-ins of the worker on this machine.
+//! HTTP server for the check-ins of the worker on this VM.
 
 use crate::boots::{BootReport, CheckInAction};
 use crate::state::{AgentState, WorkerBoot};
@@ -12,10 +12,10 @@
 use wax_types::{ErrorKind, Step, WaxError};
 use wax_wire::{PoolBody, WorkerGone};
 
-/// The longest report that is read, bytes.
+/// Maximum size of a check-in's body.
 const MAX_REPORT_BYTES: usize = 1 << 20;
 
-/// Answers the worker's calls.
+/// Handles check-ins and leave messages of the worker.
 pub(crate) struct CheckInHandler {
     pub(crate) state: Rc<AgentState>,
 }
@@ -59,7 +59,9 @@
             .borrow_mut()
             .check_in(report, active.as_ref());
         match step {
-            CheckInAction::Ignore => tracing::info!(worker = %said, "late check-in of a dead boot"),
+            CheckInAction::Ignore => {
+                tracing::info!(worker = %said, "ignored late check-in of an ended boot")
+            }
             CheckInAction::Update(report) => self.state.update_boot(report),
             CheckInAction::Verify => {
                 self.state.changed.notify(usize::MAX);
@@ -68,14 +70,16 @@
         Ok(())
     }
 
-    /// The worker's word that it ends; the owner may wait for a boot that this process never drove.
+    /// Handles a leave message, with which the worker announces its end. It is passed on to the
+    /// owner even for a boot that was never active here, since the owner may be waiting for its
+    /// end.
     fn leave(&self, said: &BootId) {
         let active = self
             .state
             .active_boot()
             .filter(|active| active.may_be(said));
         if active.is_some() && !self.state.is_leave_of_active(said) {
-            tracing::warn!(worker = %said, "leave that may be of an earlier boot is passed over");
+            tracing::warn!(worker = %said, "ignored leave message that may come from an earlier boot");
             return;
         }
         let boot = active.as_ref().unwrap_or(said);
@@ -85,7 +89,7 @@
             .boot
             .borrow_mut()
             .take_if(|boot_state: &mut WorkerBoot| boot_state.view.boot == *boot);
-        tracing::info!(worker = %boot, driven = left.is_some(), "worker has left");
+        tracing::info!(worker = %boot, driven = left.is_some(), "worker left");
         self.state.crashes.borrow_mut().note_left(boot);
         if let Some(left) = left {
             left.log_lost_runs(self.state.now(), &[]);
--- a/crates/wax-agent/src/crash_log.rs
+++ b/crates/wax-agent/src/crash_log.rs
@@ -1,4 +1,4 @@
-//! Crashes of the worker that owners may not have heard of.
+//! Recent crashes of the worker, which are sent again to each new owner.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,12 +6,15 @@
 use wax_types::TimePoint;
 use wax_wire::BootCrashed;
 
-/// A crash is told on new links for so long: an owner that ends while it is told is replaced sooner.
+/// How long a crash is sent on new links. An owner that ends before it has stored the crash is
+/// replaced within this time.
 const REPORT_PERIOD: Duration = Duration::from_secs(10);
-/// Crashes that are kept: more do not happen within that time, even if a worker is back at once.
+/// Number of crashes that are kept. No more happen within `REPORT_PERIOD`, even if the worker
+/// restarts at once each time.
 const MAX_CRASHES: usize = 8;
 
-/// What ran on boots that crashed lately, and on one whose leases have lapsed: that may have crashed.
+/// The runs on boots that crashed recently, and on a boot whose leases have expired, since it may
+/// have crashed.
 #[derive(Debug, Default)]
 pub struct CrashLog {
     expired: Option<(BootId, Vec<LostRun>)>,
@@ -19,25 +22,27 @@
 }
 
 impl CrashLog {
-    /// The leases of a boot have lapsed; whether it crashed shows once another one checks in.
+    /// Records that the leases of a boot have expired. If another boot checks in next, it had
+    /// crashed.
     pub fn note_expired(&mut self, view: &WorkerView, runs: Vec<LostRun>) {
         if view.state != WorkerState::Draining {
             self.expired = Some((view.boot.clone(), runs));
         }
     }
 
-    /// A boot is driven from now on; returns the crash of the one that lapsed before, if that was another.
+    /// Records the new active boot. Returns the crash of the boot whose leases had expired, if that
+    /// was another boot.
     pub fn note_active(&mut self, boot: &BootId, now: TimePoint) -> Option<BootCrashed> {
         let (expired, runs) = self.expired.take()?;
         (!expired.may_be(boot)).then(|| self.record(&expired, &runs, now))
     }
 
-    /// A boot has said that it ends.
+    /// Records that a boot has announced its end: it has not crashed.
     pub fn note_left(&mut self, boot: &BootId) {
         self.expired.take_if(|(expired, _)| expired.may_be(boot));
     }
 
-    /// A boot has ended while it was driven; returns its crash, if it did not say that it would end.
+    /// Records that the active boot has ended. Returns its crash, unless the boot was draining.
     pub fn note_ended(
         &mut self,
         view: &WorkerView,
@@ -60,7 +65,7 @@
         crash
     }
 
-    /// What a new owner is told: crashes that the one before may not have written down.
+    /// Returns the crashes that a new owner gets: the former owner may not have stored them.
     pub fn recent(&self, now: TimePoint) -> impl Iterator<Item = &BootCrashed> {
         let crashes = self.crashes.iter();
         let recent = crashes.filter(move |(at, _)| now.since(*at) < REPORT_PERIOD);
--- a/crates/wax-agent/src/driver.rs
+++ b/crates/wax-agent/src/driver.rs
@@ -1,4 +1,4 @@
-//! Drives the worker: one hold after another, which extends leases and brings ends at once.
+//! Drives the worker with one hold after another: a hold extends leases, and its answer lists runs.
 
 use crate::boot_change::{end_boot, expire_boot, handle_restart, is_replaced, verify_candidate};
 use crate::state::AgentState;
@@ -11,31 +11,31 @@
 use wax_types::TimePoint;
 use wax_wire::{PoolBody, PressFrame, PressNews, RefusalFrame, RoomFrame, RunNews, WorkerUp};
 
-/// How long the worker may wait for an end before it answers a hold: no longer than paces may wait
-/// for its figures.
+/// How long the worker may wait for a run's end before it answers a hold. It also bounds the age of
+/// the figures by which paces are planned.
 const HOLD_WAIT: Duration = Duration::from_millis(250);
-/// Longest time for a hold beside its wait.
+/// Timeout for a hold, including its wait.
 pub(crate) const HOLD_TIMEOUT: Duration = Duration::from_millis(800);
-/// After a hold that failed, or that brought nothing sooner than its wait.
+/// Pause after a hold that failed, or that was answered early without updates.
 const HOLD_RETRY_PAUSE: Duration = Duration::from_millis(60);
-/// Without a worker or an owner the driver looks again after this, if nothing wakes it.
+/// Period of checks for a worker and an owner, if no event wakes the driver sooner.
 const IDLE_POLL_PERIOD: Duration = Duration::from_millis(500);
 
-/// What a hold has led to.
+/// Result of one hold.
 enum HoldOutcome {
-    /// It was answered.
+    /// The worker answered.
     Answered,
-    /// It brought nothing new, sooner than it might have.
+    /// The worker answered early and without updates.
     Idle,
-    /// It was not answered, or refused for now.
+    /// The worker did not answer, or refused the hold for now.
     Failed,
-    /// Another worker answers at the address.
+    /// Another boot answers at the worker's address.
     OtherBoot,
-    /// The worker has started again under its id.
+    /// The worker has restarted under the same id.
     Restarted,
 }
 
-/// Drives whatever boot of the worker there is, for the life of the process.
+/// Drives the active boot, whichever it is, for the lifetime of the process.
 pub(crate) async fn drive_worker(state: Rc<AgentState>) {
     loop {
         verify_candidate(&state).await;
@@ -63,7 +63,7 @@
 
 async fn wait_for_change(state: &AgentState) {
     let listener = state.changed.listen();
-    // Either the change or the pause; both lead to another look.
+    // After the event as well as after the timeout, the caller checks again.
     let _ = timeout(IDLE_POLL_PERIOD, listener).await;
 }
 
@@ -117,8 +117,8 @@
     }
 }
 
-/// Whether the driven boot gives this answer. A worker that has started again under its id takes the calls that
-/// are meant for the boot before.
+/// Returns whether the answer comes from the active boot. A worker that has restarted under the
+/// same id accepts calls that are meant for the earlier boot.
 fn is_answer_of(state: &AgentState, active: &BootId, reply: &HoldReply) -> bool {
     let mut boot = state.boot.borrow_mut();
     let Some(boot) = boot.as_mut().filter(|boot| boot.view.boot == *active) else {
@@ -136,7 +136,8 @@
         .boots
         .borrow_mut()
         .note_token(active, state.fencing_token.get());
-    // A boot that failed to answer may have been followed by another, whose ends have low numbers.
+    // A boot that does not answer may have been followed by another one, which numbers its ends
+    // from 1 again. With a cursor of 0 the worker keeps all ends.
     let ack_cursor = if boot.unanswered_holds > 0 {
         0
     } else {
@@ -153,7 +154,8 @@
     Some((request, boot.reported_link))
 }
 
-/// Takes the lists into the table and tells the owner; says whether they brought anything.
+/// Applies the lists of running and ended runs, and sends the changes to the owner. Returns whether
+/// there were any.
 fn apply_hold_reply(
     state: &AgentState,
     active: &BootId,
@@ -170,13 +172,13 @@
     let hold = boot.hold_number;
     let updates = boot.table.reconcile(&reply.running, &reply.ended, hold);
     for run_id in &updates.skipped_ends {
-        tracing::warn!(worker = %active, task = %run_id.task, run = run_id.run, "end passed over");
+        tracing::warn!(worker = %active, task = %run_id.task, run = run_id.run, "ignored a run's end with an already processed number");
     }
     if sends_full_list {
         boot.reported_link = generation;
         boot.updates.clear();
-        // Not sooner on the link: the owner takes them once it has loaded its shard, and answers no
-        // heartbeat until then.
+        // Crashes are not sent sooner on the link: the owner processes them only once it has loaded
+        // its shard, and does not answer heartbeats until then.
         for crash in state.crashes.borrow().recent(now) {
             state.send(PoolBody::BootCrashed(crash.clone()));
         }
--- a/crates/wax-agent/src/lease.rs
+++ b/crates/wax-agent/src/lease.rs
@@ -1,14 +1,14 @@
-//! How long the worker's leases may be extended, and when they have surely lapsed.
+//! How far the worker's leases may be extended, and when they are known to have expired.
 
 use std::time::Duration;
 use wax_types::TimePoint;
 
-/// Spans of leases; the owner's takeover waits by the same figures.
+/// Durations of leases. The owner's takeover waits for the same durations.
 #[derive(Debug, Clone, Copy)]
 pub struct LeaseRules {
-    /// A lease is extended to this much ahead of now.
+    /// A lease is extended to this long after now.
     pub length: Duration,
-    /// Leases are extended up to this long after the owner's authority has ended.
+    /// Leases are extended up to this long after the end of the owner's authority.
     pub grace: Duration,
 }
 
@@ -21,15 +21,15 @@
     }
 }
 
-/// The worker's clock may be this much slower than ours, in thousandths.
+/// How much slower the worker's clock may run than this process's clock, in thousandths.
 const MAX_CLOCK_SLOWDOWN_MILLI: u64 = 20;
-/// A worker that has not answered for this long gets no extension until it does: otherwise its
-/// leases could never be taken as lapsed.
+/// Maximum age of the last reading of the worker's clock. A worker that has not answered for longer
+/// gets no extension: otherwise its leases could never be assumed to have expired.
 const MAX_READING_AGE: Duration = Duration::from_millis(1_000);
-/// An extension shorter than this is not worth an order.
+/// Shorter extensions are not sent.
 const MIN_EXTENSION: Duration = Duration::from_millis(50);
 
-/// The worker's clock as last read, and how far its leases reach.
+/// Last reading of the worker's clock, and the latest end of any lease.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LeaseClock {
     last_reading: Option<(TimePoint, u64)>,
@@ -37,14 +37,15 @@
 }
 
 impl LeaseClock {
-    /// Notes the worker's clock as an answer that came now gave it.
+    /// Records a reading of the worker's clock from an answer that has just arrived.
     pub fn note_clock(&mut self, now: TimePoint, clock_ms: u64) {
         if self.last_reading.is_none_or(|(_, known)| clock_ms >= known) {
             self.last_reading = Some((now, clock_ms));
         }
     }
 
-    /// The time on the worker's clock to which leases may be extended now; notes it as granted.
+    /// Returns the time on the worker's clock up to which leases may be extended now, and records
+    /// it as granted. `None` if no extension is allowed.
     pub fn extend(
         &mut self,
         now: TimePoint,
@@ -67,17 +68,17 @@
         Some(until_ms)
     }
 
-    /// Whether everything that was ever granted has surely lapsed.
+    /// Returns whether all leases that were ever granted are known to have expired.
     pub fn has_expired(&self, now: TimePoint) -> bool {
         now > self.bound
     }
 
-    /// Until when a lease may hold.
+    /// Returns the latest time at which a lease may still be valid.
     pub fn bound(&self) -> TimePoint {
         self.bound
     }
 
-    /// Notes that leases of unknown length may hold: an earlier process granted them.
+    /// Records that leases of up to `longest` may be valid, granted by an earlier process.
     pub fn assume_granted(&mut self, now: TimePoint, longest: Duration) {
         self.bound = self.bound.max(now + longest);
     }
--- a/crates/wax-agent/src/lib.rs
+++ b/crates/wax-agent/src/lib.rs
@@ -1,7 +1,8 @@
-//! The process beside a worker: the only one that gives it orders.
+//! The agent: the process on a worker's VM that alone sends orders to this worker.
 //!
-//! It starts only what fits beside everything that runs, is being stopped, or may begin yet, and
-//! extends the worker's leases only while an owner has confirmed its authority lately.
+//! The agent starts a run only if the worker's capacity covers it together with all runs that are
+//! running, being stopped, or whose start is unanswered. It extends the worker's leases only while
+//! an owner has recently confirmed its own authority.
 
 mod boot_change;
 mod boots;
--- a/crates/wax-agent/src/orders.rs
+++ b/crates/wax-agent/src/orders.rs
@@ -1,4 +1,4 @@
-//! Carries out the owner's orders, one task each, until their fate is known.
+//! Carries out the owner's orders; each is retried in a task of its own until its result is known.
 
 use crate::pace::PaceChange;
 use crate::run_table::{PlacementInfo, RunState, RunTable};
@@ -12,11 +12,11 @@
 use wax_trace::{Counter, Latency, count, count_many, note_latency};
 use wax_wire::{PoolBody, RefusalFrame, RunNews, SeatFrame, StartRun};
 
-/// A start that is not answered for this long is stopped instead.
+/// Timeout for a start; an unanswered start is followed by a stop.
 const START_TIMEOUT: Duration = Duration::from_millis(700);
-/// Longest time for a stop or a change of pace.
+/// Timeout for a stop or a change of pace.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Between two tries of a stop.
+/// Pause between two attempts to send a stop.
 const STOP_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 impl From<&SeatFrame> for PlacementInfo {
@@ -32,7 +32,7 @@
 }
 
 impl AgentState {
-    /// Starts a run, if the worker is the one that was meant and has room.
+    /// Starts a run, if the order is meant for the active boot and passes the admission checks.
     pub(crate) fn handle_start(self: &Rc<Self>, order: StartRun) {
         let run_id = RunMark::from(&order.seat.mark);
         match self.admit(&order, run_id) {
@@ -44,8 +44,8 @@
         }
     }
 
-    /// The guard: what starts must fit, the owner's authority must reach to now, and the worker's failure
-    /// domain must not be drained.
+    /// Admission check: the worker's capacity must cover the run, the owner's authority must be
+    /// valid now, and the worker's failure domain must not be drained.
     fn admit(
         &self,
         order: &StartRun,
@@ -98,13 +98,14 @@
             }
             Err(CallError::Unknown(error)) => {
                 count(Counter::StartsUnanswered);
-                tracing::warn!(%error, task = %run_id.task, run = run_id.run, "start without an answer");
+                tracing::warn!(%error, task = %run_id.task, run = run_id.run, "start was not answered");
                 self.resolve_start(boot, run_id).await;
             }
         }
     }
 
-    /// Ends the doubt about a start: a hold may have shown it running, else a stop forbids it.
+    /// Resolves an unanswered start: unless a hold has listed the run meanwhile, it is stopped,
+    /// which also prevents a late start.
     async fn resolve_start(self: Rc<Self>, boot: BootId, run_id: RunMark) {
         let is_starting = self.with_table(&boot, |table| {
             table.state(run_id) == Some(RunState::Starting)
@@ -153,7 +154,7 @@
         self.send(PoolBody::News(message));
     }
 
-    /// Stops a run by the owner's order.
+    /// Stops a run on the owner's order.
     pub(crate) fn handle_stop(self: &Rc<Self>, run_id: RunMark) {
         let Some(boot) = self
             .boot
@@ -167,12 +168,13 @@
         spawn(async move { state.send_stop(boot, run_id).await }).detach();
     }
 
-    /// Sends a stop until it is answered, or the boot is another.
+    /// Sends a stop until it is answered or the boot is no longer active.
     pub(crate) async fn send_stop(self: Rc<Self>, boot: BootId, run_id: RunMark) {
         loop {
             if self.with_table(&boot, |table| table.mark_stopping(run_id)) != Some(true) {
-                // The run has ended, or its boot has: the end tells, on this link or the next. To
-                // answer that the run never began would let a task that is done run again.
+                // The run or its boot has ended. The owner learns of it from the end itself, on
+                // this link or the next. A reply that the run never started would let a finished
+                // task run again.
                 return;
             }
             let answer = self
@@ -193,14 +195,14 @@
                     tracing::warn!(task = %run_id.task, run = run_id.run, ?refusal, "stop refused");
                 }
                 Err(error) => {
-                    tracing::warn!(%error, task = %run_id.task, run = run_id.run, "stop without an answer");
+                    tracing::warn!(%error, task = %run_id.task, run = run_id.run, "stop was not answered");
                 }
             }
             sleep(STOP_RETRY_PAUSE).await;
         }
     }
 
-    /// Sets the paces of runs that fill.
+    /// Plans the paces of best-effort runs and sends those that have changed to the worker.
     pub(crate) fn send_pace_orders(self: &Rc<Self>) {
         let (boot, orders) = {
             let mut boot = self.boot.borrow_mut();
@@ -249,7 +251,7 @@
     }
 }
 
-/// One line for each pace that has changed by much, with the run that it protects.
+/// Logs each large change of a pace, with the serving run that it protects.
 fn log_pace_changes(worker: &BootId, changes: &[PaceChange]) {
     let rounded = |value: f64| (value * 1_000.0).round() / 1_000.0;
     for change in changes {
--- a/crates/wax-agent/src/owner_link.rs
+++ b/crates/wax-agent/src/owner_link.rs
@@ -17,26 +17,26 @@
 use wax_types::TimePoint;
 use wax_wire::{AgentHello, LinkPing, PoolBody, PoolReader, PoolWriter, WorkerKept, split_stream};
 
-/// Longest time for a connection and its first answer.
+/// Timeout for a connection with its handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
-/// A link without an answer to its heartbeats for this long is given up.
+/// A link is closed if the owner has sent nothing for this long.
 const LINK_TIMEOUT: Duration = Duration::from_millis(1_800);
-/// The same while the owner still loads its shard and has not taken over the worker's runs.
+/// Timeout of a link while the owner loads its shard and has not taken over the worker's runs.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(5_000);
-/// Beside an owner that has lost the store, another is looked for this often.
+/// Period of the search for another owner while the linked one has lost the store.
 const SUCCESSOR_SEARCH_PERIOD: Duration = Duration::from_millis(400);
-/// How long a link that is closed on purpose may take to send what was told on it.
+/// How long a link that this process closes may take to send the queued messages.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
-/// Between two rounds of the search, with as much again at random.
+/// Pause between two attempts of the search, with up to as much again as random jitter.
 const SEARCH_PAUSE: Duration = Duration::from_millis(120);
 
-/// Where an owner may be found.
+/// Source for the owner's address.
 pub trait OwnerDirectory {
-    /// The owner's address as the store has it.
+    /// Reads the owner's address from the store; `None` if it is unknown.
     fn read(&self) -> impl Future<Output = Option<SocketAddr>>;
 }
 
-/// Keeps a link to the owner for the life of the process.
+/// Keeps a link to the owner for the lifetime of the process.
 pub(crate) async fn keep_owner_link(
     state: Rc<AgentState>,
     seeds: Vec<SocketAddr>,
@@ -67,7 +67,7 @@
                 Either::Left((reason, _)) => reason,
                 Either::Right((successor, _)) => {
                     found = Some(successor);
-                    "another owner was found"
+                    "a newer owner was found"
                 }
             }
         };
@@ -77,7 +77,7 @@
     }
 }
 
-/// Where an owner is looked for next.
+/// Addresses at which the owner is searched.
 struct OwnerSearch<D> {
     seeds: Vec<SocketAddr>,
     directory: D,
@@ -86,7 +86,8 @@
 }
 
 impl<D: OwnerDirectory> OwnerSearch<D> {
-    /// Tries one address, other than `current`; keeps the hint that it may give.
+    /// Tries the next address, unless it is `current`. If the process there names another address,
+    /// this one is tried next.
     async fn try_next(
         &mut self,
         state: &AgentState,
@@ -106,7 +107,8 @@
         None
     }
 
-    /// The store is asked in one round of four: the other rounds cost the platform nothing.
+    /// Returns the next address to try. The store is read in one of four rounds, so that most of
+    /// the search does not load the platform.
     async fn next_address(&mut self) -> Option<SocketAddr> {
         if let Some(hint) = self.hint.take() {
             return Some(hint);
@@ -120,9 +122,10 @@
     }
 }
 
-/// Looks for a newer owner as long as the present one has lost the store.
+/// Searches for a newer owner while the linked one has lost the store.
 ///
-/// An owner that is cut off cannot know that it was replaced: its agents would stay with it.
+/// An owner without the store does not learn that it was replaced, and its agents would stay
+/// linked to it.
 async fn seek_successor<D: OwnerDirectory>(
     state: &AgentState,
     search: &mut OwnerSearch<D>,
@@ -159,7 +162,12 @@
 }
 
 async fn connect(state: &AgentState, address: SocketAddr) -> io::Result<ConnectResult> {
-    let timed_out = || io::Error::new(io::ErrorKind::TimedOut, "no answer in time");
+    let timed_out = || {
+        io::Error::new(
+            io::ErrorKind::TimedOut,
+            "connection and handshake timed out",
+        )
+    };
     timeout(CONNECT_TIMEOUT, handshake(state, address))
         .await
         .map_err(|_| timed_out())?
@@ -187,13 +195,16 @@
             token: welcome.token,
         }))),
         Some(PoolBody::NotOwner(other)) => Ok(ConnectResult::NotOwner(other.address.parse().ok())),
-        _ => Err(io::Error::new(io::ErrorKind::InvalidData, "no welcome")),
+        _ => Err(io::Error::new(
+            io::ErrorKind::InvalidData,
+            "first message of the process is not a handshake reply",
+        )),
     }
 }
 
 async fn run_link(state: &Rc<AgentState>, link: OpenLink, generation: u64) -> &'static str {
     if link.token <= state.fencing_token.get() {
-        return "an owner of the past";
+        return "the owner's fencing token is outdated";
     }
     let (outbox, inbox) = unbounded();
     let higher_token_wanted = state.higher_token_wanted.listen();
@@ -220,14 +231,14 @@
             Either::Right(_) => None,
         }
     };
-    // Dropped tasks are cancelled; the connection closes with them.
+    // Dropping the tasks cancels them and closes the connection.
     drop(heartbeats);
     *state.link.borrow_mut() = None;
     if reason.is_none() {
-        // The owner is to hear what was told before on this link.
+        // The owner gets the messages that are queued on this link.
         let _ = timeout(FLUSH_TIMEOUT, writing).await;
     }
-    reason.unwrap_or("a higher token is needed")
+    reason.unwrap_or("a higher fencing token is needed")
 }
 
 async fn write_link(mut writer: PoolWriter, mut inbox: UnboundedReceiver<PoolBody>) {
@@ -273,10 +284,10 @@
         let remaining = limit.saturating_sub(state.now().since(last_received.get()));
         let body = match timeout(remaining.max(Duration::from_millis(1)), reader.read()).await {
             Ok(Ok(Some(body))) => body,
-            Ok(Ok(None)) => return "the owner closed it",
-            Ok(Err(_)) => return "it broke",
+            Ok(Ok(None)) => return "the owner closed the link",
+            Ok(Err(_)) => return "the connection failed",
             Err(_) if state.now().since(last_received.get()) >= limit => {
-                return "the owner is silent";
+                return "the owner sent nothing within the timeout";
             }
             Err(_) => continue,
         };
@@ -315,7 +326,7 @@
                 }
             }
         }
-        other => tracing::warn!(?other, "unexpected message of the owner"),
+        other => tracing::warn!(?other, "unexpected message from the owner"),
     }
 }
 
--- a/crates/wax-agent/src/pace.rs
+++ b/crates/wax-agent/src/pace.rs
@@ -1,10 +1,12 @@
-//! How fast the tasks that fill may work beside tasks that serve.
+//! Throttles best-effort runs so that the serving runs on the same worker meet their latency
+//! targets.
 //!
-//! A serving task is taken as a queue: with the load `u` its tail is its tail without load divided
-//! by `1 - u`. Tasks that fill slow its work, so that `u` is its own load times one plus the
-//! press: for each filling image the cores in use, times what a core of that image presses
-//! (`wax_policy::PressTable`). The own load is what the last looks leave after the press. The pace
-//! of an image is what keeps every predicted load below the aim.
+//! A serving run is modelled as a queue: at load `u` its tail latency is the tail latency without
+//! load divided by `1 - u`. Best-effort runs slow its work, so that `u` is its baseline load times
+//! one plus the interference. The interference is the sum over all best-effort images of the cores
+//! in use times the interference per core (`wax_policy::PressTable`). The baseline load is the load
+//! of the last samples without this interference. The pace of an image is the highest share of its
+//! processor time that keeps every predicted load below the target load.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -12,32 +14,32 @@
 use wax_policy::{CoreUse, LoadChange, LoadLook, PaceRules, PairPress, PressTable};
 use wax_types::TimePoint;
 
-/// One serving run as the worker shows it.
+/// One serving run, as the worker reports it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServingSample {
-    /// The run.
+    /// Id of the run.
     pub run_id: RunMark,
-    /// Its image.
+    /// Image of the run.
     pub image: Box<str>,
-    /// Its tail as a share of its target.
+    /// Tail latency divided by its target.
     pub tail_ratio: f64,
 }
 
-/// All runs of one filling image on the worker.
+/// Processor use of all best-effort runs of one image on the worker.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct BestEffortSample {
     /// Cores in use over the last half second.
     pub used_cores: f64,
-    /// Cores that they would use at full pace.
+    /// Cores that the runs would use without throttling.
     pub requested_cores: f64,
 }
 
-/// What one look at the worker shows.
+/// Sample of the worker's runs by which paces are planned.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct PaceSample {
-    /// Runs that serve and are at work.
+    /// Serving runs that the worker reports as working.
     pub serving: Vec<ServingSample>,
-    /// Images that fill.
+    /// Best-effort runs by image.
     pub best_effort: BTreeMap<Box<str>, BestEffortSample>,
 }
 
@@ -50,28 +52,28 @@
     }
 }
 
-/// The load of one serving run, by one look.
+/// Load of one serving run in one sample.
 struct RunLoad<'a> {
     run: &'a ServingSample,
     load: f64,
 }
 
-/// What is known of one serving run.
+/// State that is kept for one serving run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct ServingLoad {
-    /// Its load without what fills beside it.
+    /// Load without interference.
     baseline_load: f64,
-    /// Its load with what fills, by the last look.
+    /// Load with interference in the last sample.
     last_load: f64,
-    /// The figure of the last look.
+    /// Tail latency divided by its target, in the last sample.
     tail_ratio: f64,
-    /// When its load was last too high to be told.
+    /// When the load was last too high to be measured.
     saturated_at: TimePoint,
-    /// Since when its tail has been near its target or over it.
+    /// Since when the tail latency has been near or above its target.
     over_target_since: Option<TimePoint>,
-    /// Since when all that fills stands still for it.
+    /// Since when all best-effort runs are stopped on behalf of this run.
     mitigation_since: Option<TimePoint>,
-    /// Until when what fills is taken as not the cause: relief has not helped.
+    /// Until when best-effort runs are not stopped for this run, since stopping them did not help.
     mitigation_off_until: TimePoint,
 }
 
@@ -88,7 +90,8 @@
         }
     }
 
-    /// Follows how long the tail has been too long, and whether relief helps.
+    /// Tracks how long the tail latency has been too high, and whether stopping best-effort runs
+    /// helps.
     fn track_tail(&mut self, tail_ratio: f64, now: TimePoint, rules: &PaceRules) {
         if tail_ratio < rules.near {
             self.over_target_since = None;
@@ -111,104 +114,106 @@
     }
 }
 
-/// A pace that has changed by much, and the serving run that decided it; for the log.
+/// A large change of a pace and the serving run that caused it, for the log.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PaceChange {
-    /// The image that fills.
+    /// Best-effort image.
     pub image: Box<str>,
-    /// Its pace from now on, percent.
+    /// New pace in percent.
     pub percent: u32,
-    /// The run that bears least of it; `None` if nothing bounds it.
+    /// Serving run that limits the pace most; `None` if no serving run limits it.
     pub cause: Option<PaceCause>,
 }
 
-/// The serving run that bounds a pace, and by which figures.
+/// Serving run that limits a pace, with the figures of this decision.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PaceCause {
-    /// The run.
+    /// Id of the serving run.
     pub run: RunMark,
-    /// Its tail as a share of its target, by the last look.
+    /// Tail latency divided by its target, in the last sample.
     pub tail_ratio: f64,
-    /// Its load without what fills.
+    /// Load without interference.
     pub baseline_load: f64,
-    /// How much press it bears in all.
+    /// Total interference that the serving run tolerates.
     pub headroom: f64,
-    /// What the image would press at full pace.
+    /// Interference of the image at full pace.
     pub interference: f64,
 }
 
-/// The paces of all images that fill on one worker.
+/// Plans the paces of all best-effort images on one worker.
 #[derive(Debug, Clone, Default)]
 pub struct PaceControl {
     pairs: PressTable,
     loads: HashMap<RunMark, ServingLoad>,
-    /// The least tail of each serving image, as a share of its target.
+    /// Lowest tail latency of each serving image, divided by its target.
     idle_tail_ratios: HashMap<Box<str>, f64>,
     paces: BTreeMap<Box<str>, u32>,
-    /// Paces as last told to the log, and what is to be told.
+    /// Paces that were logged last, and changes that are to be logged.
     logged_paces: BTreeMap<Box<str>, u32>,
     changes: Vec<PaceChange>,
     updated_at: TimePoint,
-    /// Cores in use by what fills, by the last look.
+    /// Cores in use by best-effort images in the last sample.
     last_cores: CoreUse,
-    /// What was observed of pairs since they were last told.
+    /// Observations of pairs that were not yet sent to the owner.
     unsent_pairs: PressTable,
-    /// How much press each serving image bears in all, by the last look, and as last told.
+    /// Total interference that each serving image tolerates, by the last plan and as last sent to
+    /// the owner.
     headrooms: BTreeMap<Box<str>, f64>,
     reported_headrooms: BTreeMap<Box<str>, f64>,
 }
 
-/// Smaller changes of a pace are not worth a line of the log, percent.
+/// Smallest change of a pace that is logged.
 const LOG_STEP_PERCENT: u32 = 20;
-/// A change of the room by less is not worth telling.
+/// Smallest change of a headroom that is sent to the owner.
 const MIN_HEADROOM_CHANGE: f64 = 0.05;
-/// The same as a share of the room.
+/// Smallest change of a headroom that is sent to the owner, as a share of the headroom.
 const MIN_HEADROOM_CHANGE_SHARE: f64 = 0.15;
-/// Loads beyond this cannot be told apart by their tails.
+/// Upper bound for loads: higher ones cannot be told apart by the tail latency.
 const MAX_LOAD: f64 = 0.95;
-/// From here on a load is only known to be at least that.
+/// From this load on, the tail latency gives only a lower bound for the load.
 const SATURATED_LOAD: f64 = 0.9;
-/// Own loads below this are taken as this: what presses on them cannot be seen.
+/// Lower bound for baseline loads: interference with a lower load cannot be observed.
 const MIN_LOAD: f64 = 0.05;
-/// What a figure of a tail covers, seconds.
+/// Time that the worker's figure for a tail latency covers.
 const TAIL_WINDOW_S: f64 = 0.5;
-/// Looks further apart than this say nothing of what changed between them.
+/// Maximum time between two samples from whose difference interference is learned.
 const MAX_SAMPLE_GAP: Duration = Duration::from_millis(1_200);
-/// Tails beyond this many times their target are those of a worker that stands still: what fills was
-/// seen to bring up to 30, a hang over 400.
+/// Tail latencies beyond this multiple of the target come from a suspended worker. Interference
+/// was seen to cause up to 30 times the target, a suspension over 400 times.
 const STALL_TAIL_RATIO: f64 = 150.0;
-/// Observations of a pair that come to this much certainty are worth telling.
+/// Weight from which on observations of a pair are sent to the owner.
 const MIN_REPORT_WEIGHT: f64 = 12.0;
-/// More room for presses than this is not told.
+/// Upper bound for headrooms.
 const MAX_HEADROOM: f64 = 10.0;
 
 impl PaceControl {
-    /// The pace of an image, percent.
+    /// Returns the pace of an image in percent; 100 if it is not throttled.
     pub fn pace_percent(&self, image: &str) -> u32 {
         self.paces.get(image).copied().unwrap_or(100)
     }
 
-    /// What a core of a filling image is expected to press on a serving one.
+    /// Returns the expected interference of one core of a best-effort image with a serving image.
     pub fn interference(&self, serving: &str, best_effort: &str) -> f64 {
         self.pairs.get(serving, best_effort).expected()
     }
 
-    /// How much press each serving image bears in all, by the last look.
+    /// Returns the total interference that each serving image tolerates, by the last plan.
     pub fn headrooms(&self) -> &BTreeMap<Box<str>, f64> {
         &self.headrooms
     }
 
-    /// How many pairs are known.
+    /// Returns the number of known pairs of images.
     pub fn known_pairs(&self) -> usize {
         self.pairs.len()
     }
 
-    /// Takes what the owner has gathered of a pair.
+    /// Sets what the owner knows about a pair of images.
     pub fn set_pair(&mut self, serving: &str, best_effort: &str, interference: PairPress) {
         self.pairs.set(serving, best_effort, interference);
     }
 
-    /// Whether the owner would place otherwise by what was learned since it was last told.
+    /// Returns whether there are changes since the last report that may alter the owner's placement
+    /// decisions.
     pub fn has_unsent_updates(&self) -> bool {
         let has_pairs = self
             .unsent_pairs
@@ -229,12 +234,12 @@
         })
     }
 
-    /// Paces that have changed by much since the last call.
+    /// Takes the large changes of paces since the last call.
     pub fn take_changes(&mut self) -> Vec<PaceChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// What was observed of pairs since the last call.
+    /// Takes the observations of pairs since the last call.
     pub fn take_unsent_pairs(&mut self) -> Vec<(Box<str>, Box<str>, PairPress)> {
         self.reported_headrooms.clone_from(&self.headrooms);
         let unsent = std::mem::take(&mut self.unsent_pairs);
@@ -244,7 +249,8 @@
         pairs.collect()
     }
 
-    /// Learns from a sample and plans the paces; says whether it did.
+    /// Learns from a sample and plans the paces. Returns whether it did: samples that follow within
+    /// `rules.period` are ignored.
     pub fn update(&mut self, sample: &PaceSample, now: TimePoint, rules: &PaceRules) -> bool {
         if now.since(self.updated_at) < rules.period {
             return false;
@@ -266,7 +272,7 @@
         true
     }
 
-    /// The loads that the tails of a sample show.
+    /// Returns the loads that the tail latencies of a sample imply.
     fn run_loads<'a>(
         &mut self,
         sample: &'a PaceSample,
@@ -294,9 +300,9 @@
         run_loads
     }
 
-    /// Learns what presses on each image from the change since the last look. Runs of one image
-    /// bear the same press, so that the middle one speaks for all: one that is slow by itself
-    /// blames nobody.
+    /// Learns interference from the changes since the last sample. All runs of an image on the
+    /// worker suffer the same interference, so that the median change is used: a single run that is
+    /// slow for another reason is not attributed to best-effort images.
     fn learn_interference(&mut self, run_loads: &[RunLoad<'_>], cores: &CoreUse, span: Duration) {
         let mut changes: BTreeMap<&str, Vec<(f64, f64, f64)>> = BTreeMap::new();
         for run_load in run_loads {
@@ -332,7 +338,7 @@
         }
     }
 
-    /// Takes the load of one run.
+    /// Updates the state of one serving run.
     fn update_load(
         &mut self,
         run_load: &RunLoad<'_>,
@@ -350,7 +356,7 @@
         known.tail_ratio = run_load.run.tail_ratio;
         if run_load.load >= SATURATED_LOAD {
             known.saturated_at = now;
-            // Such a tail only bounds the load from below.
+            // At a saturated load the tail latency only bounds the load from below.
             known.baseline_load = known.baseline_load.max(baseline_load).min(MAX_LOAD);
         } else {
             let rate = if baseline_load > known.baseline_load {
@@ -363,7 +369,8 @@
         }
     }
 
-    /// Plans the paces by what is known: also before new runs show in the worker's figures.
+    /// Plans the paces by the current knowledge. Also called when runs have started that are not in
+    /// the worker's figures yet.
     pub fn plan_paces(&mut self, sample: &PaceSample, now: TimePoint, rules: &PaceRules) {
         let mut shares: BTreeMap<Box<str>, (f64, Option<PaceCause>)> = sample
             .best_effort
@@ -402,7 +409,8 @@
                 .entry(run.image.clone())
                 .or_insert(MAX_HEADROOM);
             *lowest = lowest.min(headroom);
-            // What presses least for its work goes first; the rest shares what is left.
+            // Images with the least interference per core are served first; the others share the
+            // remaining headroom.
             contributions.sort_by(|one, other| one.1.total_cmp(&other.1));
             let mut left = headroom;
             for (image, _, interference) in contributions {
@@ -424,7 +432,8 @@
                 }
             }
         }
-        // Nobody's tail stays too long on account of what fills, whatever was learned so far.
+        // Bounds how long a tail latency can stay too high because of best-effort runs, even if the
+        // learned interference is wrong.
         let mitigates = self
             .loads
             .values()
--- a/crates/wax-agent/src/pending_updates.rs
+++ b/crates/wax-agent/src/pending_updates.rs
@@ -1,12 +1,13 @@
-//! What the owner is told of runs: ends at once, progress with the next heartbeat.
+//! Run updates for the owner: ends are sent at once, progress with the next heartbeat.
 //!
-//! An owner wakes up for each message of each agent, so that what can wait goes with what must be sent.
+//! Each message of each agent wakes the owner, so updates that can wait are sent together with
+//! messages that have to be sent.
 
 use std::collections::BTreeMap;
 use wax_batch::{RunMark, RunReport};
 use wax_wire::{EndFrame, MarkFrame, ReportFrame, RunNews};
 
-/// News of one boot's runs that wait for the next heartbeat.
+/// Updates of one boot's runs that wait for the next heartbeat.
 #[derive(Debug, Default)]
 pub struct PendingUpdates {
     started: Vec<RunMark>,
@@ -14,23 +15,24 @@
 }
 
 impl PendingUpdates {
-    /// The worker has begun a run.
+    /// Adds that the worker has started a run.
     pub fn note_started(&mut self, run_id: RunMark) {
         self.started.push(run_id);
     }
 
-    /// A run goes on; a later report of it takes the place of this one.
+    /// Adds progress of a run, which replaces an earlier report of the same run.
     pub fn note_progress(&mut self, report: RunReport) {
         self.progressed.insert(report.mark, report);
     }
 
-    /// Drops all: the owner is told the worker's whole list.
+    /// Drops all updates, since the owner gets the worker's full run list.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
 
-    /// Adds what was gathered to news that go out now. A run that ends or never began is left out: the owner
-    /// would take its earlier progress for a run that goes on.
+    /// Adds the pending updates to a message that is sent now. Runs that the message reports as
+    /// ended or refused are left out: the owner would take their earlier progress for that of a
+    /// running run.
     pub fn merge_into(&mut self, mut updates: RunNews) -> RunNews {
         let refused = updates.refused.iter().map(|refusal| refusal.decode().0);
         let ended_runs = updates.ends.iter().map(EndFrame::run_mark);
@@ -49,7 +51,7 @@
         updates
     }
 
-    /// Takes what was gathered, if there is anything.
+    /// Takes the pending updates as a message; `None` if there are none.
     pub fn take(&mut self) -> Option<RunNews> {
         let is_empty = self.started.is_empty() && self.progressed.is_empty();
         (!is_empty).then(|| self.merge_into(RunNews::default()))
--- a/crates/wax-agent/src/process.rs
+++ b/crates/wax-agent/src/process.rs
@@ -1,4 +1,4 @@
-//! Starts an agent and keeps it until it is told to stop.
+//! Starts an agent and runs it until shutdown.
 
 use crate::check_ins::CheckInHandler;
 use crate::driver::drive_worker;
@@ -16,12 +16,12 @@
 use wax_settings::DaemonSettings;
 use wax_types::{ErrorKind, ProcessClock, Step, TimePoint, WaxError};
 
-/// Runs an agent until `shutdown`; its worker's tasks go on under their leases. The rules of pacing
-/// may be changed while it runs.
+/// Runs an agent until `shutdown`; the worker's tasks continue under their leases. The rules of
+/// pacing may change while the agent runs.
 ///
 /// # Errors
 ///
-/// A section of the settings is missing, or an address is taken.
+/// The settings lack a section that an agent needs, or an address is in use.
 pub async fn run_agent(
     settings: &DaemonSettings,
     pace_rules: Rc<Cell<PaceRules>>,
--- a/crates/wax-agent/src/run_table.rs
+++ b/crates/wax-agent/src/run_table.rs
@@ -1,4 +1,4 @@
-//! Everything that runs on the worker, is being stopped there, or may begin yet.
+//! All runs that are running on the worker, are being stopped there, or may still start.
 
 use crate::pace::{PaceControl, PaceSample, ServingSample};
 use std::collections::HashMap;
@@ -7,34 +7,35 @@
 };
 use wax_types::TimePoint;
 
-/// Where a run stands by what this process knows.
+/// State of a run, by what this process knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunState {
-    /// Its start was sent and not answered.
+    /// The start was sent and has not been answered.
     Starting,
-    /// It runs.
+    /// The worker has started the run.
     Running,
-    /// Its stop was sent, or will be again.
+    /// A stop is being sent, and is repeated until the worker answers.
     Stopping,
-    /// Its stop was answered while this hold was under way: it is gone once a later one omits it.
+    /// The worker answered the stop while hold number `hold` was in progress. The run has ended if
+    /// a later hold does not list it.
     Stopped {
-        /// The number of the hold.
+        /// Number of the hold.
         hold: u64,
     },
 }
 
-/// What is known of a run besides its name.
+/// What the agent knows of a run besides its id.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct PlacementInfo {
-    /// What it books.
+    /// Resources that the run reserves.
     pub reserved: TaskSize,
-    /// Thousandths of a core that it asks for, booked or not.
+    /// Processor request in thousandths of a core, whether reserved or not.
     pub cpu_milli: u32,
-    /// Whether it gets only what others leave.
+    /// Whether the run is best-effort: it gets only processor time that long-running tasks leave.
     pub best_effort: bool,
-    /// Bound on its tail latency, milliseconds; 0 for none.
+    /// Target for the tail latency in milliseconds; 0 for none.
     pub tail_target_ms: u32,
-    /// Its image.
+    /// Name of the image.
     pub image: Box<str>,
 }
 
@@ -46,26 +47,27 @@
     reported_percent: u32,
     reported_checkpoint: Box<str>,
     pace_percent: u32,
-    /// When its start was sent; `None` if this process did not send it.
+    /// When this process sent the start; `None` if an earlier process did.
     start_sent_at: Option<TimePoint>,
-    /// Whether the boot has listed it.
+    /// Whether a hold of this boot has listed the run.
     was_listed: bool,
 }
 
-/// What a hold has brought that the owner does not know yet.
+/// Changes that the answer to one hold shows and that the owner does not know yet.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct HoldUpdates {
-    /// Runs that went on.
+    /// Runs that have made progress.
     pub progressed: Vec<RunReport>,
-    /// Runs that ended.
+    /// Runs that have ended.
     pub ended: Vec<RunEnd>,
-    /// Runs that never began and never will.
+    /// Runs that never started and will not start.
     pub never_started: Vec<RunMark>,
-    /// Runs of the table whose ends have numbers that were heard before.
+    /// Runs of the table for which the worker lists an end with an already processed number. Such
+    /// an end is ignored.
     pub skipped_ends: Vec<RunMark>,
 }
 
-/// The guard of the worker's capacity.
+/// The runs on one boot of the worker; admits a new run only if the worker's capacity covers it.
 #[derive(Debug, Default)]
 pub struct RunTable {
     entries: HashMap<RunMark, RunEntry>,
@@ -73,11 +75,12 @@
 }
 
 impl RunTable {
-    /// Whether a run may be started beside all others; books its size if so.
+    /// Reserves resources for a run that is about to be started.
     ///
     /// # Errors
     ///
-    /// Why it may not.
+    /// `Stale` if the worker is draining or the run is already in the table; `Room` if the capacity
+    /// does not cover the run, or the size of another run is unknown.
     pub fn reserve(
         &mut self,
         run_id: RunMark,
@@ -100,7 +103,7 @@
         Ok(())
     }
 
-    /// The sum of what all rows book; `None` while a row's size is not known.
+    /// Returns the sum of all reservations; `None` while the size of a run is unknown.
     pub fn reserved(&self) -> Option<TaskSize> {
         let mut sum = TaskSize::default();
         for entry in self.entries.values() {
@@ -109,7 +112,7 @@
         Some(sum)
     }
 
-    /// The worker has begun the run.
+    /// Records that the worker has started the run.
     pub fn mark_running(&mut self, run_id: RunMark) {
         if let Some(entry) = self.entries.get_mut(&run_id)
             && entry.state == RunState::Starting
@@ -118,12 +121,12 @@
         }
     }
 
-    /// The worker has refused the run, or it has ended: nothing of it is left.
+    /// Removes a run that has ended or was refused; returns whether the table had it.
     pub fn remove(&mut self, run_id: RunMark) -> bool {
         self.entries.remove(&run_id).is_some()
     }
 
-    /// Notes that a stop is on its way; says whether the run is known.
+    /// Records that a stop is about to be sent; returns whether the table has the run.
     pub fn mark_stopping(&mut self, run_id: RunMark) -> bool {
         let Some(entry) = self.entries.get_mut(&run_id) else {
             return false;
@@ -134,26 +137,27 @@
         true
     }
 
-    /// The worker has answered the stop while hold number `hold` was under way.
+    /// Records that the worker answered the stop while hold number `hold` was in progress.
     pub fn mark_stopped(&mut self, run_id: RunMark, hold: u64) {
         if let Some(entry) = self.entries.get_mut(&run_id) {
             entry.state = RunState::Stopped { hold };
         }
     }
 
-    /// Where a run stands.
+    /// Returns the state of a run; `None` if the table does not have it.
     pub fn state(&self, run_id: RunMark) -> Option<RunState> {
         self.entries.get(&run_id).map(|entry| entry.state)
     }
 
-    /// Takes sizes that only the owner knew.
+    /// Sets what the owner knows of a run that an earlier agent process has started.
     pub fn set_placement(&mut self, run_id: RunMark, placement: PlacementInfo) {
         if let Some(entry) = self.entries.get_mut(&run_id) {
             entry.placement = Some(placement);
         }
     }
 
-    /// Compares a worker's lists, of hold number `hold`, with the table.
+    /// Reconciles the table with the lists of running and ended runs in the answer to hold number
+    /// `hold`.
     pub fn reconcile(&mut self, running: &[RunReport], ended: &[RunEnd], hold: u64) -> HoldUpdates {
         let mut updates = HoldUpdates::default();
         for entry in self.entries.values_mut() {
@@ -202,7 +206,7 @@
         updates
     }
 
-    /// All rows as the owner must count them.
+    /// Returns the last reports of all runs, for the owner's reconciliation.
     pub fn reports(&self) -> Vec<RunReport> {
         self.entries
             .values()
@@ -210,7 +214,8 @@
             .collect()
     }
 
-    /// All rows as they stood when the worker answered last, at `answered`.
+    /// Returns all runs as lost, with the time that each is known to have run: from its start to
+    /// `answered`, when the worker answered last.
     pub fn lost_runs(&self, answered: TimePoint) -> Vec<LostRun> {
         let entries = self.entries.iter();
         let lost = entries.map(|(run_id, entry)| LostRun {
@@ -220,17 +225,19 @@
         lost.collect()
     }
 
-    /// Whether a run's start was sent and the boot has not listed it: the worker's next boot may have taken it.
+    /// Returns whether a start was sent for a run that no hold has listed: the worker's next boot
+    /// may have taken it.
     pub fn has_unlisted(&self) -> bool {
         self.entries.values().any(|entry| !entry.was_listed)
     }
 
-    /// Whether a run's size is missing.
+    /// Returns whether the size of every run is known.
     pub fn has_all_placements(&self) -> bool {
         self.entries.values().all(|entry| entry.placement.is_some())
     }
 
-    /// What the last hold shows of runs that serve and runs that fill.
+    /// Returns the tail latencies of serving runs and the processor use of best-effort runs, by the
+    /// last hold.
     pub fn pace_sample(&self) -> PaceSample {
         let mut sample = PaceSample::default();
         for (run_id, entry) in &self.entries {
@@ -260,7 +267,8 @@
         sample
     }
 
-    /// Runs that fill and whose pace is not the planned one, which is noted as sent.
+    /// Returns the best-effort runs whose pace differs from the planned one, and records the new
+    /// pace as sent.
     pub fn take_pace_orders(&mut self, control: &PaceControl) -> Vec<(RunMark, u32)> {
         let mut orders = Vec::new();
         for (run_id, entry) in &mut self.entries {
@@ -282,29 +290,30 @@
         orders
     }
 
-    /// A pace was not taken; it is due again.
+    /// Records that an order to change the pace failed, so that it is sent again.
     pub fn forget_pace(&mut self, run_id: RunMark) {
         if let Some(entry) = self.entries.get_mut(&run_id) {
             entry.pace_percent = UNKNOWN_PACE_PERCENT;
         }
     }
 
-    /// How many rows there are.
+    /// Returns the number of runs.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there is no row.
+    /// Returns whether the table has no runs.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 }
 
-/// After a lost order the pace is not known; no planned one is near it.
+/// Stands for the pace of a run after a failed order. It is far from every real pace, so that a new
+/// order is due.
 const UNKNOWN_PACE_PERCENT: u32 = 1_000;
-/// Smaller changes of a pace are not worth an order, percent.
+/// Smallest change of a pace that is sent to the worker.
 const PACE_STEP_PERCENT: u32 = 4;
-/// A change of this much of a run's work is told to the owner.
+/// Smallest progress of a run that is reported to the owner.
 const PROGRESS_STEP_PERCENT: u32 = 10;
 
 impl RunEntry {
--- a/crates/wax-agent/src/state.rs
+++ b/crates/wax-agent/src/state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one agent share.
+//! State that all tasks of an agent share.
 
 use crate::boots::{BootRegistry, BootReport};
 use crate::crash_log::CrashLog;
@@ -18,47 +18,50 @@
 use wax_types::{ProcessClock, TimePoint};
 use wax_wire::{DrainFrame, PoolBody};
 
-/// The link to the owner.
+/// The link to the owner of the shard.
 #[derive(Debug)]
 pub(crate) struct OwnerLink {
-    /// Rises with each link.
+    /// Number of the link, counted from the start of the process.
     pub(crate) generation: u64,
     pub(crate) outbox: UnboundedSender<PoolBody>,
     /// Whether the owner has taken over the worker's runs on this link.
     pub(crate) is_reconciled: bool,
 }
 
-/// One boot of the worker.
+/// What the agent keeps of one boot of the worker.
 #[derive(Debug)]
 pub(crate) struct WorkerBoot {
     pub(crate) view: WorkerView,
     pub(crate) sequence: u64,
-    /// The start time by which its answers are told from another boot's, Unix milliseconds.
+    /// Start time by which answers of this boot are told from those of another boot under the same
+    /// worker id, in Unix milliseconds. `None` until the boot has sent one.
     pub(crate) answering_start_ms: Option<u64>,
-    /// Holds without an answer since the last one with it.
+    /// Number of consecutive holds that were not answered.
     pub(crate) unanswered_holds: u32,
-    /// When it last answered.
+    /// When the boot last answered a hold or an order.
     pub(crate) answered_at: TimePoint,
-    /// The link on which its runs were told last.
+    /// Generation of the link on which the boot's full run list was sent last; 0 for none.
     pub(crate) reported_link: u64,
     pub(crate) table: RunTable,
     pub(crate) lease: LeaseClock,
     pub(crate) pace: PaceControl,
-    /// What the owner is told of its runs with the next heartbeat.
+    /// Run updates that are sent with the next heartbeat.
     pub(crate) updates: PendingUpdates,
-    /// Ends up to here are in the store.
+    /// Number up to which run ends are stored by the owner, so that the worker may forget them.
     pub(crate) ack_cursor: u64,
-    /// The number of the hold that is under way.
+    /// Number of the last hold that was sent.
     pub(crate) hold_number: u64,
-    /// Whether its worker has started again under its id, and some of its runs may be on the next boot.
+    /// Whether the worker has restarted under the same id while some of this boot's starts were not
+    /// listed: those runs may be on the next boot.
     pub(crate) is_replaced: bool,
 }
 
-/// After this many holds without an answer a worker counts as silent.
+/// Number of consecutive unanswered holds from which on a worker counts as silent.
 const MAX_UNANSWERED_HOLDS: u32 = 2;
 
 impl WorkerBoot {
-    /// What was on it when it ended, a line for each run; `kept` names those that are on the next boot.
+    /// Logs and counts each run that was lost with the boot, except for those in `on_next`, which
+    /// run on the worker's next boot. Returns the lost runs.
     pub(crate) fn log_lost_runs(&self, now: TimePoint, on_next: &[RunMark]) -> Vec<LostRun> {
         let silent_ms = now.since(self.answered_at).as_millis() as u64;
         let mut runs = self.table.lost_runs(self.answered_at);
@@ -77,7 +80,8 @@
         runs
     }
 
-    /// What the owner is shown of the worker.
+    /// Returns the view of the worker that the owner gets, with the state `Silent` if holds are not
+    /// answered.
     pub(crate) fn reported_view(&self) -> WorkerView {
         let mut view = self.view.clone();
         if self.unanswered_holds >= MAX_UNANSWERED_HOLDS && view.state == WorkerState::Ready {
@@ -86,7 +90,7 @@
         view
     }
 
-    /// A boot that has answered now.
+    /// Creates the state of a boot that has just answered.
     pub(crate) fn new(view: WorkerView, sequence: u64, now: TimePoint) -> Self {
         Self {
             answering_start_ms: view.boot.started_ms(),
@@ -106,49 +110,52 @@
     }
 }
 
-/// Shared by all tasks of the process.
+/// State of the agent process.
 #[derive(Debug)]
 pub(crate) struct AgentState {
     pub(crate) node: Box<str>,
-    /// The machine's failure domain, which is its worker's too.
+    /// Failure domain of the VM, and hence of its worker.
     pub(crate) failure_domain: Box<str>,
-    /// The last boot that named another one: it is told once.
+    /// Last boot for which a differing failure domain was logged: one warning per boot.
     pub(crate) warned_domain_boot: RefCell<BootId>,
     pub(crate) clock: ProcessClock,
     pub(crate) worker: WorkerClient,
     pub(crate) lease_rules: LeaseRules,
-    /// May change with the settings.
+    /// Rules of pacing; they change when the settings are reloaded.
     pub(crate) pace_rules: Rc<Cell<PaceRules>>,
     pub(crate) link: RefCell<Option<OwnerLink>>,
-    /// The boot that is driven.
+    /// The active boot, to which the agent sends orders; `None` while there is none.
     pub(crate) boot: RefCell<Option<WorkerBoot>>,
-    /// Boots that have checked in and are not verified yet, and those that are dead.
+    /// Boots that have checked in and are not verified yet, and boots that have ended.
     pub(crate) boots: RefCell<BootRegistry>,
-    /// Crashes that owners may not have heard of.
+    /// Recent crashes of the worker, which are sent again on each new link.
     pub(crate) crashes: RefCell<CrashLog>,
-    /// The last grant of this link; it counts once the owner has taken over the worker's runs.
+    /// End of the authority that the owner granted on this link. It takes effect once the owner has
+    /// taken over the worker's runs.
     pub(crate) granted_until: Cell<TimePoint>,
-    /// Until when the owner's authority reaches.
+    /// End of the owner's authority: starts are accepted until then, leases extended until the
+    /// grace period after it.
     pub(crate) authority_until: Cell<TimePoint>,
-    /// Whether the owner has lost the store, by its last grant: another may have taken over.
+    /// Whether the owner's last grant says that it has lost the store. Another owner may have taken
+    /// over then.
     pub(crate) owner_store_lost: Cell<bool>,
-    /// Failure domains that get nothing new, by the owners' words.
+    /// Drained failure domains, by the owners' last reports.
     pub(crate) drains: RefCell<DrainView>,
     pub(crate) drain_rules: DrainRules,
-    /// Between two heartbeats, by the owner's last grant.
+    /// Time between two heartbeats, by the owner's last grant.
     pub(crate) heartbeat_period: Cell<Duration>,
-    /// The share of the jobs that fill which are late, by the owner's last word.
+    /// Share of the jobs with best-effort tasks that are late, by the owner's last grant.
     pub(crate) overload: Cell<f64>,
-    /// The highest token that was ever used.
+    /// Highest fencing token that any owner has given this agent.
     pub(crate) fencing_token: Cell<u64>,
-    /// Something has changed that the driver waits for.
+    /// Notified when the driver has to check for a new boot or owner.
     pub(crate) changed: Event,
-    /// A new link is asked for, with a higher token.
+    /// Notified when a boot needs a higher fencing token, which takes a new link.
     pub(crate) higher_token_wanted: Event,
 }
 
 impl AgentState {
-    /// The rules of pacing as matters stand.
+    /// Returns the pacing rules of the settings, adjusted to the pool's overload.
     pub(crate) fn current_pace_rules(&self) -> PaceRules {
         self.pace_rules.get().strained(self.overload.get())
     }
@@ -157,15 +164,15 @@
         self.clock.now()
     }
 
-    /// Sends a message to the owner, if there is a link.
+    /// Sends a message to the owner; drops it if there is no link.
     pub(crate) fn send(&self, body: PoolBody) {
         if let Some(link) = &*self.link.borrow() {
-            // A link that is closing is replaced, and all is told anew on the next one.
+            // A closed link is replaced, and the full state is sent on the next one.
             let _ = link.outbox.unbounded_send(body);
         }
     }
 
-    /// Sends what was gathered of the worker's runs, once the owner has their list on this link.
+    /// Sends the pending run updates, if the owner got the boot's full run list on this link.
     pub(crate) fn send_pending_updates(&self) {
         let generation = self.link.borrow().as_ref().map(|link| link.generation);
         let mut boot = self.boot.borrow_mut();
@@ -177,7 +184,8 @@
         }
     }
 
-    /// Notes a grant; before the owner has taken over the worker's runs it extends nothing.
+    /// Records a grant. It extends the authority only once the owner has taken over the worker's
+    /// runs.
     pub(crate) fn apply_grant(&self, until: TimePoint) {
         self.granted_until.set(self.granted_until.get().max(until));
         if self.is_reconciled() {
@@ -186,8 +194,8 @@
         }
     }
 
-    /// A worker is where its machine is, whatever it says: by another name, or none, it would be given
-    /// starts while its failure domain is drained.
+    /// Replaces the failure domain that the worker reports by that of the VM. With a wrong or
+    /// missing name the worker would get starts while its failure domain is drained.
     pub(crate) fn with_own_domain(&self, said: WorkerView) -> WorkerView {
         let is_elsewhere = said.failure_domain != self.failure_domain;
         if is_elsewhere && *self.warned_domain_boot.borrow() != said.boot {
@@ -196,7 +204,7 @@
                 worker = %said.boot,
                 said = %said.failure_domain,
                 machine = %self.failure_domain,
-                "worker names another failure domain"
+                "worker reports another failure domain than its VM"
             );
         }
         WorkerView {
@@ -205,7 +213,8 @@
         }
     }
 
-    /// Takes an owner's word of the drains, its answer to a heartbeat sent at `asked`.
+    /// Takes over the drained failure domains from the owner's answer to a heartbeat sent at
+    /// `asked`.
     pub(crate) fn apply_drains(&self, frame: DrainFrame, asked: TimePoint) {
         let mut view = self.drains.borrow_mut();
         let age_ms = frame.age_ms;
@@ -214,7 +223,7 @@
         }
     }
 
-    /// The guard of drains: whether a start may be sent to this machine's worker now.
+    /// Checks that the worker's failure domain is not drained, by a report that is recent enough.
     pub(crate) fn check_drains(&self, now: TimePoint) -> Result<(), StartRefusal> {
         let view = self.drains.borrow();
         let max_age = self.drain_rules.start_age();
@@ -223,11 +232,12 @@
             return Ok(());
         }
         let age_ms = view.age(now).map(|age| age.as_millis() as u64);
-        tracing::info!(domain = %self.failure_domain, version = view.version(), age_ms, ?verdict, "no start in this failure domain");
+        tracing::info!(domain = %self.failure_domain, version = view.version(), age_ms, ?verdict, "failure domain is not known to be open for starts");
         Err(StartRefusal::Drained)
     }
 
-    /// Notes whether a hold was answered; the owner hears of a worker that falls silent or is back.
+    /// Records whether a hold was answered, and reports to the owner when the worker becomes silent
+    /// or answers again.
     pub(crate) fn note_hold_answer(&self, active: &BootId, answered: bool) {
         let mut boot = self.boot.borrow_mut();
         let Some(boot) = boot.as_mut().filter(|boot| boot.view.boot == *active) else {
@@ -244,12 +254,12 @@
         };
         let is_silent = boot.unanswered_holds >= MAX_UNANSWERED_HOLDS;
         if was_silent != is_silent {
-            tracing::info!(worker = %active, silent = is_silent, "worker answers changed");
+            tracing::info!(worker = %active, silent = is_silent, "worker became silent or answers again");
             self.send(PoolBody::WorkerChanged((&boot.reported_view()).into()));
         }
     }
 
-    /// The boot has answered an order.
+    /// Records that the boot has answered an order.
     pub(crate) fn note_order_answer(&self, active: &BootId) {
         let mut boot = self.boot.borrow_mut();
         if let Some(boot) = boot.as_mut().filter(|boot| boot.view.boot == *active) {
@@ -257,14 +267,15 @@
         }
     }
 
-    /// The boot that is driven.
+    /// Returns the active boot.
     pub(crate) fn active_boot(&self) -> Option<BootId> {
         let boot = self.boot.borrow();
         boot.as_ref().map(|boot| boot.view.boot.clone())
     }
 
-    /// Whether a leave is surely of the boot that is driven. One without a start time may be a late call of an
-    /// earlier boot, unless this one has said that it drains, as workers do before they leave.
+    /// Returns whether a leave message is known to come from the active boot. A message without a
+    /// start time may be a late call of an earlier boot, unless the active boot has reported that
+    /// it is draining, as workers do before they leave.
     pub(crate) fn is_leave_of_active(&self, said: &BootId) -> bool {
         let boot = self.boot.borrow();
         boot.as_ref().is_some_and(|boot| {
@@ -274,7 +285,8 @@
         })
     }
 
-    /// Takes a later check-in of the boot that is driven; the owner hears of what it places by.
+    /// Applies a later check-in of the active boot, and reports to the owner a change of its state,
+    /// its capacity or its remaining warm-up time.
     pub(crate) fn update_boot(&self, report: BootReport) {
         let mut boot = self.boot.borrow_mut();
         let Some(boot) = boot
@@ -293,11 +305,11 @@
             ..report.view
         };
         if before.state == WorkerState::Draining {
-            // A worker that has said that it leaves does not come back in this boot.
+            // A worker that has announced its end does not become ready again in this boot.
             boot.view.state = WorkerState::Draining;
         }
         if before.state != boot.view.state {
-            tracing::info!(worker = %boot.view.boot, state = ?boot.view.state, "worker state");
+            tracing::info!(worker = %boot.view.boot, state = ?boot.view.state, "worker state changed");
         }
         let (had, has) = (before.capacity, boot.view.capacity);
         if had != has {
@@ -306,7 +318,7 @@
                 cpu_milli = has.cpu_milli,
                 memory_mb = has.memory_mb,
                 accelerators = has.accelerators,
-                "worker capacity"
+                "worker capacity changed"
             );
         }
         if before.state != boot.view.state || before.cold_ms != boot.view.cold_ms || had != has {
@@ -314,7 +326,8 @@
         }
     }
 
-    /// Whether the link has taken over the worker's runs, so that orders and news count.
+    /// Returns whether the owner has taken over the worker's runs on the current link. Orders and
+    /// grants take effect only then.
     pub(crate) fn is_reconciled(&self) -> bool {
         self.link
             .borrow()
