--- a/crates/wax-front/src/accept.rs
+++ b/crates/wax-front/src/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts a job: stored once, then acknowledged.
+//! Accepts a job: stores it and then acknowledges it.
 
 use crate::state::{FrontState, STORE_RETRY_AFTER};
 use crate::store_route::transact_by_any_route;
@@ -11,17 +11,18 @@
 /// How a job came to be stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AcceptOutcome {
-    /// By this request.
+    /// This request stored it.
     Stored,
-    /// By an earlier request of the same name.
+    /// An earlier request with the same job name stored it.
     AlreadyStored,
 }
 
-/// Stores a job if no job of its name is stored.
+/// Stores a job unless a job of the same name is stored.
 ///
 /// # Errors
 ///
-/// `Unavailable`: it was not stored and never will be by this request; `Timeout`: not known.
+/// `Unavailable` if the job was not stored and will not be stored by this request; `Timeout` if
+/// the result is unknown, so that the job may be stored.
 pub(crate) async fn accept_job(
     state: &FrontState,
     queue: &QueueRules,
@@ -42,7 +43,7 @@
     );
     loop {
         let owner = shared.owner.borrow().clone();
-        // Owners of terms before this one have never seen the job.
+        // Names the current term: owners of earlier terms have never seen this job.
         row.epoch = owner.as_ref().map_or(0, |owner| owner.epoch);
         let owner_version = owner.as_ref().map_or(0, |owner| owner.row_version);
         let tx = TxRequest {
@@ -65,7 +66,7 @@
                         AcceptOutcome::AlreadyStored
                     });
                 }
-                // The owner has changed meanwhile; its row is taken from the answer.
+                // The owner has changed: its row is in the answer, and the next attempt uses it.
                 if !note_owner_row(shared, &rows) {
                     shared.owner.borrow_mut().take();
                 }
--- a/crates/wax-front/src/cancel.rs
+++ b/crates/wax-front/src/cancel.rs
@@ -1,4 +1,4 @@
-//! Cancels a job: stored, then acknowledged; its owner stops what runs.
+//! Cancels a job: stores the cancellation and acknowledges it; the owner then stops running tasks.
 
 use crate::state::{FrontState, STORE_RETRY_AFTER};
 use platform::{RowWrite, StoredRow, TxRequest};
@@ -8,16 +8,16 @@
 use wax_types::{ErrorKind, Step, TimePoint, WaxError};
 use wax_wire::{JobCancelled, PoolBody};
 
-/// What became of a cancel.
+/// Result of a request to cancel a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CancelOutcome {
-    /// The job is, or was before, cancelled.
+    /// The job is cancelled, by this request or an earlier one.
     Cancelled,
-    /// There is no such job.
+    /// No such job exists.
     NoJob,
 }
 
-/// The rows of a job in the job table: the job's own and its cancel.
+/// Reads a job's rows from the job table: the job itself and its cancellation.
 pub(crate) async fn read_job_rows(
     state: &FrontState,
     job: JobName,
@@ -34,11 +34,12 @@
     Ok(page?.rows)
 }
 
-/// Stores the cancel of a job.
+/// Stores the cancellation of a job.
 ///
 /// # Errors
 ///
-/// The store does not answer in time.
+/// `Timeout` if the store has not confirmed the cancellation in time; `Unavailable` if the job's
+/// rows kept changing until the deadline.
 pub(crate) async fn cancel_job(
     state: &FrontState,
     job: JobName,
@@ -67,7 +68,7 @@
                 notify_owner(state, job);
                 return Ok(CancelOutcome::Cancelled);
             }
-            // Another cancel was first, or the job was forgotten: the rows tell.
+            // Another request has cancelled the job, or the job was deleted: read the rows again.
             TxFate::Conflict(_) => {}
             TxFate::NotSent(error) | TxFate::Unknown(error) | TxFate::Refused(error) => {
                 state.note_store_answer(false);
@@ -88,12 +89,13 @@
     }
 }
 
-/// Tells the owner at once: its own feed may be cut off while callers are served.
+/// Notifies the owner at once. Its own feed of the job table may be interrupted while this front
+/// still serves callers.
 fn notify_owner(state: &FrontState, job: JobName) {
     if let Some(term) = state.shared.current_tenure() {
         term.cancel(job);
     } else if let Some(outbox) = &*state.outbox.borrow() {
-        // Without a link the feed of the owner brings it.
+        // Without a link, the owner gets the cancellation from its feed.
         let _ = outbox.unbounded_send(PoolBody::Cancelled(JobCancelled { job: job.0 }));
     }
 }
--- a/crates/wax-front/src/handler.rs
+++ b/crates/wax-front/src/handler.rs
@@ -1,4 +1,4 @@
-//! Requests of callers: submit, ask for and cancel jobs, ask for queues.
+//! Handles callers' requests: submit, show and cancel jobs, and show queues.
 
 use crate::accept::{AcceptOutcome, accept_job};
 use crate::cancel::{CancelOutcome, cancel_job};
@@ -15,16 +15,16 @@
 use wax_trace::{Counter, Latency, count, note_latency};
 use wax_types::{ErrorKind, Step, TimePoint, WaxError};
 
-/// Callers that do not say how long they wait are taken to wait this long.
+/// Wait of callers that do not state one.
 const DEFAULT_WAIT: Duration = Duration::from_millis(3_000);
-/// An answer leaves this long before its caller gives up.
+/// How long before the end of the caller's wait an answer is sent.
 const ANSWER_MARGIN: Duration = Duration::from_millis(150);
-/// Longest wait that is believed.
+/// Upper bound for the wait that a caller states.
 const MAX_WAIT: Duration = Duration::from_secs(60);
-/// Without a config, or by one that may be old, callers are told to come back after this.
+/// Retry delay that callers get while there is no config, or while it may be outdated.
 const CONFIG_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Answers callers.
+/// Handles the requests of callers.
 pub(crate) struct CallerHandler {
     pub(crate) state: Rc<FrontState>,
 }
@@ -96,7 +96,8 @@
         }
     }
 
-    /// A 404 is final for a caller, so that it is given only by a config that is surely in force.
+    /// Returns the error for a path without a queue. A caller takes a 404 as final, so it is sent
+    /// only if the config is known to be in force; otherwise the caller is asked to retry.
     fn no_queue_error(&self, host: Option<&str>, path: &str, config: u64) -> WaxError {
         let shared = &self.state.shared;
         let age_ms = shared.config_age().map(|age| age.as_millis() as u64);
@@ -165,7 +166,7 @@
                 )
             }
             Ok(AcceptOutcome::AlreadyStored) => {
-                tracing::info!(%job, queue = %queue.name, took_ms, "job known")
+                tracing::info!(%job, queue = %queue.name, took_ms, "job already stored")
             }
             Err(error) => {
                 tracing::warn!(%job, queue = %queue.name, took_ms, %error, "job not accepted")
--- a/crates/wax-front/src/lib.rs
+++ b/crates/wax-front/src/lib.rs
@@ -1,4 +1,6 @@
-//! Takes jobs of callers into queues: each is stored once before it is accepted.
+//! The front: accepts callers' jobs, shows and cancels them, and may own the shard.
+//!
+//! A job is accepted only after it has been stored.
 
 mod accept;
 mod cancel;
--- a/crates/wax-front/src/owner_link.rs
+++ b/crates/wax-front/src/owner_link.rs
@@ -1,4 +1,5 @@
-//! A front's link to the owner: questions about jobs, versions of the config, and heartbeats.
+//! Link of a front to the owner, for job queries, config versions, relayed transactions and
+//! heartbeats.
 
 use crate::state::FrontState;
 use compio::net::TcpStream;
@@ -19,16 +20,16 @@
     split_stream,
 };
 
-/// Longest time for a connection and its first answer.
+/// Timeout for a connection with its handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
-/// A link without an answer for this long is given up.
+/// A link is closed if the owner has sent nothing for this long.
 const LINK_TIMEOUT: Duration = Duration::from_millis(800);
-/// Dead boots that one message names: some kilobytes.
+/// Maximum number of ended boots in one message, which bounds its size to some kilobytes.
 const MAX_BOOTS_PER_MESSAGE: usize = 256;
-/// Between two tries, with as much again at random.
+/// Pause between two attempts to link, with up to as much again as random jitter.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// Keeps a link to the owner for the life of the process.
+/// Keeps a link to the owner for the lifetime of the process.
 pub(crate) async fn keep_owner_link(state: Rc<FrontState>, seeds: Vec<SocketAddr>) {
     let mut hint = None;
     let mut round = 0_usize;
@@ -50,27 +51,31 @@
     }
 }
 
-/// The seeds by turns, and the fronts that were ever linked to this process.
+/// Returns the address for this round: the seeds in turn, then all fronts that were ever linked to
+/// this process.
 fn nth_seed(state: &FrontState, seeds: &[SocketAddr], round: usize) -> Option<SocketAddr> {
     let fronts = state.shared.fronts.borrow();
     let all: Vec<SocketAddr> = seeds.iter().chain(fronts.iter()).copied().collect();
     all.get(round % all.len().max(1)).copied()
 }
 
-/// An owner looks for another only once its store is silent: it cannot know that it was replaced.
+/// Returns whether to look for an owner. A process that owns the shard does so only once its term
+/// is in doubt, since it does not learn otherwise that it was replaced.
 fn should_seek_owner(state: &FrontState) -> bool {
     let term = state.shared.current_tenure();
     term.is_none_or(|term| term.is_in_doubt(state.shared.now()))
 }
 
-/// The owner as the store had it last, if it is another process than this one.
+/// Returns the owner's address as last read from the store, unless the term was released or this
+/// process is the owner.
 fn known_owner(state: &FrontState) -> Option<SocketAddr> {
     let owner = state.shared.owner.borrow();
     let address = owner.as_ref().filter(|owner| !owner.released)?.address;
     address.filter(|address| *address != state.shared.address)
 }
 
-/// Links to the owner at `address`; returns where else it may be.
+/// Links to the owner at `address` until the link ends. Returns another address for the owner, if
+/// the process there names one.
 async fn link_to_owner(state: &Rc<FrontState>, address: SocketAddr) -> Option<SocketAddr> {
     match timeout(CONNECT_TIMEOUT, handshake(state, address)).await {
         Ok(Ok(HandshakeResult::Owner(stream, epoch))) => {
@@ -89,7 +94,8 @@
     }
 }
 
-/// The owner listens for the life of its process: where nobody does, its term is over.
+/// Records that the connection to the owner was refused. An owner listens as long as its process
+/// runs, so a refused connection means that its process has ended and its term with it.
 fn note_connection_refused(state: &FrontState, address: SocketAddr, error: &io::Error) {
     let owner = state.shared.owner.borrow();
     let refused = owner.as_ref().filter(|owner| {
@@ -98,13 +104,13 @@
     if let Some(owner) = refused
         && state.shared.owner_refused.replace(owner.epoch) != owner.epoch
     {
-        tracing::info!(owner = %address, epoch = owner.epoch, "nobody listens at the owner's address");
+        tracing::info!(owner = %address, epoch = owner.epoch, "connection refused at the owner's address");
         state.shared.owner_changed.notify(usize::MAX);
     }
 }
 
 enum HandshakeResult {
-    /// With the owner's term.
+    /// The process is the owner, with this epoch.
     Owner(Box<(PoolReader, PoolWriter)>, u64),
     NotOwner(Option<SocketAddr>),
 }
@@ -122,7 +128,7 @@
         Some(PoolBody::Welcome(welcome)) => {
             let term = state.shared.current_tenure();
             if term.is_some_and(|term| !term.give_way(welcome.epoch)) {
-                let error = "it is of an earlier term than this process";
+                let error = "the owner's term is earlier than the term of this process";
                 return Err(io::Error::new(io::ErrorKind::InvalidData, error));
             }
             Ok(HandshakeResult::Owner(
@@ -133,7 +139,10 @@
         Some(PoolBody::NotOwner(other)) => {
             Ok(HandshakeResult::NotOwner(other.address.parse().ok()))
         }
-        _ => Err(io::Error::new(io::ErrorKind::InvalidData, "no welcome")),
+        _ => Err(io::Error::new(
+            io::ErrorKind::InvalidData,
+            "first message of the process is not a handshake reply",
+        )),
     }
 }
 
@@ -149,18 +158,19 @@
         let superseded = pin!(wait_until_superseded(state, epoch));
         select(read, superseded).await;
     }
-    // What was heard on the link says no more than a heartbeat at the usual period would.
+    // The longer heartbeat period of the last grant ends with the link.
     state.shared.heartbeat.set(FRONT_PERIOD);
     *state.outbox.borrow_mut() = None;
     state.queries.borrow_mut().clear();
     state.pending_relays.borrow_mut().clear();
-    // Dropped tasks are cancelled; the connection closes with them.
+    // Dropping the tasks cancels them and closes the connection.
     drop(heartbeats);
     drop(writing);
 }
 
-/// A new owner may wait for workers that this front knows to be gone. The fronts that go first at a takeover hear
-/// of each sooner than others; what all would tell is the same.
+/// Sends the boots that this front knows to have ended; a new owner may be waiting for them. Only
+/// fronts that are first in the order of takeover send the list: they learn of each end sooner than
+/// others, whose lists have nothing to add.
 fn send_ended_boots(state: &FrontState, outbox: &UnboundedSender<PoolBody>) {
     let is_watcher = state
         .shared
@@ -175,7 +185,7 @@
             return;
         }
         sent += page.boots.len() as u64;
-        // A link that has just closed is replaced, and all is told on the next one.
+        // If the link has just closed, the list is sent on the next one.
         let _ = outbox.unbounded_send(PoolBody::BootsDead(page));
     }
 }
@@ -190,7 +200,8 @@
     }
 }
 
-/// Waits until a later term than the link's is known: what its owner says is of the past.
+/// Waits until a term later than that of the link is known, so that messages of the linked owner
+/// are outdated.
 async fn wait_until_superseded(state: &FrontState, epoch: u64) {
     loop {
         let listener = state.shared.owner_changed.listen();
@@ -231,16 +242,16 @@
     }
 }
 
-/// The store turns the owner away: this front sends its transaction.
+/// Sends a transaction on behalf of the owner, whose calls the store refuses or does not answer.
 fn relay_for_owner(state: &Rc<FrontState>, request: RelayAsk) {
     let Some(outbox) = state.outbox.borrow().clone() else {
         return;
     };
     let state = state.clone();
     spawn(async move {
-        // What waits longer than a link may be silent is dropped with the link.
+        // Transactions that wait longer than `LINK_TIMEOUT` are dropped with the link.
         let reply = relay_transaction(&state.shared, request, Duration::ZERO).await;
-        // An owner that has gone asks nobody any more.
+        // If the link has closed, the owner does not wait for the reply any more.
         let _ = outbox.unbounded_send(PoolBody::Relayed(reply));
     })
     .detach();
@@ -249,7 +260,8 @@
 fn handle_message(state: &Rc<FrontState>, body: PoolBody) {
     match body {
         PoolBody::Grant(grant) => {
-            // An owner without its store is in doubt at once: its beat is looked at.
+            // If the owner has lost the store, it counts as not heard, so that candidates check its
+            // heartbeat row at once.
             let heard_at = if grant.store_lost {
                 TimePoint::default()
             } else {
@@ -269,20 +281,20 @@
             if grant.config < state.shared.config_version() {
                 let text = state.shared.config_text.borrow().clone();
                 if let Some(outbox) = &*state.outbox.borrow() {
-                    // A closed link is replaced, and versions are compared anew.
+                    // If the link has closed, versions are compared again on the next one.
                     let _ = outbox.unbounded_send(PoolBody::Config(ConfigPush { text }));
                 }
             }
         }
         PoolBody::Told(reply) => {
             if let Some(caller) = state.queries.borrow_mut().remove(&reply.ask) {
-                // An asker that has given up does not need the answer.
+                // The caller may have given up waiting.
                 let _ = caller.send(reply);
             }
         }
         PoolBody::Relayed(reply) => {
             if let Some(caller) = state.pending_relays.borrow_mut().remove(&reply.ask) {
-                // As above.
+                // The caller may have given up waiting.
                 let _ = caller.send(reply);
             }
         }
@@ -295,9 +307,9 @@
         }
         PoolBody::Config(push) => {
             if let Err(error) = state.shared.offer_config(&push.text, "the owner") {
-                tracing::error!(%error, "config of the owner refused");
+                tracing::error!(%error, "refused the owner's config");
             }
         }
-        other => tracing::warn!(?other, "unexpected message of the owner"),
+        other => tracing::warn!(?other, "unexpected message from the owner"),
     }
 }
--- a/crates/wax-front/src/process.rs
+++ b/crates/wax-front/src/process.rs
@@ -1,4 +1,4 @@
-//! Starts a front and keeps it until it is told to stop.
+//! Starts a front and runs it until shutdown.
 
 use crate::handler::CallerHandler;
 use crate::owner_link::keep_owner_link;
@@ -17,16 +17,17 @@
 use wax_settings::{DaemonSettings, MachineSettings};
 use wax_types::{ErrorKind, Step, WaxError};
 
-/// After a stop is asked for, connections are taken this long: the balancer notices by two misses.
+/// How long connections are still accepted after a shutdown request: the load balancer takes the
+/// front out of rotation after two failed readiness checks.
 const ROTATION_DELAY: Duration = Duration::from_millis(2_300);
-/// Before the process is killed it must be done this long.
+/// How long before the end of the grace period, when the process is killed, shutdown must be done.
 const KILL_MARGIN: Duration = Duration::from_millis(600);
 
-/// Runs a front until `shutdown`; no request in progress is cut off.
+/// Runs a front until `shutdown`, and finishes requests that are in progress.
 ///
 /// # Errors
 ///
-/// A section of the settings is missing, or an address is taken.
+/// The settings lack a section that a front needs, or an address is in use.
 pub async fn run_front(
     settings: &DaemonSettings,
     changes: UnboundedReceiver<DaemonSettings>,
@@ -82,13 +83,14 @@
     callers_server.run().await;
     let grace =
         Duration::from_secs(pool.stop_grace_s.into()).saturating_sub(ROTATION_DELAY + KILL_MARGIN);
-    // What is left of the grace lets the store take the last notes; another owner waits for nothing else.
+    // The rest of the grace period lets the owner store its last progress updates. A successor can
+    // take over without them.
     let _ = compio::time::timeout(grace, ownership).await;
     tracing::info!(name = %settings.name, "front stopped");
     Ok(())
 }
 
-/// What the settings leave open counts as that of a common machine.
+/// Returns the strength of this VM; values that the settings omit are those of an average VM.
 fn vm_strength(vm: &MachineSettings) -> MachineStrength {
     let default = MachineStrength::default();
     MachineStrength {
@@ -98,7 +100,7 @@
     }
 }
 
-/// Applies what may change while the process runs: where the store is, limits and weights.
+/// Applies reloaded settings to the running process: the store's address and the placement rules.
 async fn apply_changes(shared: Rc<PoolShared>, mut changes: UnboundedReceiver<DaemonSettings>) {
     while let Some(settings) = changes.next().await {
         shared.store.set_address(settings.platform.address);
--- a/crates/wax-front/src/readiness.rs
+++ b/crates/wax-front/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Tells the balancer whether this front takes connections, and looks after a lost store.
+//! Reports to the load balancer whether this front accepts connections, and checks a lost store.
 
 use crate::state::FrontState;
 use compio::time::sleep;
@@ -9,12 +9,12 @@
 use wax_http::{HttpHandler, HttpReply, HttpRequest, ShutdownSignal, empty_reply};
 use wax_owner::read_operator_rows;
 
-/// Between two looks at a store that does not answer: callers are refused until it is seen to answer.
+/// Period of checks of a store that does not answer. Callers are refused until a check succeeds.
 const CHECK_PERIOD: Duration = Duration::from_millis(250);
-/// Longest time for a look.
+/// Timeout for one check.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Answers the balancer.
+/// Answers the load balancer's readiness checks.
 pub(crate) struct ReadinessHandler {
     pub(crate) state: Rc<FrontState>,
     pub(crate) shutdown: ShutdownSignal,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Looks after the store while it does not answer.
+/// Checks the store periodically while it does not answer.
 pub(crate) async fn watch_store(state: Rc<FrontState>) {
     loop {
         sleep(CHECK_PERIOD + CHECK_PERIOD.mul_f64(fastrand::f64() / 2.0)).await;
--- a/crates/wax-front/src/show.rs
+++ b/crates/wax-front/src/show.rs
@@ -1,4 +1,4 @@
-//! Tells callers of jobs and queues: by the owner's memory, else by the store.
+//! Shows jobs and queues to callers, from the owner's memory or else from the store.
 
 use crate::cancel::read_job_rows;
 use crate::state::FrontState;
@@ -12,14 +12,14 @@
 use wax_types::{ErrorKind, Step, TimePoint, WaxError};
 use wax_wire::{JobAsk, JobTold, PoolBody};
 
-/// The owner is asked for this long before the store is.
+/// Timeout for a query to the owner, before the store is read.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The state of a job; `None` if there is no such job.
+/// Returns the state of a job; `None` if no such job exists.
 ///
 /// # Errors
 ///
-/// Neither the owner nor the store answers.
+/// Neither the owner nor the store answers in time.
 pub(crate) async fn read_job_state(
     state: &FrontState,
     job: JobName,
@@ -73,11 +73,11 @@
     Some((outcome, reply.begun))
 }
 
-/// How many accepted jobs of a queue have not begun.
+/// Returns how many accepted jobs of a queue have not started.
 ///
 /// # Errors
 ///
-/// The owner does not answer.
+/// No owner that has loaded the whole queue answers in time.
 pub(crate) async fn read_queue_pending(state: &FrontState, queue: &str) -> Result<u64, WaxError> {
     let pending = match state.shared.current_tenure() {
         Some(term) => term.pending(queue, state.shared.now()),
--- a/crates/wax-front/src/state.rs
+++ b/crates/wax-front/src/state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a front share beyond the pool's state.
+//! State of a front in addition to the state that all processes of the pool share.
 
 use futures_channel::mpsc::UnboundedSender;
 use futures_channel::oneshot;
@@ -10,31 +10,32 @@
 use wax_types::TimePoint;
 use wax_wire::{JobTold, PoolBody, RelayTold};
 
-/// A front's own state.
+/// State that all tasks of a front share.
 #[derive(Debug)]
 pub(crate) struct FrontState {
     pub(crate) shared: Rc<PoolShared>,
-    /// The link to the owner, while there is one.
+    /// Messages to the owner; `None` while there is no link.
     pub(crate) outbox: RefCell<Option<UnboundedSender<PoolBody>>>,
-    /// Questions to the owner that are not answered yet.
+    /// Queries to the owner that are not answered yet, by request number.
     pub(crate) queries: RefCell<HashMap<u64, oneshot::Sender<JobTold>>>,
-    /// Transactions that the owner was asked to send.
+    /// Transactions that the owner was asked to send, by request number.
     pub(crate) pending_relays: RefCell<HashMap<u64, oneshot::Sender<RelayTold>>>,
     pub(crate) next_request: Cell<u64>,
     /// Since when the store has not answered this process; `None` while it does.
     pub(crate) store_lost_since: Cell<Option<TimePoint>>,
-    /// Transactions of this front that are under way.
+    /// Number of this front's transactions that are in flight.
     pub(crate) in_flight: Cell<u32>,
 }
 
-/// While the store does not answer, callers are told to come back after this.
+/// Retry delay that callers get while the store does not answer.
 pub(crate) const STORE_RETRY_AFTER: Duration = Duration::from_millis(700);
 
-/// A store that is found lost is believed to be so after this, should another call be answered.
+/// How long the store must have been lost before requests are refused, so that a single failed
+/// call is not enough.
 const CUT_OFF_AFTER: Duration = Duration::from_millis(300);
-/// A store that is slow answers within this; one that has not is looked at.
+/// A slow store answers within this time; one that has not is checked.
 const OVERDUE_AFTER: Duration = Duration::from_millis(1_200);
-/// An owner that was heard this lately is taken to be there.
+/// An owner that has sent nothing for this long counts as unreachable.
 const OWNER_SILENCE_LIMIT: Duration = Duration::from_millis(800);
 
 impl FrontState {
@@ -50,14 +51,16 @@
         }
     }
 
-    /// Whether an owner whose store answers was heard lately: it sends what this front cannot.
+    /// Returns whether an owner that has the store was heard recently: it can send transactions for
+    /// this front.
     pub(crate) fn is_owner_reachable(&self) -> bool {
         let limit = self.shared.heard_within(OWNER_SILENCE_LIMIT);
         self.shared.now().since(self.shared.owner_heard.get()) < limit
     }
 
-    /// Whether neither the store nor an owner that has it was heard for a while: what is asked for now
-    /// would be held until its caller gives up, where another front may serve it.
+    /// Returns whether both the store and an owner that has it have been unreachable for a while.
+    /// Requests are refused then: they would wait until their deadline, while another front may
+    /// serve them.
     pub(crate) fn is_cut_off(&self) -> bool {
         let now = self.shared.now();
         let lost_since = self.store_lost_since.get();
@@ -65,13 +68,13 @@
             && !self.is_owner_reachable()
     }
 
-    /// Whether the store should have answered by now.
+    /// Returns whether transactions are in flight and the store should have answered by now.
     pub(crate) fn is_store_overdue(&self) -> bool {
         let silence = self.shared.now().since(self.shared.store_heard.get());
         self.in_flight.get() > 0 && silence >= OVERDUE_AFTER
     }
 
-    /// Notes whether the store has answered.
+    /// Records whether the store has answered a call.
     pub(crate) fn note_store_answer(&self, answered: bool) {
         let now = self.shared.now();
         match (answered, self.store_lost_since.get()) {
--- a/crates/wax-front/src/store_route.rs
+++ b/crates/wax-front/src/store_route.rs
@@ -1,7 +1,7 @@
-//! The ways of a front to the store: its own, and through the owner.
+//! The two routes of a front's transactions to the store: a direct call, and a relay by the owner.
 //!
-//! The platform may turn this machine away while it serves the owner's. A transaction that goes both
-//! ways takes effect once at most: its conditions name the versions of all that it writes.
+//! The platform may refuse this VM while it serves the owner's. A transaction that is sent by both
+//! routes takes effect at most once: its conditions name the versions of all rows that it writes.
 
 use crate::state::FrontState;
 use compio::time::{sleep, timeout};
@@ -14,15 +14,16 @@
 use wax_types::TimePoint;
 use wax_wire::PoolBody;
 
-/// The other way is taken, too, once the first has not led to an answer for this long. A store that
-/// is well takes 10 ms; one that is slow takes a second, and suffers from every transaction that
-/// comes twice: with both ways taken after 250 ms, 27 of 387 tries on a day with a slow store ended
-/// without an answer, with the first way alone none.
+/// Delay after which the second route is used, too, if the first has given no answer. A healthy
+/// store answers within 10 ms. A slow one takes a second and is slowed further by duplicate
+/// transactions: with a delay of 250 ms, 27 of 387 attempts at a slow store got no answer, with the
+/// first route alone none.
 const SECOND_ROUTE_DELAY: Duration = Duration::from_millis(1_200);
-/// Without a link to the owner, or an answer from it, the next try is after this.
+/// Pause before the next relay attempt, without a link to the owner or after a missing answer.
 const RELAY_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Sends a transaction, unchanged, until its fate is known by either way or `deadline` has passed.
+/// Sends a transaction unchanged by both routes, until its resolution is known or `deadline` has
+/// passed.
 pub(crate) async fn transact_by_any_route(
     state: &FrontState,
     tx: &TxRequest,
@@ -30,7 +31,7 @@
 ) -> TxFate {
     let _in_flight = InFlightGuard::new(state);
     let shared = &state.shared;
-    // While the store is lost to this front, the owner's way goes first.
+    // While this front has lost the store, the relay is tried first.
     let prefers_relay = state.store_lost_since.get().is_some() && state.is_owner_reachable();
     let (direct_delay, relay_delay) = match prefers_relay {
         true => (SECOND_ROUTE_DELAY, Duration::ZERO),
@@ -56,13 +57,13 @@
                 return resolution.join(direct);
             }
             state.note_store_answer(false);
-            tracing::info!("the owner has sent a transaction for us");
+            tracing::info!("transaction was relayed by the owner");
             resolution
         }
     }
 }
 
-/// Counts a transaction for as long as it is under way.
+/// Counts a transaction as in flight while the guard exists.
 struct InFlightGuard<'a>(&'a FrontState);
 
 impl<'a> InFlightGuard<'a> {
@@ -78,7 +79,7 @@
     }
 }
 
-/// What the own way says counts if it is certain; else the other way is waited for.
+/// Returns the resolution of the direct call if it is certain, and otherwise waits for the relay.
 async fn resolve(direct: TxFate, relayed: impl Future<Output = TxFate>) -> TxFate {
     match direct.is_known() {
         true => direct,
@@ -90,7 +91,7 @@
     state.note_store_answer(resolution.is_known());
 }
 
-/// Has the owner send the transaction.
+/// Asks the owner to send the transaction, repeatedly until its resolution is known.
 async fn relay_through_owner(state: &FrontState, tx: &TxRequest, deadline: TimePoint) -> TxFate {
     let mut uncertainty = RelayDoubt::default();
     loop {
@@ -99,7 +100,7 @@
             return uncertainty.end();
         }
         if !state.is_owner_reachable() {
-            // The owner has lost the store as well, or there is none.
+            // There is no owner, or it has lost the store as well.
             sleep(RELAY_RETRY_PAUSE.min(time_left)).await;
             continue;
         }
