--- a/crates/wax-agent/tests/boots.rs
+++ b/crates/wax-agent/tests/boots.rs
@@ -1,9 +1,9 @@
-//! Which boot of a worker is driven.
+//! Registry of a worker's boots: which check-ins lead to a verification, and which are ignored.
 
 use wax_agent::{BootRegistry, BootReport, CandidateAction, CheckInAction};
 use wax_batch::{BootId, WorkerState, WorkerView};
 
-/// A boot that doesn't tell its start time.
+/// Boot whose check-ins state no start time.
 fn boot(id: &str) -> BootId {
     id.into()
 }
@@ -26,7 +26,8 @@
     report_of(boot(id), sequence)
 }
 
-/// A second registration counts all that runs there as lost: a task then ran twice.
+/// Guards against a second registration of an active boot: all its runs would count as lost, and
+/// their tasks would run twice.
 #[test]
 fn check_in_during_verification_updates_the_registered_boot() {
     let mut registry = BootRegistry::default();
@@ -96,7 +97,8 @@
     assert!(registry.has_ended(&boot("a")));
 }
 
-/// Check-ins are numbered from 1 again.
+/// Check-ins of the new boot are numbered from 1 again, so that they look older than those of the
+/// boot before.
 #[test]
 fn restart_under_the_same_id_is_a_new_boot() {
     let mut registry = BootRegistry::default();
@@ -112,7 +114,7 @@
     );
 }
 
-/// The time of day may have stepped back between the two starts.
+/// The wall clock may have stepped back between the two starts.
 #[test]
 fn restart_with_an_earlier_start_time_is_verified() {
     let mut registry = BootRegistry::default();
@@ -161,15 +163,15 @@
     assert!(registry.needs_higher_token(&next, 7));
     assert!(
         !registry.needs_higher_token(&next, 8),
-        "the token has risen"
+        "the token is higher than that of the earlier orders"
     );
     assert!(
         !registry.needs_higher_token(&before, 7),
-        "it is verified anew"
+        "the same boot is verified again"
     );
     assert!(
         !registry.needs_higher_token(&boot("b"), 7),
-        "its orders name its id"
+        "orders name the worker id, which is another one"
     );
 }
 
--- a/crates/wax-agent/tests/crashes.rs
+++ b/crates/wax-agent/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Which ends of a worker are crashes, and who is told of them.
+//! Which ends of a boot count as crashes, and how long new owners get them.
 
 use std::time::Duration;
 use wax_agent::CrashLog;
@@ -43,7 +43,7 @@
 fn boot_that_ended_without_leaving_is_reported_as_crashed_for_a_limited_time() {
     let mut log = CrashLog::default();
     let crash = log.note_ended(&view("i-1", WorkerState::Ready), &[lost_run()], at(0));
-    let crash = crash.expect("it crashed");
+    let crash = crash.expect("the boot counts as crashed");
     assert_eq!(LostRun::from(&crash.runs[0]), lost_run());
     assert_eq!(reported_workers(&log, 9_000), ["i-1"]);
     assert!(reported_workers(&log, 11_000).is_empty());
@@ -66,17 +66,19 @@
     assert_eq!(
         log.note_active(&boot("i-1"), at(10)),
         None,
-        "it was only silent"
+        "the same boot is active again"
     );
     log.note_expired(&silent, vec![lost_run()]);
     log.note_left(&boot("i-1"));
     assert_eq!(
         log.note_active(&boot("i-2"), at(20)),
         None,
-        "it said that it ends"
+        "the boot announced its end"
     );
     log.note_expired(&silent, vec![lost_run()]);
-    let crash = log.note_active(&boot("i-2"), at(30)).expect("it crashed");
+    let crash = log
+        .note_active(&boot("i-2"), at(30))
+        .expect("the boot counts as crashed");
     assert_eq!(crash.worker, "i-1");
 }
 
@@ -100,6 +102,8 @@
     };
     log.note_expired(&silent, vec![lost_run()]);
     let after = BootId::new("i-1", Some(2_000));
-    let crash = log.note_active(&after, at(10)).expect("it crashed");
+    let crash = log
+        .note_active(&after, at(10))
+        .expect("the boot counts as crashed");
     assert_eq!(crash.boot(), before);
 }
--- a/crates/wax-agent/tests/guards.rs
+++ b/crates/wax-agent/tests/guards.rs
@@ -1,4 +1,4 @@
-//! The agent's guards: capacity, leases, and runs whose fate is unknown.
+//! Admission by capacity, expiry of leases, and runs with unanswered starts or stops.
 
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -117,7 +117,7 @@
         Ok(())
     );
     table.mark_stopping(run_id(0, 1));
-    // The hold under way may have been answered before the stop.
+    // The hold in progress may have been answered before the stop.
     table.mark_stopped(run_id(0, 1), 3);
     assert!(table.reconcile(&[], &[], 3).never_started.is_empty());
     assert_eq!(
@@ -152,7 +152,7 @@
     assert_eq!(
         table.reconcile(&[], &ended, 2).ended.len(),
         0,
-        "until it is acknowledged it is listed again"
+        "an end is listed again until it is acknowledged"
     );
 }
 
@@ -163,7 +163,7 @@
     assert_eq!(reserved, Ok(()));
     let reserved = table.reserve(run_id(1, 1), placement(1), &view(1_000), at(500));
     assert_eq!(reserved, Ok(()));
-    // A process before this one started it.
+    // An earlier agent process started this run.
     table.reconcile(&[report(run_id(2, 1))], &[], 1);
     let mut lost = table.lost_runs(at(300));
     lost.sort_by_key(|lost| lost.mark.task.index);
@@ -193,11 +193,12 @@
     let authority = at(1_000_000);
     assert!(lease.extend(at(10), authority, &rules).is_some());
     let mut now = at(10);
-    // Every try of a hold asks for an extension; none may push the bound away for ever.
+    // Each attempt of a hold asks for an extension. Failed attempts must not move the end of the
+    // leases forward for ever.
     while !lease.has_expired(now) {
         now = now + Duration::from_millis(60);
         lease.extend(now, authority, &rules);
-        assert!(now < at(6_000), "leases never lapse");
+        assert!(now < at(6_000), "leases do not expire");
     }
     assert!(now.since(at(0)) >= rules.length);
 }
@@ -210,7 +211,10 @@
     let authority = at(0);
     let mut now = at(0);
     let last = loop {
-        assert!(now < at(60_000), "leases are extended without an owner");
+        assert!(
+            now < at(60_000),
+            "leases are extended without an owner's authority"
+        );
         lease.note_clock(now, 5_000 + now.since(at(0)).as_millis() as u64);
         match lease.extend(now, authority, &rules) {
             Some(until) => now = now + Duration::from_millis((until - 5_000) % 7 + 100),
@@ -222,7 +226,7 @@
     assert!(lease.bound() <= authority + rules.grace + slowdown + Duration::from_millis(2));
 }
 
-/// A stopped run that a later hold omits never began.
+/// Removes runs that never started: their stop was answered, and a later hold did not list them.
 fn remove_never_started(actual: &mut BTreeMap<u32, u32>, never_started: &[RunMark]) {
     for run_id in never_started {
         actual.remove(&run_id.task.index);
@@ -255,7 +259,7 @@
 }
 
 proptest! {
-    /// Whatever is answered, lost, late or repeated: the worker is never given more than it has.
+    /// Answers may be lost, late or repeated: reservations must still not exceed the capacity.
     #[test]
     fn reservations_never_exceed_the_capacity(steps in prop::collection::vec(table_step(), 1..80)) {
         let mut table = RunTable::default();
@@ -271,7 +275,7 @@
                 }
                 TableStep::Answer(index) => table.mark_running(run_id(index, 1)),
                 TableStep::Refuse(index) => {
-                    // A refusal is final: it only comes for a start that is not answered yet.
+                    // A refusal is final: it is only sent for a start that has not been answered.
                     if table.state(run_id(index, 1)) == Some(RunState::Starting) {
                         table.remove(run_id(index, 1));
                         actual.remove(&index);
@@ -307,7 +311,7 @@
                 }
             }
             let given: u32 = actual.values().sum();
-            prop_assert!(given <= 1_000, "given {given}");
+            prop_assert!(given <= 1_000, "reserved {given} of 1000");
         }
     }
 }
@@ -318,7 +322,10 @@
     let reserved = table.reserve(run_id(0, 1), placement(1_000), &view(1_000), at(0));
     assert_eq!(reserved, Ok(()));
     table.mark_running(run_id(0, 1));
-    assert!(table.has_unlisted(), "an answer does not tell the boot");
+    assert!(
+        table.has_unlisted(),
+        "an answer does not show which boot started the run"
+    );
     table.reconcile(&[report(run_id(0, 1))], &[], 1);
     assert!(!table.has_unlisted());
 }
--- a/crates/wax-agent/tests/interference.rs
+++ b/crates/wax-agent/tests/interference.rs
@@ -1,4 +1,5 @@
-//! Presses are learned from recorded looks, and nobody is blamed for what he did not do.
+//! Learning of interference from recorded and generated samples: changes of load that have other
+//! causes must not be attributed to best-effort images.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -8,21 +9,21 @@
 use wax_policy::PaceRules;
 use wax_types::TimePoint;
 
-/// One look at a worker, as the users' bench showed it: see `docs/REPLAY.md`.
+/// Sample of a worker, as recorded on the users' benchmark site: see `docs/REPLAY.md`.
 #[derive(Debug, Deserialize)]
 struct RecordedSample {
     ms: u64,
     worker: Box<str>,
-    /// Task, image, tail as a share of its target.
+    /// Task, image, and tail latency divided by its target.
     serving: Vec<(Box<str>, Box<str>, f64)>,
-    /// Image, cores in use, cores wanted.
+    /// Image, cores in use, and cores requested.
     filling: Vec<(Box<str>, f64, f64)>,
 }
 
 fn run_id(task: &str) -> RunMark {
     let mut parts = task.split('.');
     let mut next = || parts.next().expect("a task has four parts");
-    let job = next().parse::<JobName>().expect("a job's name");
+    let job = next().parse::<JobName>().expect("a job name");
     let mut number = || next().parse::<u32>().expect("a number");
     RunMark {
         task: TaskName {
@@ -66,7 +67,7 @@
     let rules = PaceRules::default();
     let mut controls: BTreeMap<Box<str>, PaceControl> = BTreeMap::new();
     for line in text.lines() {
-        let sample: RecordedSample = serde_json::from_str(line).expect("a look");
+        let sample: RecordedSample = serde_json::from_str(line).expect("a recorded sample");
         let now = TimePoint::from_millis(100_000 + sample.ms);
         let control = controls.entry(sample.worker.clone()).or_default();
         control.update(&sample.pace_sample(), now, &rules);
@@ -76,8 +77,8 @@
 
 const RECORDED_SAMPLES: &str = include_str!("../../../examples/traces/presses/riveneige.jsonl");
 
-/// Three workers through 34 seconds in which the own loads swing by half every 20 seconds. What
-/// the presses are is known from all workers of that day (`docs/MEASURES.md`).
+/// Replays three workers for 34 seconds, in which baseline loads vary by half every 20 seconds. The
+/// actual interference is known from all workers of this day (`docs/MEASURES.md`).
 macro_rules! recorded {
     ($($name:ident: $worker:literal, $serving:literal, $filling:literal => $range:expr;)*) => {$(
         #[test]
@@ -97,7 +98,8 @@
     light_image_is_learned_as_light_on_another_worker: "c-2", "1ce6c8", "8d13e9" => 0.0..0.06;
 }
 
-/// Six runs of an image with one own load; every eighth look one of them is slow by itself.
+/// Six runs of an image have the same baseline load; in every eighth sample one of them is slow for
+/// a reason of its own. This must not count as interference.
 #[test]
 fn slow_run_alone_teaches_no_interference() {
     let rules = PaceRules::default();
@@ -130,7 +132,7 @@
     assert!(interference < 0.02, "{interference}");
 }
 
-/// A core of `heavy` presses by 0.2; it works for four looks, then stands still for four.
+/// Each core of `heavy` causes interference of 0.2; it runs for four samples, then stops for four.
 #[test]
 fn interference_is_learned_after_a_few_changes() {
     let rules = PaceRules::default();
@@ -140,7 +142,7 @@
     for sample_number in 0..20_u64 {
         let cores = if sample_number / 4 % 2 == 0 { 0.1 } else { 3.0 };
         let load = 0.4 * (1.0 + 0.2 * cores);
-        // As the users' workers do it: a figure keeps a share of the one before.
+        // As on the users' workers, a reported tail latency keeps a share of the one before.
         reported_ratio = 0.27 * reported_ratio + 0.73 * 0.17 / (1.0 - load);
         let sample = RecordedSample {
             ms: 0,
@@ -159,8 +161,9 @@
     assert!((0.15..0.25).contains(&interference), "{interference}");
 }
 
-/// A worker hangs for two seconds, twice: nothing works, tails are hundreds of times their target.
-/// Then all is as before. What presses is not taken as innocent for that.
+/// A worker is suspended for two seconds, twice: no task runs, and tail latencies are hundreds of
+/// times their targets. Afterwards all is as before. Without the check for stalls the known
+/// interference of `heavy` would be unlearned.
 #[test]
 fn suspended_worker_teaches_nothing() {
     let rules = PaceRules::default();
--- a/crates/wax-agent/tests/pacing.rs
+++ b/crates/wax-agent/tests/pacing.rs
@@ -1,4 +1,4 @@
-//! Tasks that fill give way to tasks that serve, and only where they press.
+//! Best-effort images are throttled for serving runs, but only if they cause interference.
 
 use std::time::Duration;
 use wax_agent::{BestEffortSample, PaceControl, PaceSample, ServingSample};
@@ -38,7 +38,7 @@
     }
 }
 
-/// The tail of a serving task with this own load beside fills that press on it.
+/// Tail latency, divided by its target, of a serving run with this baseline load and interference.
 fn tail_ratio(baseline_load: f64, interference: f64) -> f64 {
     0.17 / (1.0 - (baseline_load * (1.0 + interference)).min(0.98))
 }
@@ -63,7 +63,8 @@
         self.control.update(sample, self.now, &self.rules);
     }
 
-    /// Half a second of a worker on which `heavy` presses with 0.3 a core and `light` not at all.
+    /// Simulates half a second of a worker on which each core of `heavy` causes interference of
+    /// 0.3, and `light` causes none.
     fn simulate(&mut self, baseline_load: f64) -> f64 {
         let pace = |image: &str| f64::from(self.control.pace_percent(image)) / 100.0;
         let (heavy, light) = (4.0 * pace("heavy"), 4.0 * pace("light"));
@@ -152,7 +153,10 @@
         );
         world.apply(&sample(1.2, &[("sly", 2.0, 2.0)]));
         samples += 1;
-        assert!(samples <= 4, "longer than two seconds over its target");
+        assert!(
+            samples <= 4,
+            "tail latency over its target for more than two seconds"
+        );
     }
 }
 
@@ -178,7 +182,8 @@
     );
 }
 
-/// After an overload the figure fades by 0.27 each half second; what is over holds nobody back.
+/// After an overload each reported tail latency still contains 0.27 of the one before. This
+/// remainder must not throttle best-effort images.
 #[test]
 fn decaying_tail_is_not_taken_for_load() {
     let mut world = World::new();
@@ -194,7 +199,7 @@
     world.apply(&sample(reported_ratio, &[("heavy", 3.0, 3.0)]));
     assert!(
         world.control.pace_percent("heavy") <= 5,
-        "an alarm stops what presses"
+        "a saturated load stops images that cause interference"
     );
     for _ in 0..4 {
         reported_ratio = 0.27 * reported_ratio + 0.73 * tail_ratio(0.4, 0.0);
@@ -203,6 +208,6 @@
     assert_eq!(
         world.control.pace_percent("heavy"),
         100,
-        "its press of 0.45 is borne"
+        "an interference of 0.45 is within the headroom"
     );
 }
--- a/crates/wax-agent/tests/pending_updates.rs
+++ b/crates/wax-agent/tests/pending_updates.rs
@@ -1,4 +1,4 @@
-//! What waits for the next heartbeat, and what must not be told any more.
+//! Updates that wait for the next heartbeat, and updates that must be dropped.
 
 use wax_agent::PendingUpdates;
 use wax_batch::{JobName, RunEnd, RunEndKind, RunMark, RunReport, StartRefusal, TaskName};
@@ -33,7 +33,7 @@
     }
 }
 
-/// Runs 1 and 2 were started and go on.
+/// Updates by which runs 1 and 2 have started and made progress.
 fn pending() -> PendingUpdates {
     let mut updates = PendingUpdates::default();
     for index in [1, 2] {
@@ -52,7 +52,7 @@
 #[test]
 fn updates_are_taken_once() {
     let mut updates = pending();
-    let (started, progressed) = decode(&updates.take().expect("there are news"));
+    let (started, progressed) = decode(&updates.take().expect("there are updates"));
     assert_eq!(started, [run_id(1), run_id(2)]);
     assert_eq!(progressed, [report(1, 10), report(2, 10)]);
     assert_eq!(updates.take(), None);
@@ -62,7 +62,7 @@
 fn later_report_replaces_an_earlier_one() {
     let mut updates = pending();
     updates.note_progress(report(1, 60));
-    let (_, progressed) = decode(&updates.take().expect("there are news"));
+    let (_, progressed) = decode(&updates.take().expect("there are updates"));
     assert_eq!(progressed, [report(1, 60), report(2, 10)]);
 }
 
@@ -76,7 +76,8 @@
 macro_rules! ended_cases {
     ($($name:ident: $updates:expr;)*) => {
         $(
-            /// Taken after the end, the progress would seat the run anew.
+            /// An owner that gets progress after the end of a run would reserve resources for it
+            /// again.
             #[test]
             fn $name() {
                 let (started, progressed) = decode(&pending().merge_into($updates));
