--- a/crates/wax-agent/src/boot_change.rs
+++ b/crates/wax-agent/src/boot_change.rs
@@ -30,12 +30,16 @@
         ack_cursor: 0,
         wait_ms: 0,
     };
-    let said = &report.view.boot;
-    match state.worker.hold(said, &request, HOLD_TIMEOUT).await {
+    let reported_boot = &report.view.boot;
+    match state
+        .worker
+        .hold(reported_boot, &request, HOLD_TIMEOUT)
+        .await
+    {
         Ok(Ok(reply)) => register_boot(state, report, &reply),
-        Ok(Err(WorkerRefusal::OtherBoot)) => reject_candidate(state, said),
-        Ok(Err(refusal)) => tracing::warn!(worker = %said, ?refusal, "first hold refused"),
-        Err(error) => tracing::warn!(worker = %said, %error, "first hold failed"),
+        Ok(Err(WorkerRefusal::OtherBoot)) => reject_candidate(state, reported_boot),
+        Ok(Err(refusal)) => tracing::warn!(worker = %reported_boot, ?refusal, "first hold refused"),
+        Err(error) => tracing::warn!(worker = %reported_boot, %error, "first hold failed"),
     }
 }
 
@@ -43,13 +47,13 @@
 /// checked in.
 fn register_boot(state: &Rc<AgentState>, report: BootReport, reply: &HoldReply) {
     let BootReport { view, sequence } = report;
-    let said = view.boot.clone();
-    let answers = BootId::new(said.worker_id(), reply.started_ms);
-    if answers.is_other_boot(&said) {
-        reject_candidate(state, &said);
+    let reported_boot = view.boot.clone();
+    let answering_boot = BootId::new(reported_boot.worker_id(), reply.started_ms);
+    if answering_boot.is_other_boot(&reported_boot) {
+        reject_candidate(state, &reported_boot);
         return;
     }
-    let boot = said.or_started(reply.started_ms);
+    let boot = reported_boot.or_started(reply.started_ms);
     let active = state.active_boot();
     if active.as_ref().is_some_and(|active| active.may_be(&boot)) {
         state.update_boot(BootReport { view, sequence });
--- a/crates/wax-agent/src/boots.rs
+++ b/crates/wax-agent/src/boots.rs
@@ -91,7 +91,7 @@
 
     /// Records that orders with this fencing token are sent to the boot.
     pub fn note_token(&mut self, boot: &BootId, token: u64) {
-        self.last_tokens.retain(|_, (_, known)| *known == token);
+        self.last_tokens.retain(|_, (_, last)| *last == token);
         self.last_tokens
             .insert(boot.worker_id().into(), (boot.clone(), token));
     }
@@ -100,7 +100,7 @@
     /// that arrive late would be accepted by the new boot, unless it gets a higher token first.
     pub fn needs_higher_token(&self, boot: &BootId, token: u64) -> bool {
         let last_token = self.last_tokens.get(boot.worker_id());
-        last_token.is_some_and(|(known, used)| *used == token && known.is_other_boot(boot))
+        last_token.is_some_and(|(last_boot, last)| *last == token && last_boot.is_other_boot(boot))
     }
 
     /// Records that the boot has ended; its late check-ins are ignored from now on.
--- a/crates/wax-agent/src/check_ins.rs
+++ b/crates/wax-agent/src/check_ins.rs
@@ -51,7 +51,7 @@
             view: self.state.with_own_domain(report.view),
             sequence: report.sequence,
         };
-        let said = report.view.boot.clone();
+        let reported_boot = report.view.boot.clone();
         let active = self.state.active_boot();
         let step = self
             .state
@@ -60,7 +60,7 @@
             .check_in(report, active.as_ref());
         match step {
             CheckInAction::Ignore => {
-                tracing::info!(worker = %said, "ignored late check-in of an ended boot")
+                tracing::info!(worker = %reported_boot, "ignored late check-in of an ended boot")
             }
             CheckInAction::Update(report) => self.state.update_boot(report),
             CheckInAction::Verify => {
@@ -73,16 +73,16 @@
     /// Handles a leave message, with which the worker announces its end. It is passed on to the
     /// owner even for a boot that was never active here, since the owner may be waiting for its
     /// end.
-    fn leave(&self, said: &BootId) {
+    fn leave(&self, leaving_boot: &BootId) {
         let active = self
             .state
             .active_boot()
-            .filter(|active| active.may_be(said));
-        if active.is_some() && !self.state.is_leave_of_active(said) {
-            tracing::warn!(worker = %said, "ignored leave message that may come from an earlier boot");
+            .filter(|active| active.may_be(leaving_boot));
+        if active.is_some() && !self.state.is_leave_of_active(leaving_boot) {
+            tracing::warn!(worker = %leaving_boot, "ignored leave message that may come from an earlier boot");
             return;
         }
-        let boot = active.as_ref().unwrap_or(said);
+        let boot = active.as_ref().unwrap_or(leaving_boot);
         self.state.boots.borrow_mut().note_ended(boot);
         let left = self
             .state
--- a/crates/wax-agent/src/lease.rs
+++ b/crates/wax-agent/src/lease.rs
@@ -39,7 +39,10 @@
 impl LeaseClock {
     /// Records a reading of the worker's clock from an answer that has just arrived.
     pub fn note_clock(&mut self, now: TimePoint, clock_ms: u64) {
-        if self.last_reading.is_none_or(|(_, known)| clock_ms >= known) {
+        if self
+            .last_reading
+            .is_none_or(|(_, last_ms)| clock_ms >= last_ms)
+        {
             self.last_reading = Some((now, clock_ms));
         }
     }
--- a/crates/wax-agent/src/owner_link.rs
+++ b/crates/wax-agent/src/owner_link.rs
@@ -308,13 +308,13 @@
             let until = TimePoint(grant.sent_us) + Duration::from_millis(grant.valid_ms);
             state.apply_grant(until);
         }
-        PoolBody::WorkerKept(kept) => mark_reconciled(state, &kept),
+        PoolBody::WorkerKept(message) => mark_reconciled(state, &message),
         PoolBody::Start(order) => state.handle_start(order),
         PoolBody::Stop(order) => state.handle_stop(RunMark::from(&order.mark)),
         PoolBody::Ack(ack) => {
             let mut boot = state.boot.borrow_mut();
-            let meant = ack.boot();
-            if let Some(boot) = boot.as_mut().filter(|boot| boot.view.boot.may_be(&meant)) {
+            let target = ack.boot();
+            if let Some(boot) = boot.as_mut().filter(|boot| boot.view.boot.may_be(&target)) {
                 boot.ack_cursor = boot.ack_cursor.max(ack.cursor);
             }
         }
@@ -330,13 +330,13 @@
     }
 }
 
-fn mark_reconciled(state: &AgentState, kept: &WorkerKept) {
-    let meant = kept.boot();
+fn mark_reconciled(state: &AgentState, message: &WorkerKept) {
+    let target = message.boot();
     let mut boot = state.boot.borrow_mut();
-    let Some(boot) = boot.as_mut().filter(|boot| boot.view.boot.may_be(&meant)) else {
+    let Some(boot) = boot.as_mut().filter(|boot| boot.view.boot.may_be(&target)) else {
         return;
     };
-    for placement in &kept.seats {
+    for placement in &message.seats {
         boot.table
             .set_placement(RunMark::from(&placement.mark), placement.into());
     }
--- a/crates/wax-agent/src/pace.rs
+++ b/crates/wax-agent/src/pace.rs
@@ -306,12 +306,12 @@
     fn learn_interference(&mut self, run_loads: &[RunLoad<'_>], cores: &CoreUse, span: Duration) {
         let mut changes: BTreeMap<&str, Vec<(f64, f64, f64)>> = BTreeMap::new();
         for run_load in run_loads {
-            let known = self.loads.get(&run_load.run.run_id);
-            if let Some(known) = known
-                .filter(|known| run_load.run.tail_ratio.max(known.tail_ratio) < STALL_TAIL_RATIO)
-            {
-                let growth = (run_load.load / known.last_load).ln();
-                let change = (growth, known.last_load, run_load.load);
+            let serving_load = self.loads.get(&run_load.run.run_id);
+            if let Some(serving_load) = serving_load.filter(|serving_load| {
+                run_load.run.tail_ratio.max(serving_load.tail_ratio) < STALL_TAIL_RATIO
+            }) {
+                let growth = (run_load.load / serving_load.last_load).ln();
+                let change = (growth, serving_load.last_load, run_load.load);
                 changes.entry(&run_load.run.image).or_default().push(change);
             }
         }
@@ -347,25 +347,27 @@
         rules: &PaceRules,
     ) {
         let baseline_load = run_load.load / (1.0 + self.pairs.press_on(&run_load.run.image, cores));
-        let known = self
+        let serving_load = self
             .loads
             .entry(run_load.run.run_id)
             .or_insert_with(|| ServingLoad::new(baseline_load, run_load.run.tail_ratio));
-        known.track_tail(run_load.run.tail_ratio, now, rules);
-        known.last_load = run_load.load;
-        known.tail_ratio = run_load.run.tail_ratio;
+        serving_load.track_tail(run_load.run.tail_ratio, now, rules);
+        serving_load.last_load = run_load.load;
+        serving_load.tail_ratio = run_load.run.tail_ratio;
         if run_load.load >= SATURATED_LOAD {
-            known.saturated_at = now;
+            serving_load.saturated_at = now;
             // At a saturated load the tail latency only bounds the load from below.
-            known.baseline_load = known.baseline_load.max(baseline_load).min(MAX_LOAD);
+            serving_load.baseline_load =
+                serving_load.baseline_load.max(baseline_load).min(MAX_LOAD);
         } else {
-            let rate = if baseline_load > known.baseline_load {
+            let rate = if baseline_load > serving_load.baseline_load {
                 1.0
             } else {
                 rules.own_rate
             };
-            known.baseline_load =
-                (known.baseline_load + rate * (baseline_load - known.baseline_load)).max(MIN_LOAD);
+            serving_load.baseline_load = (serving_load.baseline_load
+                + rate * (baseline_load - serving_load.baseline_load))
+                .max(MIN_LOAD);
         }
     }
 
--- a/crates/wax-agent/src/process.rs
+++ b/crates/wax-agent/src/process.rs
@@ -39,8 +39,8 @@
     let drain_rules = DrainRules {
         bound: pool.drain_bound(),
     };
-    let machine = (&*settings.name, &*settings.failure_domain);
-    let state = Rc::new(new_state(machine, worker, pace_rules, drain_rules));
+    let vm = (&*settings.name, &*settings.failure_domain);
+    let state = Rc::new(new_state(vm, worker, pace_rules, drain_rules));
     let listener = bind_listener(check_ins)?;
     let handler = Rc::new(CheckInHandler {
         state: state.clone(),
--- a/crates/wax-agent/src/run_table.rs
+++ b/crates/wax-agent/src/run_table.rs
@@ -179,11 +179,11 @@
                 updates.progressed.push(report.clone());
             }
         }
-        let known = ended
+        let repeated = ended
             .iter()
             .filter(|end| end.number <= self.last_end_number);
-        let known = known.filter(|end| self.entries.contains_key(&end.mark));
-        updates.skipped_ends = known.map(|end| end.mark).collect();
+        let repeated = repeated.filter(|end| self.entries.contains_key(&end.mark));
+        updates.skipped_ends = repeated.map(|end| end.mark).collect();
         for end in ended.iter().filter(|end| end.number > self.last_end_number) {
             self.entries.remove(&end.mark);
             updates.ended.push(end.clone());
--- a/crates/wax-agent/src/state.rs
+++ b/crates/wax-agent/src/state.rs
@@ -196,20 +196,20 @@
 
     /// Replaces the failure domain that the worker reports by that of the VM. With a wrong or
     /// missing name the worker would get starts while its failure domain is drained.
-    pub(crate) fn with_own_domain(&self, said: WorkerView) -> WorkerView {
-        let is_elsewhere = said.failure_domain != self.failure_domain;
-        if is_elsewhere && *self.warned_domain_boot.borrow() != said.boot {
-            *self.warned_domain_boot.borrow_mut() = said.boot.clone();
+    pub(crate) fn with_own_domain(&self, reported: WorkerView) -> WorkerView {
+        let is_other_domain = reported.failure_domain != self.failure_domain;
+        if is_other_domain && *self.warned_domain_boot.borrow() != reported.boot {
+            *self.warned_domain_boot.borrow_mut() = reported.boot.clone();
             tracing::warn!(
-                worker = %said.boot,
-                said = %said.failure_domain,
+                worker = %reported.boot,
+                said = %reported.failure_domain,
                 machine = %self.failure_domain,
                 "worker reports another failure domain than its VM"
             );
         }
         WorkerView {
             failure_domain: self.failure_domain.clone(),
-            ..said
+            ..reported
         }
     }
 
@@ -276,12 +276,14 @@
     /// Returns whether a leave message is known to come from the active boot. A message without a
     /// start time may be a late call of an earlier boot, unless the active boot has reported that
     /// it is draining, as workers do before they leave.
-    pub(crate) fn is_leave_of_active(&self, said: &BootId) -> bool {
+    pub(crate) fn is_leave_of_active(&self, leaving_boot: &BootId) -> bool {
         let boot = self.boot.borrow();
         boot.as_ref().is_some_and(|boot| {
             let is_draining = boot.view.state == WorkerState::Draining;
-            let is_same_start = said.started_ms() == boot.view.boot.started_ms();
-            !boot.is_replaced && boot.view.boot.may_be(said) && (is_same_start || is_draining)
+            let is_same_start = leaving_boot.started_ms() == boot.view.boot.started_ms();
+            !boot.is_replaced
+                && boot.view.boot.may_be(leaving_boot)
+                && (is_same_start || is_draining)
         })
     }
 
@@ -311,17 +313,20 @@
         if before.state != boot.view.state {
             tracing::info!(worker = %boot.view.boot, state = ?boot.view.state, "worker state changed");
         }
-        let (had, has) = (before.capacity, boot.view.capacity);
-        if had != has {
+        let (old_capacity, new_capacity) = (before.capacity, boot.view.capacity);
+        if old_capacity != new_capacity {
             tracing::info!(
                 worker = %boot.view.boot,
-                cpu_milli = has.cpu_milli,
-                memory_mb = has.memory_mb,
-                accelerators = has.accelerators,
+                cpu_milli = new_capacity.cpu_milli,
+                memory_mb = new_capacity.memory_mb,
+                accelerators = new_capacity.accelerators,
                 "worker capacity changed"
             );
         }
-        if before.state != boot.view.state || before.cold_ms != boot.view.cold_ms || had != has {
+        if before.state != boot.view.state
+            || before.cold_ms != boot.view.cold_ms
+            || old_capacity != new_capacity
+        {
             self.send(PoolBody::WorkerChanged((&boot.reported_view()).into()));
         }
     }
--- a/crates/wax-front/src/cancel.rs
+++ b/crates/wax-front/src/cancel.rs
@@ -23,12 +23,12 @@
     job: JobName,
     limit: Duration,
 ) -> Result<Vec<StoredRow>, WaxError> {
-    let own = job_key(job);
+    let key = job_key(job);
     let end = format!("{}%00", cancel_key(job).key);
     let page = state
         .shared
         .store
-        .read(JOB_TABLE, &own.part, &own.key, &end, limit)
+        .read(JOB_TABLE, &key.part, &key.key, &end, limit)
         .await;
     state.note_store_answer(page.is_ok());
     Ok(page?.rows)
@@ -49,14 +49,14 @@
     loop {
         let time_left = deadline.since(shared.now());
         let rows = read_job_rows(state, job, time_left).await?;
-        let Some(own) = rows.iter().find(|row| row.key == job_key(job)) else {
+        let Some(job_row) = rows.iter().find(|row| row.key == job_key(job)) else {
             return Ok(CancelOutcome::NoJob);
         };
         if rows.iter().any(|row| row.key == cancel_key(job)) {
             return Ok(CancelOutcome::Cancelled);
         }
         let tx = TxRequest {
-            expect: vec![(job_key(job), own.version), (cancel_key(job), 0)],
+            expect: vec![(job_key(job), job_row.version), (cancel_key(job), 0)],
             writes: vec![RowWrite {
                 key: cancel_key(job),
                 value: b"1".to_vec(),
--- a/crates/wax-front/src/owner_link.rs
+++ b/crates/wax-front/src/owner_link.rs
@@ -34,10 +34,10 @@
     let mut hint = None;
     let mut round = 0_usize;
     loop {
-        let known = known_owner(&state);
+        let owner_address = known_owner(&state);
         let seed = nth_seed(&state, &seeds, round);
         round += 1;
-        let address = hint.take().or(known).or(seed);
+        let address = hint.take().or(owner_address).or(seed);
         match address.filter(|address| *address != state.shared.address) {
             Some(address) if should_seek_owner(&state) => {
                 hint = link_to_owner(&state, address).await;
@@ -205,13 +205,13 @@
 async fn wait_until_superseded(state: &FrontState, epoch: u64) {
     loop {
         let listener = state.shared.owner_changed.listen();
-        let known = state
+        let known_epoch = state
             .shared
             .owner
             .borrow()
             .as_ref()
             .map(|owner| owner.epoch);
-        if known.is_some_and(|known| known > epoch) {
+        if known_epoch.is_some_and(|known_epoch| known_epoch > epoch) {
             return;
         }
         listener.await;
@@ -299,9 +299,9 @@
             }
         }
         PoolBody::Relay(request) => relay_for_owner(state, request),
-        PoolBody::BootsDead(dead) => {
+        PoolBody::BootsDead(message) => {
             let mut ended = state.shared.gone.borrow_mut();
-            for boot in &dead.boots {
+            for boot in &message.boots {
                 ended.note(&boot.into());
             }
         }
