--- a/crates/wax-agent/src/lease.rs
+++ b/crates/wax-agent/src/lease.rs
@@ -6,7 +6,7 @@
 /// Durations of leases. The owner's takeover waits for the same durations.
 #[derive(Debug, Clone, Copy)]
 pub struct LeaseRules {
-    /// A lease is extended to this long after now.
+    /// Length of an extension: leases are extended to at most this long after now.
     pub length: Duration,
     /// Leases are extended up to this long after the end of the owner's authority.
     pub grace: Duration,
@@ -26,7 +26,7 @@
 /// Maximum age of the last reading of the worker's clock. A worker that has not answered for longer
 /// gets no extension: otherwise its leases could never be assumed to have expired.
 const MAX_READING_AGE: Duration = Duration::from_millis(1_000);
-/// Shorter extensions are not sent.
+/// Extensions that are shorter than this are not granted.
 const MIN_EXTENSION: Duration = Duration::from_millis(50);
 
 /// Last reading of the worker's clock, and the latest end of any lease.
--- a/crates/wax-agent/src/orders.rs
+++ b/crates/wax-agent/src/orders.rs
@@ -1,4 +1,4 @@
-//! Carries out the owner's orders; each is retried in a task of its own until its result is known.
+//! Carries out the owner's orders. Each runs in a task of its own until its result is known.
 
 use crate::pace::PaceChange;
 use crate::run_table::{PlacementInfo, RunState, RunTable};
--- a/crates/wax-agent/src/pace.rs
+++ b/crates/wax-agent/src/pace.rs
@@ -104,7 +104,7 @@
         }
         match self.mitigation_since {
             None if now.since(over_since) >= rules.bear => self.mitigation_since = Some(now),
-            Some(mitigation) if now.since(mitigation) >= rules.relief => {
+            Some(since) if now.since(since) >= rules.relief => {
                 self.mitigation_since = None;
                 self.over_target_since = Some(now);
                 self.mitigation_off_until = now + rules.cleared;
--- a/crates/wax-agent/src/state.rs
+++ b/crates/wax-agent/src/state.rs
@@ -33,7 +33,7 @@
 pub(crate) struct WorkerBoot {
     pub(crate) view: WorkerView,
     pub(crate) sequence: u64,
-    /// Start time by which answers of this boot are told from those of another boot under the same
+    /// Start time that distinguishes answers of this boot from those of another boot under the same
     /// worker id, in Unix milliseconds. `None` until the boot has sent one.
     pub(crate) answering_start_ms: Option<u64>,
     /// Number of consecutive holds that were not answered.
@@ -57,7 +57,7 @@
 }
 
 /// Number of consecutive unanswered holds from which on a worker counts as silent.
-const MAX_UNANSWERED_HOLDS: u32 = 2;
+const SILENT_AFTER_UNANSWERED_HOLDS: u32 = 2;
 
 impl WorkerBoot {
     /// Logs and counts each run that was lost with the boot, except for those in `on_next`, which
@@ -84,7 +84,9 @@
     /// answered.
     pub(crate) fn reported_view(&self) -> WorkerView {
         let mut view = self.view.clone();
-        if self.unanswered_holds >= MAX_UNANSWERED_HOLDS && view.state == WorkerState::Ready {
+        if self.unanswered_holds >= SILENT_AFTER_UNANSWERED_HOLDS
+            && view.state == WorkerState::Ready
+        {
             view.state = WorkerState::Silent;
         }
         view
@@ -146,7 +148,7 @@
     pub(crate) heartbeat_period: Cell<Duration>,
     /// Share of the jobs with best-effort tasks that are late, by the owner's last grant.
     pub(crate) overload: Cell<f64>,
-    /// Highest fencing token that any owner has given this agent.
+    /// Highest fencing token that any owner has given this agent; 0 before the first link.
     pub(crate) fencing_token: Cell<u64>,
     /// Notified when the driver has to check for a new boot or owner.
     pub(crate) changed: Event,
@@ -246,13 +248,13 @@
         if answered {
             boot.answered_at = self.now();
         }
-        let was_silent = boot.unanswered_holds >= MAX_UNANSWERED_HOLDS;
+        let was_silent = boot.unanswered_holds >= SILENT_AFTER_UNANSWERED_HOLDS;
         boot.unanswered_holds = if answered {
             0
         } else {
             boot.unanswered_holds + 1
         };
-        let is_silent = boot.unanswered_holds >= MAX_UNANSWERED_HOLDS;
+        let is_silent = boot.unanswered_holds >= SILENT_AFTER_UNANSWERED_HOLDS;
         if was_silent != is_silent {
             tracing::info!(worker = %active, silent = is_silent, "worker became silent or answers again");
             self.send(PoolBody::WorkerChanged((&boot.reported_view()).into()));
