--- a/crates/wax-agent/src/pace.rs
+++ b/crates/wax-agent/src/pace.rs
@@ -182,7 +182,7 @@
 /// was seen to cause up to 30 times the target, a suspension over 400 times.
 const STALL_TAIL_RATIO: f64 = 150.0;
 /// Weight from which on observations of a pair are sent to the owner.
-const MIN_REPORT_WEIGHT: f64 = 12.0;
+const MIN_REPORT_PRECISION: f64 = 12.0;
 /// Upper bound for headrooms.
 const MAX_HEADROOM: f64 = 10.0;
 
@@ -218,7 +218,7 @@
         let has_pairs = self
             .unsent_pairs
             .iter()
-            .any(|(.., interference)| interference.weight >= MIN_REPORT_WEIGHT);
+            .any(|(.., interference)| interference.weight >= MIN_REPORT_PRECISION);
         has_pairs || self.has_headroom_change()
     }
 
