--- a/crates/wax-agent/src/boot_change.rs
+++ b/crates/wax-agent/src/boot_change.rs
@@ -156,9 +156,9 @@
     }
 }
 
-/// Ends the replaced boot, except for the runs that are on the next boot. No `WorkerGone`
-/// is sent: the owner learns of the end from the next boot's run list. With an earlier message it
-/// would start the tasks of the runs on the next boot elsewhere.
+/// Ends the replaced boot, except for the runs that are on the next boot. The end has no message of
+/// its own: the owner learns of it from the next boot's run list. With a separate message it would
+/// start the tasks of the runs on the next boot elsewhere.
 fn end_replaced(state: &Rc<AgentState>, on_next: &[RunMark]) {
     let Some(ended) = state.boot.borrow_mut().take() else {
         return;
--- a/crates/wax-agent/src/pace.rs
+++ b/crates/wax-agent/src/pace.rs
@@ -4,9 +4,9 @@
 //! A serving run is modelled as a queue: at load `u` its tail latency is the tail latency without
 //! load divided by `1 - u`. Best-effort runs slow its work, so that `u` is its baseline load times
 //! one plus the interference. The interference is the sum over all best-effort images of the cores
-//! in use times the interference per core (`wax_policy::PressTable`). The baseline load is the load
-//! of the last samples without this interference. The pace of an image is the highest share of its
-//! processor time that keeps every predicted load below the target load.
+//! in use times the learned interference per core. The baseline load is the load of the last
+//! samples without this interference. The pace of an image is the highest share of its processor
+//! time that keeps every predicted load below the target load.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -181,7 +181,7 @@
 /// Tail latencies beyond this multiple of the target come from a suspended worker. Interference
 /// was seen to cause up to 30 times the target, a suspension over 400 times.
 const STALL_TAIL_RATIO: f64 = 150.0;
-/// Weight from which on observations of a pair are sent to the owner.
+/// Precision from which on observations of a pair are sent to the owner.
 const MIN_REPORT_PRECISION: f64 = 12.0;
 /// Upper bound for headrooms.
 const MAX_HEADROOM: f64 = 10.0;
