--- a/crates/wax-agent/src/check_ins.rs
+++ b/crates/wax-agent/src/check_ins.rs
@@ -53,12 +53,12 @@
         };
         let reported_boot = report.view.boot.clone();
         let active = self.state.active_boot();
-        let step = self
+        let action = self
             .state
             .boots
             .borrow_mut()
             .check_in(report, active.as_ref());
-        match step {
+        match action {
             CheckInAction::Ignore => {
                 tracing::info!(worker = %reported_boot, "ignored late check-in of an ended boot")
             }
