--- a/crates/wax-agent/src/check_ins.rs
+++ b/crates/wax-agent/src/check_ins.rs
@@ -1,6 +1,6 @@
-//! Check-ins of the worker on this machine.
+//! HTTP server for the check-ins of the worker on this VM.
 
-use crate::boots::{BootReport, CheckInStep};
+use crate::boots::{BootReport, CheckInAction};
 use crate::state::{AgentState, WorkerBoot};
 use http::StatusCode;
 use platform::{CheckInReply, CheckInRoute, decode_check_in, decode_leave, parse_check_in_path};
@@ -12,10 +12,10 @@
 use wax_types::{ErrorKind, Step, WaxError};
 use wax_wire::{AllRunsEnded, PoolBody};
 
-/// The longest report that is read, bytes.
-const REPORT_BYTES: usize = 1 << 20;
+/// Maximum size of a check-in's body.
+const MAX_REPORT_BYTES: usize = 1 << 20;
 
-/// Answers the worker's calls.
+/// Handles check-ins and leave messages of the worker.
 pub(crate) struct CheckInHandler {
     pub(crate) state: Rc<AgentState>,
 }
@@ -25,7 +25,7 @@
         let route = parse_check_in_path(request.method(), request.uri().path());
         match route {
             None => empty_reply(StatusCode::NOT_FOUND),
-            Some(CheckInRoute::Leave(id)) => match collect_body(request, REPORT_BYTES).await {
+            Some(CheckInRoute::Leave(id)) => match collect_body(request, MAX_REPORT_BYTES).await {
                 Ok(body) => {
                     self.leave(&decode_leave(&id, &body));
                     empty_reply(StatusCode::OK)
@@ -42,53 +42,60 @@
 
 impl CheckInHandler {
     async fn report(&self, id: &str, request: HttpRequest) -> Result<(), WaxError> {
-        let body = collect_body(request, REPORT_BYTES).await?;
+        let body = collect_body(request, MAX_REPORT_BYTES).await?;
         let report = decode_check_in(id, &body).map_err(|error| {
             WaxError::new(ErrorKind::Invalid, Step::ParseRequest, id, error)
                 .with_help("send a worker's report as the platform's pages describe it")
         })?;
         let report = BootReport {
-            view: self.state.place_worker(report.view),
+            view: self.state.with_own_domain(report.view),
             sequence: report.sequence,
         };
-        let said = report.view.boot.clone();
-        let driven = self.state.driven();
-        let step = self
+        let reported_boot = report.view.boot.clone();
+        let active = self.state.active_boot();
+        let action = self
             .state
             .boots
             .borrow_mut()
-            .check_in(report, driven.as_ref());
-        match step {
-            CheckInStep::Dead => tracing::info!(worker = %said, "late check-in of a dead boot"),
-            CheckInStep::Update(report) => self.state.update_boot(report),
-            CheckInStep::Verify => {
+            .check_in(report, active.as_ref());
+        match action {
+            CheckInAction::Ignore => {
+                tracing::info!(worker = %reported_boot, "ignored late check-in of an ended boot")
+            }
+            CheckInAction::Update(report) => self.state.update_boot(report),
+            CheckInAction::Verify => {
                 self.state.changed.notify(usize::MAX);
             }
         }
         Ok(())
     }
 
-    /// The worker's word that it ends; the owner may wait for a boot that this process never drove.
-    fn leave(&self, said: &BootId) {
-        let driven = self.state.driven().filter(|driven| driven.may_match(said));
-        if driven.is_some() && !self.state.takes_leave(said) {
-            tracing::warn!(worker = %said, "leave that may be of an earlier boot is passed over");
+    /// Handles a leave message, with which the worker announces its end. It is passed on to the
+    /// owner even for a boot that was never active here, since the owner may be waiting for its
+    /// end.
+    fn leave(&self, leaving_boot: &BootId) {
+        let active = self
+            .state
+            .active_boot()
+            .filter(|active| active.may_match(leaving_boot));
+        if active.is_some() && !self.state.is_leave_of_active(leaving_boot) {
+            tracing::warn!(worker = %leaving_boot, "ignored leave message that may come from an earlier boot");
             return;
         }
-        let boot = driven.as_ref().unwrap_or(said);
-        self.state.boots.borrow_mut().bury(boot);
+        let boot = active.as_ref().unwrap_or(leaving_boot);
+        self.state.boots.borrow_mut().note_ended(boot);
         let left = self
             .state
             .boot
             .borrow_mut()
-            .take_if(|life: &mut WorkerBoot| life.view.boot == *boot);
-        tracing::info!(worker = %boot, driven = left.is_some(), "worker has left");
+            .take_if(|boot_state: &mut WorkerBoot| boot_state.view.boot == *boot);
+        tracing::info!(worker = %boot, driven = left.is_some(), "worker left");
         self.state.crashes.borrow_mut().note_left(boot);
         if let Some(left) = left {
-            left.lose_runs(self.state.now(), &[]);
+            left.log_lost_runs(self.state.now(), &[]);
         }
         self.state
-            .tell(PoolBody::AllRunsEnded(AllRunsEnded::new(boot, true)));
+            .send(PoolBody::AllRunsEnded(AllRunsEnded::new(boot, true)));
         self.state.changed.notify(usize::MAX);
     }
 }
--- a/crates/wax-agent/src/lease.rs
+++ b/crates/wax-agent/src/lease.rs
@@ -1,83 +1,88 @@
-//! How long the worker's leases may be extended, and when they have surely lapsed.
+//! How far the worker's leases may be extended, and when they are known to have expired.
 
 use std::time::Duration;
 use wax_types::TimePoint;
 
-/// Spans of leases; the owner's takeover waits by the same figures.
+/// Durations of leases. The owner's takeover waits for the same durations.
 #[derive(Debug, Clone, Copy)]
 pub struct LeaseRules {
-    /// A lease is extended to this much ahead of now.
-    pub ahead: Duration,
-    /// Leases are extended up to this long after the owner's authority has ended.
+    /// Length of an extension: leases are extended to at most this long after now.
+    pub length: Duration,
+    /// Leases are extended up to this long after the end of the owner's authority.
     pub grace: Duration,
 }
 
 impl Default for LeaseRules {
     fn default() -> Self {
         Self {
-            ahead: Duration::from_millis(4_000),
+            length: Duration::from_millis(4_000),
             grace: Duration::from_millis(6_000),
         }
     }
 }
 
-/// The worker's clock may be this much slower than ours, in thousandths.
-const SLOW_CLOCK_MILLI: u64 = 20;
-/// A worker that has not answered for this long gets no extension until it does: otherwise its
-/// leases could never be taken as lapsed.
-const ANSWER_LIMIT: Duration = Duration::from_millis(1_000);
-/// An extension shorter than this is not worth an order.
-const LEAST_EXTENSION: Duration = Duration::from_millis(50);
+/// How much slower the worker's clock may run than this process's clock, in thousandths.
+const MAX_CLOCK_SLOWDOWN_MILLI: u64 = 20;
+/// Maximum age of the last reading of the worker's clock. A worker that has not answered for longer
+/// gets no extension: otherwise its leases could never be assumed to have expired.
+const MAX_READING_AGE: Duration = Duration::from_millis(1_000);
+/// Extensions that are shorter than this are not granted.
+const MIN_EXTENSION: Duration = Duration::from_millis(50);
 
-/// The worker's clock as last read, and how far its leases reach.
+/// Last reading of the worker's clock, and the latest end of any lease.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LeaseClock {
-    read: Option<(TimePoint, u64)>,
+    last_reading: Option<(TimePoint, u64)>,
     bound: TimePoint,
 }
 
 impl LeaseClock {
-    /// Notes the worker's clock as an answer that came now gave it.
-    pub fn note(&mut self, now: TimePoint, clock_ms: u64) {
-        if self.read.is_none_or(|(_, known)| clock_ms >= known) {
-            self.read = Some((now, clock_ms));
+    /// Records a reading of the worker's clock from an answer that has just arrived.
+    pub fn note_clock(&mut self, now: TimePoint, clock_ms: u64) {
+        if self
+            .last_reading
+            .is_none_or(|(_, last_ms)| clock_ms >= last_ms)
+        {
+            self.last_reading = Some((now, clock_ms));
         }
     }
 
-    /// The time on the worker's clock to which leases may be extended now; notes it as granted.
+    /// Returns the time on the worker's clock up to which leases may be extended now, and records
+    /// it as granted. `None` if no extension is allowed.
     pub fn extend(
         &mut self,
         now: TimePoint,
         authority: TimePoint,
         rules: &LeaseRules,
     ) -> Option<u64> {
-        let (read_at, clock_ms) = self.read?;
-        if now.since(read_at) > ANSWER_LIMIT {
+        let (read_at, clock_ms) = self.last_reading?;
+        if now.since(read_at) > MAX_READING_AGE {
             return None;
         }
-        let end = (now + rules.ahead).min(authority + rules.grace);
-        if end.since(now) < LEAST_EXTENSION {
+        let end = (now + rules.length).min(authority + rules.grace);
+        if end.since(now) < MIN_EXTENSION {
             return None;
         }
         let until_ms = clock_ms + end.since(read_at).as_millis() as u64;
-        let left = until_ms - clock_ms;
-        let slow = Duration::from_millis(left + left * SLOW_CLOCK_MILLI / 1_000 + 1);
-        self.bound = self.bound.max(read_at + slow);
+        let length_ms = until_ms - clock_ms;
+        let real_length =
+            Duration::from_millis(length_ms + length_ms * MAX_CLOCK_SLOWDOWN_MILLI / 1_000 + 1);
+        self.bound = self.bound.max(read_at + real_length);
         Some(until_ms)
     }
 
-    /// Whether everything that was ever granted has surely lapsed.
-    pub fn has_lapsed(&self, now: TimePoint) -> bool {
+    /// Returns whether all leases that were ever granted are known to have expired.
+    pub fn has_expired(&self, now: TimePoint) -> bool {
         now > self.bound
     }
 
-    /// Until when a lease may hold.
+    /// Returns the latest time at which a lease may still be valid.
     pub fn bound(&self) -> TimePoint {
         self.bound
     }
 
-    /// Notes that leases of unknown length may hold: an earlier process granted them.
-    pub fn assume(&mut self, now: TimePoint, longest: Duration) {
+    /// Records that leases of up to `longest` may be valid, granted by an earlier process.
+    pub fn assume_granted(&mut self, now: TimePoint, longest: Duration) {
         self.bound = self.bound.max(now + longest);
     }
 }
--- a/crates/wax-agent/src/lib.rs
+++ b/crates/wax-agent/src/lib.rs
@@ -1,7 +1,8 @@
-//! The process beside a worker: the only one that gives it orders.
+//! The agent: the process on a worker's VM that alone sends orders to this worker.
 //!
-//! It starts only what fits beside everything that runs, is being stopped, or may begin yet, and
-//! extends the worker's leases only while an owner has confirmed its authority lately.
+//! The agent starts a run only if the worker's capacity covers it together with all runs that are
+//! running, being stopped, or whose start is unanswered. It extends the worker's leases only while
+//! an owner has recently confirmed its own authority.
 
 mod boot_change;
 mod boots;
@@ -9,19 +10,19 @@
 mod crash_log;
 mod driver;
 mod lease;
-mod news;
 mod orders;
 mod owner_link;
 mod pace;
+mod pending_updates;
 mod process;
+mod run_table;
 mod state;
-mod table;
 
-pub use boots::{BootReport, BootWatch, CandidateStep, CheckInStep};
+pub use boots::{BootRegistry, BootReport, CandidateAction, CheckInAction};
 pub use crash_log::CrashLog;
 pub use lease::{LeaseClock, LeaseRules};
-pub use news::GatheredNews;
 pub use owner_link::OwnerDirectory;
-pub use pace::{FillingSample, PaceCause, PaceChange, PaceControl, PaceSample, ServingSample};
+pub use pace::{BestEffortSample, PaceCause, PaceChange, PaceControl, PaceSample, ServingSample};
+pub use pending_updates::PendingUpdates;
 pub use process::run_agent;
-pub use table::{HoldNews, RunStand, RunTable, SeatInfo};
+pub use run_table::{HoldUpdates, PlacementInfo, RunState, RunTable};
--- a/crates/wax-agent/src/owner_link.rs
+++ b/crates/wax-agent/src/owner_link.rs
@@ -19,26 +19,26 @@
     AgentHello, LinkHeartbeat, PoolBody, PoolReader, PoolWriter, WorkerAccepted, split_stream,
 };
 
-/// Longest time for a connection and its first answer.
-const CONNECT_LIMIT: Duration = Duration::from_millis(600);
-/// A link without an answer to its heartbeats for this long is given up.
-const LINK_LIMIT: Duration = Duration::from_millis(1_800);
-/// The same while the owner still loads its shard and has not taken over the worker's runs.
-const TAKEOVER_LIMIT: Duration = Duration::from_millis(5_000);
-/// Beside an owner that has lost the store, another is looked for this often.
-const SEEK_PERIOD: Duration = Duration::from_millis(400);
-/// How long a link that is closed on purpose may take to send what was told on it.
-const FLUSH_LIMIT: Duration = Duration::from_millis(200);
-/// Between two rounds of the search, with as much again at random.
+/// Timeout for a connection with its handshake.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
+/// A link is closed if the owner has sent nothing for this long.
+const LINK_TIMEOUT: Duration = Duration::from_millis(1_800);
+/// Timeout of a link while the owner loads its shard and has not taken over the worker's runs.
+const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(5_000);
+/// Period of the search for another owner while the linked one has lost the store.
+const SUCCESSOR_SEARCH_PERIOD: Duration = Duration::from_millis(400);
+/// How long a link that this process closes may take to send the queued messages.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
+/// Pause between two attempts of the search, with up to as much again as random jitter.
 const SEARCH_PAUSE: Duration = Duration::from_millis(120);
 
-/// Where an owner may be found.
+/// Source for the owner's address.
 pub trait OwnerDirectory {
-    /// The owner's address as the store has it.
+    /// Reads the owner's address from the store; `None` if it is unknown.
     fn read(&self) -> impl Future<Output = Option<SocketAddr>>;
 }
 
-/// Keeps a link to the owner for the life of the process.
+/// Keeps a link to the owner for the lifetime of the process.
 pub(crate) async fn keep_owner_link(
     state: Rc<AgentState>,
     seeds: Vec<SocketAddr>,
@@ -54,32 +54,32 @@
     let mut found: Option<(Box<OpenLink>, SocketAddr)> = None;
     loop {
         let Some((link, address)) = found.take() else {
-            found = search.look(&state, None).await;
+            found = search.try_next(&state, None).await;
             if found.is_none() && search.hint.is_none() {
-                pause().await;
+                pause_search().await;
             }
             continue;
         };
         generation += 1;
         tracing::info!(owner = %address, epoch = link.epoch, "linked to the owner");
-        let why = {
+        let reason = {
             let run = pin!(run_link(&state, *link, generation));
             let seek = pin!(seek_successor(&state, &mut search, address));
             match select(run, seek).await {
-                Either::Left((why, _)) => why,
+                Either::Left((reason, _)) => reason,
                 Either::Right((successor, _)) => {
                     found = Some(successor);
-                    "another owner was found"
+                    "a newer owner was found"
                 }
             }
         };
         search.hint = found.is_none().then_some(address);
-        tracing::warn!(owner = %address, why, "link to the owner lost");
+        tracing::warn!(owner = %address, why = reason, "link to the owner lost");
         *state.link.borrow_mut() = None;
     }
 }
 
-/// Where an owner is looked for next.
+/// Addresses at which the owner is searched.
 struct OwnerSearch<D> {
     seeds: Vec<SocketAddr>,
     directory: D,
@@ -88,25 +88,29 @@
 }
 
 impl<D: OwnerDirectory> OwnerSearch<D> {
-    /// Tries one address, other than `current`; keeps the hint that it may give.
-    async fn look(
+    /// Tries the next address, unless it is `current`. If the process there names another address,
+    /// this one is tried next.
+    async fn try_next(
         &mut self,
         state: &AgentState,
         current: Option<SocketAddr>,
     ) -> Option<(Box<OpenLink>, SocketAddr)> {
         let address = self.next_address().await;
         let address = address.filter(|address| Some(*address) != current)?;
-        match open(state, address).await {
-            Ok(Opened::Owner(link)) => return Some((link, address)),
-            Ok(Opened::Elsewhere(Some(other))) if other != address && Some(other) != current => {
+        match connect(state, address).await {
+            Ok(ConnectResult::Owner(link)) => return Some((link, address)),
+            Ok(ConnectResult::NotOwner(Some(other)))
+                if other != address && Some(other) != current =>
+            {
                 self.hint = Some(other);
             }
-            Ok(Opened::Elsewhere(_)) | Err(_) => {}
+            Ok(ConnectResult::NotOwner(_)) | Err(_) => {}
         }
         None
     }
 
-    /// The store is asked in one round of four: the other rounds cost the platform nothing.
+    /// Returns the next address to try. The store is read in one of four rounds, so that most of
+    /// the search does not load the platform.
     async fn next_address(&mut self) -> Option<SocketAddr> {
         if let Some(hint) = self.hint.take() {
             return Some(hint);
@@ -120,27 +124,30 @@
     }
 }
 
-/// Looks for a newer owner as long as the present one has lost the store.
+/// Searches for a newer owner while the linked one has lost the store.
 ///
-/// An owner that is cut off cannot know that it was replaced: its agents would stay with it.
+/// An owner without the store does not learn that it was replaced, and its agents would stay
+/// linked to it.
 async fn seek_successor<D: OwnerDirectory>(
     state: &AgentState,
     search: &mut OwnerSearch<D>,
     current: SocketAddr,
 ) -> (Box<OpenLink>, SocketAddr) {
     loop {
-        sleep(SEEK_PERIOD).await;
-        if !state.owner_cut_off.get() {
+        sleep(SUCCESSOR_SEARCH_PERIOD).await;
+        if !state.owner_store_lost.get() {
             continue;
         }
-        let found = search.look(state, Some(current)).await;
-        if let Some((link, address)) = found.filter(|(link, _)| link.token > state.token.get()) {
+        let found = search.try_next(state, Some(current)).await;
+        if let Some((link, address)) =
+            found.filter(|(link, _)| link.token > state.fencing_token.get())
+        {
             return (link, address);
         }
     }
 }
 
-async fn pause() {
+async fn pause_search() {
     sleep(SEARCH_PAUSE + SEARCH_PAUSE.mul_f64(fastrand::f64())).await;
 }
 
@@ -151,72 +158,89 @@
     token: u64,
 }
 
-enum Opened {
+enum ConnectResult {
     Owner(Box<OpenLink>),
-    Elsewhere(Option<SocketAddr>),
+    NotOwner(Option<SocketAddr>),
 }
 
-async fn open(state: &AgentState, address: SocketAddr) -> io::Result<Opened> {
-    let late = || io::Error::new(io::ErrorKind::TimedOut, "no answer in time");
-    timeout(CONNECT_LIMIT, greet(state, address))
+async fn connect(state: &AgentState, address: SocketAddr) -> io::Result<ConnectResult> {
+    let timed_out = || {
+        io::Error::new(
+            io::ErrorKind::TimedOut,
+            "connection and handshake timed out",
+        )
+    };
+    timeout(CONNECT_TIMEOUT, handshake(state, address))
         .await
-        .map_err(|_| late())?
+        .map_err(|_| timed_out())?
 }
 
-async fn greet(state: &AgentState, address: SocketAddr) -> io::Result<Opened> {
+async fn handshake(state: &AgentState, address: SocketAddr) -> io::Result<ConnectResult> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let (mut reader, mut writer) = split_stream(stream);
     let hello = AgentHello {
         node: state.node.to_string(),
-        ended_boots: state.boots.borrow().newest_dead().map(Into::into).collect(),
+        ended_boots: state
+            .boots
+            .borrow()
+            .newest_ended()
+            .map(Into::into)
+            .collect(),
     };
     writer.write(PoolBody::AgentHello(hello)).await?;
     match reader.read().await? {
-        Some(PoolBody::Welcome(welcome)) => Ok(Opened::Owner(Box::new(OpenLink {
+        Some(PoolBody::Welcome(welcome)) => Ok(ConnectResult::Owner(Box::new(OpenLink {
             reader,
             writer,
             epoch: welcome.epoch,
             token: welcome.token,
         }))),
-        Some(PoolBody::NotOwner(other)) => Ok(Opened::Elsewhere(other.address.parse().ok())),
-        _ => Err(io::Error::new(io::ErrorKind::InvalidData, "no welcome")),
+        Some(PoolBody::NotOwner(other)) => Ok(ConnectResult::NotOwner(other.address.parse().ok())),
+        _ => Err(io::Error::new(
+            io::ErrorKind::InvalidData,
+            "first message of the process is not a handshake reply",
+        )),
     }
 }
 
 async fn run_link(state: &Rc<AgentState>, link: OpenLink, generation: u64) -> &'static str {
-    if link.token <= state.token.get() {
-        return "an owner of the past";
+    if link.token <= state.fencing_token.get() {
+        return "the owner's fencing token is outdated";
     }
     let (outbox, inbox) = unbounded();
-    let token_wanted = state.token_wanted.listen();
-    state.token.set(link.token);
-    state.granted.set(TimePoint::default());
-    state.owner_cut_off.set(false);
+    let higher_token_wanted = state.higher_token_wanted.listen();
+    state.fencing_token.set(link.token);
+    state.granted_until.set(TimePoint::default());
+    state.owner_store_lost.set(false);
     *state.link.borrow_mut() = Some(OwnerLink {
         generation,
         outbox: outbox.clone(),
-        kept: false,
+        is_reconciled: false,
     });
     state.changed.notify(usize::MAX);
-    let heard = Rc::new(Cell::new(state.now()));
+    let last_received = Rc::new(Cell::new(state.now()));
     let writing = spawn(write_link(link.writer, inbox));
-    let pinging = spawn(ping(state.clone(), outbox, heard.clone()));
-    let why = {
-        let read = pin!(read_link(state, link.reader, &heard));
-        match select(read, token_wanted).await {
-            Either::Left((why, _)) => Some(why),
+    let heartbeats = spawn(send_heartbeats(
+        state.clone(),
+        outbox,
+        last_received.clone(),
+    ));
+    let reason = {
+        let read = pin!(read_link(state, link.reader, &last_received));
+        match select(read, higher_token_wanted).await {
+            Either::Left((reason, _)) => Some(reason),
             Either::Right(_) => None,
         }
     };
-    // Dropped tasks are cancelled; the connection closes with them.
-    drop(pinging);
+    // Dropping the tasks cancels them and closes the connection.
+    drop(heartbeats);
     *state.link.borrow_mut() = None;
-    if why.is_none() {
-        // The owner is to hear what was told before on this link.
-        let _ = timeout(FLUSH_LIMIT, writing).await;
+    if reason.is_none() {
+        // The owner gets the messages that are queued on this link.
+        let _ = timeout(FLUSH_TIMEOUT, writing).await;
     }
-    why.unwrap_or("a higher token is needed")
+    reason.unwrap_or("a higher fencing token is needed")
 }
 
 async fn write_link(mut writer: PoolWriter, mut inbox: UnboundedReceiver<PoolBody>) {
@@ -225,106 +249,112 @@
     }
 }
 
-async fn ping(
+async fn send_heartbeats(
     state: Rc<AgentState>,
     outbox: futures_channel::mpsc::UnboundedSender<PoolBody>,
-    heard: Rc<Cell<TimePoint>>,
+    last_received: Rc<Cell<TimePoint>>,
 ) {
-    while state.now().since(heard.get()) < silence_limit(&state) {
+    while state.now().since(last_received.get()) < link_timeout(&state) {
         let ping = LinkHeartbeat {
             sent_us: state.now().0,
             ..Default::default()
         };
-        state.tell_gathered();
+        state.send_pending_updates();
         if outbox.unbounded_send(PoolBody::Heartbeat(ping)).is_err() {
             return;
         }
-        sleep(state.period.get()).await;
+        sleep(state.heartbeat_period.get()).await;
     }
 }
 
-fn silence_limit(state: &AgentState) -> Duration {
-    let longer = state.period.get().saturating_sub(AGENT_HEARTBEAT_PERIOD);
-    if state.is_kept() || state.boot.borrow().is_none() {
-        LINK_LIMIT + longer
+fn link_timeout(state: &AgentState) -> Duration {
+    let extension = state
+        .heartbeat_period
+        .get()
+        .saturating_sub(AGENT_HEARTBEAT_PERIOD);
+    if state.is_reconciled() || state.boot.borrow().is_none() {
+        LINK_TIMEOUT + extension
     } else {
-        TAKEOVER_LIMIT
+        TAKEOVER_TIMEOUT
     }
 }
 
 async fn read_link(
     state: &Rc<AgentState>,
     mut reader: PoolReader,
-    heard: &Cell<TimePoint>,
+    last_received: &Cell<TimePoint>,
 ) -> &'static str {
     loop {
-        let limit = silence_limit(state);
-        let left = limit.saturating_sub(state.now().since(heard.get()));
-        let body = match timeout(left.max(Duration::from_millis(1)), reader.read()).await {
+        let limit = link_timeout(state);
+        let remaining = limit.saturating_sub(state.now().since(last_received.get()));
+        let body = match timeout(remaining.max(Duration::from_millis(1)), reader.read()).await {
             Ok(Ok(Some(body))) => body,
-            Ok(Ok(None)) => return "the owner closed it",
-            Ok(Err(_)) => return "it broke",
-            Err(_) if state.now().since(heard.get()) >= limit => return "the owner is silent",
+            Ok(Ok(None)) => return "the owner closed the link",
+            Ok(Err(_)) => return "the connection failed",
+            Err(_) if state.now().since(last_received.get()) >= limit => {
+                return "the owner sent nothing within the timeout";
+            }
             Err(_) => continue,
         };
-        heard.set(state.now());
-        take_message(state, body);
+        last_received.set(state.now());
+        handle_message(state, body);
     }
 }
 
-fn take_message(state: &Rc<AgentState>, body: PoolBody) {
+fn handle_message(state: &Rc<AgentState>, body: PoolBody) {
     match body {
         PoolBody::Grant(grant) => {
-            state.owner_cut_off.set(grant.store_lost);
+            state.owner_store_lost.set(grant.store_lost);
             state
-                .period
+                .heartbeat_period
                 .set(grant.heartbeat_period(AGENT_HEARTBEAT_PERIOD));
             state.overload.set(f64::from(grant.overload));
             if let Some(frame) = grant.drains {
-                state.take_drains(frame, TimePoint(grant.sent_us));
+                state.apply_drains(frame, TimePoint(grant.sent_us));
             }
             let until = TimePoint(grant.sent_us) + Duration::from_millis(grant.valid_ms);
-            state.take_grant(until);
+            state.apply_grant(until);
         }
-        PoolBody::WorkerAccepted(kept) => keep_worker(state, &kept),
-        PoolBody::Start(order) => state.order_start(order),
-        PoolBody::Stop(order) => state.order_stop(RunId::from(&order.run_id)),
+        PoolBody::WorkerAccepted(message) => mark_reconciled(state, &message),
+        PoolBody::Start(order) => state.handle_start(order),
+        PoolBody::Stop(order) => state.handle_stop(RunId::from(&order.run_id)),
         PoolBody::Ack(ack) => {
             let mut boot = state.boot.borrow_mut();
-            let meant = ack.boot();
+            let target = ack.boot();
             if let Some(boot) = boot
                 .as_mut()
-                .filter(|boot| boot.view.boot.may_match(&meant))
+                .filter(|boot| boot.view.boot.may_match(&target))
             {
                 boot.ack_cursor = boot.ack_cursor.max(ack.cursor);
             }
         }
-        PoolBody::Interference(news) => {
+        PoolBody::Interference(update) => {
             if let Some(boot) = state.boot.borrow_mut().as_mut() {
-                for pair in &news.pairs {
+                for pair in &update.pairs {
                     boot.pace
                         .set_pair(&pair.serving, &pair.best_effort, pair.interference());
                 }
             }
         }
-        other => tracing::warn!(?other, "unexpected message of the owner"),
+        other => tracing::warn!(?other, "unexpected message from the owner"),
     }
 }
 
-fn keep_worker(state: &AgentState, kept: &WorkerAccepted) {
-    let meant = kept.boot();
+fn mark_reconciled(state: &AgentState, message: &WorkerAccepted) {
+    let target = message.boot();
     let mut boot = state.boot.borrow_mut();
     let Some(boot) = boot
         .as_mut()
-        .filter(|boot| boot.view.boot.may_match(&meant))
+        .filter(|boot| boot.view.boot.may_match(&target))
     else {
         return;
     };
-    for seat in &kept.placements {
-        boot.table.learn(RunId::from(&seat.run_id), seat.into());
+    for placement in &message.placements {
+        boot.table
+            .set_placement(RunId::from(&placement.run_id), placement.into());
     }
     if let Some(link) = state.link.borrow_mut().as_mut() {
-        link.kept = true;
+        link.is_reconciled = true;
     }
-    state.take_grant(state.granted.get());
+    state.apply_grant(state.granted_until.get());
 }
--- a/crates/wax-agent/src/process.rs
+++ b/crates/wax-agent/src/process.rs
@@ -1,4 +1,4 @@
-//! Starts an agent and keeps it until it is told to stop.
+//! Starts an agent and runs it until shutdown.
 
 use crate::check_ins::CheckInHandler;
 use crate::driver::drive_worker;
@@ -16,12 +16,12 @@
 use wax_settings::DaemonSettings;
 use wax_types::{ErrorKind, ProcessClock, Step, TimePoint, WaxError};
 
-/// Runs an agent until `shutdown`; its worker's tasks go on under their leases. The rules of pacing
-/// may be changed while it runs.
+/// Runs an agent until `shutdown`; the worker's tasks continue under their leases. The rules of
+/// pacing may change while the agent runs.
 ///
 /// # Errors
 ///
-/// A section of the settings is missing, or an address is taken.
+/// The settings lack a section that an agent needs, or an address is in use.
 pub async fn run_agent(
     settings: &DaemonSettings,
     pace_rules: Rc<Cell<PaceRules>>,
@@ -39,8 +39,8 @@
     let drain_rules = DrainRules {
         bound: pool.drain_bound(),
     };
-    let machine = (&*settings.name, &*settings.failure_domain);
-    let state = Rc::new(new_state(machine, worker, pace_rules, drain_rules));
+    let vm = (&*settings.name, &*settings.failure_domain);
+    let state = Rc::new(new_state(vm, worker, pace_rules, drain_rules));
     let listener = bind_listener(check_ins)?;
     let handler = Rc::new(CheckInHandler {
         state: state.clone(),
@@ -63,7 +63,7 @@
     AgentState {
         node: node.into(),
         failure_domain: failure_domain.into(),
-        named_elsewhere: RefCell::default(),
+        warned_domain_boot: RefCell::default(),
         clock: ProcessClock::start(),
         worker: WorkerClient::new(worker),
         lease_rules: LeaseRules::default(),
@@ -72,15 +72,15 @@
         boot: RefCell::default(),
         boots: RefCell::default(),
         crashes: RefCell::default(),
-        granted: Cell::new(TimePoint::default()),
-        authority: Cell::new(TimePoint::default()),
-        owner_cut_off: Cell::new(false),
+        granted_until: Cell::new(TimePoint::default()),
+        authority_until: Cell::new(TimePoint::default()),
+        owner_store_lost: Cell::new(false),
         drains: RefCell::default(),
         drain_rules,
-        period: Cell::new(AGENT_HEARTBEAT_PERIOD),
+        heartbeat_period: Cell::new(AGENT_HEARTBEAT_PERIOD),
         overload: Cell::new(0.0),
-        token: Cell::new(0),
+        fencing_token: Cell::new(0),
         changed: Event::new(),
-        token_wanted: Event::new(),
+        higher_token_wanted: Event::new(),
     }
 }
--- a/crates/wax-agent/src/state.rs
+++ b/crates/wax-agent/src/state.rs
@@ -1,11 +1,11 @@
-//! What the tasks of one agent share.
+//! State that all tasks of an agent share.
 
-use crate::boots::{BootReport, BootWatch};
+use crate::boots::{BootRegistry, BootReport};
 use crate::crash_log::CrashLog;
 use crate::lease::{LeaseClock, LeaseRules};
-use crate::news::GatheredNews;
 use crate::pace::PaceControl;
-use crate::table::RunTable;
+use crate::pending_updates::PendingUpdates;
+use crate::run_table::RunTable;
 use event_listener::Event;
 use futures_channel::mpsc::UnboundedSender;
 use platform::WorkerClient;
@@ -18,51 +18,54 @@
 use wax_types::{ProcessClock, TimePoint};
 use wax_wire::{DrainFrame, PoolBody};
 
-/// The link to the owner.
+/// The link to the owner of the shard.
 #[derive(Debug)]
 pub(crate) struct OwnerLink {
-    /// Rises with each link.
+    /// Number of the link, counted from the start of the process.
     pub(crate) generation: u64,
     pub(crate) outbox: UnboundedSender<PoolBody>,
     /// Whether the owner has taken over the worker's runs on this link.
-    pub(crate) kept: bool,
+    pub(crate) is_reconciled: bool,
 }
 
-/// One boot of the worker.
+/// What the agent keeps of one boot of the worker.
 #[derive(Debug)]
 pub(crate) struct WorkerBoot {
     pub(crate) view: WorkerView,
     pub(crate) sequence: u64,
-    /// The start time by which its answers are told from another boot's, Unix milliseconds.
-    pub(crate) answers: Option<u64>,
-    /// Holds without an answer since the last one with it.
-    pub(crate) unanswered: u32,
-    /// When it last answered.
-    pub(crate) answered: TimePoint,
-    /// The link on which its runs were told last.
-    pub(crate) told: u64,
+    /// Start time that distinguishes answers of this boot from those of another boot under the same
+    /// worker id, in Unix milliseconds. `None` until the boot has sent one.
+    pub(crate) answering_start_ms: Option<u64>,
+    /// Number of consecutive holds that were not answered.
+    pub(crate) unanswered_holds: u32,
+    /// When the boot last answered a hold or an order.
+    pub(crate) answered_at: TimePoint,
+    /// Generation of the link on which the boot's full run list was sent last; 0 for none.
+    pub(crate) reported_link: u64,
     pub(crate) table: RunTable,
     pub(crate) lease: LeaseClock,
     pub(crate) pace: PaceControl,
-    /// What the owner is told of its runs with the next heartbeat.
-    pub(crate) news: GatheredNews,
-    /// Ends up to here are in the store.
+    /// Run updates that are sent with the next heartbeat.
+    pub(crate) updates: PendingUpdates,
+    /// Number up to which run ends are stored by the owner, so that the worker may forget them.
     pub(crate) ack_cursor: u64,
-    /// The number of the hold that is under way.
-    pub(crate) hold: u64,
-    /// Whether its worker has started again under its id, and some of its runs may be on the next boot.
+    /// Number of the last hold that was sent.
+    pub(crate) hold_number: u64,
+    /// Whether the worker has restarted under the same id while some of this boot's starts were not
+    /// listed: those runs may be on the next boot.
     pub(crate) is_replaced: bool,
 }
 
-/// After this many holds without an answer a worker counts as silent.
-const SILENT_AFTER: u32 = 2;
+/// Number of consecutive unanswered holds from which on a worker counts as silent.
+const SILENT_AFTER_UNANSWERED_HOLDS: u32 = 2;
 
 impl WorkerBoot {
-    /// What was on it when it ended, a line for each run; `kept` names those that are on the next boot.
-    pub(crate) fn lose_runs(&self, now: TimePoint, kept: &[RunId]) -> Vec<LostRun> {
-        let silent_ms = now.since(self.answered).as_millis() as u64;
-        let mut runs = self.table.lost_runs(self.answered);
-        runs.retain(|lost| !kept.contains(&lost.run_id));
+    /// Logs and counts each run that was lost with the boot, except for those in `on_next`, which
+    /// run on the worker's next boot. Returns the lost runs.
+    pub(crate) fn log_lost_runs(&self, now: TimePoint, on_next: &[RunId]) -> Vec<LostRun> {
+        let silent_ms = now.since(self.answered_at).as_millis() as u64;
+        let mut runs = self.table.lost_runs(self.answered_at);
+        runs.retain(|lost| !on_next.contains(&lost.run_id));
         for lost in &runs {
             count(Counter::RunsLost);
             tracing::info!(
@@ -77,79 +80,85 @@
         runs
     }
 
-    /// What the owner is shown of the worker.
-    pub(crate) fn shown_view(&self) -> WorkerView {
+    /// Returns the view of the worker that the owner gets, with the state `Silent` if holds are not
+    /// answered.
+    pub(crate) fn reported_view(&self) -> WorkerView {
         let mut view = self.view.clone();
-        if self.unanswered >= SILENT_AFTER && view.state == WorkerState::Ready {
+        if self.unanswered_holds >= SILENT_AFTER_UNANSWERED_HOLDS
+            && view.state == WorkerState::Ready
+        {
             view.state = WorkerState::Silent;
         }
         view
     }
 
-    /// A boot that has answered now.
+    /// Creates the state of a boot that has just answered.
     pub(crate) fn new(view: WorkerView, sequence: u64, now: TimePoint) -> Self {
         Self {
-            answers: view.boot.started_ms(),
+            answering_start_ms: view.boot.started_ms(),
             view,
             sequence,
-            unanswered: 0,
-            answered: now,
-            told: 0,
+            unanswered_holds: 0,
+            answered_at: now,
+            reported_link: 0,
             table: RunTable::default(),
             lease: LeaseClock::default(),
             pace: PaceControl::default(),
-            news: GatheredNews::default(),
+            updates: PendingUpdates::default(),
             ack_cursor: 0,
-            hold: 0,
+            hold_number: 0,
             is_replaced: false,
         }
     }
 }
 
-/// Shared by all tasks of the process.
+/// State of the agent process.
 #[derive(Debug)]
 pub(crate) struct AgentState {
     pub(crate) node: Box<str>,
-    /// The machine's failure domain, which is its worker's too.
+    /// Failure domain of the VM, and hence of its worker.
     pub(crate) failure_domain: Box<str>,
-    /// The last boot that named another one: it is told once.
-    pub(crate) named_elsewhere: RefCell<BootId>,
+    /// Last boot for which a differing failure domain was logged: one warning per boot.
+    pub(crate) warned_domain_boot: RefCell<BootId>,
     pub(crate) clock: ProcessClock,
     pub(crate) worker: WorkerClient,
     pub(crate) lease_rules: LeaseRules,
-    /// May change with the settings.
+    /// Rules of pacing; they change when the settings are reloaded.
     pub(crate) pace_rules: Rc<Cell<PaceRules>>,
     pub(crate) link: RefCell<Option<OwnerLink>>,
-    /// The boot that is driven.
+    /// The active boot, to which the agent sends orders; `None` while there is none.
     pub(crate) boot: RefCell<Option<WorkerBoot>>,
-    /// Boots that have checked in and are not verified yet, and those that are dead.
-    pub(crate) boots: RefCell<BootWatch>,
-    /// Crashes that owners may not have heard of.
+    /// Boots that have checked in and are not verified yet, and boots that have ended.
+    pub(crate) boots: RefCell<BootRegistry>,
+    /// Recent crashes of the worker, which are sent again on each new link.
     pub(crate) crashes: RefCell<CrashLog>,
-    /// The last grant of this link; it counts once the owner has taken over the worker's runs.
-    pub(crate) granted: Cell<TimePoint>,
-    /// Until when the owner's authority reaches.
-    pub(crate) authority: Cell<TimePoint>,
-    /// Whether the owner has lost the store, by its last grant: another may have taken over.
-    pub(crate) owner_cut_off: Cell<bool>,
-    /// Failure domains that get nothing new, by the owners' words.
+    /// End of the authority that the owner granted on this link. It takes effect once the owner has
+    /// taken over the worker's runs.
+    pub(crate) granted_until: Cell<TimePoint>,
+    /// End of the owner's authority: starts are accepted until then, leases extended until the
+    /// grace period after it.
+    pub(crate) authority_until: Cell<TimePoint>,
+    /// Whether the owner's last grant says that it has lost the store. Another owner may have taken
+    /// over then.
+    pub(crate) owner_store_lost: Cell<bool>,
+    /// Drained failure domains, by the owners' last reports.
     pub(crate) drains: RefCell<DrainView>,
     pub(crate) drain_rules: DrainRules,
-    /// Between two heartbeats, by the owner's last grant.
-    pub(crate) period: Cell<Duration>,
-    /// The share of the jobs that fill which are late, by the owner's last word.
+    /// Time between two heartbeats, by the owner's last grant.
+    pub(crate) heartbeat_period: Cell<Duration>,
+    /// Share of the jobs with best-effort tasks that are late, by the owner's last grant.
     pub(crate) overload: Cell<f64>,
-    /// The highest token that was ever used.
-    pub(crate) token: Cell<u64>,
-    /// Something has changed that the driver waits for.
+    /// Highest fencing token that any owner has given this agent; 0 before the first link.
+    pub(crate) fencing_token: Cell<u64>,
+    /// Notified when the driver has to check for a new boot or owner.
     pub(crate) changed: Event,
-    /// A new link is asked for, with a higher token.
-    pub(crate) token_wanted: Event,
+    /// Notified when a boot needs a higher fencing token, which takes a new link.
+    pub(crate) higher_token_wanted: Event,
 }
 
 impl AgentState {
-    /// The rules of pacing as matters stand.
-    pub(crate) fn pace_rules_now(&self) -> PaceRules {
+    /// Returns the pacing rules of the settings, adjusted to the pool's overload.
+    pub(crate) fn current_pace_rules(&self) -> PaceRules {
         self.pace_rules.get().for_overload(self.overload.get())
     }
 
@@ -157,53 +166,58 @@
         self.clock.now()
     }
 
-    /// Sends a message to the owner, if there is a link.
-    pub(crate) fn tell(&self, body: PoolBody) {
+    /// Sends a message to the owner; drops it if there is no link.
+    pub(crate) fn send(&self, body: PoolBody) {
         if let Some(link) = &*self.link.borrow() {
-            // A link that is closing is replaced, and all is told anew on the next one.
+            // A closed link is replaced, and the full state is sent on the next one.
             let _ = link.outbox.unbounded_send(body);
         }
     }
 
-    /// Sends what was gathered of the worker's runs, once the owner has their list on this link.
-    pub(crate) fn tell_gathered(&self) {
+    /// Sends the pending run updates, if the owner got the boot's full run list on this link.
+    pub(crate) fn send_pending_updates(&self) {
         let generation = self.link.borrow().as_ref().map(|link| link.generation);
         let mut boot = self.boot.borrow_mut();
-        let boot = boot.as_mut().filter(|boot| Some(boot.told) == generation);
-        if let Some(news) = boot.and_then(|boot| boot.news.take()) {
-            self.tell(PoolBody::RunUpdates(news));
+        let boot = boot
+            .as_mut()
+            .filter(|boot| Some(boot.reported_link) == generation);
+        if let Some(updates) = boot.and_then(|boot| boot.updates.take()) {
+            self.send(PoolBody::RunUpdates(updates));
         }
     }
 
-    /// Notes a grant; before the owner has taken over the worker's runs it extends nothing.
-    pub(crate) fn take_grant(&self, until: TimePoint) {
-        self.granted.set(self.granted.get().max(until));
-        if self.is_kept() {
-            self.authority.set(self.authority.get().max(until));
+    /// Records a grant. It extends the authority only once the owner has taken over the worker's
+    /// runs.
+    pub(crate) fn apply_grant(&self, until: TimePoint) {
+        self.granted_until.set(self.granted_until.get().max(until));
+        if self.is_reconciled() {
+            self.authority_until
+                .set(self.authority_until.get().max(until));
         }
     }
 
-    /// A worker is where its machine is, whatever it says: by another name, or none, it would be given
-    /// starts while its failure domain is drained.
-    pub(crate) fn place_worker(&self, said: WorkerView) -> WorkerView {
-        let is_elsewhere = said.failure_domain != self.failure_domain;
-        if is_elsewhere && *self.named_elsewhere.borrow() != said.boot {
-            *self.named_elsewhere.borrow_mut() = said.boot.clone();
+    /// Replaces the failure domain that the worker reports by that of the VM. With a wrong or
+    /// missing name the worker would get starts while its failure domain is drained.
+    pub(crate) fn with_own_domain(&self, reported: WorkerView) -> WorkerView {
+        let is_other_domain = reported.failure_domain != self.failure_domain;
+        if is_other_domain && *self.warned_domain_boot.borrow() != reported.boot {
+            *self.warned_domain_boot.borrow_mut() = reported.boot.clone();
             tracing::warn!(
-                worker = %said.boot,
-                said = %said.failure_domain,
+                worker = %reported.boot,
+                said = %reported.failure_domain,
                 machine = %self.failure_domain,
-                "worker names another failure domain"
+                "worker reports another failure domain than its VM"
             );
         }
         WorkerView {
             failure_domain: self.failure_domain.clone(),
-            ..said
+            ..reported
         }
     }
 
-    /// Takes an owner's word of the drains, its answer to a heartbeat sent at `asked`.
-    pub(crate) fn take_drains(&self, frame: DrainFrame, asked: TimePoint) {
+    /// Takes over the drained failure domains from the owner's answer to a heartbeat sent at
+    /// `asked`.
+    pub(crate) fn apply_drains(&self, frame: DrainFrame, asked: TimePoint) {
         let mut view = self.drains.borrow_mut();
         let age_ms = frame.age_ms;
         if frame.apply_to(&mut view, asked) {
@@ -211,63 +225,72 @@
         }
     }
 
-    /// The guard of drains: whether a start may be sent to this machine's worker now.
-    pub(crate) fn may_start(&self, now: TimePoint) -> Result<(), StartRefusal> {
+    /// Checks that the worker's failure domain is not drained, by a report that is recent enough.
+    pub(crate) fn check_drains(&self, now: TimePoint) -> Result<(), StartRefusal> {
         let view = self.drains.borrow();
-        let most = self.drain_rules.max_age_for_start();
-        let verdict = view.verdict(&self.failure_domain, now, most);
+        let max_age = self.drain_rules.max_age_for_start();
+        let verdict = view.verdict(&self.failure_domain, now, max_age);
         if verdict == DrainVerdict::Open {
             return Ok(());
         }
         let age_ms = view.age(now).map(|age| age.as_millis() as u64);
-        tracing::info!(domain = %self.failure_domain, version = view.version(), age_ms, ?verdict, "no start in this failure domain");
+        tracing::info!(domain = %self.failure_domain, version = view.version(), age_ms, ?verdict, "failure domain is not known to be open for starts");
         Err(StartRefusal::Drained)
     }
 
-    /// Notes whether a hold was answered; the owner hears of a worker that falls silent or is back.
-    pub(crate) fn note_answer(&self, driven: &BootId, answered: bool) {
+    /// Records whether a hold was answered, and reports to the owner when the worker becomes silent
+    /// or answers again.
+    pub(crate) fn note_hold_answer(&self, active: &BootId, answered: bool) {
         let mut boot = self.boot.borrow_mut();
-        let Some(boot) = boot.as_mut().filter(|boot| boot.view.boot == *driven) else {
+        let Some(boot) = boot.as_mut().filter(|boot| boot.view.boot == *active) else {
             return;
         };
         if answered {
-            boot.answered = self.now();
+            boot.answered_at = self.now();
         }
-        let was_silent = boot.unanswered >= SILENT_AFTER;
-        boot.unanswered = if answered { 0 } else { boot.unanswered + 1 };
-        let is_silent = boot.unanswered >= SILENT_AFTER;
+        let was_silent = boot.unanswered_holds >= SILENT_AFTER_UNANSWERED_HOLDS;
+        boot.unanswered_holds = if answered {
+            0
+        } else {
+            boot.unanswered_holds + 1
+        };
+        let is_silent = boot.unanswered_holds >= SILENT_AFTER_UNANSWERED_HOLDS;
         if was_silent != is_silent {
-            tracing::info!(worker = %driven, silent = is_silent, "worker answers changed");
-            self.tell(PoolBody::WorkerChanged((&boot.shown_view()).into()));
+            tracing::info!(worker = %active, silent = is_silent, "worker became silent or answers again");
+            self.send(PoolBody::WorkerChanged((&boot.reported_view()).into()));
         }
     }
 
-    /// The boot has answered an order.
-    pub(crate) fn note_heard(&self, driven: &BootId) {
+    /// Records that the boot has answered an order.
+    pub(crate) fn note_order_answer(&self, active: &BootId) {
         let mut boot = self.boot.borrow_mut();
-        if let Some(boot) = boot.as_mut().filter(|boot| boot.view.boot == *driven) {
-            boot.answered = self.now();
+        if let Some(boot) = boot.as_mut().filter(|boot| boot.view.boot == *active) {
+            boot.answered_at = self.now();
         }
     }
 
-    /// The boot that is driven.
-    pub(crate) fn driven(&self) -> Option<BootId> {
+    /// Returns the active boot.
+    pub(crate) fn active_boot(&self) -> Option<BootId> {
         let boot = self.boot.borrow();
         boot.as_ref().map(|boot| boot.view.boot.clone())
     }
 
-    /// Whether a leave is surely of the boot that is driven. One without a start time may be a late call of an
-    /// earlier boot, unless this one has said that it drains, as workers do before they leave.
-    pub(crate) fn takes_leave(&self, said: &BootId) -> bool {
+    /// Returns whether a leave message is known to come from the active boot. A message without a
+    /// start time may be a late call of an earlier boot, unless the active boot has reported that
+    /// it is draining, as workers do before they leave.
+    pub(crate) fn is_leave_of_active(&self, leaving_boot: &BootId) -> bool {
         let boot = self.boot.borrow();
         boot.as_ref().is_some_and(|boot| {
             let is_draining = boot.view.state == WorkerState::Draining;
-            let is_told = said.started_ms() == boot.view.boot.started_ms();
-            !boot.is_replaced && boot.view.boot.may_match(said) && (is_told || is_draining)
+            let is_same_start = leaving_boot.started_ms() == boot.view.boot.started_ms();
+            !boot.is_replaced
+                && boot.view.boot.may_match(leaving_boot)
+                && (is_same_start || is_draining)
         })
     }
 
-    /// Takes a later check-in of the boot that is driven; the owner hears of what it places by.
+    /// Applies a later check-in of the active boot, and reports to the owner a change of its state,
+    /// its capacity or its remaining warm-up time.
     pub(crate) fn update_boot(&self, report: BootReport) {
         let mut boot = self.boot.borrow_mut();
         let Some(boot) = boot
@@ -280,35 +303,42 @@
             return;
         }
         boot.sequence = report.sequence;
-        let told = boot.view.clone();
+        let before = boot.view.clone();
         boot.view = WorkerView {
-            boot: told.boot.clone(),
+            boot: before.boot.clone(),
             ..report.view
         };
-        if told.state == WorkerState::Draining {
-            // A worker that has said that it leaves does not come back in this boot.
+        if before.state == WorkerState::Draining {
+            // A worker that has announced its end does not become ready again in this boot.
             boot.view.state = WorkerState::Draining;
         }
-        if told.state != boot.view.state {
-            tracing::info!(worker = %boot.view.boot, state = ?boot.view.state, "worker state");
+        if before.state != boot.view.state {
+            tracing::info!(worker = %boot.view.boot, state = ?boot.view.state, "worker state changed");
         }
-        let (had, has) = (told.capacity, boot.view.capacity);
-        if had != has {
+        let (old_capacity, new_capacity) = (before.capacity, boot.view.capacity);
+        if old_capacity != new_capacity {
             tracing::info!(
                 worker = %boot.view.boot,
-                cpu_milli = has.cpu_milli,
-                memory_mb = has.memory_mb,
-                accelerators = has.accelerators,
-                "worker capacity"
+                cpu_milli = new_capacity.cpu_milli,
+                memory_mb = new_capacity.memory_mb,
+                accelerators = new_capacity.accelerators,
+                "worker capacity changed"
             );
         }
-        if told.state != boot.view.state || told.cold_ms != boot.view.cold_ms || had != has {
-            self.tell(PoolBody::WorkerChanged((&boot.shown_view()).into()));
+        if before.state != boot.view.state
+            || before.cold_ms != boot.view.cold_ms
+            || old_capacity != new_capacity
+        {
+            self.send(PoolBody::WorkerChanged((&boot.reported_view()).into()));
         }
     }
 
-    /// Whether the link has taken over the worker's runs, so that orders and news count.
-    pub(crate) fn is_kept(&self) -> bool {
-        self.link.borrow().as_ref().is_some_and(|link| link.kept)
+    /// Returns whether the owner has taken over the worker's runs on the current link. Orders and
+    /// grants take effect only then.
+    pub(crate) fn is_reconciled(&self) -> bool {
+        self.link
+            .borrow()
+            .as_ref()
+            .is_some_and(|link| link.is_reconciled)
     }
 }
--- a/crates/wax-front/src/owner_link.rs
+++ b/crates/wax-front/src/owner_link.rs
@@ -1,4 +1,5 @@
-//! A front's link to the owner: questions about jobs, versions of the config, and heartbeats.
+//! Link of a front to the owner, for job queries, config versions, relayed transactions and
+//! heartbeats.
 
 use crate::state::FrontState;
 use compio::net::TcpStream;
@@ -19,78 +20,83 @@
     RelayRequest, split_stream,
 };
 
-/// Longest time for a connection and its first answer.
-const CONNECT_LIMIT: Duration = Duration::from_millis(600);
-/// A link without an answer for this long is given up.
-const LINK_LIMIT: Duration = Duration::from_millis(800);
-/// Dead boots that one message names: some kilobytes.
-const MOST_DEAD_TOLD: usize = 256;
-/// Between two tries, with as much again at random.
+/// Timeout for a connection with its handshake.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
+/// A link is closed if the owner has sent nothing for this long.
+const LINK_TIMEOUT: Duration = Duration::from_millis(800);
+/// Maximum number of ended boots in one message, which bounds its size to some kilobytes.
+const MAX_BOOTS_PER_MESSAGE: usize = 256;
+/// Pause between two attempts to link, with up to as much again as random jitter.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// Keeps a link to the owner for the life of the process.
+/// Keeps a link to the owner for the lifetime of the process.
 pub(crate) async fn keep_owner_link(state: Rc<FrontState>, seeds: Vec<SocketAddr>) {
     let mut hint = None;
     let mut round = 0_usize;
     loop {
-        let known = known_owner(&state);
+        let owner_address = known_owner(&state);
         let seed = nth_seed(&state, &seeds, round);
         round += 1;
-        let address = hint.take().or(known).or(seed);
+        let address = hint.take().or(owner_address).or(seed);
         match address.filter(|address| *address != state.shared.address) {
-            Some(address) if looks_for_owner(&state) => {
-                hint = try_owner(&state, address).await;
+            Some(address) if should_seek_owner(&state) => {
+                hint = link_to_owner(&state, address).await;
             }
             _ => {}
         }
         let pause = RETRY_PAUSE + RETRY_PAUSE.mul_f64(fastrand::f64());
-        let began = state.shared.now();
+        let started_at = state.shared.now();
         sleep(pause).await;
-        state.shared.record_timer(pause, began);
+        state.shared.record_timer(pause, started_at);
     }
 }
 
-/// The seeds by turns, and the fronts that were ever linked to this process.
+/// Returns the address for this round: the seeds in turn, then all fronts that were ever linked to
+/// this process.
 fn nth_seed(state: &FrontState, seeds: &[SocketAddr], round: usize) -> Option<SocketAddr> {
     let fronts = state.shared.front_addresses.borrow();
     let all: Vec<SocketAddr> = seeds.iter().chain(fronts.iter()).copied().collect();
     all.get(round % all.len().max(1)).copied()
 }
 
-/// An owner looks for another only once its store is silent: it cannot know that it was replaced.
-fn looks_for_owner(state: &FrontState) -> bool {
+/// Returns whether to look for an owner. A process that owns the shard does so only once its term
+/// is in doubt, since it does not learn otherwise that it was replaced.
+fn should_seek_owner(state: &FrontState) -> bool {
     let term = state.shared.current_term();
     term.is_none_or(|term| term.may_be_superseded(state.shared.now()))
 }
 
-/// The owner as the store had it last, if it is another process than this one.
+/// Returns the owner's address as last read from the store, unless the term was released or this
+/// process is the owner.
 fn known_owner(state: &FrontState) -> Option<SocketAddr> {
     let owner = state.shared.owner.borrow();
     let address = owner.as_ref().filter(|owner| !owner.released)?.address;
     address.filter(|address| *address != state.shared.address)
 }
 
-/// Links to the owner at `address`; returns where else it may be.
-async fn try_owner(state: &Rc<FrontState>, address: SocketAddr) -> Option<SocketAddr> {
-    match timeout(CONNECT_LIMIT, greet(state, address)).await {
-        Ok(Ok(Greeting::Owner(stream, epoch))) => {
+/// Links to the owner at `address` until the link ends. Returns another address for the owner, if
+/// the process there names one.
+async fn link_to_owner(state: &Rc<FrontState>, address: SocketAddr) -> Option<SocketAddr> {
+    match timeout(CONNECT_TIMEOUT, handshake(state, address)).await {
+        Ok(Ok(HandshakeResult::Owner(stream, epoch))) => {
             let (reader, writer) = *stream;
             tracing::info!(owner = %address, "linked to the owner");
             run_link(state, epoch, reader, writer).await;
             tracing::info!(owner = %address, "link to the owner ended");
             None
         }
-        Ok(Ok(Greeting::Elsewhere(other))) => other,
+        Ok(Ok(HandshakeResult::NotOwner(other))) => other,
         Ok(Err(error)) => {
-            note_refused(state, address, &error);
+            note_connection_refused(state, address, &error);
             None
         }
         Err(_) => None,
     }
 }
 
-/// The owner listens for the life of its process: where nobody does, its term is over.
-fn note_refused(state: &FrontState, address: SocketAddr, error: &io::Error) {
+/// Records that the connection to the owner was refused. An owner listens as long as its process
+/// runs, so a refused connection means that its process has ended and its term with it.
+fn note_connection_refused(state: &FrontState, address: SocketAddr, error: &io::Error) {
     let owner = state.shared.owner.borrow();
     let refused = owner.as_ref().filter(|owner| {
         owner.address == Some(address) && error.kind() == io::ErrorKind::ConnectionRefused
@@ -98,18 +104,18 @@
     if let Some(owner) = refused
         && state.shared.refused_epoch.replace(owner.epoch) != owner.epoch
     {
-        tracing::info!(owner = %address, epoch = owner.epoch, "nobody listens at the owner's address");
+        tracing::info!(owner = %address, epoch = owner.epoch, "connection refused at the owner's address");
         state.shared.owner_changed.notify(usize::MAX);
     }
 }
 
-enum Greeting {
-    /// With the owner's term.
+enum HandshakeResult {
+    /// The process is the owner, with this epoch.
     Owner(Box<(PoolReader, PoolWriter)>, u64),
-    Elsewhere(Option<SocketAddr>),
+    NotOwner(Option<SocketAddr>),
 }
 
-async fn greet(state: &FrontState, address: SocketAddr) -> io::Result<Greeting> {
+async fn handshake(state: &FrontState, address: SocketAddr) -> io::Result<HandshakeResult> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let (mut reader, mut writer) = split_stream(stream);
@@ -122,13 +128,21 @@
         Some(PoolBody::Welcome(welcome)) => {
             let term = state.shared.current_term();
             if term.is_some_and(|term| !term.end_if_superseded(welcome.epoch)) {
-                let error = "it is of an earlier term than this process";
+                let error = "the owner's term is earlier than the term of this process";
                 return Err(io::Error::new(io::ErrorKind::InvalidData, error));
             }
-            Ok(Greeting::Owner(Box::new((reader, writer)), welcome.epoch))
+            Ok(HandshakeResult::Owner(
+                Box::new((reader, writer)),
+                welcome.epoch,
+            ))
         }
-        Some(PoolBody::NotOwner(other)) => Ok(Greeting::Elsewhere(other.address.parse().ok())),
-        _ => Err(io::Error::new(io::ErrorKind::InvalidData, "no welcome")),
+        Some(PoolBody::NotOwner(other)) => {
+            Ok(HandshakeResult::NotOwner(other.address.parse().ok()))
+        }
+        _ => Err(io::Error::new(
+            io::ErrorKind::InvalidData,
+            "first message of the process is not a handshake reply",
+        )),
     }
 }
 
@@ -136,66 +150,68 @@
     let (outbox, inbox) = unbounded();
     *state.outbox.borrow_mut() = Some(outbox.clone());
     state.shared.owner_heard_at.set(state.shared.now());
-    tell_dead(state, &outbox);
+    send_ended_boots(state, &outbox);
     let writing = spawn(write_link(writer, inbox));
-    let pinging = spawn(ping(state.clone(), outbox));
+    let heartbeats = spawn(send_heartbeats(state.clone(), outbox));
     {
         let read = pin!(read_link(state, reader));
-        let replaced = pin!(wait_replaced(state, epoch));
-        select(read, replaced).await;
+        let superseded = pin!(wait_until_superseded(state, epoch));
+        select(read, superseded).await;
     }
-    // What was heard on the link says no more than a heartbeat at the usual period would.
+    // The longer heartbeat period of the last grant ends with the link.
     state.shared.heartbeat_period.set(FRONT_HEARTBEAT_PERIOD);
     *state.outbox.borrow_mut() = None;
-    state.asks.borrow_mut().clear();
-    state.relays.borrow_mut().clear();
-    // Dropped tasks are cancelled; the connection closes with them.
-    drop(pinging);
+    state.queries.borrow_mut().clear();
+    state.pending_relays.borrow_mut().clear();
+    // Dropping the tasks cancels them and closes the connection.
+    drop(heartbeats);
     drop(writing);
 }
 
-/// A new owner may wait for workers that this front knows to be gone. The fronts that go first at a takeover hear
-/// of each sooner than others; what all would tell is the same.
-fn tell_dead(state: &FrontState, outbox: &UnboundedSender<PoolBody>) {
+/// Sends the boots that this front knows to have ended; a new owner may be waiting for them. Only
+/// fronts that are first in the order of takeover send the list: they learn of each end sooner than
+/// others, whose lists have nothing to add.
+fn send_ended_boots(state: &FrontState, outbox: &UnboundedSender<PoolBody>) {
     let is_early_candidate = state
         .shared
         .rank
         .get()
-        .is_none_or(|turn| is_early_candidate(turn.rank));
-    let gone = state.shared.ended_boots.borrow();
-    let mut told = if is_early_candidate { 0 } else { gone.count() };
+        .is_none_or(|candidate| is_early_candidate(candidate.rank));
+    let ended = state.shared.ended_boots.borrow();
+    let mut sent = if is_early_candidate { 0 } else { ended.count() };
     loop {
-        let page = BootsEnded::new(gone.after(told, MOST_DEAD_TOLD));
+        let page = BootsEnded::new(ended.after(sent, MAX_BOOTS_PER_MESSAGE));
         if page.boots.is_empty() {
             return;
         }
-        told += page.boots.len() as u64;
-        // A link that has just closed is replaced, and all is told on the next one.
+        sent += page.boots.len() as u64;
+        // If the link has just closed, the list is sent on the next one.
         let _ = outbox.unbounded_send(PoolBody::BootsEnded(page));
     }
 }
 
 async fn read_link(state: &Rc<FrontState>, mut reader: PoolReader) {
     loop {
-        let limit = state.shared.allowed_silence(LINK_LIMIT);
+        let limit = state.shared.allowed_silence(LINK_TIMEOUT);
         match timeout(limit, reader.read()).await {
-            Ok(Ok(Some(body))) => take_message(state, body),
+            Ok(Ok(Some(body))) => handle_message(state, body),
             _ => return,
         }
     }
 }
 
-/// Waits until a later term than the link's is known: what its owner says is of the past.
-async fn wait_replaced(state: &FrontState, epoch: u64) {
+/// Waits until a term later than that of the link is known, so that messages of the linked owner
+/// are outdated.
+async fn wait_until_superseded(state: &FrontState, epoch: u64) {
     loop {
         let listener = state.shared.owner_changed.listen();
-        let known = state
+        let known_epoch = state
             .shared
             .owner
             .borrow()
             .as_ref()
             .map(|owner| owner.epoch);
-        if known.is_some_and(|known| known > epoch) {
+        if known_epoch.is_some_and(|known_epoch| known_epoch > epoch) {
             return;
         }
         listener.await;
@@ -208,14 +224,14 @@
     }
 }
 
-async fn ping(state: Rc<FrontState>, outbox: UnboundedSender<PoolBody>) {
+async fn send_heartbeats(state: Rc<FrontState>, outbox: UnboundedSender<PoolBody>) {
     loop {
         let now = state.shared.now();
         let ping = LinkHeartbeat {
             sent_us: now.0,
             config_version: state.shared.config_version(),
             fitness: state.shared.fitness().0,
-            store_lost: state.store_lost.get().is_some(),
+            store_lost: state.store_lost_since.get().is_some(),
         };
         if outbox.unbounded_send(PoolBody::Heartbeat(ping)).is_err() {
             return;
@@ -226,31 +242,32 @@
     }
 }
 
-/// The store turns the owner away: this front sends its transaction.
-fn send_for_owner(state: &Rc<FrontState>, ask: RelayRequest) {
+/// Sends a transaction on behalf of the owner, whose calls the store refuses or does not answer.
+fn relay_for_owner(state: &Rc<FrontState>, request: RelayRequest) {
     let Some(outbox) = state.outbox.borrow().clone() else {
         return;
     };
     let state = state.clone();
     spawn(async move {
-        // What waits longer than a link may be silent is dropped with the link.
-        let told = relay_transaction(&state.shared, ask, Duration::ZERO).await;
-        // An owner that has gone asks nobody any more.
-        let _ = outbox.unbounded_send(PoolBody::RelayReply(told));
+        // Transactions that wait longer than `LINK_TIMEOUT` are dropped with the link.
+        let reply = relay_transaction(&state.shared, request, Duration::ZERO).await;
+        // If the link has closed, the owner does not wait for the reply any more.
+        let _ = outbox.unbounded_send(PoolBody::RelayReply(reply));
     })
     .detach();
 }
 
-fn take_message(state: &Rc<FrontState>, body: PoolBody) {
+fn handle_message(state: &Rc<FrontState>, body: PoolBody) {
     match body {
         PoolBody::Grant(grant) => {
-            // An owner without its store is in doubt at once: its beat is looked at.
-            let heard = if grant.store_lost {
+            // If the owner has lost the store, it counts as not heard, so that candidates check its
+            // heartbeat row at once.
+            let heard_at = if grant.store_lost {
                 TimePoint::default()
             } else {
                 state.shared.now()
             };
-            state.shared.owner_heard_at.set(heard);
+            state.shared.owner_heard_at.set(heard_at);
             state.shared.link_heard_at.set(state.shared.now());
             state
                 .shared
@@ -261,43 +278,43 @@
                 best_fitness: OwnerFitness(grant.best_fitness),
             }));
             if let Some(age_ms) = grant.config_age_ms {
-                let (sent, age) = (TimePoint(grant.sent_us), Duration::from_millis(age_ms));
+                let (sent_at, age) = (TimePoint(grant.sent_us), Duration::from_millis(age_ms));
                 state
                     .shared
-                    .record_owner_config(grant.config_version, sent, age);
+                    .record_owner_config(grant.config_version, sent_at, age);
             }
             if grant.config_version < state.shared.config_version() {
                 let text = state.shared.config_text.borrow().clone();
                 if let Some(outbox) = &*state.outbox.borrow() {
-                    // A closed link is replaced, and versions are compared anew.
+                    // If the link has closed, versions are compared again on the next one.
                     let _ = outbox.unbounded_send(PoolBody::Config(ConfigPush { text }));
                 }
             }
         }
-        PoolBody::JobReply(told) => {
-            if let Some(asker) = state.asks.borrow_mut().remove(&told.request_id) {
-                // An asker that has given up does not need the answer.
-                let _ = asker.send(told);
+        PoolBody::JobReply(reply) => {
+            if let Some(caller) = state.queries.borrow_mut().remove(&reply.request_id) {
+                // The caller may have given up waiting.
+                let _ = caller.send(reply);
             }
         }
-        PoolBody::RelayReply(told) => {
-            if let Some(asker) = state.relays.borrow_mut().remove(&told.request_id) {
-                // As above.
-                let _ = asker.send(told);
+        PoolBody::RelayReply(reply) => {
+            if let Some(caller) = state.pending_relays.borrow_mut().remove(&reply.request_id) {
+                // The caller may have given up waiting.
+                let _ = caller.send(reply);
             }
         }
-        PoolBody::RelayRequest(ask) => send_for_owner(state, ask),
-        PoolBody::BootsEnded(dead) => {
-            let mut gone = state.shared.ended_boots.borrow_mut();
-            for boot in &dead.boots {
-                gone.record(&boot.into());
+        PoolBody::RelayRequest(request) => relay_for_owner(state, request),
+        PoolBody::BootsEnded(message) => {
+            let mut ended = state.shared.ended_boots.borrow_mut();
+            for boot in &message.boots {
+                ended.record(&boot.into());
             }
         }
         PoolBody::Config(push) => {
             if let Err(error) = state.shared.offer_config(&push.text, "the owner") {
-                tracing::error!(%error, "config of the owner refused");
+                tracing::error!(%error, "refused the owner's config");
             }
         }
-        other => tracing::warn!(?other, "unexpected message of the owner"),
+        other => tracing::warn!(?other, "unexpected message from the owner"),
     }
 }
--- a/crates/wax-front/src/show.rs
+++ b/crates/wax-front/src/show.rs
@@ -1,4 +1,4 @@
-//! Tells callers of jobs and queues: by the owner's memory, else by the store.
+//! Shows jobs and queues to callers, from the owner's memory or else from the store.
 
 use crate::cancel::read_job_rows;
 use crate::state::FrontState;
@@ -12,20 +12,20 @@
 use wax_types::{ErrorKind, Step, TimePoint, WaxError};
 use wax_wire::{JobQuery, JobReply, PoolBody};
 
-/// The owner is asked for this long before the store is.
-const OWNER_LIMIT: Duration = Duration::from_millis(400);
+/// Timeout for a query to the owner, before the store is read.
+const OWNER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The state of a job; `None` if there is no such job.
+/// Returns the state of a job; `None` if no such job exists.
 ///
 /// # Errors
 ///
-/// Neither the owner nor the store answers.
-pub(crate) async fn job_state(
+/// Neither the owner nor the store answers in time.
+pub(crate) async fn read_job_state(
     state: &FrontState,
     job: JobName,
     deadline: TimePoint,
 ) -> Result<Option<JobState>, WaxError> {
-    if let Some((outcome, begun)) = ask_owner(state, job).await {
+    if let Some((outcome, begun)) = query_owner(state, job).await {
         return Ok(Some(to_state(outcome, begun)));
     }
     let left = deadline.since(state.shared.now());
@@ -61,30 +61,30 @@
     }
 }
 
-async fn ask_owner(state: &FrontState, job: JobName) -> Option<(JobOutcome, bool)> {
+async fn query_owner(state: &FrontState, job: JobName) -> Option<(JobOutcome, bool)> {
     if let Some(term) = state.shared.current_term() {
         return match term.job_status(job) {
             JobStatus::Known { outcome, begun } => Some((outcome, begun)),
             JobStatus::Unknown => None,
         };
     }
-    let told = ask(state, job.0, "").await.filter(|told| told.known)?;
-    let outcome = JobOutcome::try_from(told.outcome).ok()?;
-    Some((outcome, told.begun))
+    let reply = query(state, job.0, "").await.filter(|reply| reply.known)?;
+    let outcome = JobOutcome::try_from(reply.outcome).ok()?;
+    Some((outcome, reply.begun))
 }
 
-/// How many accepted jobs of a queue have not begun.
+/// Returns how many accepted jobs of a queue have not started.
 ///
 /// # Errors
 ///
-/// The owner does not answer.
-pub(crate) async fn queue_pending(state: &FrontState, queue: &str) -> Result<u64, WaxError> {
+/// No owner that has loaded the whole queue answers in time.
+pub(crate) async fn read_queue_pending(state: &FrontState, queue: &str) -> Result<u64, WaxError> {
     let pending = match state.shared.current_term() {
         Some(term) => term.pending(queue, state.shared.now()),
-        None => ask(state, 0, queue)
+        None => query(state, 0, queue)
             .await
-            .filter(|told| told.known)
-            .map(|told| told.pending),
+            .filter(|reply| reply.known)
+            .map(|reply| reply.pending),
     };
     pending.ok_or_else(|| {
         let kind = ErrorKind::Unavailable(Duration::from_secs(1));
@@ -98,11 +98,11 @@
     })
 }
 
-async fn ask(state: &FrontState, job: u64, queue: &str) -> Option<JobReply> {
-    let number = state.next_ask.get();
-    state.next_ask.set(number + 1);
+async fn query(state: &FrontState, job: u64, queue: &str) -> Option<JobReply> {
+    let number = state.next_request.get();
+    state.next_request.set(number + 1);
     let (sender, answer) = oneshot::channel();
-    let ask = JobQuery {
+    let query = JobQuery {
         request_id: number,
         job,
         queue: queue.into(),
@@ -111,10 +111,10 @@
         .outbox
         .borrow()
         .as_ref()?
-        .unbounded_send(PoolBody::JobQuery(ask))
+        .unbounded_send(PoolBody::JobQuery(query))
         .ok()?;
-    state.asks.borrow_mut().insert(number, sender);
-    let told = timeout(OWNER_LIMIT, answer).await;
-    state.asks.borrow_mut().remove(&number);
-    told.ok()?.ok()
+    state.queries.borrow_mut().insert(number, sender);
+    let reply = timeout(OWNER_TIMEOUT, answer).await;
+    state.queries.borrow_mut().remove(&number);
+    reply.ok()?.ok()
 }
