--- a/crates/wax-member/src/heartbeat.rs
+++ b/crates/wax-member/src/heartbeat.rs
@@ -11,7 +11,7 @@
 use wax_types::{ErrorKind, ProcessClock, RowVersion, SettingsVersion, Step, TimePoint, WaxError};
 
 /// Rows that stood still for so many terms are deleted.
-const TERMS_BEFORE_DELETION: u32 = 20;
+const TTLS_BEFORE_DELETION: u32 = 20;
 
 /// What the rest of the process knows of membership.
 #[derive(Debug, Clone)]
@@ -23,7 +23,7 @@
 struct HandleShared {
     row: RefCell<MemberRow>,
     watch: RefCell<MemberWatch>,
-    observed: Cell<Option<TimePoint>>,
+    last_observed: Cell<Option<TimePoint>>,
     ttl: Duration,
 }
 
@@ -33,7 +33,7 @@
         let shared = HandleShared {
             row: RefCell::new(row),
             watch: RefCell::default(),
-            observed: Cell::new(None),
+            last_observed: Cell::new(None),
             ttl,
         };
         Self {
@@ -42,12 +42,12 @@
     }
 
     /// The next renewal says this version.
-    pub fn note_settings(&self, version: SettingsVersion) {
+    pub fn set_settings_version(&self, version: SettingsVersion) {
         self.shared.row.borrow_mut().settings = version;
     }
 
     /// The next renewal says that this process takes no new work.
-    pub fn note_leaving(&self) {
+    pub fn mark_leaving(&self) {
         self.shared.row.borrow_mut().leaving = true;
     }
 
@@ -57,22 +57,22 @@
     }
 
     /// The rows of the live members, as last observed.
-    pub fn live(&self, now: TimePoint) -> Vec<MemberRow> {
+    pub fn live_members(&self, now: TimePoint) -> Vec<MemberRow> {
         let watch = self.shared.watch.borrow();
         watch
-            .live(now, self.shared.ttl)
+            .live_members(now, self.shared.ttl)
             .map(|state| state.row.clone())
             .collect()
     }
 
     /// Runs `look` on the members as last observed.
-    pub fn with_watch<T>(&self, look: impl FnOnce(&MemberWatch) -> T) -> T {
-        look(&self.shared.watch.borrow())
+    pub fn with_watch<T>(&self, read: impl FnOnce(&MemberWatch) -> T) -> T {
+        read(&self.shared.watch.borrow())
     }
 
     /// When the members were last observed; `None` before the first time.
-    pub fn observed(&self) -> Option<TimePoint> {
-        self.shared.observed.get()
+    pub fn last_observed(&self) -> Option<TimePoint> {
+        self.shared.last_observed.get()
     }
 
     /// A member whose row stands still for this long is taken for dead.
@@ -84,7 +84,7 @@
 /// Renews and observes every `period` until `stop`, then deletes the row.
 ///
 /// `stop` comes after the drain: until then the row says that this process is leaving.
-pub async fn keep_membership(
+pub async fn maintain_membership(
     handle: MemberHandle,
     table: TableClient,
     clock: ProcessClock,
@@ -94,7 +94,7 @@
     let mut version = RowVersion::default();
     let mut failing = false;
     while !stop.is_raised() {
-        let result = beat(&handle, &table, clock, period, &mut version).await;
+        let result = renew_and_observe(&handle, &table, clock, period, &mut version).await;
         if let Err(error) = &result
             && !failing
         {
@@ -110,7 +110,7 @@
     let _ = table.commit(&transaction, clock.now() + period).await;
 }
 
-async fn beat(
+async fn renew_and_observe(
     handle: &MemberHandle,
     table: &TableClient,
     clock: ProcessClock,
@@ -127,14 +127,16 @@
     transaction.put(key.clone(), *version, &row);
     match table.commit(&transaction, clock.now() + period).await {
         CommitOutcome::Committed(written) => *version = written,
-        CommitOutcome::Conflict(_) => *version = claim_row(table, &key, &row).await?,
+        CommitOutcome::Conflict(_) => {
+            *version = read_conflicting_version(table, &key, &row).await?
+        }
         CommitOutcome::NotSent(error) | CommitOutcome::Unknown(error) => return Err(error),
     }
     let now = clock.now();
     let rows = table.scan::<MemberRow>(MEMBER_PREFIX).await?;
     handle.shared.watch.borrow_mut().observe(now, rows);
-    handle.shared.observed.set(Some(now));
-    delete_gone(handle, table, now, period).await;
+    handle.shared.last_observed.set(Some(now));
+    delete_stale_rows(handle, table, now, period).await;
     Ok(())
 }
 
@@ -142,7 +144,7 @@
 ///
 /// The row may be an earlier run's. Where another live process has our name, the two overwrite
 /// each other, and both say so.
-async fn claim_row(
+async fn read_conflicting_version(
     table: &TableClient,
     key: &str,
     row: &MemberRow,
@@ -162,10 +164,15 @@
     Ok(found.version)
 }
 
-async fn delete_gone(handle: &MemberHandle, table: &TableClient, now: TimePoint, limit: Duration) {
-    let gone: Vec<_> = handle.with_watch(|watch| {
+async fn delete_stale_rows(
+    handle: &MemberHandle,
+    table: &TableClient,
+    now: TimePoint,
+    commit_timeout: Duration,
+) {
+    let stale: Vec<_> = handle.with_watch(|watch| {
         watch
-            .gone(now, handle.ttl() * TERMS_BEFORE_DELETION)
+            .stale(now, handle.ttl() * TTLS_BEFORE_DELETION)
             .map(|state| {
                 (
                     member_key(&state.row.name),
@@ -175,11 +182,11 @@
             })
             .collect()
     });
-    for (key, version, row) in gone {
+    for (key, version, row) in stale {
         let mut transaction = TableTransaction::default();
         transaction.delete(key, version);
         tracing::info!(member = %row.name, "member row deleted");
         // Whoever else deletes it does the same work.
-        let _ = table.commit(&transaction, now + limit).await;
+        let _ = table.commit(&transaction, now + commit_timeout).await;
     }
 }
--- a/crates/wax-member/src/lib.rs
+++ b/crates/wax-member/src/lib.rs
@@ -4,6 +4,6 @@
 mod row;
 mod watch;
 
-pub use heartbeat::{MemberHandle, keep_membership};
+pub use heartbeat::{MemberHandle, maintain_membership};
 pub use row::{MEMBER_PREFIX, MemberRow, member_key};
 pub use watch::{MemberState, MemberWatch};
--- a/crates/wax-member/src/watch.rs
+++ b/crates/wax-member/src/watch.rs
@@ -14,7 +14,7 @@
     /// The version of the row.
     pub version: RowVersion,
     /// When this version was first seen.
-    pub changed: TimePoint,
+    pub changed_at: TimePoint,
 }
 
 /// All members, by name; no two clocks are ever compared.
@@ -29,14 +29,14 @@
         let mut members = BTreeMap::new();
         for entry in rows {
             let name = entry.value.name.clone();
-            let changed = match self.members.get(&name) {
-                Some(state) if state.version == entry.version => state.changed,
+            let changed_at = match self.members.get(&name) {
+                Some(state) if state.version == entry.version => state.changed_at,
                 _ => now,
             };
             let state = MemberState {
                 row: entry.value,
                 version: entry.version,
-                changed,
+                changed_at,
             };
             members.insert(name, state);
         }
@@ -44,10 +44,14 @@
     }
 
     /// The members whose rows changed within `ttl`.
-    pub fn live(&self, now: TimePoint, ttl: Duration) -> impl Iterator<Item = &MemberState> {
+    pub fn live_members(
+        &self,
+        now: TimePoint,
+        ttl: Duration,
+    ) -> impl Iterator<Item = &MemberState> {
         self.members
             .values()
-            .filter(move |state| now.since(state.changed) < ttl)
+            .filter(move |state| now.since(state.changed_at) < ttl)
     }
 
     /// A member by name, alive or not.
@@ -56,9 +60,9 @@
     }
 
     /// Members whose rows have stood still for `span` or longer.
-    pub fn gone(&self, now: TimePoint, span: Duration) -> impl Iterator<Item = &MemberState> {
+    pub fn stale(&self, now: TimePoint, min_age: Duration) -> impl Iterator<Item = &MemberState> {
         self.members
             .values()
-            .filter(move |state| now.since(state.changed) >= span)
+            .filter(move |state| now.since(state.changed_at) >= min_age)
     }
 }
--- a/crates/wax-route/src/operators.rs
+++ b/crates/wax-route/src/operators.rs
@@ -102,7 +102,7 @@
                 text,
             ));
         };
-        self.shared.drains.change(name, drained).await?;
+        self.shared.drains.set_drained(name, drained).await?;
         let reply = DomainReply {
             domain: name.into(),
             drained,
--- a/crates/wax-route/src/process.rs
+++ b/crates/wax-route/src/process.rs
@@ -19,7 +19,7 @@
 use wax_platform::{GroupWriter, ObjectClient, TableClient};
 use wax_policy::{RoutePolicy, RouteTable, TeamTable};
 use wax_settings::{DaemonSettings, EntrySettings, SettingsHolder, TreeDelta};
-use wax_tasks::{CoordinatorHandle, DomainDrains, JobDesk};
+use wax_tasks::{CoordinatorHandle, DomainDrains, JobService};
 use wax_types::{ProcessClock, SettingsVersion};
 use wax_wire::{PeerHello, SettingsPush};
 
@@ -48,7 +48,7 @@
     /// The settings tree in force, shared with the shards.
     pub tree: SettingsHolder,
     /// Submissions.
-    pub desk: JobDesk,
+    pub desk: JobService,
     /// Shards owned by this process.
     pub coordinator: CoordinatorHandle,
     /// Failure domains that get nothing new.
@@ -75,7 +75,7 @@
     pub(crate) writer: GroupWriter,
     pub(crate) objects: ObjectClient,
     pub(crate) members: MemberHandle,
-    pub(crate) desk: JobDesk,
+    pub(crate) desk: JobService,
     pub(crate) coordinator: CoordinatorHandle,
     pub(crate) drains: DomainDrains,
     pub(crate) policy: RoutePolicy,
@@ -134,7 +134,7 @@
         let shared = self.shared;
         spawn(accept_peers(shared.clone(), self.peers)).detach();
         spawn(beat_peers(shared.clone())).detach();
-        spawn(shared.drains.clone().keep()).detach();
+        spawn(shared.drains.clone().run()).detach();
         load_settings(&shared).await;
         spawn(keep_settings(shared.clone(), self.poll)).detach();
         let stop_callers = ShutdownSignal::default();
@@ -147,7 +147,7 @@
         shutdown.wait().await;
         // Readiness fails from here, so that the balancer sends no more; then the listener closes.
         shared.leaving.set(true);
-        shared.members.note_leaving();
+        shared.members.mark_leaving();
         tracing::info!(attempts = shared.attempts.len(), "leaving");
         compio::time::sleep(LEAVE_NOTICE).await;
         stop_callers.raise();
@@ -172,7 +172,7 @@
     /// Where sidecars can reach this entry and the others.
     pub(crate) fn entry_addresses(&self) -> Vec<String> {
         let mut addresses = vec![self.peers_address.to_string()];
-        for member in self.members.live(self.clock.now()) {
+        for member in self.members.live_members(self.clock.now()) {
             if let Some(address) = member.peers
                 && !member.leaving
                 && *address != *addresses[0]
@@ -208,7 +208,7 @@
     pub(crate) fn after_settings(&self, delta: Option<TreeDelta>) {
         *self.last_delta.borrow_mut() = delta;
         self.settings_loaded.set(true);
-        self.members.note_settings(self.settings.version());
+        self.members.set_settings_version(self.settings.version());
         for peer in self.peers.all() {
             if peer.settings.get() < self.settings.version() {
                 let push = self.settings_push(peer.settings.get());
--- a/crates/wax-route/src/status.rs
+++ b/crates/wax-route/src/status.rs
@@ -66,7 +66,7 @@
 pub(crate) fn force_status(shared: &EntryShared, version: SettingsVersion) -> ForceStatus {
     let now = shared.clock.now();
     let mut known: BTreeMap<Box<str>, (SettingsVersion, Option<u64>)> = BTreeMap::new();
-    for member in shared.members.live(now) {
+    for member in shared.members.live_members(now) {
         known.insert(member.name, (member.settings, None));
     }
     known.insert(shared.name.clone(), (shared.settings.version(), None));
@@ -101,7 +101,7 @@
     let now = shared.clock.now();
     let mut members: Vec<MemberStatus> = shared
         .members
-        .live(now)
+        .live_members(now)
         .into_iter()
         .map(|member| MemberStatus {
             name: member.name,
@@ -135,7 +135,7 @@
             .health()
             .down_since()
             .map(|since| now.since(since).as_millis() as u64),
-        drained: shared.drains.names(),
+        drained: shared.drains.domains(),
         members,
         shards: shared.coordinator.status(now),
         requests_in_flight: shared.teams.borrow().in_flight(),
--- a/crates/wax-tasks/src/commit.rs
+++ b/crates/wax-tasks/src/commit.rs
@@ -27,7 +27,7 @@
     let mut allocs = BTreeMap::new();
     let changes: Vec<TaskChange> = changes
         .into_iter()
-        .filter(|change| change_allocs(state, &mut allocs, change))
+        .filter(|change| update_allocations(state, &mut allocs, change))
         .collect();
     let closing = closing_parts(state, &changes);
     let mut group = ChangeGroup {
@@ -36,7 +36,7 @@
         allocs,
         closing,
     };
-    group.fill(state, term);
+    group.fill_transaction(state, term);
     group
 }
 
@@ -44,12 +44,12 @@
 ///
 /// An owner that was replaced must not: the next one may have loaded the shard before the notes
 /// were written, and would never see their jobs.
-pub(crate) fn build_removal(
+pub(crate) fn build_inbox_removal(
     term: &OwnerTerm,
-    notes: Vec<(Box<str>, RowVersion)>,
+    messages: Vec<(Box<str>, RowVersion)>,
 ) -> TableTransaction {
     let mut transaction = TableTransaction::default();
-    for (key, version) in notes {
+    for (key, version) in messages {
         transaction.delete(key, version);
     }
     transaction.require(shard_key(term.shard()), term.version());
@@ -57,7 +57,7 @@
 }
 
 /// Moves a task between allocation rows; refuses what exceeds a worker's capacity.
-fn change_allocs(
+fn update_allocations(
     state: &ShardState,
     allocs: &mut BTreeMap<WorkerId, AllocRow>,
     change: &TaskChange,
@@ -89,29 +89,29 @@
 
 /// Parts whose last open tasks end with these changes.
 fn closing_parts(state: &ShardState, changes: &[TaskChange]) -> Vec<PartKey> {
-    let mut ending: HashMap<PartKey, u32> = HashMap::new();
+    let mut ended_tasks: HashMap<PartKey, u32> = HashMap::new();
     for change in changes
         .iter()
         .filter(|change| change.next.state.is_terminal())
     {
         if let Some(entry) = state.tasks.get(&change.task) {
-            *ending.entry(entry.part).or_default() += 1;
+            *ended_tasks.entry(entry.part).or_default() += 1;
         }
     }
-    ending
+    ended_tasks
         .into_iter()
-        .filter(|(key, ending)| {
+        .filter(|(key, ended_tasks)| {
             state
                 .parts
                 .get(key)
-                .is_some_and(|part| part.open == *ending)
+                .is_some_and(|part| part.open_tasks == *ended_tasks)
         })
         .map(|(key, _)| key)
         .collect()
 }
 
 impl ChangeGroup {
-    fn fill(&mut self, state: &ShardState, term: &OwnerTerm) {
+    fn fill_transaction(&mut self, state: &ShardState, term: &OwnerTerm) {
         let shard = term.shard();
         for key in self.closing.clone() {
             self.close_part(state, term, key);
@@ -119,7 +119,7 @@
         for key in self.open_parts(state) {
             if let Some(part) = state.parts.get(&key) {
                 let row = TasksRow {
-                    tasks: self.rows_of(state, part),
+                    tasks: self.task_rows(state, part),
                 };
                 let version = part.tasks_version;
                 self.transaction
@@ -127,7 +127,7 @@
             }
         }
         for (worker, row) in &self.allocs {
-            let version = state.workers.get(worker).map(|entry| entry.version);
+            let version = state.workers.get(worker).map(|entry| entry.alloc_version);
             let key = alloc_key(shard, worker);
             self.transaction.put(key, version.unwrap_or_default(), row);
         }
@@ -146,7 +146,7 @@
     }
 
     /// How the tasks of a part stand with the changes.
-    fn rows_of(&self, state: &ShardState, part: &PartEntry) -> Vec<Option<TaskRow>> {
+    fn task_rows(&self, state: &ShardState, part: &PartEntry) -> Vec<Option<TaskRow>> {
         let place = part.row.place;
         let tasks = (place.first..place.first + place.count).map(|index| TaskId {
             job: part.row.job,
@@ -170,7 +170,7 @@
         };
         let shard = term.shard();
         let closed = ClosedRow {
-            tasks: self.rows_of(state, part).into_iter().flatten().collect(),
+            tasks: self.task_rows(state, part).into_iter().flatten().collect(),
         };
         self.transaction
             .put(closed_key(key.0, key.1), RowVersion::default(), &closed);
@@ -190,12 +190,12 @@
         for (worker, row) in &self.allocs {
             if let Some(entry) = state.workers.get_mut(worker) {
                 entry.alloc = row.clone();
-                entry.changed_ms = wall_clock_ms();
-                entry.version = version;
+                entry.tasks_changed_ms = wall_clock_ms();
+                entry.alloc_version = version;
             }
         }
         for key in &self.closing {
-            state.drop_part(*key);
+            state.remove_part(*key);
         }
     }
 }
--- a/crates/wax-tasks/src/commit_tests.rs
+++ b/crates/wax-tasks/src/commit_tests.rs
@@ -1,7 +1,7 @@
 //! The group commit keeps the capacity of workers and the fence of the shard.
 
-use crate::commit::{build_group, build_removal};
-use crate::rows::{JobSpec, PartPlace, PartRow, TaskRow, TaskState, shard_key};
+use crate::commit::{build_group, build_inbox_removal};
+use crate::rows::{JobSpec, PartLocation, PartRow, TaskRow, TaskState, shard_key};
 use crate::shard_load::add_worker;
 use crate::shard_state::{ShardState, TaskChange};
 use crate::term::OwnerTerm;
@@ -13,7 +13,7 @@
     JobId, ResourceVector, RowVersion, ShardEpoch, ShardId, TaskEpoch, TaskId, TimePoint, WorkerId,
 };
 
-const TERMS: LeaseTimings = LeaseTimings {
+const LEASE_TIMINGS: LeaseTimings = LeaseTimings {
     duration: Duration::from_secs(1),
     call_timeout: Duration::from_secs(1),
     clock_margin: Duration::from_secs(1),
@@ -28,7 +28,7 @@
 }
 
 /// A shard with one worker of 8000 and a job of five tasks.
-fn state() -> ShardState {
+fn shard_state() -> ShardState {
     let mut state = ShardState::default();
     let spec = JobSpec {
         team: "team".into(),
@@ -41,7 +41,7 @@
         attempts: 3,
         input: serde_json::Value::Null,
     };
-    let place = PartPlace {
+    let place = PartLocation {
         shard: ShardId(2),
         first: 0,
         count: 5,
@@ -65,7 +65,7 @@
         &mut state,
         info,
         None,
-        WorkerContact::after_takeover(now, &TERMS),
+        WorkerContact::after_takeover(now, &LEASE_TIMINGS),
         now,
     );
     state
@@ -92,16 +92,16 @@
 }
 
 #[test]
-fn placements_beyond_the_capacity_are_left_out() {
-    let state = state();
+fn placements_beyond_worker_capacity_are_omitted() {
+    let state = shard_state();
     let changes = (0..5).map(placement).collect();
     let group = build_group(&state, &term(), changes);
     assert_eq!(group.changes.len(), 2, "8000 hold two tasks of 3000");
 }
 
 #[test]
-fn placements_are_counted_on_top_of_what_the_row_holds() {
-    let mut state = state();
+fn placements_add_to_existing_allocations() {
+    let mut state = shard_state();
     let term = term();
     let now = TimePoint::from_millis(1_000);
     let group = build_group(&state, &term, vec![placement(0)]);
@@ -111,8 +111,8 @@
 }
 
 #[test]
-fn every_commit_of_an_owner_requires_the_row_of_its_shard() {
-    let state = state();
+fn commits_require_unchanged_shard_row() {
+    let state = shard_state();
     let group = build_group(&state, &term(), vec![placement(0)]);
     let key = shard_key(ShardId(2));
     assert_eq!(
@@ -122,16 +122,16 @@
 }
 
 #[test]
-fn only_the_owner_of_now_removes_the_notes_of_new_jobs() {
-    let notes = vec![("inbox/0002/job.0".into(), RowVersion(12))];
-    let transaction = build_removal(&term(), notes);
+fn inbox_removal_requires_unchanged_shard_row() {
+    let messages = vec![("inbox/0002/job.0".into(), RowVersion(12))];
+    let transaction = build_inbox_removal(&term(), messages);
     let key = shard_key(ShardId(2));
     assert_eq!(transaction.required_version(&key), Some(RowVersion(41)));
 }
 
 #[test]
-fn every_row_that_is_written_is_a_condition() {
-    let state = state();
+fn written_rows_are_conditions() {
+    let state = shard_state();
     let group = build_group(&state, &term(), vec![placement(0), placement(1)]);
     for key in group.transaction.written_keys() {
         assert!(group.transaction.required_version(key).is_some(), "{key}");
@@ -139,8 +139,8 @@
 }
 
 #[test]
-fn a_part_closes_with_its_last_task_and_in_one_transaction() {
-    let mut state = state();
+fn part_is_closed_with_its_last_task() {
+    let mut state = shard_state();
     let term = term();
     let now = TimePoint::from_millis(1_000);
     let done = |index| TaskChange {
--- a/crates/wax-tasks/src/coordinator.rs
+++ b/crates/wax-tasks/src/coordinator.rs
@@ -1,7 +1,7 @@
 //! Gains and loses shards: one row of the table for each, one live member that ranks highest.
 
 use crate::drains::DomainDrains;
-use crate::ownership::{OwnIdentity, ShardChoice, decide_shard};
+use crate::ownership::{ProcessIdentity, ShardChoice, decide_shard};
 use crate::rows::{SHARD_PREFIX, ShardRow, shard_key};
 use crate::shard::{ShardClients, ShardOptions, ShardShared, run_shard};
 use crate::term::OwnerTerm;
@@ -24,11 +24,11 @@
 use wax_types::{ProcessClock, RowVersion, ShardEpoch, ShardId, TimePoint, WaxError};
 
 /// A renewal that takes longer is given up.
-const WORKER_CALL: Duration = Duration::from_secs(1);
+const WORKER_CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// For two clocks that differ in speed.
 const CLOCK_MARGIN: Duration = Duration::from_millis(200);
 /// A handover waits this long for calls under way.
-const HANDOVER_PAUSE: Duration = Duration::from_millis(50);
+const HANDOVER_DELAY: Duration = Duration::from_millis(50);
 
 /// A shard as it is shown.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -92,7 +92,7 @@
             .values()
             .map(|entry| entry.alloc.tasks.len())
             .sum(),
-        confirmed_ms: now.since(shared.term.confirmed()).as_millis() as u64,
+        confirmed_ms: now.since(shared.term.confirmed_at()).as_millis() as u64,
     }
 }
 
@@ -122,20 +122,20 @@
         policy: PlacementPolicy,
         drains: DomainDrains,
     ) -> Result<Self, WaxError> {
-        let terms = LeaseTimings {
+        let lease_timings = LeaseTimings {
             duration: Duration::from_millis(settings.lease_ms.into()),
-            call_timeout: WORKER_CALL,
+            call_timeout: WORKER_CALL_TIMEOUT,
             clock_margin: CLOCK_MARGIN + Duration::from_millis(settings.lease_ms.into()) / 50,
             renewal_grace: Duration::from_millis(settings.grace_ms.into()),
         };
         let options = ShardOptions {
             shards: settings.shards,
-            terms,
-            renew: Duration::from_millis(settings.renew_ms.into()),
+            lease_timings,
+            renew_period: Duration::from_millis(settings.renew_ms.into()),
             policy,
         };
         let clock = table.health().clock();
-        let workers = WorkerClient::new(WORKER_CALL)?;
+        let workers = WorkerClient::new(WORKER_CALL_TIMEOUT)?;
         Ok(Self {
             settings,
             options,
@@ -164,24 +164,24 @@
         let period = Duration::from_millis(self.settings.heartbeat_ms.into());
         while !shutdown.is_raised() {
             // A failed look changes nothing: terms run on until their grace ends.
-            let _ = self.look(false).await;
+            let _ = self.update_shards(false).await;
             let _ = timeout(period, shutdown.wait()).await;
         }
-        self.members.note_leaving();
-        if let Err(error) = self.look(true).await {
+        self.members.mark_leaving();
+        if let Err(error) = self.update_shards(true).await {
             tracing::info!(%error, "shards not handed over; others take them when we are gone");
         }
     }
 
-    async fn look(&mut self, leaving: bool) -> Result<(), WaxError> {
-        if self.members.observed().is_none() {
+    async fn update_shards(&mut self, leaving: bool) -> Result<(), WaxError> {
+        if self.members.last_observed().is_none() {
             return Ok(());
         }
-        let begun = self.clock.now();
+        let started_at = self.clock.now();
         let rows = self.clients.table.scan::<ShardRow>(SHARD_PREFIX).await?;
         let mut rows: HashMap<Box<str>, RowEntry<ShardRow>> =
             rows.into_iter().map(|row| (row.key.clone(), row)).collect();
-        let live = self.members.live(self.clock.now());
+        let live = self.members.live_members(self.clock.now());
         let candidates: Vec<&str> = live
             .iter()
             .filter(|member| member.coordinator && !member.leaving)
@@ -197,7 +197,7 @@
                         && row.value.incarnation == member.incarnation
                 })
             });
-            let identity = OwnIdentity {
+            let identity = ProcessIdentity {
                 name: &own.name,
                 incarnation: own.incarnation,
                 leaving: leaving || own.leaving,
@@ -205,40 +205,45 @@
             let top = top_member(index.into(), candidates.iter().copied());
             let value = row.as_ref().map(|row| &row.value);
             match decide_shard(value, identity, top, owner_alive) {
-                ShardChoice::Keep => self.keep(shard, row.as_ref(), begun),
-                ShardChoice::Release => self.release(shard, row).await,
-                ShardChoice::Claim => self.claim(shard, row).await,
-                ShardChoice::Leave => self.leave(shard),
+                ShardChoice::Keep => self.confirm_or_resume(shard, row.as_ref(), started_at),
+                ShardChoice::Release => self.hand_over(shard, row).await,
+                ShardChoice::Claim => self.claim_shard(shard, row).await,
+                ShardChoice::Yield => self.end_term(shard),
             }
         }
         Ok(())
     }
 
     /// The row is ours: confirms the term, if it is this one's.
-    fn keep(&mut self, shard: ShardId, row: Option<&RowEntry<ShardRow>>, begun: TimePoint) {
+    fn confirm_or_resume(
+        &mut self,
+        shard: ShardId,
+        row: Option<&RowEntry<ShardRow>>,
+        started_at: TimePoint,
+    ) {
         let (Some(row), Some(term)) = (row, self.terms.get(&shard)) else {
             // A claim whose reply was lost: it is claimed again under the next epoch.
             if let Some(row) = row {
-                self.reclaim(shard, row, begun);
+                self.resume_claim(shard, row, started_at);
             }
             return;
         };
         // Looked at before it is confirmed: a term that ended in an outage is begun anew.
-        if !term.holds(self.clock.now()) {
-            return self.leave(shard);
+        if !term.is_active(self.clock.now()) {
+            return self.end_term(shard);
         }
         if row.version == term.version() {
-            term.confirm(begun);
+            term.confirm(started_at);
         }
     }
 
     /// The row says that it is ours and no term runs: the term begins with this look.
-    fn reclaim(&mut self, shard: ShardId, row: &RowEntry<ShardRow>, begun: TimePoint) {
-        self.begin(shard, row.value.epoch, row.version, begun);
+    fn resume_claim(&mut self, shard: ShardId, row: &RowEntry<ShardRow>, started_at: TimePoint) {
+        self.start_term(shard, row.value.epoch, row.version, started_at);
     }
 
-    async fn claim(&mut self, shard: ShardId, row: Option<RowEntry<ShardRow>>) {
-        self.leave(shard);
+    async fn claim_shard(&mut self, shard: ShardId, row: Option<RowEntry<ShardRow>>) {
+        self.end_term(shard);
         let own = self.members.own_row();
         let (version, epoch) = match &row {
             Some(row) => (row.version, row.value.epoch.next()),
@@ -249,22 +254,28 @@
             incarnation: own.incarnation,
             epoch,
         };
-        let begun = self.clock.now();
+        let started_at = self.clock.now();
         let mut transaction = TableTransaction::default();
         transaction.put(shard_key(shard), version, &next);
-        let deadline = begun + Duration::from_millis(self.settings.member_ttl_ms.into());
+        let deadline = started_at + Duration::from_millis(self.settings.member_ttl_ms.into());
         if let CommitOutcome::Committed(version) =
             self.clients.table.commit(&transaction, deadline).await
         {
-            self.begin(shard, epoch, version, begun);
+            self.start_term(shard, epoch, version, started_at);
         }
     }
 
-    fn begin(&mut self, shard: ShardId, epoch: ShardEpoch, version: RowVersion, begun: TimePoint) {
+    fn start_term(
+        &mut self,
+        shard: ShardId,
+        epoch: ShardEpoch,
+        version: RowVersion,
+        started_at: TimePoint,
+    ) {
         count(Counter::ShardsGained);
         tracing::info!(%shard, %epoch, "shard gained");
-        let grace = self.options.terms.renewal_grace;
-        let term = OwnerTerm::new(shard, epoch, version, grace, begun, self.clock.now());
+        let grace = self.options.lease_timings.renewal_grace;
+        let term = OwnerTerm::new(shard, epoch, version, grace, started_at, self.clock.now());
         self.terms.insert(shard, term.clone());
         let shards = self.handle.shards.clone();
         let publish = move |shared: Option<Rc<ShardShared>>| {
@@ -274,7 +285,10 @@
                     shards.insert(shard, shared);
                 }
                 // A later term may have begun before the end of this one was noticed.
-                None if shards.get(&shard).is_some_and(|shared| !shared.holds()) => {
+                None if shards
+                    .get(&shard)
+                    .is_some_and(|shared| !shared.is_term_active()) =>
+                {
                     shards.remove(&shard);
                 }
                 None => {}
@@ -285,10 +299,10 @@
     }
 
     /// Hands a shard over: acts no more, then gives the row away.
-    async fn release(&mut self, shard: ShardId, row: Option<RowEntry<ShardRow>>) {
-        self.leave(shard);
+    async fn hand_over(&mut self, shard: ShardId, row: Option<RowEntry<ShardRow>>) {
+        self.end_term(shard);
         let Some(row) = row else { return };
-        sleep(HANDOVER_PAUSE).await;
+        sleep(HANDOVER_DELAY).await;
         let next = ShardRow {
             owner: None,
             ..row.value
@@ -300,7 +314,7 @@
         let _ = self.clients.table.commit(&transaction, deadline).await;
     }
 
-    fn leave(&mut self, shard: ShardId) {
+    fn end_term(&mut self, shard: ShardId) {
         if let Some(term) = self.terms.remove(&shard) {
             term.end();
             count(Counter::ShardsLost);
--- a/crates/wax-tasks/src/drains.rs
+++ b/crates/wax-tasks/src/drains.rs
@@ -17,9 +17,9 @@
 /// Between two readings; a change of the operators is in force everywhere within five seconds.
 const READ_PERIOD: Duration = Duration::from_secs(1);
 /// A change is offered to the store this long.
-const COMMIT_SPAN: Duration = Duration::from_secs(3);
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
 /// Longest name of a failure domain, bytes.
-const MOST_NAME: usize = 100;
+const MAX_NAME_BYTES: usize = 100;
 
 /// Whether a failure domain is drained.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -38,9 +38,9 @@
 struct KnownDrains {
     view: RefCell<DrainView>,
     /// Counts what was learned: a reading that began before a change of our own is of the past.
-    learned: Cell<u64>,
+    revision: Cell<u64>,
     /// Rows that did not decode: each is told once.
-    damaged: RefCell<BTreeSet<Box<str>>>,
+    undecodable_keys: RefCell<BTreeSet<Box<str>>>,
 }
 
 impl DomainDrains {
@@ -53,7 +53,7 @@
     }
 
     /// Reads the rows again and again for the life of the process.
-    pub async fn keep(self) {
+    pub async fn run(self) {
         let streak = FailureStreak::new("reading of the drains");
         loop {
             match self.read().await {
@@ -65,7 +65,7 @@
     }
 
     /// The drained failure domains.
-    pub fn names(&self) -> Vec<Box<str>> {
+    pub fn domains(&self) -> Vec<Box<str>> {
         self.known.view.borrow().domains().iter().cloned().collect()
     }
 
@@ -84,20 +84,20 @@
     /// # Errors
     ///
     /// The name is none, the store does not answer, or others change the row at the same time.
-    pub async fn change(&self, domain: &str, drained: bool) -> Result<(), WaxError> {
-        check_name(domain)?;
+    pub async fn set_drained(&self, domain: &str, drained: bool) -> Result<(), WaxError> {
+        validate_domain_name(domain)?;
         let key = format!("{DRAIN_PREFIX}{domain}");
         let before = self.table.read::<Value>(&key).await?;
         let version = before.map_or_else(RowVersion::default, |row| row.version);
         let mut transaction = TableTransaction::default();
         transaction.put(key, version, &DrainRow { drained });
         let now = self.now();
-        match self.table.commit(&transaction, now + COMMIT_SPAN).await {
+        match self.table.commit(&transaction, now + COMMIT_TIMEOUT).await {
             CommitOutcome::Committed(_) => {
                 // Before the first reading the others are not known: it will bring this one too.
                 if self.are_known() {
-                    self.learn(|view, nth| {
-                        view.apply_changes(nth, [(domain.into(), drained)], now)
+                    self.update_view(|view, new_revision| {
+                        view.apply_changes(new_revision, [(domain.into(), drained)], now)
                     });
                 }
                 Ok(())
@@ -116,23 +116,28 @@
     }
 
     async fn read(&self) -> Result<(), WaxError> {
-        let (asked, learned) = (self.now(), self.known.learned.get());
+        let (read_started, revision) = (self.now(), self.known.revision.get());
         let rows = self.table.scan::<Value>(DRAIN_PREFIX).await?;
-        let drained = rows.iter().filter(|row| self.is_drain(row));
+        let drained = rows.iter().filter(|row| self.is_drain_row(row));
         let names = drained.filter_map(|row| row.key.strip_prefix(DRAIN_PREFIX));
         let names: BTreeSet<Box<str>> = names.map(Into::into).collect();
-        if self.known.learned.get() == learned {
-            self.learn(|view, nth| view.replace(nth, names, asked));
+        if self.known.revision.get() == revision {
+            self.update_view(|view, new_revision| view.replace(new_revision, names, read_started));
         }
         Ok(())
     }
 
     /// A row that cannot be read counts as a drain: what is not certain is kept out, and no other is hidden.
-    fn is_drain(&self, row: &RowEntry<Value>) -> bool {
+    fn is_drain_row(&self, row: &RowEntry<Value>) -> bool {
         match DrainRow::deserialize(&row.value) {
             Ok(value) => value.drained,
             Err(error) => {
-                if self.known.damaged.borrow_mut().insert(row.key.clone()) {
+                if self
+                    .known
+                    .undecodable_keys
+                    .borrow_mut()
+                    .insert(row.key.clone())
+                {
                     tracing::error!(%error, key = %row.key, "the row of a drain does not decode");
                 }
                 true
@@ -140,11 +145,11 @@
         }
     }
 
-    fn learn(&self, change: impl FnOnce(&mut DrainView, u64) -> bool) {
-        let nth = self.known.learned.get() + 1;
-        self.known.learned.set(nth);
+    fn update_view(&self, change: impl FnOnce(&mut DrainView, u64) -> bool) {
+        let new_revision = self.known.revision.get() + 1;
+        self.known.revision.set(new_revision);
         let mut view = self.known.view.borrow_mut();
-        if change(&mut view, nth) {
+        if change(&mut view, new_revision) {
             tracing::info!(domains = ?view.domains(), "drained failure domains");
         }
     }
@@ -154,13 +159,13 @@
     }
 }
 
-fn check_name(domain: &str) -> Result<(), WaxError> {
-    let is_plain = |sign: char| sign.is_ascii_alphanumeric() || "-_.".contains(sign);
-    if !domain.is_empty() && domain.len() <= MOST_NAME && domain.chars().all(is_plain) {
+fn validate_domain_name(domain: &str) -> Result<(), WaxError> {
+    let is_plain = |character: char| character.is_ascii_alphanumeric() || "-_.".contains(character);
+    if !domain.is_empty() && domain.len() <= MAX_NAME_BYTES && domain.chars().all(is_plain) {
         return Ok(());
     }
     let text = format!(
-        "expected the name of a failure domain: letters, digits, - _ . and at most {MOST_NAME} of them"
+        "expected the name of a failure domain: letters, digits, - _ . and at most {MAX_NAME_BYTES} of them"
     );
     Err(WaxError::new(
         ErrorKind::Invalid,
--- a/crates/wax-tasks/src/explain.rs
+++ b/crates/wax-tasks/src/explain.rs
@@ -9,7 +9,7 @@
 
 /// Why one task stands where it stands, as its shard's owner sees it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TaskReason {
+pub struct TaskExplanation {
     /// The index of the task.
     pub index: u32,
     /// Its shard.
@@ -20,30 +20,30 @@
 
 impl CoordinatorHandle {
     /// The reasons for the tasks of a job whose shards are owned here.
-    pub fn explain(&self, now: TimePoint, job: JobId) -> Vec<TaskReason> {
+    pub fn explain(&self, now: TimePoint, job: JobId) -> Vec<TaskExplanation> {
         let shards = self.shards.borrow();
-        let mut reasons: Vec<TaskReason> = shards
+        let mut reasons: Vec<TaskExplanation> = shards
             .values()
-            .flat_map(|shared| explain_in(shared, now, job))
+            .flat_map(|shared| explain_shard(shared, now, job))
             .collect();
         reasons.sort_by_key(|reason| reason.index);
         reasons
     }
 }
 
-fn explain_in(shared: &ShardShared, now: TimePoint, job: JobId) -> Vec<TaskReason> {
+fn explain_shard(shared: &ShardShared, now: TimePoint, job: JobId) -> Vec<TaskExplanation> {
     let state = shared.state.borrow();
     let tasks = state.tasks.keys().filter(|task| task.job == job);
     tasks
-        .map(|task| TaskReason {
+        .map(|task| TaskExplanation {
             index: task.index,
             shard: shared.term.shard(),
-            reason: reason_of(shared, &state, now, *task).into(),
+            reason: explain_task(shared, &state, now, *task).into(),
         })
         .collect()
 }
 
-fn reason_of(shared: &ShardShared, state: &ShardState, now: TimePoint, task: TaskId) -> String {
+fn explain_task(shared: &ShardShared, state: &ShardState, now: TimePoint, task: TaskId) -> String {
     let Some(entry) = state.tasks.get(&task) else {
         return "not known here".to_owned();
     };
@@ -67,11 +67,11 @@
         Some(TaskState::Done(result)) => format!("done, its result is {result}"),
         Some(TaskState::Failed(reason)) => format!("given up: {reason}"),
         Some(TaskState::Cancelled) => "cancelled".to_owned(),
-        Some(TaskState::Waiting) | None => waiting_reason(shared, state, now, task),
+        Some(TaskState::Waiting) | None => explain_waiting(shared, state, now, task),
     }
 }
 
-fn waiting_reason(
+fn explain_waiting(
     shared: &ShardShared,
     state: &ShardState,
     now: TimePoint,
@@ -81,7 +81,7 @@
         return "waits".to_owned();
     };
     let team = &part.row.spec.team;
-    if state.quotas.held_back().any(|held| *held == **team) {
+    if state.quotas.limited_teams().any(|held| *held == **team) {
         return format!("waits: the quota of team {team} is used; raise it or wait for its tasks");
     }
     let quarantined = state
@@ -89,7 +89,7 @@
         .values()
         .filter(|entry| entry.quarantined_until.is_some_and(|until| until > now))
         .count();
-    let silent = state
+    let unreachable = state
         .workers
         .values()
         .filter(|entry| !entry.contact.is_reachable())
@@ -100,7 +100,7 @@
         .values()
         .filter(|entry| is_drained(&entry.info.failure_domain))
         .count();
-    let most = state
+    let max_free = state
         .workers
         .values()
         .filter(|entry| !is_drained(&entry.info.failure_domain))
@@ -114,8 +114,8 @@
         .take_while(|(_, _, other)| *other != task)
         .count();
     format!(
-        "waits for room: needs {}; the most that one of {} workers has free is {most} \
-         ({silent} do not answer, {quarantined} in quarantine, {drained} in drained failure domains); {ahead} tasks are ahead",
+        "waits for room: needs {}; the most that one of {} workers has free is {max_free} \
+         ({unreachable} do not answer, {quarantined} in quarantine, {drained} in drained failure domains); {ahead} tasks are ahead",
         demand.size,
         state.workers.len(),
     )
--- a/crates/wax-tasks/src/upkeep.rs
+++ b/crates/wax-tasks/src/housekeeping.rs
@@ -1,11 +1,11 @@
 //! Orphans, notes of new jobs, and the platform's list of workers.
 
-use crate::commit::build_removal;
-use crate::round::{COMMIT_SPAN, DIRECTORY_PERIOD, ShardRound};
+use crate::commit::build_inbox_removal;
 use crate::rows::{InboxRow, PartRow, part_key};
 use crate::shard_load::{add_worker, read_inbox};
+use crate::shard_loop::{COMMIT_TIMEOUT, DIRECTORY_PERIOD, ShardLoop};
 use crate::split::shard_of_worker;
-use crate::worker_link::{keep_worker, stop_run};
+use crate::worker_link::{run_worker_link, stop_run};
 use compio::runtime::spawn;
 use std::time::Duration;
 use wax_platform::{TaskMark, WorkerInfo};
@@ -16,61 +16,61 @@
 /// Between two looks at the notes of new jobs.
 const INBOX_PERIOD: Duration = Duration::from_millis(200);
 
-impl ShardRound {
+impl ShardLoop {
     /// Stops runs without an allocation, once the ownership was confirmed after they were seen.
     pub(crate) fn stop_orphans(&self) {
-        let confirmed = self.shared.term.confirmed();
+        let confirmed_at = self.shared.term.confirmed_at();
         let due: Vec<(WorkerId, TaskMark)> = {
             let mut state = self.shared.state.borrow_mut();
             let mut due = Vec::new();
             for (worker, entry) in &mut state.workers {
-                let marks: Vec<TaskMark> = entry
+                let run_ids: Vec<TaskMark> = entry
                     .orphans
                     .iter()
-                    .filter(|(_, seen)| **seen < confirmed)
-                    .map(|(mark, _)| *mark)
+                    .filter(|(_, seen)| **seen < confirmed_at)
+                    .map(|(run_id, _)| *run_id)
                     .collect();
-                for mark in marks {
-                    entry.orphans.remove(&mark);
-                    due.push((worker.clone(), mark));
+                for run_id in run_ids {
+                    entry.orphans.remove(&run_id);
+                    due.push((worker.clone(), run_id));
                 }
             }
             due
         };
-        for (worker, mark) in due {
+        for (worker, run_id) in due {
             count(Counter::TasksOrphaned);
-            tracing::warn!(%worker, task = %mark.task, epoch = %mark.epoch, "stopping an orphan");
-            spawn(stop_run(self.shared.clone(), worker, mark)).detach();
+            tracing::warn!(%worker, task = %run_id.task, epoch = %run_id.epoch, "stopping an orphan");
+            spawn(stop_run(self.shared.clone(), worker, run_id)).detach();
         }
     }
 
     /// Takes new parts and cancellations, then deletes the notes.
-    pub(crate) async fn read_notes(&mut self) {
+    pub(crate) async fn process_inbox(&mut self) {
         if self.shared.now() < self.inbox_due {
             return;
         }
         self.inbox_due = self.shared.now() + INBOX_PERIOD;
         let shard = self.shared.term.shard();
-        let Ok(notes) = read_inbox(&self.shared.table, shard).await else {
+        let Ok(messages) = read_inbox(&self.shared.table, shard).await else {
             return;
         };
-        let mut taken = Vec::new();
-        for note in notes {
-            if self.take_note(note.value).await.is_err() {
+        let mut processed = Vec::new();
+        for message in messages {
+            if self.process_message(message.value).await.is_err() {
                 break;
             }
-            taken.push((note.key, note.version));
+            processed.push((message.key, message.version));
         }
-        if !taken.is_empty() {
-            let transaction = build_removal(&self.shared.term, taken);
-            let deadline = self.shared.now() + COMMIT_SPAN;
+        if !processed.is_empty() {
+            let transaction = build_inbox_removal(&self.shared.term, processed);
+            let deadline = self.shared.now() + COMMIT_TIMEOUT;
             // A note that stays is taken again, which changes nothing.
             let _ = self.shared.table.commit(&transaction, deadline).await;
         }
     }
 
-    pub(crate) async fn take_note(&self, note: InboxRow) -> Result<(), WaxError> {
-        match note {
+    pub(crate) async fn process_message(&self, message: InboxRow) -> Result<(), WaxError> {
+        match message {
             InboxRow::Cancel(job) => {
                 self.shared.state.borrow_mut().cancelled.insert(job);
             }
@@ -112,9 +112,9 @@
         }
         let worker = info.id.clone();
         tracing::info!(%worker, "worker listed");
-        let contact = WorkerContact::after_takeover(now, &self.shared.options.terms);
+        let contact = WorkerContact::after_takeover(now, &self.shared.options.lease_timings);
         add_worker(&mut state, info, None, contact, now);
         drop(state);
-        spawn(keep_worker(self.shared.clone(), worker)).detach();
+        spawn(run_worker_link(self.shared.clone(), worker)).detach();
     }
 }
--- a/crates/wax-tasks/src/desk.rs
+++ b/crates/wax-tasks/src/job_service.rs
@@ -1,9 +1,9 @@
 //! Takes submissions and cancellations, and shows jobs, at any entry.
 
 use crate::rows::{
-    ClosedRow, InboxRow, JobKeyRow, JobRow, JobSpec, PartPlace, PartRow, TaskRow, TaskState,
-    TasksRow, closed_key, inbox_cancel_key, inbox_part_key, job_key, jobkey_key, part_key,
-    tasks_key,
+    ClosedRow, IdempotencyKeyRow, InboxRow, JobRow, JobSpec, PartLocation, PartRow, TaskRow,
+    TaskState, TasksRow, closed_key, idempotency_row_key, inbox_cancel_key, inbox_part_key,
+    job_key, part_key, tasks_key,
 };
 use crate::split::{WorkerShape, shard_of_worker, split_job};
 use fastrand::Rng;
@@ -23,11 +23,11 @@
 };
 
 /// The list of workers is asked for again after this time.
-const WORKERS_FRESH: Duration = Duration::from_secs(2);
+const WORKER_LIST_MAX_AGE: Duration = Duration::from_secs(2);
 /// Tasks of one job at most.
-const MOST_TASKS: u32 = 10_000;
+const MAX_TASKS: u32 = 10_000;
 /// A cancellation is offered this often where the job's row changes meanwhile.
-const CANCEL_TRIES: usize = 5;
+const MAX_CANCEL_ATTEMPTS: usize = 5;
 
 /// A submission as a caller sends it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -81,7 +81,7 @@
 
 /// The desk of one entry.
 #[derive(Debug)]
-pub struct JobDesk {
+pub struct JobService {
     table: TableClient,
     writer: GroupWriter,
     objects: ObjectClient,
@@ -92,7 +92,7 @@
     rng: RefCell<Rng>,
 }
 
-impl JobDesk {
+impl JobService {
     /// Prepares the desk of a system of `shards` shards.
     pub fn new(
         table: TableClient,
@@ -129,7 +129,7 @@
         deadline: TimePoint,
     ) -> Result<JobId, WaxError> {
         let spec = resolve_spec(tree, team, request)?;
-        let workers = self.workers().await?;
+        let workers = self.worker_list().await?;
         let shapes: Vec<WorkerShape> = workers
             .iter()
             .map(|worker| WorkerShape {
@@ -154,11 +154,11 @@
             submitted_ms: wall_clock_ms(),
             cancelled: false,
         };
-        self.insert(team, key, JobId::generate(), &row, deadline)
+        self.commit_submission(team, key, JobId::generate(), &row, deadline)
             .await
     }
 
-    async fn insert(
+    async fn commit_submission(
         &self,
         team: &str,
         key: &str,
@@ -166,35 +166,37 @@
         row: &JobRow,
         deadline: TimePoint,
     ) -> Result<JobId, WaxError> {
-        let key_row = jobkey_key(team, key);
-        let transaction = submission(&key_row, job, row);
+        let row_key = idempotency_row_key(team, key);
+        let transaction = submission_transaction(&row_key, job, row);
         match self.writer.commit(transaction, deadline).await {
             CommitOutcome::Committed(_) => {
                 count(Counter::JobsAccepted);
                 Ok(job)
             }
-            CommitOutcome::Conflict(_) => match self.table.read::<JobKeyRow>(&key_row).await? {
-                Some(found) => Ok(found.value.job),
-                None => Err(open_fate("the key changed meanwhile")),
-            },
+            CommitOutcome::Conflict(_) => {
+                match self.table.read::<IdempotencyKeyRow>(&row_key).await? {
+                    Some(found) => Ok(found.value.job),
+                    None => Err(indeterminate("the key changed meanwhile")),
+                }
+            }
             CommitOutcome::NotSent(error) => {
-                let after = error.retry_after().unwrap_or(Duration::from_secs(1));
+                let retry_after = error.retry_after().unwrap_or(Duration::from_secs(1));
                 Err(WaxError {
-                    kind: ErrorKind::Unavailable(after),
+                    kind: ErrorKind::Unavailable(retry_after),
                     step: Step::SubmitJob,
                     ..error
                 })
             }
-            CommitOutcome::Unknown(error) => Err(open_fate(&error.label)),
+            CommitOutcome::Unknown(error) => Err(indeterminate(&error.label)),
         }
     }
 
     /// The workers, asked for at most every few seconds; the last list serves in an outage.
-    async fn workers(&self) -> Result<Vec<WorkerInfo>, WaxError> {
+    async fn worker_list(&self) -> Result<Vec<WorkerInfo>, WaxError> {
         let now = self.clock.now();
         let known = self.workers.borrow().clone();
-        if let Some((at, workers)) = &known
-            && now.since(*at) < WORKERS_FRESH
+        if let Some((fetched_at, workers)) = &known
+            && now.since(*fetched_at) < WORKER_LIST_MAX_AGE
         {
             return Ok(workers.clone());
         }
@@ -222,7 +224,7 @@
         let mut ended = true;
         for place in &row.parts {
             // The open rows first: a part that closes in between shows as closed.
-            let open = self.open_rows(job, *place).await?;
+            let open = self.open_task_rows(job, *place).await?;
             let closed = self
                 .table
                 .read::<ClosedRow>(&closed_key(job, place.first))
@@ -249,10 +251,10 @@
         })
     }
 
-    async fn open_rows(
+    async fn open_task_rows(
         &self,
         job: JobId,
-        place: PartPlace,
+        place: PartLocation,
     ) -> Result<Vec<Option<TaskRow>>, WaxError> {
         let key = tasks_key(place.shard, job, place.first);
         let row = self.table.read::<TasksRow>(&key).await?;
@@ -301,7 +303,7 @@
     ///
     /// There is no such job, or the store does not answer.
     pub async fn cancel(&self, job: JobId, deadline: TimePoint) -> Result<(), WaxError> {
-        for _ in 0..CANCEL_TRIES {
+        for _ in 0..MAX_CANCEL_ATTEMPTS {
             let (version, mut row) = self.read_job(job).await?;
             if row.cancelled {
                 return Ok(());
@@ -322,7 +324,7 @@
                 CommitOutcome::NotSent(error) | CommitOutcome::Unknown(error) => return Err(error),
             }
         }
-        Err(open_fate("the job's row kept changing"))
+        Err(indeterminate("the job's row kept changing"))
     }
 
     async fn read_job(&self, job: JobId) -> Result<(RowVersion, JobRow), WaxError> {
@@ -338,16 +340,16 @@
     }
 }
 
-fn open_fate(label: &str) -> WaxError {
+fn indeterminate(label: &str) -> WaxError {
     WaxError::new(ErrorKind::Ambiguous, Step::SubmitJob, "table", label)
         .with_help("ask again with the same idempotency key")
 }
 
 /// One transaction: the key, the job, its parts, and the notes to the shards' owners.
-fn submission(key_row: &str, job: JobId, row: &JobRow) -> TableTransaction {
+fn submission_transaction(row_key: &str, job: JobId, row: &JobRow) -> TableTransaction {
     let absent = RowVersion::default();
     let mut transaction = TableTransaction::default();
-    transaction.put(key_row, absent, &JobKeyRow { job });
+    transaction.put(row_key, absent, &IdempotencyKeyRow { job });
     transaction.put(job_key(job), absent, row);
     for place in &row.parts {
         let part = PartRow {
@@ -377,8 +379,8 @@
                 .with_help("declare it with `waxwing settings apply`"),
         );
     }
-    if !(1..=MOST_TASKS).contains(&request.tasks) {
-        let text = format!("{} tasks, expected 1 to {MOST_TASKS}", request.tasks);
+    if !(1..=MAX_TASKS).contains(&request.tasks) {
+        let text = format!("{} tasks, expected 1 to {MAX_TASKS}", request.tasks);
         return Err(WaxError::new(
             ErrorKind::Invalid,
             Step::SubmitJob,
--- a/crates/wax-tasks/src/ledger_feed.rs
+++ b/crates/wax-tasks/src/ledger_feed.rs
@@ -15,13 +15,13 @@
 /// Between two segments of one shard.
 const SEGMENT_PERIOD: Duration = Duration::from_secs(1);
 /// Entries in one segment at most.
-const SEGMENT_ENTRIES: usize = 2_000;
+const MAX_SEGMENT_ENTRIES: usize = 2_000;
 /// Specs of ended jobs that are remembered.
-const MOST_CHARGES: usize = 4_096;
+const MAX_ACCOUNTS: usize = 4_096;
 
 /// Who is charged for a job.
 #[derive(Debug, Clone)]
-struct JobCharge {
+struct JobAccount {
     team: Box<str>,
     service: Box<str>,
     kind: Box<str>,
@@ -30,9 +30,9 @@
 /// Reports that wait to be stored.
 #[derive(Debug, Default)]
 pub(crate) struct LedgerFeed {
-    waiting: BTreeMap<(WorkerId, u64, u64), UsageReport>,
+    pending: BTreeMap<(WorkerId, u64, u64), UsageReport>,
     stored: HashMap<(WorkerId, u64), u64>,
-    charges: HashMap<JobId, JobCharge>,
+    accounts: HashMap<JobId, JobAccount>,
 }
 
 impl LedgerFeed {
@@ -41,17 +41,17 @@
         &mut self,
         state: &ShardState,
         worker: &WorkerId,
-        reports: Vec<UsageReport>,
+        worker_events: Vec<UsageReport>,
     ) {
-        for report in reports {
-            self.note_charge(state, &report);
+        for report in worker_events {
+            self.record_account(state, &report);
             let stored = self.stored.get(&(worker.clone(), report.boot)).copied();
             if report.sequence <= stored.unwrap_or(0) {
                 count(Counter::UsageRepeated);
                 continue;
             }
             let key = (worker.clone(), report.boot, report.sequence);
-            self.waiting.insert(key, report);
+            self.pending.insert(key, report);
         }
     }
 
@@ -59,38 +59,38 @@
     pub(crate) fn is_new(&self, worker: &WorkerId, report: &UsageReport) -> bool {
         let stored = self.stored.get(&(worker.clone(), report.boot)).copied();
         let key = (worker.clone(), report.boot, report.sequence);
-        report.sequence > stored.unwrap_or(0) && !self.waiting.contains_key(&key)
+        report.sequence > stored.unwrap_or(0) && !self.pending.contains_key(&key)
     }
 
-    fn note_charge(&mut self, state: &ShardState, report: &UsageReport) {
+    fn record_account(&mut self, state: &ShardState, report: &UsageReport) {
         let job = report.mark.task.job;
-        if self.charges.contains_key(&job) {
+        if self.accounts.contains_key(&job) {
             return;
         }
         if let Some(part) = state.part_of(report.mark.task) {
             let spec = &part.row.spec;
-            let charge = JobCharge {
+            let account = JobAccount {
                 team: spec.team.clone(),
                 service: spec.service.clone(),
                 kind: spec.kind.clone(),
             };
-            self.remember(job, charge);
+            self.insert_account(job, account);
         }
     }
 
-    fn remember(&mut self, job: JobId, charge: JobCharge) {
-        if self.charges.len() >= MOST_CHARGES {
-            self.charges.clear();
+    fn insert_account(&mut self, job: JobId, account: JobAccount) {
+        if self.accounts.len() >= MAX_ACCOUNTS {
+            self.accounts.clear();
         }
-        self.charges.insert(job, charge);
+        self.accounts.insert(job, account);
     }
 
     fn unknown_jobs(&self) -> Vec<JobId> {
         let mut jobs: Vec<JobId> = self
-            .waiting
+            .pending
             .values()
             .map(|report| report.mark.task.job)
-            .filter(|job| !self.charges.contains_key(job))
+            .filter(|job| !self.accounts.contains_key(job))
             .collect();
         jobs.sort_unstable();
         jobs.dedup();
@@ -98,10 +98,10 @@
     }
 
     fn next_batch(&self) -> Vec<((WorkerId, u64, u64), UsageReport)> {
-        self.waiting
+        self.pending
             .iter()
-            .filter(|(_, report)| self.charges.contains_key(&report.mark.task.job))
-            .take(SEGMENT_ENTRIES)
+            .filter(|(_, report)| self.accounts.contains_key(&report.mark.task.job))
+            .take(MAX_SEGMENT_ENTRIES)
             .map(|(key, report)| (key.clone(), report.clone()))
             .collect()
     }
@@ -110,31 +110,35 @@
         batch
             .iter()
             .filter_map(|(_, report)| {
-                let charge = self.charges.get(&report.mark.task.job)?;
-                let entry =
-                    LedgerEntry::from_report(report, &charge.team, &charge.service, &charge.kind);
+                let account = self.accounts.get(&report.mark.task.job)?;
+                let entry = LedgerEntry::from_report(
+                    report,
+                    &account.team,
+                    &account.service,
+                    &account.kind,
+                );
                 Some(entry)
             })
             .collect()
     }
 
     /// Forgets a batch that was stored; gives for each worker up to where all is stored.
-    fn finish(
+    fn mark_stored(
         &mut self,
         batch: &[((WorkerId, u64, u64), UsageReport)],
     ) -> HashMap<(WorkerId, u64), u64> {
         for (key, _) in batch {
-            self.waiting.remove(key);
+            self.pending.remove(key);
         }
-        let mut through = HashMap::new();
+        let mut stored_through = HashMap::new();
         for ((worker, boot, sequence), _) in batch {
-            let slot = through.entry((worker.clone(), *boot)).or_insert(0);
-            *slot = (*slot).max(*sequence);
+            let highest = stored_through.entry((worker.clone(), *boot)).or_insert(0);
+            *highest = (*highest).max(*sequence);
         }
-        for (key, sequence) in &mut through {
+        for (key, sequence) in &mut stored_through {
             // A gap below, still waiting, must not be acknowledged with it.
             let gap = self
-                .waiting
+                .pending
                 .keys()
                 .find(|(worker, boot, _)| *worker == key.0 && *boot == key.1)
                 .map(|(_, _, sequence)| *sequence);
@@ -145,38 +149,38 @@
             *stored = (*stored).max(*sequence);
             *sequence = *stored;
         }
-        through
+        stored_through
     }
 }
 
 /// Stores what waits, every second, for as long as the term holds.
-pub(crate) async fn write_usage(shared: Rc<ShardShared>) {
-    while shared.holds() && !shared.state.borrow().workers.is_empty() {
+pub(crate) async fn run_usage_writer(shared: Rc<ShardShared>) {
+    while shared.is_term_active() && !shared.state.borrow().workers.is_empty() {
         sleep(SEGMENT_PERIOD).await;
-        if let Err(error) = write_batch(&shared).await {
+        if let Err(error) = store_next_batch(&shared).await {
             tracing::debug!(%error, "usage not stored yet");
         }
     }
 }
 
-async fn write_batch(shared: &ShardShared) -> Result<(), WaxError> {
+async fn store_next_batch(shared: &ShardShared) -> Result<(), WaxError> {
     let unknown = shared.ledger.borrow().unknown_jobs();
     for job in unknown {
         let row = shared.table.read::<JobRow>(&job_key(job)).await?;
-        let charge = match row {
-            Some(row) => JobCharge {
+        let account = match row {
+            Some(row) => JobAccount {
                 team: row.value.spec.team,
                 service: row.value.spec.service,
                 kind: row.value.spec.kind,
             },
             // A run without a job is charged to nobody, but stays visible in the ledger.
-            None => JobCharge {
+            None => JobAccount {
                 team: "".into(),
                 service: "".into(),
                 kind: "".into(),
             },
         };
-        shared.ledger.borrow_mut().remember(job, charge);
+        shared.ledger.borrow_mut().insert_account(job, account);
     }
     let (batch, entries) = {
         let ledger = shared.ledger.borrow();
@@ -190,9 +194,9 @@
     let day = day_of(wall_clock_ms());
     write_segment(&shared.objects, day, shared.term.shard(), &entries).await?;
     count_many(Counter::UsageIntervals, entries.len() as u64);
-    let through = shared.ledger.borrow_mut().finish(&batch);
+    let stored_through = shared.ledger.borrow_mut().mark_stored(&batch);
     let mut state = shared.state.borrow_mut();
-    for ((worker, boot), sequence) in through {
+    for ((worker, boot), sequence) in stored_through {
         if let Some(entry) = state.workers.get_mut(&worker)
             && entry.boot == boot
         {
--- a/crates/wax-tasks/src/ownership.rs
+++ b/crates/wax-tasks/src/ownership.rs
@@ -13,12 +13,12 @@
     /// Nobody holds it, or its owner is dead, and we rank highest: take it.
     Claim,
     /// It is somebody else's matter.
-    Leave,
+    Yield,
 }
 
 /// This process, as far as the decision needs it.
 #[derive(Debug, Clone, Copy)]
-pub struct OwnIdentity<'a> {
+pub struct ProcessIdentity<'a> {
     /// Its name.
     pub name: &'a str,
     /// Its run.
@@ -33,23 +33,23 @@
 /// is a live member in the run that the row names.
 pub fn decide_shard(
     row: Option<&ShardRow>,
-    own: OwnIdentity<'_>,
+    own: ProcessIdentity<'_>,
     top: Option<&str>,
     owner_alive: bool,
 ) -> ShardChoice {
-    let ours = row.is_some_and(|row| {
+    let is_owner = row.is_some_and(|row| {
         row.owner.as_deref() == Some(own.name) && row.incarnation == own.incarnation
     });
-    let wanted = !own.leaving && top == Some(own.name);
-    match (ours, wanted) {
+    let should_own = !own.leaving && top == Some(own.name);
+    match (is_owner, should_own) {
         (true, true) => ShardChoice::Keep,
         (true, false) if own.leaving || top.is_some() => ShardChoice::Release,
         (true, false) => ShardChoice::Keep,
-        (false, true) if !held(row, owner_alive) => ShardChoice::Claim,
-        (false, _) => ShardChoice::Leave,
+        (false, true) if !has_live_owner(row, owner_alive) => ShardChoice::Claim,
+        (false, _) => ShardChoice::Yield,
     }
 }
 
-fn held(row: Option<&ShardRow>, owner_alive: bool) -> bool {
+fn has_live_owner(row: Option<&ShardRow>, owner_alive: bool) -> bool {
     row.is_some_and(|row| row.owner.is_some() && owner_alive)
 }
--- a/crates/wax-tasks/src/placing.rs
+++ b/crates/wax-tasks/src/placement.rs
@@ -1,8 +1,8 @@
 //! Places waiting tasks within quotas, and stops what must make room or was cancelled.
 
 use crate::quota::{adjust_grants, quota_of};
-use crate::round::{COMMIT_SPAN, ShardRound};
 use crate::rows::{TaskRow, TaskState};
+use crate::shard_loop::{COMMIT_TIMEOUT, ShardLoop};
 use crate::shard_state::{ShardState, TaskChange};
 use crate::worker_link::stop_run;
 use compio::runtime::spawn;
@@ -16,11 +16,11 @@
 /// Between two looks at the grants of quotas.
 const QUOTA_PERIOD: Duration = Duration::from_millis(100);
 /// Tasks placed in one transaction at most.
-const PLACE_GROUP: usize = 64;
+const MAX_PLACEMENTS_PER_COMMIT: usize = 64;
 /// Tasks of the queue that are looked at in one tick.
-const QUEUE_LOOK: usize = 256;
+const MAX_QUEUE_SCAN: usize = 256;
 
-impl ShardRound {
+impl ShardLoop {
     /// Waiting tasks of cancelled jobs end.
     pub(crate) fn cancel_waiting(&self) -> Vec<TaskChange> {
         let state = self.shared.state.borrow();
@@ -31,7 +31,7 @@
             .queue
             .iter()
             .filter(|(_, _, task)| state.cancelled.contains(&task.job))
-            .take(QUEUE_LOOK)
+            .take(MAX_QUEUE_SCAN)
             .map(|(_, _, task)| TaskChange {
                 task: *task,
                 next: state.cancelled_row(*task),
@@ -42,26 +42,27 @@
     }
 
     /// Places waiting tasks, urgent ones first; starts evictions where an urgent one needs room.
-    pub(crate) fn place_waiting(&mut self, before: &[TaskChange]) -> Vec<TaskChange> {
+    pub(crate) fn place_waiting(&mut self, earlier_changes: &[TaskChange]) -> Vec<TaskChange> {
         if !self.shared.drains.are_known() {
             return Vec::new();
         }
         let now = self.shared.now();
         let waiting: Vec<TaskId> = {
             let state = self.shared.state.borrow();
-            let changing = |task: &TaskId| before.iter().any(|change| change.task == *task);
+            let changing =
+                |task: &TaskId| earlier_changes.iter().any(|change| change.task == *task);
             let tasks = state.queue.iter().map(|(_, _, task)| *task);
             tasks
                 .filter(|task| !changing(task))
-                .take(QUEUE_LOOK)
+                .take(MAX_QUEUE_SCAN)
                 .collect()
         };
         if waiting.is_empty() {
             return Vec::new();
         }
         let mut scratch = self.shared.state.borrow().table_without_stopping();
-        self.close_drained(&mut scratch);
-        for change in before {
+        self.exclude_drained(&mut scratch);
+        for change in earlier_changes {
             if let Some(worker) = &change.release
                 && let Some(entry) = self.shared.state.borrow().workers.get(worker)
             {
@@ -72,27 +73,27 @@
             let mut state = self.shared.state.borrow_mut();
             let placed = state.placed_by_team();
             let placed = placed.iter().map(|(team, size)| (&**team, *size));
-            state.quotas.begin(placed);
+            state.quotas.begin_pass(placed);
         }
         let tree = self.shared.settings.tree();
         let mut changes = Vec::new();
         for task in waiting {
-            if changes.len() >= PLACE_GROUP {
+            if changes.len() >= MAX_PLACEMENTS_PER_COMMIT {
                 break;
             }
-            if !self.take_quota(&tree, task) {
+            if !self.try_reserve_quota(&tree, task) {
                 continue;
             }
-            match self.place_one(now, &tree, task, &mut scratch) {
+            match self.place_task(now, &tree, task, &mut scratch) {
                 Some(change) => changes.push(change),
-                None => self.put_quota_back(task),
+                None => self.unreserve_quota(task),
             }
         }
         changes
     }
 
     /// Nothing is placed in a drained failure domain.
-    fn close_drained(&self, scratch: &mut wax_policy::WorkerTable) {
+    fn exclude_drained(&self, scratch: &mut wax_policy::WorkerTable) {
         for entry in self.shared.state.borrow().workers.values() {
             if self.shared.drains.is_drained(&entry.info.failure_domain) {
                 scratch.set_open(entry.key, false);
@@ -101,20 +102,20 @@
     }
 
     /// Takes room for a task from its team's quota.
-    pub(crate) fn take_quota(&self, tree: &SettingsTree, task: TaskId) -> bool {
+    pub(crate) fn try_reserve_quota(&self, tree: &SettingsTree, task: TaskId) -> bool {
         let mut state = self.shared.state.borrow_mut();
-        let Some((team, size)) = state.charge_of(task) else {
+        let Some((team, size)) = state.quota_charge(task) else {
             return false;
         };
         let quota = quota_of(tree, &team);
         let shard = self.shared.term.shard();
-        state.quotas.take(shard, &team, size, quota)
+        state.quotas.try_reserve(shard, &team, size, quota)
     }
 
-    pub(crate) fn put_quota_back(&self, task: TaskId) {
+    pub(crate) fn unreserve_quota(&self, task: TaskId) {
         let mut state = self.shared.state.borrow_mut();
-        if let Some((team, size)) = state.charge_of(task) {
-            state.quotas.put_back(&team, size);
+        if let Some((team, size)) = state.quota_charge(task) {
+            state.quotas.unreserve(&team, size);
         }
     }
 
@@ -128,20 +129,20 @@
             let mut state = self.shared.state.borrow_mut();
             let placed = state.placed_by_team();
             let placed = placed.iter().map(|(team, size)| (&**team, *size));
-            state.quotas.begin(placed);
+            state.quotas.begin_pass(placed);
         }
-        let book = RefCell::new(std::mem::take(&mut self.shared.state.borrow_mut().quotas));
+        let quotas = RefCell::new(std::mem::take(&mut self.shared.state.borrow_mut().quotas));
         let shard = self.shared.term.shard();
         let key = crate::rows::shard_key(shard);
-        let deadline = self.shared.now() + COMMIT_SPAN;
+        let deadline = self.shared.now() + COMMIT_TIMEOUT;
         let tree = self.shared.settings.tree();
         let guard = (key.as_str(), self.shared.term.version());
         // In an outage the grants stay as they are.
-        let _ = adjust_grants(&book, &self.shared.table, &tree, shard, guard, deadline).await;
-        self.shared.state.borrow_mut().quotas = book.into_inner();
+        let _ = adjust_grants(&quotas, &self.shared.table, &tree, shard, guard, deadline).await;
+        self.shared.state.borrow_mut().quotas = quotas.into_inner();
     }
 
-    pub(crate) fn place_one(
+    pub(crate) fn place_task(
         &mut self,
         now: TimePoint,
         tree: &SettingsTree,
@@ -150,10 +151,10 @@
     ) -> Option<TaskChange> {
         let state = self.shared.state.borrow();
         let demand = state.demand(task)?;
-        let avoid = state.avoided(task);
+        let avoid = state.failed_workers(task);
         let context = PlacementContext {
             pairs: &state.pairs,
-            weights: weights_of(tree, &state.part_of(task)?.row.spec.team),
+            weights: team_weights(tree, &state.part_of(task)?.row.spec.team),
             avoid: &avoid,
             policy: self.shared.options.policy,
         };
@@ -183,7 +184,7 @@
                 drop(state);
                 for victim in victims {
                     scratch.release(key, victim);
-                    self.stop(&worker, victim);
+                    self.stop_task(&worker, victim);
                 }
                 None
             }
@@ -192,7 +193,7 @@
     }
 
     /// Begins to stop a placed task, unless that is under way.
-    pub(crate) fn stop(&self, worker: &WorkerId, task: TaskId) {
+    pub(crate) fn stop_task(&self, worker: &WorkerId, task: TaskId) {
         let mut state = self.shared.state.borrow_mut();
         let Some(entry) = state.tasks.get_mut(&task) else {
             return;
@@ -200,12 +201,12 @@
         let Some(row) = entry.row.as_ref().filter(|_| !entry.stopping) else {
             return;
         };
-        let mark = TaskMark {
+        let run_id = TaskMark {
             task,
             epoch: row.epoch,
         };
         entry.stopping = true;
-        spawn(stop_run(self.shared.clone(), worker.clone(), mark)).detach();
+        spawn(stop_run(self.shared.clone(), worker.clone(), run_id)).detach();
     }
 
     pub(crate) fn stop_cancelled(&self) {
@@ -217,14 +218,14 @@
             state.cancelled_runs()
         };
         for (task, worker) in placed {
-            self.stop(&worker, task);
+            self.stop_task(&worker, task);
         }
     }
 }
 
 impl ShardState {
     /// Whose quota a task is taken from, and how much of it.
-    pub(crate) fn charge_of(&self, task: TaskId) -> Option<(Box<str>, ResourceVector)> {
+    pub(crate) fn quota_charge(&self, task: TaskId) -> Option<(Box<str>, ResourceVector)> {
         let size = self.demand(task)?.size;
         let team = self.part_of(task)?.row.spec.team.clone();
         Some((team, size))
@@ -275,7 +276,7 @@
     }
 
     /// The workers on which a task failed.
-    pub(crate) fn avoided(&self, task: TaskId) -> Vec<wax_policy::WorkerKey> {
+    pub(crate) fn failed_workers(&self, task: TaskId) -> Vec<wax_policy::WorkerKey> {
         let row = self.tasks.get(&task).and_then(|entry| entry.row.as_ref());
         row.map_or_else(Vec::new, |row| {
             let known = row.failed_on.iter();
@@ -293,7 +294,7 @@
 }
 
 /// What counts for a team, from the settings in force.
-pub(crate) fn weights_of(tree: &SettingsTree, team: &str) -> CustomerWeights {
+pub(crate) fn team_weights(tree: &SettingsTree, team: &str) -> CustomerWeights {
     let settings = tree.resolve(&NodePath::team(team));
     CustomerWeights {
         tail: settings.weight_tail.into(),
--- a/crates/wax-tasks/src/quota.rs
+++ b/crates/wax-tasks/src/quota.rs
@@ -52,7 +52,7 @@
 }
 
 /// The larger of two in each component.
-fn largest(a: ResourceVector, b: ResourceVector) -> ResourceVector {
+fn component_max(a: ResourceVector, b: ResourceVector) -> ResourceVector {
     ResourceVector {
         cpu_milli: a.cpu_milli.max(b.cpu_milli),
         memory_mib: a.memory_mib.max(b.memory_mib),
@@ -77,23 +77,23 @@
     /// Waiting tasks that the grant did not let through in the last look at the queue.
     wanted: ResourceVector,
     /// The largest waiting task that the grant did let through and that found no room.
-    kept: ResourceVector,
+    retained: ResourceVector,
 }
 
 impl TeamGrant {
     /// What the grant should be: all that runs or waits.
-    fn due(&self) -> ResourceVector {
-        saturating_add(saturating_add(self.used, self.wanted), self.kept)
+    fn target(&self) -> ResourceVector {
+        saturating_add(saturating_add(self.used, self.wanted), self.retained)
     }
 }
 
 /// What one shard knows of the quotas.
 #[derive(Debug, Default)]
-pub(crate) struct QuotaBook {
+pub(crate) struct ShardQuotas {
     teams: HashMap<Box<str>, TeamGrant>,
 }
 
-impl QuotaBook {
+impl ShardQuotas {
     /// Begins with the rows of the table.
     pub(crate) fn load(rows: Vec<RowEntry<QuotaRow>>) -> Self {
         let teams = rows
@@ -111,11 +111,14 @@
     }
 
     /// Begins a look at the queue: what is placed now counts as used.
-    pub(crate) fn begin<'a>(&mut self, placed: impl Iterator<Item = (&'a str, ResourceVector)>) {
+    pub(crate) fn begin_pass<'a>(
+        &mut self,
+        placed: impl Iterator<Item = (&'a str, ResourceVector)>,
+    ) {
         for grant in self.teams.values_mut() {
             grant.used = ResourceVector::ZERO;
             grant.wanted = ResourceVector::ZERO;
-            grant.kept = ResourceVector::ZERO;
+            grant.retained = ResourceVector::ZERO;
         }
         for (team, size) in placed {
             let grant = self.grant_mut(team);
@@ -133,7 +136,7 @@
     /// Takes room for a task from the team's grant; says whether there was enough.
     ///
     /// Nothing is taken while the grants of all shards exceed a quota that was lowered.
-    pub(crate) fn take(
+    pub(crate) fn try_reserve(
         &mut self,
         shard: ShardId,
         team: &str,
@@ -155,19 +158,19 @@
     ///
     /// The grant is kept for the largest such task: given back and asked for again, it would be
     /// written each time; kept for all, it would hold back other shards that have room.
-    pub(crate) fn put_back(&mut self, team: &str, size: ResourceVector) {
+    pub(crate) fn unreserve(&mut self, team: &str, size: ResourceVector) {
         let grant = self.grant_mut(team);
         grant.used = grant.used.saturating_sub(size);
-        grant.kept = largest(grant.kept, size);
+        grant.retained = component_max(grant.retained, size);
     }
 
     /// Teams whose grant should change: too little for what waits, or more than is used.
-    fn due(&self, shard: ShardId) -> Vec<Box<str>> {
+    fn teams_to_adjust(&self, shard: ShardId) -> Vec<Box<str>> {
         self.teams
             .iter()
             .filter(|(_, grant)| {
                 let own = grant.row.grants.get(&shard).copied().unwrap_or_default();
-                grant.due() != own
+                grant.target() != own
             })
             .map(|(team, _)| team.clone())
             .collect()
@@ -175,16 +178,17 @@
 
     /// What a team's grant should become, if that is another than it is.
     #[cfg(test)]
-    pub(crate) fn wish(&self, shard: ShardId, team: &str) -> Option<ResourceVector> {
-        let due = self.due(shard);
-        due.iter()
-            .find(|due| ***due == *team)
-            .map(|team| self.teams[team].due())
+    pub(crate) fn pending_target(&self, shard: ShardId, team: &str) -> Option<ResourceVector> {
+        let teams = self.teams_to_adjust(shard);
+        teams
+            .iter()
+            .find(|name| ***name == *team)
+            .map(|team| self.teams[team].target())
     }
 
     /// Grants at once what the table would grant.
     #[cfg(test)]
-    pub(crate) fn grant(
+    pub(crate) fn apply_grant(
         &mut self,
         shard: ShardId,
         team: &str,
@@ -195,7 +199,7 @@
     }
 
     /// Teams with waiting tasks that the quota holds back.
-    pub(crate) fn held_back(&self) -> impl Iterator<Item = &str> {
+    pub(crate) fn limited_teams(&self) -> impl Iterator<Item = &str> {
         self.teams
             .iter()
             .filter(|(_, grant)| grant.wanted != ResourceVector::ZERO)
@@ -209,15 +213,15 @@
 ///
 /// The store does not answer; grants stay as they are in the table.
 pub(crate) async fn adjust_grants(
-    book: &std::cell::RefCell<QuotaBook>,
+    quotas: &std::cell::RefCell<ShardQuotas>,
     table: &TableClient,
     tree: &SettingsTree,
     shard: ShardId,
     guard: (&str, RowVersion),
     deadline: TimePoint,
 ) -> Result<(), WaxError> {
-    let due = book.borrow().due(shard);
-    for team in due {
+    let teams = quotas.borrow().teams_to_adjust(shard);
+    for team in teams {
         let key = format!("{QUOTA_PREFIX}{team}");
         let found = table.read::<QuotaRow>(&key).await?;
         let (mut row, version) = match found {
@@ -226,9 +230,9 @@
         };
         let before = row.clone();
         let wanted = {
-            let book = book.borrow();
-            let grant = &book.teams[&team];
-            grant.due()
+            let quotas = quotas.borrow();
+            let grant = &quotas.teams[&team];
+            grant.target()
         };
         row.adjust(shard, wanted, quota_of(tree, &team));
         if row != before {
@@ -241,7 +245,7 @@
                 continue;
             }
         }
-        if let Some(grant) = book.borrow_mut().teams.get_mut(&team) {
+        if let Some(grant) = quotas.borrow_mut().teams.get_mut(&team) {
             grant.row = row;
         }
     }
--- a/crates/wax-tasks/src/quota_tests.rs
+++ b/crates/wax-tasks/src/quota_tests.rs
@@ -1,6 +1,6 @@
 //! The book of one shard asks for grants and does not ask in vain again and again.
 
-use crate::quota::QuotaBook;
+use crate::quota::ShardQuotas;
 use wax_types::{ResourceVector, ShardId};
 
 const SHARD: ShardId = ShardId(1);
@@ -8,33 +8,33 @@
 const QUOTA: ResourceVector = ResourceVector::new(8_000, 8_000, 0);
 
 #[test]
-fn a_task_without_room_keeps_its_grant() {
-    let mut book = QuotaBook::default();
-    book.begin(std::iter::empty());
+fn grant_is_kept_for_unplaceable_task() {
+    let mut quotas = ShardQuotas::default();
+    quotas.begin_pass(std::iter::empty());
     assert!(
-        !book.take(SHARD, "team", SIZE, QUOTA),
+        !quotas.try_reserve(SHARD, "team", SIZE, QUOTA),
         "nothing is granted yet"
     );
-    assert_eq!(book.wish(SHARD, "team"), Some(SIZE));
-    book.grant(SHARD, "team", SIZE, QUOTA);
+    assert_eq!(quotas.pending_target(SHARD, "team"), Some(SIZE));
+    quotas.apply_grant(SHARD, "team", SIZE, QUOTA);
     for _ in 0..3 {
-        book.begin(std::iter::empty());
-        assert!(book.take(SHARD, "team", SIZE, QUOTA));
-        book.put_back("team", SIZE);
+        quotas.begin_pass(std::iter::empty());
+        assert!(quotas.try_reserve(SHARD, "team", SIZE, QUOTA));
+        quotas.unreserve("team", SIZE);
         assert_eq!(
-            book.wish(SHARD, "team"),
+            quotas.pending_target(SHARD, "team"),
             None,
             "the grant would be written again"
         );
         assert_eq!(
-            book.held_back().count(),
+            quotas.limited_teams().count(),
             0,
             "it is room that is missing, not the quota"
         );
     }
-    book.begin(std::iter::empty());
+    quotas.begin_pass(std::iter::empty());
     assert_eq!(
-        book.wish(SHARD, "team"),
+        quotas.pending_target(SHARD, "team"),
         Some(ResourceVector::ZERO),
         "given back when it left"
     );
--- a/crates/wax-tasks/src/rows.rs
+++ b/crates/wax-tasks/src/rows.rs
@@ -36,7 +36,7 @@
     /// What it asks for.
     pub spec: JobSpec,
     /// Its parts.
-    pub parts: Vec<PartPlace>,
+    pub parts: Vec<PartLocation>,
     /// Unix milliseconds.
     pub submitted_ms: u64,
     /// Whether its owner gave it up.
@@ -45,7 +45,7 @@
 
 /// Where a part of a job is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PartPlace {
+pub struct PartLocation {
     /// The shard that runs it.
     pub shard: ShardId,
     /// Index of its first task.
@@ -60,7 +60,7 @@
     /// The job.
     pub job: JobId,
     /// Where it is.
-    pub place: PartPlace,
+    pub place: PartLocation,
     /// The job's spec.
     pub spec: JobSpec,
     /// Unix milliseconds.
@@ -69,7 +69,7 @@
 
 /// Row `jobkey/TEAM/KEY`: the job of an idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct JobKeyRow {
+pub(crate) struct IdempotencyKeyRow {
     /// The job.
     pub(crate) job: JobId,
 }
@@ -186,7 +186,7 @@
     format!("job/{job}")
 }
 
-pub(crate) fn jobkey_key(team: &str, key: &str) -> String {
+pub(crate) fn idempotency_row_key(team: &str, key: &str) -> String {
     let hex: String = key.bytes().map(|byte| format!("{byte:02x}")).collect();
     format!("jobkey/{team}/{hex}")
 }
--- a/crates/wax-tasks/src/shard.rs
+++ b/crates/wax-tasks/src/shard.rs
@@ -2,8 +2,8 @@
 
 use crate::drains::DomainDrains;
 use crate::ledger_feed::LedgerFeed;
-use crate::round::ShardRound;
 use crate::shard_load::load_shard;
+use crate::shard_loop::ShardLoop;
 use crate::shard_state::ShardState;
 use crate::term::OwnerTerm;
 use crate::worker_link::WorkerEvent;
@@ -19,14 +19,14 @@
 use wax_types::{ProcessClock, TimePoint, WaxError, WorkerId};
 
 /// After a load that failed.
-const LOAD_PAUSE: Duration = Duration::from_millis(300);
+const LOAD_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Terms and periods of all shards of a process.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ShardOptions {
     pub(crate) shards: u16,
-    pub(crate) terms: LeaseTimings,
-    pub(crate) renew: Duration,
+    pub(crate) lease_timings: LeaseTimings,
+    pub(crate) renew_period: Duration,
     pub(crate) policy: PlacementPolicy,
 }
 
@@ -59,9 +59,9 @@
 
 /// Why a round of ownership ended.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum RoundEnd {
+pub(crate) enum LoopExit {
     /// The term is over.
-    Ended,
+    TermEnded,
     /// The table was not as remembered: load it again.
     Reload,
 }
@@ -72,8 +72,8 @@
     }
 
     /// Whether the owner may act now.
-    pub(crate) fn holds(&self) -> bool {
-        self.term.holds(self.now())
+    pub(crate) fn is_term_active(&self) -> bool {
+        self.term.is_active(self.now())
     }
 
     pub(crate) fn send(&self, event: WorkerEvent) {
@@ -82,25 +82,25 @@
     }
 
     /// A worker has refused us for a later owner.
-    pub(crate) fn fenced(&self, error: &WaxError) {
+    pub(crate) fn end_fenced_term(&self, error: &WaxError) {
         tracing::info!(shard = %self.term.shard(), %error, "fenced by a worker");
         self.term.end();
     }
 
     /// Whether a worker's failure domain is drained: it gets nothing new.
-    pub(crate) fn is_drained(&self, worker: &WorkerId) -> bool {
+    pub(crate) fn is_worker_drained(&self, worker: &WorkerId) -> bool {
         let state = self.state.borrow();
         let entry = state.workers.get(worker);
         entry.is_some_and(|entry| self.drains.is_drained(&entry.info.failure_domain))
     }
 
     /// A worker's clock when it last answered, and our time then.
-    pub(crate) fn clock_of(&self, worker: &WorkerId) -> Option<(u64, TimePoint)> {
+    pub(crate) fn worker_clock(&self, worker: &WorkerId) -> Option<(u64, TimePoint)> {
         self.state.borrow().workers.get(worker)?.clock
     }
 
     /// What to send to a worker now, and where.
-    pub(crate) fn look_at(
+    pub(crate) fn contact_choice(
         &self,
         worker: &WorkerId,
         now: TimePoint,
@@ -120,12 +120,12 @@
     publish: impl Fn(Option<Rc<ShardShared>>),
 ) {
     let mut contacts = HashMap::new();
-    while term.holds(clock.now()) {
+    while term.is_active(clock.now()) {
         let loaded = load_shard(
             &clients.table,
             &clients.directory,
             &term,
-            &options.terms,
+            &options.lease_timings,
             options.shards,
             &contacts,
         )
@@ -134,7 +134,7 @@
             Ok(state) => state,
             Err(error) => {
                 tracing::debug!(shard = %term.shard(), %error, "shard not loaded");
-                sleep(LOAD_PAUSE).await;
+                sleep(LOAD_RETRY_DELAY).await;
                 continue;
             }
         };
@@ -154,9 +154,9 @@
             events,
         });
         publish(Some(shared.clone()));
-        let end = ShardRound::new(shared.clone(), inbox).run().await;
+        let end = ShardLoop::new(shared.clone(), inbox).run().await;
         contacts = take_contacts(&shared);
-        if end == RoundEnd::Ended {
+        if end == LoopExit::TermEnded {
             break;
         }
         tracing::warn!(shard = %term.shard(), "the table changed unexpectedly; loading again");
--- a/crates/wax-tasks/src/shard_load.rs
+++ b/crates/wax-tasks/src/shard_load.rs
@@ -1,6 +1,6 @@
 //! Reads the state of a shard from the table, at a takeover or after a surprise.
 
-use crate::quota::{QUOTA_PREFIX, QuotaBook, QuotaRow};
+use crate::quota::{QUOTA_PREFIX, QuotaRow, ShardQuotas};
 use crate::rows::{
     AllocRow, InboxRow, JobRow, PartRow, TasksRow, alloc_key, alloc_prefix, inbox_prefix, job_key,
     part_prefix, tasks_prefix,
@@ -20,7 +20,7 @@
     table: &TableClient,
     directory: &WorkerDirectory,
     term: &OwnerTerm,
-    terms: &LeaseTimings,
+    lease_timings: &LeaseTimings,
     shards: u16,
     contacts: &HashMap<WorkerId, WorkerContact>,
 ) -> Result<ShardState, WaxError> {
@@ -33,7 +33,7 @@
         // The key ends like the id of the part's first task.
         let first = entry.key[tasks_prefix(shard).len()..].parse::<TaskId>();
         if let Ok(first) = first {
-            state.load_tasks((first.job, first.index), entry.value, entry.version);
+            state.load_task_rows((first.job, first.index), entry.value, entry.version);
         }
     }
     let allocs = table.scan::<AllocRow>(&alloc_prefix(shard)).await?;
@@ -46,27 +46,27 @@
             continue;
         }
         let alloc = allocs.remove(alloc_key(shard, &info.id).as_str());
-        let contact = contact_of(contacts, &info.id, term, terms);
-        add_worker(&mut state, info, alloc, contact, term.claimed());
+        let contact = restored_contact(contacts, &info.id, term, lease_timings);
+        add_worker(&mut state, info, alloc, contact, term.claimed_at());
     }
     for (_, alloc) in allocs {
-        add_unlisted(&mut state, shard, alloc, contacts, term, terms);
+        add_unlisted_worker(&mut state, shard, alloc, contacts, term, lease_timings);
     }
     load_cancelled(table, &mut state).await?;
-    state.quotas = QuotaBook::load(table.scan::<QuotaRow>(QUOTA_PREFIX).await?);
+    state.quotas = ShardQuotas::load(table.scan::<QuotaRow>(QUOTA_PREFIX).await?);
     Ok(state)
 }
 
-fn contact_of(
+fn restored_contact(
     contacts: &HashMap<WorkerId, WorkerContact>,
     worker: &WorkerId,
     term: &OwnerTerm,
-    terms: &LeaseTimings,
+    lease_timings: &LeaseTimings,
 ) -> WorkerContact {
     contacts
         .get(worker)
         .copied()
-        .unwrap_or_else(|| WorkerContact::after_takeover(term.claimed(), terms))
+        .unwrap_or_else(|| WorkerContact::after_takeover(term.claimed_at(), lease_timings))
 }
 
 /// Adds a worker with what is allocated on it.
@@ -77,7 +77,7 @@
     contact: WorkerContact,
     now: TimePoint,
 ) {
-    let (alloc, version) = match alloc {
+    let (alloc, alloc_version) = match alloc {
         Some(entry) => (entry.value, entry.version),
         None => (AllocRow::default(), RowVersion::default()),
     };
@@ -100,7 +100,7 @@
             count(Counter::TasksAdopted);
         }
         if let Some(task) = state.tasks.get_mut(&entry.task) {
-            task.start = StartState::Unsure;
+            task.start = StartState::Unknown;
         }
     }
     let id = info.id.clone();
@@ -109,7 +109,7 @@
         info,
         key,
         alloc,
-        version,
+        alloc_version,
         contact,
         clock: None,
         boot: 0,
@@ -118,20 +118,20 @@
         usage_through: 0,
         failures: 0,
         quarantined_until: None,
-        changed_ms: wall_clock_ms(),
-        relief: MitigationState::default(),
+        tasks_changed_ms: wall_clock_ms(),
+        mitigation: MitigationState::default(),
     };
     state.workers.insert(id, entry);
 }
 
 /// A worker that the platform no longer lists, while tasks are allocated on it.
-fn add_unlisted(
+fn add_unlisted_worker(
     state: &mut ShardState,
     shard: ShardId,
     alloc: RowEntry<AllocRow>,
     contacts: &HashMap<WorkerId, WorkerContact>,
     term: &OwnerTerm,
-    terms: &LeaseTimings,
+    lease_timings: &LeaseTimings,
 ) {
     if alloc.value.tasks.is_empty() {
         return;
@@ -145,8 +145,8 @@
         failure_domain: "".into(),
         capacity,
     };
-    let contact = contact_of(contacts, &id, term, terms);
-    add_worker(state, info, Some(alloc), contact, term.claimed());
+    let contact = restored_contact(contacts, &id, term, lease_timings);
+    add_worker(state, info, Some(alloc), contact, term.claimed_at());
 }
 
 /// Finds out which of the loaded jobs were cancelled.
--- a/crates/wax-tasks/src/round.rs
+++ b/crates/wax-tasks/src/shard_loop.rs
@@ -2,9 +2,9 @@
 
 use crate::commit::{ChangeGroup, build_group};
 use crate::rows::{TaskRow, TaskState};
-use crate::shard::{RoundEnd, ShardShared};
+use crate::shard::{LoopExit, ShardShared};
 use crate::shard_state::{ShardState, TaskChange};
-use crate::worker_link::{SHARD_TICK, WorkerEvent, keep_worker, start_run};
+use crate::worker_link::{SHARD_LOOP_PERIOD, WorkerEvent, run_worker_link, start_run};
 use compio::runtime::spawn;
 use compio::time::sleep;
 use fastrand::Rng;
@@ -18,12 +18,12 @@
 /// Between two looks at the platform's list of workers.
 pub(crate) const DIRECTORY_PERIOD: Duration = Duration::from_secs(2);
 /// A commit is offered this long before its fate is looked at again.
-pub(crate) const COMMIT_SPAN: Duration = Duration::from_secs(2);
+pub(crate) const COMMIT_TIMEOUT: Duration = Duration::from_secs(2);
 /// After a commit that could not be sent.
-const COMMIT_PAUSE: Duration = Duration::from_millis(100);
+const COMMIT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// One round of ownership on one loaded state.
-pub(crate) struct ShardRound {
+pub(crate) struct ShardLoop {
     pub(crate) shared: Rc<ShardShared>,
     pub(crate) events: UnboundedReceiver<WorkerEvent>,
     pub(crate) rng: Rng,
@@ -32,7 +32,7 @@
     pub(crate) directory_due: TimePoint,
 }
 
-impl ShardRound {
+impl ShardLoop {
     pub(crate) fn new(shared: Rc<ShardShared>, events: UnboundedReceiver<WorkerEvent>) -> Self {
         let now = shared.now();
         Self {
@@ -45,15 +45,15 @@
         }
     }
 
-    pub(crate) async fn run(mut self) -> RoundEnd {
+    pub(crate) async fn run(mut self) -> LoopExit {
         let workers: Vec<WorkerId> = self.shared.state.borrow().workers.keys().cloned().collect();
         for worker in workers {
-            spawn(keep_worker(self.shared.clone(), worker)).detach();
+            spawn(run_worker_link(self.shared.clone(), worker)).detach();
         }
-        spawn(crate::ledger_feed::write_usage(self.shared.clone())).detach();
-        self.shared.state.borrow_mut().forget_stops();
-        while self.shared.holds() {
-            let mut changes = self.take_events();
+        spawn(crate::ledger_feed::run_usage_writer(self.shared.clone())).detach();
+        self.shared.state.borrow_mut().clear_stopping();
+        while self.shared.is_term_active() {
+            let mut changes = self.process_events();
             changes.extend(self.cancel_waiting());
             changes.extend(self.place_waiting(&changes));
             if let Some(end) = self.commit(changes).await {
@@ -61,16 +61,16 @@
             }
             self.stop_cancelled();
             self.stop_orphans();
-            self.read_notes().await;
+            self.process_inbox().await;
             self.adjust_quotas().await;
             self.refresh_workers().await;
-            sleep(SHARD_TICK).await;
+            sleep(SHARD_LOOP_PERIOD).await;
         }
-        RoundEnd::Ended
+        LoopExit::TermEnded
     }
 
     /// Commits a group; `None` where the round goes on.
-    pub(crate) async fn commit(&mut self, changes: Vec<TaskChange>) -> Option<RoundEnd> {
+    pub(crate) async fn commit(&mut self, changes: Vec<TaskChange>) -> Option<LoopExit> {
         if changes.is_empty() {
             return None;
         }
@@ -80,7 +80,7 @@
         }
         let mut sent = false;
         loop {
-            let deadline = self.shared.now() + COMMIT_SPAN;
+            let deadline = self.shared.now() + COMMIT_TIMEOUT;
             let outcome = self
                 .shared
                 .table
@@ -88,7 +88,7 @@
                 .await;
             match outcome {
                 CommitOutcome::Committed(version) => {
-                    self.finish_commit(&group, version);
+                    self.apply_commit(&group, version);
                     return None;
                 }
                 CommitOutcome::Conflict(keys) => {
@@ -96,30 +96,30 @@
                     let own = crate::rows::shard_key(self.shared.term.shard());
                     if keys.iter().any(|key| **key == *own) {
                         self.shared.term.end();
-                        return Some(RoundEnd::Ended);
+                        return Some(LoopExit::TermEnded);
                     }
-                    return Some(RoundEnd::Reload);
+                    return Some(LoopExit::Reload);
                 }
-                CommitOutcome::NotSent(_) => sleep(COMMIT_PAUSE).await,
+                CommitOutcome::NotSent(_) => sleep(COMMIT_RETRY_DELAY).await,
                 CommitOutcome::Unknown(_) => sent = true,
             }
-            if !self.shared.holds() {
-                return Some(RoundEnd::Ended);
+            if !self.shared.is_term_active() {
+                return Some(LoopExit::TermEnded);
             }
         }
     }
 
-    pub(crate) fn finish_commit(&self, group: &ChangeGroup, version: wax_types::RowVersion) {
+    pub(crate) fn apply_commit(&self, group: &ChangeGroup, version: wax_types::RowVersion) {
         let now = self.shared.now();
         group.apply(&mut self.shared.state.borrow_mut(), now, version);
         for change in &group.changes {
             count_change(&change.next);
             if let Some((worker, _)) = &change.reserve {
-                let mark = TaskMark {
+                let run_id = TaskMark {
                     task: change.task,
                     epoch: change.next.epoch,
                 };
-                spawn(start_run(self.shared.clone(), worker.clone(), mark)).detach();
+                spawn(start_run(self.shared.clone(), worker.clone(), run_id)).detach();
             }
         }
     }
@@ -127,7 +127,7 @@
 
 impl ShardState {
     /// Forgets stops that an earlier round began.
-    pub(crate) fn forget_stops(&mut self) {
+    pub(crate) fn clear_stopping(&mut self) {
         for task in self.tasks.values_mut() {
             task.stopping = false;
         }
--- a/crates/wax-tasks/src/shard_state.rs
+++ b/crates/wax-tasks/src/shard_state.rs
@@ -1,6 +1,6 @@
 //! What the owner of a shard holds in memory; every change is committed to the table first.
 
-use crate::quota::QuotaBook;
+use crate::quota::ShardQuotas;
 use crate::rows::{AllocEntry, AllocRow, PartRow, TaskRow, TaskState, TasksRow};
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::time::Duration;
@@ -13,8 +13,8 @@
 use wax_types::{JobId, ResourceVector, RowVersion, TaskEpoch, TaskId, TimePoint, WorkerId};
 
 /// Each eviction that a task has suffered keeps it safe for this long after its next placement.
-const EVICTED_SPAN: Duration = Duration::from_secs(30);
-const MOST_EVICTIONS_COUNTED: u32 = 10;
+const EVICTION_PROTECTION: Duration = Duration::from_secs(30);
+const MAX_COUNTED_EVICTIONS: u32 = 10;
 
 /// Names a part: its job and the index of its first task.
 pub(crate) type PartKey = (JobId, u32);
@@ -28,14 +28,14 @@
     /// The version of the row that says how its tasks stand; 0 before there is one.
     pub(crate) tasks_version: RowVersion,
     /// Tasks that have not ended.
-    pub(crate) open: u32,
+    pub(crate) open_tasks: u32,
 }
 
 /// How far the start of a run has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum StartState {
     /// It is not known whether the worker has the run.
-    Unsure,
+    Unknown,
     /// A start is under way.
     Sending,
     /// The worker has said that it runs, in this start of the worker.
@@ -58,7 +58,7 @@
     pub(crate) info: WorkerInfo,
     pub(crate) key: WorkerKey,
     pub(crate) alloc: AllocRow,
-    pub(crate) version: RowVersion,
+    pub(crate) alloc_version: RowVersion,
     pub(crate) contact: WorkerContact,
     /// The worker's clock when it answered, and our time when the answer came.
     pub(crate) clock: Option<(u64, TimePoint)>,
@@ -70,8 +70,8 @@
     pub(crate) failures: u32,
     pub(crate) quarantined_until: Option<TimePoint>,
     /// When the set of its tasks last changed, Unix milliseconds.
-    pub(crate) changed_ms: u64,
-    pub(crate) relief: MitigationState,
+    pub(crate) tasks_changed_ms: u64,
+    pub(crate) mitigation: MitigationState,
 }
 
 /// A change of one task, before it is committed.
@@ -111,7 +111,7 @@
     pub(crate) kinds: KindTable,
     pub(crate) pairs: PairTable,
     pub(crate) sizes: SizeTable,
-    pub(crate) quotas: QuotaBook,
+    pub(crate) quotas: ShardQuotas,
 }
 
 impl ShardState {
@@ -131,7 +131,7 @@
                 TaskEntry {
                     part: key,
                     row: None,
-                    start: StartState::Unsure,
+                    start: StartState::Unknown,
                     stopping: false,
                 },
             );
@@ -141,19 +141,19 @@
         let kind = self
             .kinds
             .key(&format!("{}/{}/{}", spec.team, spec.service, spec.kind));
-        let open = row.place.count;
+        let open_tasks = row.place.count;
         let entry = PartEntry {
             row,
             kind,
             version,
             tasks_version: RowVersion::default(),
-            open,
+            open_tasks,
         };
         self.parts.insert(key, entry);
     }
 
     /// Takes the row of a part's tasks as it was loaded.
-    pub(crate) fn load_tasks(&mut self, key: PartKey, row: TasksRow, version: RowVersion) {
+    pub(crate) fn load_task_rows(&mut self, key: PartKey, row: TasksRow, version: RowVersion) {
         if let Some(part) = self.parts.get_mut(&key) {
             part.tasks_version = version;
         }
@@ -163,12 +163,12 @@
                 index: key.1 + offset as u32,
             };
             if let Some(row) = row {
-                self.load_task(task, row);
+                self.load_task_row(task, row);
             }
         }
     }
 
-    fn load_task(&mut self, task: TaskId, row: TaskRow) {
+    fn load_task_row(&mut self, task: TaskId, row: TaskRow) {
         let Some(entry) = self.tasks.get_mut(&task) else {
             return;
         };
@@ -181,7 +181,7 @@
                 self.queue.remove(&queue_order(&part.row, task));
             }
             if ended {
-                part.open -= 1;
+                part.open_tasks -= 1;
             }
         }
     }
@@ -192,7 +192,7 @@
     }
 
     /// Marks of the runs that should be at a worker.
-    pub(crate) fn marks_at(&self, worker: &WorkerId) -> Vec<TaskMark> {
+    pub(crate) fn run_ids_on(&self, worker: &WorkerId) -> Vec<TaskMark> {
         self.workers.get(worker).map_or_else(Vec::new, |entry| {
             entry
                 .alloc
@@ -256,7 +256,7 @@
     ///
     /// A report from before the worker's tasks last changed says nothing about its neighbours of
     /// now, and is used for the size only.
-    pub(crate) fn learn(&mut self, worker: &WorkerId, report: &UsageReport) {
+    pub(crate) fn learn_from_usage(&mut self, worker: &WorkerId, report: &UsageReport) {
         let Some(part) = self.part_of(report.mark.task) else {
             return;
         };
@@ -266,18 +266,18 @@
         let Some(entry) = self.workers.get(worker) else {
             return;
         };
-        let Some(slot) = self.table.get(entry.key) else {
+        let Some(capacity) = self.table.get(entry.key) else {
             return;
         };
-        if report.start_ms < entry.changed_ms {
+        if report.start_ms < entry.tasks_changed_ms {
             return;
         }
-        let others = slot
+        let others = capacity
             .tasks()
             .iter()
             .filter(|task| task.task != report.mark.task);
         let neighbours: Vec<KindKey> = others.map(|task| task.kind).collect();
-        let band = slot.load_band();
+        let band = capacity.load_band();
         let excess = f64::from(report.slowdown_percent) / 100.0 - 1.0;
         self.pairs.learn(kind, &neighbours, band, excess.max(0.0));
     }
@@ -288,7 +288,7 @@
             return;
         };
         entry.row = Some(change.next.clone());
-        entry.start = StartState::Unsure;
+        entry.start = StartState::Unknown;
         entry.stopping = false;
         let part = entry.part;
         if let Some(part) = self.parts.get_mut(&part) {
@@ -300,7 +300,7 @@
                 self.queue.remove(&order);
             }
             if change.next.state.is_terminal() {
-                part.open -= 1;
+                part.open_tasks -= 1;
             }
         }
         if let Some(worker) = &change.release {
@@ -330,7 +330,7 @@
         let Some(entry) = self.workers.get(worker) else {
             return;
         };
-        let safe = EVICTED_SPAN * change.next.evictions.min(MOST_EVICTIONS_COUNTED);
+        let protection = EVICTION_PROTECTION * change.next.evictions.min(MAX_COUNTED_EVICTIONS);
         let running = RunningTask {
             task: change.task,
             kind: demand.kind,
@@ -338,14 +338,14 @@
             urgent: demand.urgent,
             evictable: !demand.urgent,
             saved_at: now,
-            protected_until: now + safe,
+            protected_until: now + protection,
             due_today: false,
         };
         self.table.reserve(entry.key, running);
     }
 
     /// Drops a part that was closed.
-    pub(crate) fn drop_part(&mut self, key: PartKey) {
+    pub(crate) fn remove_part(&mut self, key: PartKey) {
         let Some(part) = self.parts.remove(&key) else {
             return;
         };
--- a/crates/wax-tasks/src/split.rs
+++ b/crates/wax-tasks/src/split.rs
@@ -1,13 +1,13 @@
 //! Cuts a job into parts and chooses the shard of each.
 
-use crate::rows::PartPlace;
+use crate::rows::PartLocation;
 use fastrand::Rng;
 use std::collections::BTreeMap;
 use wax_policy::rank_score;
 use wax_types::{ResourceVector, ShardId};
 
 /// Tasks in one part at most; one row says how all of them stand.
-const PART_TASKS: u32 = 32;
+const MAX_PART_TASKS: u32 = 32;
 
 /// A worker as far as the split needs it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -32,7 +32,7 @@
 }
 
 /// How many tasks of a size a worker can hold at once.
-fn slots_of(capacity: ResourceVector, size: ResourceVector) -> u32 {
+fn task_slots(capacity: ResourceVector, size: ResourceVector) -> u32 {
     let per = |have: u32, need: u32| have.checked_div(need).unwrap_or(u32::MAX);
     per(capacity.cpu_milli, size.cpu_milli)
         .min(per(capacity.memory_mib, size.memory_mib))
@@ -49,25 +49,25 @@
     size: ResourceVector,
     workers: &[WorkerShape],
     rng: &mut Rng,
-) -> Result<Vec<PartPlace>, ImpossibleJob> {
-    let mut room: BTreeMap<ShardId, u64> = BTreeMap::new();
+) -> Result<Vec<PartLocation>, ImpossibleJob> {
+    let mut slots_by_shard: BTreeMap<ShardId, u64> = BTreeMap::new();
     for worker in workers {
-        let slots = u64::from(slots_of(worker.capacity, size));
+        let slots = u64::from(task_slots(worker.capacity, size));
         if slots > 0 {
-            *room.entry(worker.shard).or_default() += slots;
+            *slots_by_shard.entry(worker.shard).or_default() += slots;
         }
     }
-    if room.is_empty() {
-        return Err(impossible(size, workers));
+    if slots_by_shard.is_empty() {
+        return Err(impossible_job(size, workers));
     }
-    let total: u64 = room.values().sum();
-    let part = PART_TASKS.min(tasks.div_ceil(room.len() as u32).max(1));
+    let total: u64 = slots_by_shard.values().sum();
+    let part_size = MAX_PART_TASKS.min(tasks.div_ceil(slots_by_shard.len() as u32).max(1));
     let mut parts = Vec::new();
     let mut first = 0;
     while first < tasks {
-        let count = part.min(tasks - first);
-        let shard = draw_shard(&room, rng.u64(..total));
-        parts.push(PartPlace {
+        let count = part_size.min(tasks - first);
+        let shard = pick_shard(&slots_by_shard, rng.u64(..total));
+        parts.push(PartLocation {
             shard,
             first,
             count,
@@ -77,8 +77,8 @@
     Ok(parts)
 }
 
-fn draw_shard(room: &BTreeMap<ShardId, u64>, mut draw: u64) -> ShardId {
-    for (shard, slots) in room {
+fn pick_shard(slots_by_shard: &BTreeMap<ShardId, u64>, mut draw: u64) -> ShardId {
+    for (shard, slots) in slots_by_shard {
         if draw < *slots {
             return *shard;
         }
@@ -87,7 +87,7 @@
     ShardId::default()
 }
 
-fn impossible(size: ResourceVector, workers: &[WorkerShape]) -> ImpossibleJob {
+fn impossible_job(size: ResourceVector, workers: &[WorkerShape]) -> ImpossibleJob {
     let largest = workers
         .iter()
         .map(|worker| worker.capacity)
--- a/crates/wax-tasks/src/term.rs
+++ b/crates/wax-tasks/src/term.rs
@@ -17,8 +17,8 @@
     epoch: ShardEpoch,
     version: RowVersion,
     grace: Duration,
-    claimed: TimePoint,
-    confirmed: Cell<TimePoint>,
+    claimed_at: TimePoint,
+    confirmed_at: Cell<TimePoint>,
     ended: Cell<bool>,
 }
 
@@ -31,16 +31,16 @@
         epoch: ShardEpoch,
         version: RowVersion,
         grace: Duration,
-        confirmed: TimePoint,
-        claimed: TimePoint,
+        confirmed_at: TimePoint,
+        claimed_at: TimePoint,
     ) -> Self {
         let shared = TermShared {
             shard,
             epoch,
             version,
             grace,
-            claimed,
-            confirmed: Cell::new(confirmed),
+            claimed_at,
+            confirmed_at: Cell::new(confirmed_at),
             ended: Cell::new(false),
         };
         Self {
@@ -64,19 +64,19 @@
     }
 
     /// When the term began.
-    pub fn claimed(&self) -> TimePoint {
-        self.shared.claimed
+    pub fn claimed_at(&self) -> TimePoint {
+        self.shared.claimed_at
     }
 
     /// When the ownership was last known to be confirmed.
-    pub fn confirmed(&self) -> TimePoint {
-        self.shared.confirmed.get()
+    pub fn confirmed_at(&self) -> TimePoint {
+        self.shared.confirmed_at.get()
     }
 
     /// The row was read and is still ours; the read was begun at `begun`.
-    pub fn confirm(&self, begun: TimePoint) {
-        let confirmed = self.shared.confirmed.get().max(begun);
-        self.shared.confirmed.set(confirmed);
+    pub fn confirm(&self, started_at: TimePoint) {
+        let confirmed_at = self.shared.confirmed_at.get().max(started_at);
+        self.shared.confirmed_at.set(confirmed_at);
     }
 
     /// The shard is lost, or handed over.
@@ -88,15 +88,15 @@
     ///
     /// Once it has said no it says no for ever: whoever saw that has stopped for good, and a later
     /// confirmation must not leave a shard that is owned and that nobody works on.
-    pub fn holds(&self, now: TimePoint) -> bool {
-        if now >= self.expires() {
+    pub fn is_active(&self, now: TimePoint) -> bool {
+        if now >= self.expires_at() {
             self.end();
         }
         !self.shared.ended.get()
     }
 
     /// Until when the owner may act, if nothing is confirmed again.
-    pub fn expires(&self) -> TimePoint {
-        self.shared.confirmed.get() + self.shared.grace
+    pub fn expires_at(&self) -> TimePoint {
+        self.shared.confirmed_at.get() + self.shared.grace
     }
 }
--- a/crates/wax-tasks/src/transition.rs
+++ b/crates/wax-tasks/src/transition.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RunChoice {
     /// Nothing changes.
-    Nothing,
+    NoChange,
     /// The task's row becomes this, and its allocation is given back.
     Change(TaskRow),
     /// The run belongs to no allocation: stop it once our ownership is confirmed again.
@@ -21,18 +21,18 @@
 pub fn decide_run(
     row: Option<&TaskRow>,
     worker: &WorkerId,
-    mark: TaskMark,
+    run_id: TaskMark,
     run: &TaskRun,
     attempts: u32,
 ) -> RunChoice {
-    let Some(row) = row.filter(|row| is_current(row, worker, mark)) else {
+    let Some(row) = row.filter(|row| is_current(row, worker, run_id)) else {
         return match run {
             TaskRun::Running => RunChoice::Orphan,
             _ => RunChoice::Forget,
         };
     };
     match run {
-        TaskRun::Running => RunChoice::Nothing,
+        TaskRun::Running => RunChoice::NoChange,
         TaskRun::Done(result) => {
             RunChoice::Change(with_state(row, TaskState::Done(result.clone())))
         }
@@ -46,8 +46,8 @@
     }
 }
 
-fn is_current(row: &TaskRow, worker: &WorkerId, mark: TaskMark) -> bool {
-    row.epoch == mark.epoch && row.state == TaskState::Placed(worker.clone())
+fn is_current(row: &TaskRow, worker: &WorkerId, run_id: TaskMark) -> bool {
+    row.epoch == run_id.epoch && row.state == TaskState::Placed(worker.clone())
 }
 
 fn with_state(row: &TaskRow, state: TaskState) -> TaskRow {
--- a/crates/wax-tasks/src/worker_link.rs
+++ b/crates/wax-tasks/src/worker_link.rs
@@ -17,51 +17,51 @@
 #[derive(Debug)]
 pub(crate) enum WorkerEvent {
     /// The worker answered a renewal that was sent at the given time.
-    Report(WorkerId, RenewReply, TimePoint),
+    Renewed(WorkerId, RenewReply, TimePoint),
     /// One run changed, outside of a renewal.
-    Run(WorkerId, TaskReport),
+    RunChanged(WorkerId, TaskReport),
     /// The worker cannot run the task.
-    Refused(WorkerId, TaskMark, Box<str>),
+    StartRefused(WorkerId, TaskMark, Box<str>),
     /// A stop did not get through.
     StopFailed(TaskMark),
     /// Every lease at the worker has surely lapsed.
-    Lapsed(WorkerId),
+    LeasesExpired(WorkerId),
 }
 
 /// Renews the leases at one worker for as long as the term holds.
-pub(crate) async fn keep_worker(shared: Rc<ShardShared>, worker: WorkerId) {
+pub(crate) async fn run_worker_link(shared: Rc<ShardShared>, worker: WorkerId) {
     loop {
-        if !shared.holds() || !shared.state.borrow().workers.contains_key(&worker) {
+        if !shared.is_term_active() || !shared.state.borrow().workers.contains_key(&worker) {
             return;
         }
-        let first = shared.clock_of(&worker).is_none();
-        beat(&shared, &worker).await;
+        let is_first_contact = shared.worker_clock(&worker).is_none();
+        renew_leases(&shared, &worker).await;
         // The first call only asks for the worker's clock: the leases are renewed at once after it.
-        if first && shared.clock_of(&worker).is_some() {
+        if is_first_contact && shared.worker_clock(&worker).is_some() {
             continue;
         }
-        sleep(shared.options.renew).await;
+        sleep(shared.options.renew_period).await;
     }
 }
 
-async fn beat(shared: &ShardShared, worker: &WorkerId) {
+async fn renew_leases(shared: &ShardShared, worker: &WorkerId) {
     let now = shared.now();
-    let Some((choice, address)) = shared.look_at(worker, now) else {
+    let Some((choice, address)) = shared.contact_choice(worker, now) else {
         return;
     };
     if choice == ContactChoice::Lapsed {
-        shared.send(WorkerEvent::Lapsed(worker.clone()));
+        shared.send(WorkerEvent::LeasesExpired(worker.clone()));
     }
     let request = build_renewal(shared, worker, choice, now);
     count(Counter::LeaseRenewals);
     let result = shared.workers.renew(&address, &request).await;
-    if !shared.holds() {
+    if !shared.is_term_active() {
         return;
     }
-    note_result(shared, worker, &result, now);
+    record_result(shared, worker, &result, now);
     match result {
-        Ok(reply) => shared.send(WorkerEvent::Report(worker.clone(), reply, now)),
-        Err(error) if error.kind == ErrorKind::Conflict => shared.fenced(&error),
+        Ok(reply) => shared.send(WorkerEvent::Renewed(worker.clone(), reply, now)),
+        Err(error) if error.kind == ErrorKind::Conflict => shared.end_fenced_term(&error),
         Err(_) => {}
     }
 }
@@ -73,23 +73,25 @@
     now: TimePoint,
 ) -> RenewRequest {
     let mut state = shared.state.borrow_mut();
-    let renews = choice == ContactChoice::Renew;
-    let renew = if renews {
-        state.marks_at(worker)
+    let renewing = choice == ContactChoice::Renew;
+    let renew = if renewing {
+        state.run_ids_on(worker)
     } else {
         Vec::new()
     };
     let valid_until_ms = valid_until(shared, state.workers.get(worker).and_then(|w| w.clock), now);
     let entry = state.workers.get_mut(worker);
     let (forget, usage_through) = entry.map_or_else(Default::default, |entry| {
-        if renews {
-            entry.contact.note_renewal(now, &shared.options.terms);
+        if renewing {
+            entry
+                .contact
+                .note_renewal(now, &shared.options.lease_timings);
         }
         (entry.forget.iter().copied().collect(), entry.usage_through)
     });
     RenewRequest {
         owner: shared.term.epoch(),
-        lease_ms: shared.options.terms.duration.as_millis() as u64,
+        lease_ms: shared.options.lease_timings.duration.as_millis() as u64,
         valid_until_ms,
         renew,
         forget,
@@ -102,14 +104,14 @@
 /// The worker's clock was read before its answer came, so the bound errs to the early side. Zero
 /// until the worker has answered once: the first call only asks.
 fn valid_until(shared: &ShardShared, clock: Option<(u64, TimePoint)>, now: TimePoint) -> u64 {
-    let Some((clock_ms, at)) = clock else {
+    let Some((clock_ms, answered_at)) = clock else {
         return 0;
     };
-    let end = (now + shared.options.terms.call_timeout).min(shared.term.expires());
-    clock_ms + end.since(at).as_millis() as u64
+    let end = (now + shared.options.lease_timings.call_timeout).min(shared.term.expires_at());
+    clock_ms + end.since(answered_at).as_millis() as u64
 }
 
-fn note_result(
+fn record_result(
     shared: &ShardShared,
     worker: &WorkerId,
     result: &Result<RenewReply, WaxError>,
@@ -123,7 +125,9 @@
     let was_reachable = entry.contact.is_reachable();
     match result {
         Ok(reply) => {
-            entry.contact.note_answer(sent, &shared.options.terms);
+            entry
+                .contact
+                .note_answer(sent, &shared.options.lease_timings);
             entry.clock = Some((reply.clock_ms, now));
         }
         Err(_) => entry.contact.note_failure(),
@@ -140,47 +144,47 @@
 }
 
 /// Starts a run that was placed by a committed transaction; a repeated start changes nothing.
-pub(crate) async fn start_run(shared: Rc<ShardShared>, worker: WorkerId, mark: TaskMark) {
-    if shared.is_drained(&worker) {
+pub(crate) async fn start_run(shared: Rc<ShardShared>, worker: WorkerId, run_id: TaskMark) {
+    if shared.is_worker_drained(&worker) {
         // Placed before the drain was heard of, and not seen to run: a stop forbids the start for good,
         // and the task waits again.
-        if let Some(task) = shared.state.borrow_mut().tasks.get_mut(&mark.task) {
+        if let Some(task) = shared.state.borrow_mut().tasks.get_mut(&run_id.task) {
             task.stopping = true;
         }
-        tracing::info!(%worker, task = %mark.task, epoch = %mark.epoch, "not started: its failure domain is drained");
-        return stop_run(shared, worker, mark).await;
+        tracing::info!(%worker, task = %run_id.task, epoch = %run_id.epoch, "not started: its failure domain is drained");
+        return stop_run(shared, worker, run_id).await;
     }
-    let Some((address, request)) = build_start(&shared, &worker, mark) else {
+    let Some((address, request)) = build_start(&shared, &worker, run_id) else {
         return;
     };
     let result = shared.workers.start(&address, &request).await;
-    if !shared.holds() {
+    if !shared.is_term_active() {
         return;
     }
     let (start, event) = match result {
         Ok(StartReply::Started | StartReply::Already) => (None, None),
         Ok(StartReply::Fenced) => {
             let run = TaskRun::Stopped(None);
-            let report = TaskReport { mark, run };
-            (None, Some(WorkerEvent::Run(worker.clone(), report)))
+            let report = TaskReport { mark: run_id, run };
+            (None, Some(WorkerEvent::RunChanged(worker.clone(), report)))
         }
         Ok(StartReply::Refused(reason)) => {
-            let event = WorkerEvent::Refused(worker.clone(), mark, reason);
+            let event = WorkerEvent::StartRefused(worker.clone(), run_id, reason);
             (None, Some(event))
         }
         // The next renewal shows whether it runs; if not, it is started again.
-        Ok(StartReply::Late) => (Some(StartState::Unsure), None),
-        Err(error) if error.kind == ErrorKind::Conflict => return shared.fenced(&error),
-        Err(_) => (Some(StartState::Unsure), None),
+        Ok(StartReply::Late) => (Some(StartState::Unknown), None),
+        Err(error) if error.kind == ErrorKind::Conflict => return shared.end_fenced_term(&error),
+        Err(_) => (Some(StartState::Unknown), None),
     };
     {
         let mut state = shared.state.borrow_mut();
         let boot = state.workers.get(&worker).map_or(0, |entry| entry.boot);
-        if let Some(entry) = state.tasks.get_mut(&mark.task)
+        if let Some(entry) = state.tasks.get_mut(&run_id.task)
             && entry
                 .row
                 .as_ref()
-                .is_some_and(|row| row.epoch == mark.epoch)
+                .is_some_and(|row| row.epoch == run_id.epoch)
         {
             entry.start = start.unwrap_or(StartState::Running(boot));
         }
@@ -193,37 +197,39 @@
 fn build_start(
     shared: &ShardShared,
     worker: &WorkerId,
-    mark: TaskMark,
+    run_id: TaskMark,
 ) -> Option<(Box<str>, StartRequest)> {
     let now = shared.now();
-    if !shared.holds() {
+    if !shared.is_term_active() {
         return None;
     }
     let mut state = shared.state.borrow_mut();
-    let spec = state.part_of(mark.task)?.row.spec.clone();
+    let spec = state.part_of(run_id.task)?.row.spec.clone();
     let allocs = &state.workers.get(worker)?.alloc.tasks;
-    let size = allocs.iter().find(|alloc| alloc.task == mark.task)?.size;
-    let task = state.tasks.get_mut(&mark.task)?;
+    let size = allocs.iter().find(|alloc| alloc.task == run_id.task)?.size;
+    let task = state.tasks.get_mut(&run_id.task)?;
     task.start = StartState::Sending;
     let checkpoint = task.row.as_ref()?.checkpoint.clone();
     let entry = state.workers.get_mut(worker)?;
     // The start gives a lease too.
-    entry.contact.note_renewal(now, &shared.options.terms);
+    entry
+        .contact
+        .note_renewal(now, &shared.options.lease_timings);
     let request = StartRequest {
         owner: shared.term.epoch(),
-        mark,
+        mark: run_id,
         size,
         kind: spec.kind,
         input: spec.input,
         checkpoint,
-        lease_ms: shared.options.terms.duration.as_millis() as u64,
+        lease_ms: shared.options.lease_timings.duration.as_millis() as u64,
         valid_until_ms: valid_until(shared, entry.clock, now),
     };
     Some((entry.info.address.clone(), request))
 }
 
 /// Stops a run, with a checkpoint.
-pub(crate) async fn stop_run(shared: Rc<ShardShared>, worker: WorkerId, mark: TaskMark) {
+pub(crate) async fn stop_run(shared: Rc<ShardShared>, worker: WorkerId, run_id: TaskMark) {
     let address = {
         let state = shared.state.borrow();
         state
@@ -232,26 +238,26 @@
             .map(|entry| entry.info.address.clone())
     };
     let Some(address) = address else { return };
-    if !shared.holds() {
+    if !shared.is_term_active() {
         return;
     }
     let request = ControlRequest {
         owner: shared.term.epoch(),
-        mark,
+        mark: run_id,
     };
     let result = shared.workers.stop(&address, &request).await;
-    if !shared.holds() {
+    if !shared.is_term_active() {
         return;
     }
     match result {
         Ok(reply) => {
             // A run that the worker never had is fenced there now, and counts as stopped.
             let run = reply.run.unwrap_or(TaskRun::Stopped(reply.checkpoint));
-            let report = TaskReport { mark, run };
-            shared.send(WorkerEvent::Run(worker, report));
+            let report = TaskReport { mark: run_id, run };
+            shared.send(WorkerEvent::RunChanged(worker, report));
         }
-        Err(error) if error.kind == ErrorKind::Conflict => shared.fenced(&error),
-        Err(_) => shared.send(WorkerEvent::StopFailed(mark)),
+        Err(error) if error.kind == ErrorKind::Conflict => shared.end_fenced_term(&error),
+        Err(_) => shared.send(WorkerEvent::StopFailed(run_id)),
     }
 }
 
@@ -259,23 +265,23 @@
 pub(crate) async fn throttle_run(
     shared: Rc<ShardShared>,
     worker: WorkerId,
-    mark: TaskMark,
+    run_id: TaskMark,
     percent: u8,
 ) {
-    let Some((_, address)) = shared.look_at(&worker, shared.now()) else {
+    let Some((_, address)) = shared.contact_choice(&worker, shared.now()) else {
         return;
     };
-    if !shared.holds() {
+    if !shared.is_term_active() {
         return;
     }
     let request = ThrottleRequest {
         owner: shared.term.epoch(),
-        mark,
+        mark: run_id,
         percent,
     };
     let result = shared.workers.throttle(&address, &request).await;
-    tracing::debug!(%worker, task = %mark.task, percent, ok = result.is_ok(), "throttled");
+    tracing::debug!(%worker, task = %run_id.task, percent, ok = result.is_ok(), "throttled");
 }
 
 /// The pause between two looks of a shard at its inbox and its queue.
-pub(crate) const SHARD_TICK: Duration = Duration::from_millis(25);
+pub(crate) const SHARD_LOOP_PERIOD: Duration = Duration::from_millis(25);
--- a/crates/wax-tasks/tests/decisions.rs
+++ b/crates/wax-tasks/tests/decisions.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use wax_platform::{TaskMark, TaskRun};
 use wax_tasks::{
-    OwnIdentity, OwnerTerm, QuotaRow, RunChoice, ShardChoice, ShardRow, TaskRow, TaskState,
+    OwnerTerm, ProcessIdentity, QuotaRow, RunChoice, ShardChoice, ShardRow, TaskRow, TaskState,
     WorkerShape, decide_run, decide_shard, split_job,
 };
 use wax_types::{
@@ -13,8 +13,8 @@
     TimePoint, WorkerId,
 };
 
-fn own(leaving: bool) -> OwnIdentity<'static> {
-    OwnIdentity {
+fn own_identity(leaving: bool) -> ProcessIdentity<'static> {
+    ProcessIdentity {
         name: "me",
         incarnation: ProcessIncarnation(1),
         leaving,
@@ -35,7 +35,7 @@
             #[test]
             fn $name() {
                 let row: Option<ShardRow> = $row;
-                let choice = decide_shard(row.as_ref(), own($leaving), $top, $alive);
+                let choice = decide_shard(row.as_ref(), own_identity($leaving), $top, $alive);
                 assert_eq!(choice, ShardChoice::$choice);
             }
         )*
@@ -43,17 +43,17 @@
 }
 
 shard_cases! {
-    an_unowned_shard_is_claimed_by_the_top: None, false, Some("me"), false => Claim;
-    an_unowned_shard_is_left_to_the_top: None, false, Some("other"), false => Leave;
-    a_live_owner_is_not_replaced: Some(owned_by("other", 2)), false, Some("me"), true => Leave;
-    a_dead_owner_is_replaced_by_the_top: Some(owned_by("other", 2)), false, Some("me"), false => Claim;
-    our_shard_is_kept: Some(owned_by("me", 1)), false, Some("me"), true => Keep;
-    our_shard_is_handed_to_a_higher_member: Some(owned_by("me", 1)), false, Some("other"), true => Release;
-    our_shard_is_given_away_when_we_leave: Some(owned_by("me", 1)), true, None, true => Release;
-    an_earlier_run_of_ours_is_not_us: Some(owned_by("me", 9)), false, Some("me"), false => Claim;
+    unowned_shard_is_claimed_by_top_member: None, false, Some("me"), false => Claim;
+    unowned_shard_is_left_to_top_member: None, false, Some("other"), false => Yield;
+    live_owner_is_not_replaced: Some(owned_by("other", 2)), false, Some("me"), true => Yield;
+    dead_owner_is_replaced_by_top_member: Some(owned_by("other", 2)), false, Some("me"), false => Claim;
+    own_shard_is_kept_by_top_member: Some(owned_by("me", 1)), false, Some("me"), true => Keep;
+    own_shard_is_released_to_top_member: Some(owned_by("me", 1)), false, Some("other"), true => Release;
+    own_shard_is_released_when_leaving: Some(owned_by("me", 1)), true, None, true => Release;
+    earlier_incarnation_is_another_owner: Some(owned_by("me", 9)), false, Some("me"), false => Claim;
 }
 
-fn row(epoch: u32, state: TaskState) -> TaskRow {
+fn task_row(epoch: u32, state: TaskState) -> TaskRow {
     TaskRow {
         epoch: TaskEpoch(epoch),
         state,
@@ -64,7 +64,7 @@
     }
 }
 
-fn mark(epoch: u32) -> TaskMark {
+fn run_id(epoch: u32) -> TaskMark {
     TaskMark {
         task: TaskId {
             job: JobId(1),
@@ -74,38 +74,44 @@
     }
 }
 
-fn here() -> WorkerId {
+fn worker_id() -> WorkerId {
     "here".into()
 }
 
 #[test]
-fn a_run_of_an_earlier_epoch_changes_nothing() {
-    let current = row(2, TaskState::Placed(here()));
+fn run_of_earlier_epoch_is_ignored() {
+    let current = task_row(2, TaskState::Placed(worker_id()));
     let done = TaskRun::Done("result".into());
     assert_eq!(
-        decide_run(Some(&current), &here(), mark(1), &done, 3),
+        decide_run(Some(&current), &worker_id(), run_id(1), &done, 3),
         RunChoice::Forget
     );
-    let running = decide_run(Some(&current), &here(), mark(1), &TaskRun::Running, 3);
+    let running = decide_run(
+        Some(&current),
+        &worker_id(),
+        run_id(1),
+        &TaskRun::Running,
+        3,
+    );
     assert_eq!(running, RunChoice::Orphan);
 }
 
 #[test]
-fn a_run_at_another_worker_changes_nothing() {
-    let current = row(2, TaskState::Placed("elsewhere".into()));
+fn run_on_other_worker_is_ignored() {
+    let current = task_row(2, TaskState::Placed("elsewhere".into()));
     let done = TaskRun::Done("result".into());
     assert_eq!(
-        decide_run(Some(&current), &here(), mark(2), &done, 3),
+        decide_run(Some(&current), &worker_id(), run_id(2), &done, 3),
         RunChoice::Forget
     );
 }
 
 #[test]
-fn a_stopped_run_keeps_the_newest_checkpoint() {
-    let current = row(2, TaskState::Placed(here()));
+fn stopped_run_keeps_newest_checkpoint() {
+    let current = task_row(2, TaskState::Placed(worker_id()));
     let newest = |checkpoint: Option<&str>| {
         let run = TaskRun::Stopped(checkpoint.map(Into::into));
-        match decide_run(Some(&current), &here(), mark(2), &run, 3) {
+        match decide_run(Some(&current), &worker_id(), run_id(2), &run, 3) {
             RunChoice::Change(next) => next.checkpoint,
             other => panic!("expected a change: {other:?}"),
         }
@@ -115,11 +121,12 @@
 }
 
 #[test]
-fn a_task_is_given_up_after_its_attempts() {
-    let mut current = row(2, TaskState::Placed(here()));
+fn task_fails_after_max_attempts() {
+    let mut current = task_row(2, TaskState::Placed(worker_id()));
     let failed = TaskRun::Failed("exit 1".into());
     for failures in 1..=3 {
-        let RunChoice::Change(next) = decide_run(Some(&current), &here(), mark(2), &failed, 3)
+        let RunChoice::Change(next) =
+            decide_run(Some(&current), &worker_id(), run_id(2), &failed, 3)
         else {
             panic!("expected a change");
         };
@@ -127,7 +134,7 @@
         let given_up = matches!(next.state, TaskState::Failed(_));
         assert_eq!(given_up, failures == 3);
         current = TaskRow {
-            state: TaskState::Placed(here()),
+            state: TaskState::Placed(worker_id()),
             ..next
         };
     }
@@ -136,57 +143,57 @@
 fn ten_second_term() -> OwnerTerm {
     let grace = Duration::from_secs(10);
     let (shard, epoch, version) = (ShardId(0), ShardEpoch(1), RowVersion(1));
-    OwnerTerm::new(shard, epoch, version, grace, at(100), at(101))
+    OwnerTerm::new(shard, epoch, version, grace, time_at(100), time_at(101))
 }
 
-fn at(seconds: u64) -> TimePoint {
+fn time_at(seconds: u64) -> TimePoint {
     TimePoint::from_millis(seconds * 1_000)
 }
 
 #[test]
-fn a_term_ends_with_its_grace_unless_it_is_confirmed() {
+fn term_expires_after_grace_unless_confirmed() {
     let term = ten_second_term();
-    assert!(term.holds(at(109)));
-    term.confirm(at(108));
-    assert!(term.holds(at(117)));
-    term.confirm(at(105));
+    assert!(term.is_active(time_at(109)));
+    term.confirm(time_at(108));
+    assert!(term.is_active(time_at(117)));
+    term.confirm(time_at(105));
     assert!(
-        term.holds(at(117)),
+        term.is_active(time_at(117)),
         "an older confirmation shortens nothing"
     );
-    assert!(!term.holds(at(118)));
+    assert!(!term.is_active(time_at(118)));
     let unconfirmed = ten_second_term();
-    assert!(!unconfirmed.holds(at(110)));
+    assert!(!unconfirmed.is_active(time_at(110)));
     let ended = ten_second_term();
     ended.end();
-    assert!(!ended.holds(at(109)));
+    assert!(!ended.is_active(time_at(109)));
 }
 
 #[test]
-fn a_term_that_was_seen_to_have_ended_is_not_revived() {
+fn expired_term_is_not_revived() {
     let term = ten_second_term();
     // Whoever saw this has stopped acting: the shard's round is over.
-    assert!(!term.holds(at(110)));
-    term.confirm(at(111));
-    assert!(!term.holds(at(112)));
+    assert!(!term.is_active(time_at(110)));
+    term.confirm(time_at(111));
+    assert!(!term.is_active(time_at(112)));
 }
 
 proptest! {
     #[test]
-    fn grants_never_exceed_the_quota(
+    fn grants_never_exceed_quota(
         quota in (0_u32..20_000, 0_u32..20_000),
-        asks in prop::collection::vec((0_u16..6, 0_u32..15_000, 0_u32..15_000), 1..60),
+        requests in prop::collection::vec((0_u16..6, 0_u32..15_000, 0_u32..15_000), 1..60),
     ) {
         let quota = ResourceVector::new(quota.0, quota.1, 0);
         let mut row = QuotaRow::default();
-        for (shard, cpu, memory) in asks {
+        for (shard, cpu, memory) in requests {
             row.adjust(ShardId(shard), ResourceVector::new(cpu, memory, 0), quota);
             prop_assert!(row.total().fits_in(quota));
         }
     }
 
     #[test]
-    fn a_split_covers_each_task_once_and_only_shards_that_can_run_it(
+    fn split_covers_each_task_once_in_capable_shards(
         tasks in 1_u32..500,
         cpu in 1_u32..20_000,
         workers in prop::collection::vec((0_u16..5, 1_000_u32..16_000), 1..20),
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -5,14 +5,14 @@
 use compio::time::sleep;
 use std::time::Duration;
 use wax_http::{ShutdownSignal, bind_listener};
-use wax_member::{MemberHandle, MemberRow, keep_membership};
+use wax_member::{MemberHandle, MemberRow, maintain_membership};
 use wax_platform::{
     GroupWriter, ObjectClient, StoreHealth, StoreLimits, TableClient, WorkerDirectory,
 };
 use wax_policy::{PlacementPolicy, RoutePolicy};
 use wax_route::{EntryProcess, EntryServices};
 use wax_settings::{CoordinatorSettings, DaemonSettings, SettingsHolder};
-use wax_tasks::{CoordinatorHandle, CoordinatorProcess, DomainDrains, JobDesk};
+use wax_tasks::{CoordinatorHandle, CoordinatorProcess, DomainDrains, JobService};
 use wax_trace::MetricsExporter;
 use wax_types::{ErrorKind, ProcessClock, ProcessIncarnation, SettingsVersion, Step, WaxError};
 
@@ -62,7 +62,7 @@
     let handle = coordinator
         .as_ref()
         .map_or_else(CoordinatorHandle::default, CoordinatorProcess::handle);
-    let desk = JobDesk::new(
+    let desk = JobService::new(
         table.clone(),
         writer.clone(),
         objects.clone(),
@@ -83,7 +83,13 @@
     let process = EntryProcess::new(&settings, &options, services, listeners);
     let period = Duration::from_millis(terms.heartbeat_ms.into());
     let gone = ShutdownSignal::default();
-    let membership = spawn(keep_membership(members, table, clock, period, gone.clone()));
+    let membership = spawn(maintain_membership(
+        members,
+        table,
+        clock,
+        period,
+        gone.clone(),
+    ));
     let owner = coordinator.map(|coordinator| spawn(coordinator.run(shutdown.clone())));
     println!("{}", addresses.ready_line());
     process.run(shutdown).await;
