--- a/crates/wax-tasks/src/drains.rs
+++ b/crates/wax-tasks/src/drains.rs
@@ -116,13 +116,13 @@
     }
 
     async fn read(&self) -> Result<(), WaxError> {
-        let (read_started, revision) = (self.now(), self.known.revision.get());
+        let (started_at, revision) = (self.now(), self.known.revision.get());
         let rows = self.table.scan::<Value>(DRAIN_PREFIX).await?;
         let drained = rows.iter().filter(|row| self.is_drain_row(row));
         let names = drained.filter_map(|row| row.key.strip_prefix(DRAIN_PREFIX));
         let names: BTreeSet<Box<str>> = names.map(Into::into).collect();
         if self.known.revision.get() == revision {
-            self.update_view(|view, new_revision| view.replace(new_revision, names, read_started));
+            self.update_view(|view, new_revision| view.replace(new_revision, names, started_at));
         }
         Ok(())
     }
--- a/crates/wax-tasks/src/housekeeping.rs
+++ b/crates/wax-tasks/src/housekeeping.rs
@@ -20,9 +20,9 @@
     /// Stops runs without an allocation, once the ownership was confirmed after they were seen.
     pub(crate) fn stop_orphans(&self) {
         let confirmed_at = self.shared.term.confirmed_at();
-        let due: Vec<(WorkerId, TaskMark)> = {
+        let due_stops: Vec<(WorkerId, TaskMark)> = {
             let mut state = self.shared.state.borrow_mut();
-            let mut due = Vec::new();
+            let mut due_stops = Vec::new();
             for (worker, entry) in &mut state.workers {
                 let run_ids: Vec<TaskMark> = entry
                     .orphans
@@ -32,12 +32,12 @@
                     .collect();
                 for run_id in run_ids {
                     entry.orphans.remove(&run_id);
-                    due.push((worker.clone(), run_id));
+                    due_stops.push((worker.clone(), run_id));
                 }
             }
-            due
+            due_stops
         };
-        for (worker, run_id) in due {
+        for (worker, run_id) in due_stops {
             count(Counter::TasksOrphaned);
             tracing::warn!(%worker, task = %run_id.task, epoch = %run_id.epoch, "stopping an orphan");
             spawn(stop_run(self.shared.clone(), worker, run_id)).detach();
--- a/crates/wax-tasks/src/ledger_feed.rs
+++ b/crates/wax-tasks/src/ledger_feed.rs
@@ -37,13 +37,13 @@
 
 impl LedgerFeed {
     /// Takes the reports of one renewal, in any order and however often.
-    pub(crate) fn take(
+    pub(crate) fn add_reports(
         &mut self,
         state: &ShardState,
         worker: &WorkerId,
-        worker_events: Vec<UsageReport>,
+        reports: Vec<UsageReport>,
     ) {
-        for report in worker_events {
+        for report in reports {
             self.record_account(state, &report);
             let stored = self.stored.get(&(worker.clone(), report.boot)).copied();
             if report.sequence <= stored.unwrap_or(0) {
--- a/crates/wax-tasks/src/placement.rs
+++ b/crates/wax-tasks/src/placement.rs
@@ -49,11 +49,11 @@
         let now = self.shared.now();
         let waiting: Vec<TaskId> = {
             let state = self.shared.state.borrow();
-            let changing =
+            let is_changing =
                 |task: &TaskId| earlier_changes.iter().any(|change| change.task == *task);
             let tasks = state.queue.iter().map(|(_, _, task)| *task);
             tasks
-                .filter(|task| !changing(task))
+                .filter(|task| !is_changing(task))
                 .take(MAX_QUEUE_SCAN)
                 .collect()
         };
@@ -179,12 +179,12 @@
                     reserve: Some((worker, demand.size)),
                 })
             }
-            PlacementChoice::Evict(key, victims) => {
+            PlacementChoice::Evict(key, evicted) => {
                 let worker = state.worker_ids.get(&key)?.clone();
                 drop(state);
-                for victim in victims {
-                    scratch.release(key, victim);
-                    self.stop_task(&worker, victim);
+                for evicted_task in evicted {
+                    scratch.release(key, evicted_task);
+                    self.stop_task(&worker, evicted_task);
                 }
                 None
             }
--- a/crates/wax-tasks/src/shard.rs
+++ b/crates/wax-tasks/src/shard.rs
@@ -76,7 +76,7 @@
         self.term.is_active(self.now())
     }
 
-    pub(crate) fn send(&self, event: WorkerEvent) {
+    pub(crate) fn send_event(&self, event: WorkerEvent) {
         // The shard's loop outlives its links.
         let _ = self.events.unbounded_send(event);
     }
--- a/crates/wax-tasks/src/shard_loop.rs
+++ b/crates/wax-tasks/src/shard_loop.rs
@@ -78,13 +78,13 @@
         if group.transaction.is_empty() {
             return None;
         }
-        let mut sent = false;
+        let mut maybe_sent = false;
         loop {
             let deadline = self.shared.now() + COMMIT_TIMEOUT;
             let outcome = self
                 .shared
                 .table
-                .commit_again(&group.transaction, deadline, sent)
+                .commit_again(&group.transaction, deadline, maybe_sent)
                 .await;
             match outcome {
                 CommitOutcome::Committed(version) => {
@@ -101,7 +101,7 @@
                     return Some(LoopExit::Reload);
                 }
                 CommitOutcome::NotSent(_) => sleep(COMMIT_RETRY_DELAY).await,
-                CommitOutcome::Unknown(_) => sent = true,
+                CommitOutcome::Unknown(_) => maybe_sent = true,
             }
             if !self.shared.is_term_active() {
                 return Some(LoopExit::TermEnded);
@@ -113,7 +113,7 @@
         let now = self.shared.now();
         group.apply(&mut self.shared.state.borrow_mut(), now, version);
         for change in &group.changes {
-            count_change(&change.next);
+            count_new_state(&change.next);
             if let Some((worker, _)) = &change.reserve {
                 let run_id = TaskMark {
                     task: change.task,
@@ -134,7 +134,7 @@
     }
 }
 
-fn count_change(row: &TaskRow) {
+fn count_new_state(row: &TaskRow) {
     let counter = match &row.state {
         TaskState::Placed(_) => Counter::TasksPlaced,
         TaskState::Done(_) => Counter::TasksDone,
--- a/crates/wax-tasks/src/split.rs
+++ b/crates/wax-tasks/src/split.rs
@@ -77,12 +77,12 @@
     Ok(parts)
 }
 
-fn pick_shard(slots_by_shard: &BTreeMap<ShardId, u64>, mut draw: u64) -> ShardId {
+fn pick_shard(slots_by_shard: &BTreeMap<ShardId, u64>, mut index: u64) -> ShardId {
     for (shard, slots) in slots_by_shard {
-        if draw < *slots {
+        if index < *slots {
             return *shard;
         }
-        draw -= slots;
+        index -= slots;
     }
     ShardId::default()
 }
--- a/crates/wax-tasks/src/worker_events.rs
+++ b/crates/wax-tasks/src/worker_events.rs
@@ -82,10 +82,11 @@
                     .learn_from_usage(worker, report);
             }
         }
-        self.shared
-            .ledger
-            .borrow_mut()
-            .take(&self.shared.state.borrow(), worker, reply.usage);
+        self.shared.ledger.borrow_mut().add_reports(
+            &self.shared.state.borrow(),
+            worker,
+            reply.usage,
+        );
         changes
     }
 
@@ -264,7 +265,7 @@
         let Some(capacity) = self.table.get(entry.key) else {
             return MitigationChoice::Keep;
         };
-        let worst = usage
+        let most_slowed = usage
             .iter()
             .filter_map(|report| {
                 let mut urgent = capacity.tasks().iter().filter(|task| task.urgent);
@@ -272,7 +273,7 @@
                 Some((*task, f64::from(report.slowdown_percent) / 100.0 - 1.0))
             })
             .max_by(|(_, a), (_, b)| a.total_cmp(b));
-        let Some((affected, excess)) = worst else {
+        let Some((affected, excess)) = most_slowed else {
             return MitigationChoice::Keep;
         };
         let part = self
--- a/crates/wax-tasks/src/worker_link.rs
+++ b/crates/wax-tasks/src/worker_link.rs
@@ -50,7 +50,7 @@
         return;
     };
     if choice == ContactChoice::Lapsed {
-        shared.send(WorkerEvent::LeasesExpired(worker.clone()));
+        shared.send_event(WorkerEvent::LeasesExpired(worker.clone()));
     }
     let request = build_renewal(shared, worker, choice, now);
     count(Counter::LeaseRenewals);
@@ -60,7 +60,7 @@
     }
     record_result(shared, worker, &result, now);
     match result {
-        Ok(reply) => shared.send(WorkerEvent::Renewed(worker.clone(), reply, now)),
+        Ok(reply) => shared.send_event(WorkerEvent::Renewed(worker.clone(), reply, now)),
         Err(error) if error.kind == ErrorKind::Conflict => shared.end_fenced_term(&error),
         Err(_) => {}
     }
@@ -79,7 +79,8 @@
     } else {
         Vec::new()
     };
-    let valid_until_ms = valid_until(shared, state.workers.get(worker).and_then(|w| w.clock), now);
+    let valid_until_ms =
+        call_valid_until(shared, state.workers.get(worker).and_then(|w| w.clock), now);
     let entry = state.workers.get_mut(worker);
     let (forget, usage_through) = entry.map_or_else(Default::default, |entry| {
         if renewing {
@@ -103,12 +104,13 @@
 ///
 /// The worker's clock was read before its answer came, so the bound errs to the early side. Zero
 /// until the worker has answered once: the first call only asks.
-fn valid_until(shared: &ShardShared, clock: Option<(u64, TimePoint)>, now: TimePoint) -> u64 {
+fn call_valid_until(shared: &ShardShared, clock: Option<(u64, TimePoint)>, now: TimePoint) -> u64 {
     let Some((clock_ms, answered_at)) = clock else {
         return 0;
     };
-    let end = (now + shared.options.lease_timings.call_timeout).min(shared.term.expires_at());
-    clock_ms + end.since(answered_at).as_millis() as u64
+    let valid_until =
+        (now + shared.options.lease_timings.call_timeout).min(shared.term.expires_at());
+    clock_ms + valid_until.since(answered_at).as_millis() as u64
 }
 
 fn record_result(
@@ -190,7 +192,7 @@
         }
     }
     if let Some(event) = event {
-        shared.send(event);
+        shared.send_event(event);
     }
 }
 
@@ -223,7 +225,7 @@
         input: spec.input,
         checkpoint,
         lease_ms: shared.options.lease_timings.duration.as_millis() as u64,
-        valid_until_ms: valid_until(shared, entry.clock, now),
+        valid_until_ms: call_valid_until(shared, entry.clock, now),
     };
     Some((entry.info.address.clone(), request))
 }
@@ -254,10 +256,10 @@
             // A run that the worker never had is fenced there now, and counts as stopped.
             let run = reply.run.unwrap_or(TaskRun::Stopped(reply.checkpoint));
             let report = TaskReport { mark: run_id, run };
-            shared.send(WorkerEvent::RunChanged(worker, report));
+            shared.send_event(WorkerEvent::RunChanged(worker, report));
         }
         Err(error) if error.kind == ErrorKind::Conflict => shared.end_fenced_term(&error),
-        Err(_) => shared.send(WorkerEvent::StopFailed(run_id)),
+        Err(_) => shared.send_event(WorkerEvent::StopFailed(run_id)),
     }
 }
 
