--- a/crates/wax-member/src/heartbeat.rs
+++ b/crates/wax-member/src/heartbeat.rs
@@ -1,4 +1,5 @@
-//! Renews this process's row and observes all others.
+//! Heartbeat of a member: renews the row of this process, observes the rows of all others and
+//! deletes rows of members that have been dead for long.
 
 use crate::row::{MEMBER_PREFIX, MemberRow, member_key};
 use crate::watch::MemberWatch;
@@ -10,10 +11,11 @@
 use wax_platform::{CommitOutcome, TableClient, TableTransaction};
 use wax_types::{ErrorKind, ProcessClock, RowVersion, SettingsVersion, Step, TimePoint, WaxError};
 
-/// Rows that stood still for so many terms are deleted.
+/// Rows that have not changed for this number of membership TTLs are deleted.
 const TTLS_BEFORE_DELETION: u32 = 20;
 
-/// What the rest of the process knows of membership.
+/// Shared view of the membership: the row of this process and the last observed rows of all
+/// members.
 #[derive(Debug, Clone)]
 pub struct MemberHandle {
     shared: Rc<HandleShared>,
@@ -28,7 +30,8 @@
 }
 
 impl MemberHandle {
-    /// Begins with `row`; nothing is written yet.
+    /// Creates a handle for a process whose first row is `row`. Nothing is written to the table
+    /// yet.
     pub fn new(row: MemberRow, ttl: Duration) -> Self {
         let shared = HandleShared {
             row: RefCell::new(row),
@@ -41,22 +44,22 @@
         }
     }
 
-    /// The next renewal says this version.
+    /// Sets the settings version that the next renewal publishes.
     pub fn set_settings_version(&self, version: SettingsVersion) {
         self.shared.row.borrow_mut().settings = version;
     }
 
-    /// The next renewal says that this process takes no new work.
+    /// Makes the next renewal publish that this process takes no new work.
     pub fn mark_leaving(&self) {
         self.shared.row.borrow_mut().leaving = true;
     }
 
-    /// This process's own row.
+    /// Returns the row of this process.
     pub fn own_row(&self) -> MemberRow {
         self.shared.row.borrow().clone()
     }
 
-    /// The rows of the live members, as last observed.
+    /// Returns the rows of the members that are live at `now` by the last observation.
     pub fn live_members(&self, now: TimePoint) -> Vec<MemberRow> {
         let watch = self.shared.watch.borrow();
         watch
@@ -65,25 +68,27 @@
             .collect()
     }
 
-    /// Runs `look` on the members as last observed.
+    /// Calls `read` with the members as last observed.
     pub fn with_watch<T>(&self, read: impl FnOnce(&MemberWatch) -> T) -> T {
         read(&self.shared.watch.borrow())
     }
 
-    /// When the members were last observed; `None` before the first time.
+    /// Returns the time of the last observation of the members; `None` before the first one.
     pub fn last_observed(&self) -> Option<TimePoint> {
         self.shared.last_observed.get()
     }
 
-    /// A member whose row stands still for this long is taken for dead.
+    /// Returns the time after which a member whose row does not change counts as dead.
     pub fn ttl(&self) -> Duration {
         self.shared.ttl
     }
 }
 
-/// Renews and observes every `period` until `stop`, then deletes the row.
+/// Renews the row of this process and observes all members every `period` until `stop` is raised,
+/// then deletes the row.
 ///
-/// `stop` comes after the drain: until then the row says that this process is leaving.
+/// `stop` must be raised only after the process has drained; until then the row shows that the
+/// process is leaving.
 pub async fn maintain_membership(
     handle: MemberHandle,
     table: TableClient,
@@ -98,15 +103,15 @@
         if let Err(error) = &result
             && !failing
         {
-            tracing::warn!(%error, "membership is not renewed");
+            tracing::warn!(%error, "membership renewal failed");
         }
         failing = result.is_err();
-        // Woken early, so that the end of the process does not wait for a whole period.
+        // The wait ends early at `stop`, so that the shutdown does not take a whole period longer.
         let _ = timeout(period, stop.wait()).await;
     }
     let mut transaction = TableTransaction::default();
     transaction.delete(member_key(&handle.own_row().name), version);
-    // Where it fails, the row stands still and the others delete it later.
+    // If the commit fails, other members delete the row once it is stale.
     let _ = table.commit(&transaction, clock.now() + period).await;
 }
 
@@ -140,10 +145,11 @@
     Ok(())
 }
 
-/// The version of a row under our name; the next beat overwrites it.
+/// Returns the version of the row that already exists under the name of this process, so that the
+/// next renewal overwrites it.
 ///
-/// The row may be an earlier run's. Where another live process has our name, the two overwrite
-/// each other, and both say so.
+/// The row may be left over from an earlier run. If another live process has the same name, the two
+/// processes overwrite each other's row and both log an error.
 async fn read_conflicting_version(
     table: &TableClient,
     key: &str,
@@ -157,9 +163,9 @@
             ErrorKind::Conflict,
             Step::CommitTable,
             key,
-            "another process renews the row of this name",
+            "another live process renews the membership row of this name",
         );
-        tracing::error!(error = %error.with_help("give each process a name of its own"));
+        tracing::error!(error = %error.with_help("give each process a unique name"));
     }
     Ok(found.version)
 }
@@ -186,7 +192,7 @@
         let mut transaction = TableTransaction::default();
         transaction.delete(key, version);
         tracing::info!(member = %row.name, "member row deleted");
-        // Whoever else deletes it does the same work.
+        // The outcome does not matter: every other member tries to delete the row too.
         let _ = table.commit(&transaction, now + commit_timeout).await;
     }
 }
--- a/crates/wax-member/src/lib.rs
+++ b/crates/wax-member/src/lib.rs
@@ -1,4 +1,5 @@
-//! Membership: each daemon that others must find renews a row of the table.
+//! Membership of the daemons: each one renews a row of the table as its heartbeat and observes the
+//! rows of all others.
 
 mod heartbeat;
 mod row;
--- a/crates/wax-member/src/row.rs
+++ b/crates/wax-member/src/row.rs
@@ -1,37 +1,37 @@
-//! The row of one member.
+//! Row in which a member describes itself.
 
 use serde::{Deserialize, Serialize};
 use wax_types::{ProcessIncarnation, SettingsVersion};
 
-/// All rows of members start with it.
+/// Prefix of the keys of all member rows.
 pub const MEMBER_PREFIX: &str = "member/";
 
-/// What a member says of itself.
+/// Row `member/NAME`: what a member publishes about itself.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MemberRow {
-    /// Its name.
+    /// Name of the member; unique among all members.
     pub name: Box<str>,
-    /// Its run.
+    /// Identifies one run of the process; a restart draws a new one.
     pub incarnation: ProcessIncarnation,
-    /// Counts the renewals.
+    /// Number of renewals that this run has attempted.
     pub beat: u64,
-    /// Its region.
+    /// Region in which the member runs.
     pub region: Box<str>,
-    /// Its failure domain.
+    /// Failure domain in which the member runs.
     pub failure_domain: Box<str>,
-    /// Where sidecars connect, if it is an entry.
+    /// Address to which sidecars connect; `None` if the member is no entry.
     pub peers: Option<Box<str>>,
-    /// Where operators connect, if it is an entry.
+    /// Address to which operators connect; `None` if the member is no entry.
     pub operators: Option<Box<str>>,
-    /// Whether it may own shards.
+    /// Whether the member may own shards.
     pub coordinator: bool,
-    /// Whether it takes no new work.
+    /// Whether the member shuts down and takes no new work.
     pub leaving: bool,
-    /// The version of the settings tree that it applies.
+    /// Version of the settings tree that the member applies.
     pub settings: SettingsVersion,
 }
 
-/// The key of a member's row.
+/// Returns the key of the row of the member `name`.
 pub fn member_key(name: &str) -> String {
     format!("{MEMBER_PREFIX}{name}")
 }
--- a/crates/wax-member/src/watch.rs
+++ b/crates/wax-member/src/watch.rs
@@ -1,4 +1,5 @@
-//! Who is alive, by the observer's own clock: a row that changes is a sign of life.
+//! Failure detection: a member is live while its row keeps changing, measured by the observer's own
+//! clock.
 
 use crate::row::MemberRow;
 use std::collections::BTreeMap;
@@ -6,25 +7,25 @@
 use wax_platform::RowEntry;
 use wax_types::{RowVersion, TimePoint};
 
-/// A member as last observed.
+/// Last observed state of a member.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MemberState {
-    /// Its row.
+    /// Row of the member.
     pub row: MemberRow,
-    /// The version of the row.
+    /// Version of the row.
     pub version: RowVersion,
-    /// When this version was first seen.
+    /// Time at which this version was first observed, by the observer's clock.
     pub changed_at: TimePoint,
 }
 
-/// All members, by name; no two clocks are ever compared.
+/// All observed members by name. Clocks of different processes are never compared.
 #[derive(Debug, Clone, Default)]
 pub struct MemberWatch {
     members: BTreeMap<Box<str>, MemberState>,
 }
 
 impl MemberWatch {
-    /// Takes a scan of all rows that was begun at `now`.
+    /// Replaces the known members by the result of a scan of all rows that was started at `now`.
     pub fn observe(&mut self, now: TimePoint, rows: Vec<RowEntry<MemberRow>>) {
         let mut members = BTreeMap::new();
         for entry in rows {
@@ -43,7 +44,7 @@
         self.members = members;
     }
 
-    /// The members whose rows changed within `ttl`.
+    /// Returns the members whose rows have changed within `ttl`.
     pub fn live_members(
         &self,
         now: TimePoint,
@@ -54,12 +55,12 @@
             .filter(move |state| now.since(state.changed_at) < ttl)
     }
 
-    /// A member by name, alive or not.
+    /// Returns a member by name, whether it is live or not.
     pub fn get(&self, name: &str) -> Option<&MemberState> {
         self.members.get(name)
     }
 
-    /// Members whose rows have stood still for `span` or longer.
+    /// Returns the members whose rows have not changed for `min_age` or longer.
     pub fn stale(&self, now: TimePoint, min_age: Duration) -> impl Iterator<Item = &MemberState> {
         self.members
             .values()
--- a/crates/wax-tasks/src/commit.rs
+++ b/crates/wax-tasks/src/commit.rs
@@ -1,4 +1,5 @@
-//! Builds one transaction from many changes of tasks; the guard on capacity is here.
+//! Group commit: builds one transaction from the changes of many tasks and leaves out placements
+//! that would exceed the capacity of a worker.
 
 use crate::rows::{
     AllocRow, ClosedRow, TaskRow, TasksRow, alloc_key, closed_key, part_key, shard_key, tasks_key,
@@ -9,7 +10,7 @@
 use wax_platform::TableTransaction;
 use wax_types::{RowVersion, TaskId, TimePoint, WorkerId, wall_clock_ms};
 
-/// Changes that are committed together.
+/// Changes that are committed in one transaction.
 #[derive(Debug)]
 pub(crate) struct ChangeGroup {
     pub(crate) transaction: TableTransaction,
@@ -18,7 +19,8 @@
     closing: Vec<PartKey>,
 }
 
-/// Builds the transaction; changes that would exceed a worker are left out.
+/// Builds a group from `changes`. Placements that would exceed the capacity of their worker are
+/// left out.
 pub(crate) fn build_group(
     state: &ShardState,
     term: &OwnerTerm,
@@ -40,10 +42,11 @@
     group
 }
 
-/// Deletes notes that were taken.
+/// Builds the transaction that deletes processed messages from the inbox of a shard.
 ///
-/// An owner that was replaced must not: the next one may have loaded the shard before the notes
-/// were written, and would never see their jobs.
+/// The transaction requires that the shard's row is unchanged, so a former owner cannot delete
+/// messages. Otherwise a new owner that loaded the shard before the messages were written would
+/// never learn of their jobs.
 pub(crate) fn build_inbox_removal(
     term: &OwnerTerm,
     messages: Vec<(Box<str>, RowVersion)>,
@@ -56,7 +59,8 @@
     transaction
 }
 
-/// Moves a task between allocation rows; refuses what exceeds a worker's capacity.
+/// Adds and removes the allocations of a change in `allocs`. Returns false, without any update, if
+/// the placement would exceed the capacity of the worker.
 fn update_allocations(
     state: &ShardState,
     allocs: &mut BTreeMap<WorkerId, AllocRow>,
@@ -87,7 +91,7 @@
     true
 }
 
-/// Parts whose last open tasks end with these changes.
+/// Returns the parts whose last open tasks end with these changes.
 fn closing_parts(state: &ShardState, changes: &[TaskChange]) -> Vec<PartKey> {
     let mut ended_tasks: HashMap<PartKey, u32> = HashMap::new();
     for change in changes
@@ -136,7 +140,7 @@
         }
     }
 
-    /// The parts that change and stay open, each once.
+    /// Returns the parts that have changed tasks and stay open.
     fn open_parts(&self, state: &ShardState) -> BTreeSet<PartKey> {
         let changed = self
             .changes
@@ -145,7 +149,7 @@
         changed.filter(|key| !self.closing.contains(key)).collect()
     }
 
-    /// How the tasks of a part stand with the changes.
+    /// Returns the rows of all tasks of a part with the changes of this group applied.
     fn task_rows(&self, state: &ShardState, part: &PartEntry) -> Vec<Option<TaskRow>> {
         let place = part.row.place;
         let tasks = (place.first..place.first + place.count).map(|index| TaskId {
@@ -163,7 +167,8 @@
             .collect()
     }
 
-    /// The ends of a part's tasks go into one row; the rows of the part and its tasks go.
+    /// Writes the final rows of a part's tasks into one closed row, and deletes the rows of the
+    /// part and of its tasks.
     fn close_part(&mut self, state: &ShardState, term: &OwnerTerm, key: PartKey) {
         let Some(part) = state.parts.get(&key) else {
             return;
@@ -182,7 +187,7 @@
         }
     }
 
-    /// Takes the committed group into memory.
+    /// Applies the group to the in-memory state after its commit, which gave the rows `version`.
     pub(crate) fn apply(&self, state: &mut ShardState, now: TimePoint, version: RowVersion) {
         for change in &self.changes {
             state.apply(now, change, version);
--- a/crates/wax-tasks/src/commit_tests.rs
+++ b/crates/wax-tasks/src/commit_tests.rs
@@ -1,4 +1,5 @@
-//! The group commit keeps the capacity of workers and the fence of the shard.
+//! Tests of the group commit. A commit must not exceed the capacity of a worker, and a former owner
+//! must not commit anything: each transaction requires the shard row that the owner has claimed.
 
 use crate::commit::{build_group, build_inbox_removal};
 use crate::rows::{JobSpec, PartLocation, PartRow, TaskRow, TaskState, shard_key};
@@ -27,7 +28,7 @@
     OwnerTerm::new(ShardId(2), ShardEpoch(7), RowVersion(41), grace, now, now)
 }
 
-/// A shard with one worker of 8000 and a job of five tasks.
+/// Returns a shard with one worker of 8000 milli-cores and a job of five tasks of 3000 each.
 fn shard_state() -> ShardState {
     let mut state = ShardState::default();
     let spec = JobSpec {
@@ -96,7 +97,11 @@
     let state = shard_state();
     let changes = (0..5).map(placement).collect();
     let group = build_group(&state, &term(), changes);
-    assert_eq!(group.changes.len(), 2, "8000 hold two tasks of 3000");
+    assert_eq!(
+        group.changes.len(),
+        2,
+        "a worker with 8000 milli-cores fits two tasks of 3000"
+    );
 }
 
 #[test]
--- a/crates/wax-tasks/src/coordinator.rs
+++ b/crates/wax-tasks/src/coordinator.rs
@@ -1,4 +1,5 @@
-//! Gains and loses shards: one row of the table for each, one live member that ranks highest.
+//! Ownership of shards by this process. Each shard has a row in the table that names its owner; the
+//! live member with the highest rank for a shard claims it.
 
 use crate::drains::DomainDrains;
 use crate::ownership::{ProcessIdentity, ShardChoice, decide_shard};
@@ -23,42 +24,42 @@
 use wax_trace::{Counter, count};
 use wax_types::{ProcessClock, RowVersion, ShardEpoch, ShardId, TimePoint, WaxError};
 
-/// A renewal that takes longer is given up.
+/// Time-out of one call to a worker.
 const WORKER_CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// For two clocks that differ in speed.
+/// Fixed part of the allowance for clocks that run at different speeds; 2 % of the lease is added.
 const CLOCK_MARGIN: Duration = Duration::from_millis(200);
-/// A handover waits this long for calls under way.
+/// Time that a handover allows for calls in progress before it releases the shard's row.
 const HANDOVER_DELAY: Duration = Duration::from_millis(50);
 
-/// A shard as it is shown.
+/// Status of an owned shard, for operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardStatus {
-    /// The shard.
+    /// Identifies the shard.
     pub shard: ShardId,
-    /// Its epoch.
+    /// Epoch of the current owner; the fencing token of its calls.
     pub epoch: ShardEpoch,
-    /// Its workers.
+    /// Number of workers that the shard has.
     pub workers: usize,
-    /// Workers that answer.
+    /// Number of workers that answered the last call.
     pub reachable: usize,
-    /// Workers in quarantine.
+    /// Names of the workers in quarantine.
     pub quarantined: Vec<Box<str>>,
-    /// Tasks that wait.
+    /// Number of tasks that wait for a placement.
     pub queued: usize,
-    /// Tasks that are placed.
+    /// Number of tasks that are placed on a worker.
     pub placed: usize,
-    /// Milliseconds since the ownership was confirmed.
+    /// Milliseconds since the ownership was last confirmed by the table.
     pub confirmed_ms: u64,
 }
 
-/// What the rest of the process sees of the shards owned here.
+/// Read access to the shards that this process owns.
 #[derive(Clone, Default)]
 pub struct CoordinatorHandle {
     pub(crate) shards: Rc<RefCell<BTreeMap<ShardId, Rc<ShardShared>>>>,
 }
 
 impl CoordinatorHandle {
-    /// The shards owned here.
+    /// Returns the status of each shard that this process owns.
     pub fn status(&self, now: TimePoint) -> Vec<ShardStatus> {
         self.shards
             .borrow()
@@ -96,7 +97,7 @@
     }
 }
 
-/// The part of a daemon that owns shards.
+/// Component of a daemon that claims, keeps and hands over shards.
 pub struct CoordinatorProcess {
     settings: CoordinatorSettings,
     options: ShardOptions,
@@ -108,11 +109,11 @@
 }
 
 impl CoordinatorProcess {
-    /// Prepares the part; nothing is owned yet.
+    /// Creates the component. No shard is claimed before [`CoordinatorProcess::run`].
     ///
     /// # Errors
     ///
-    /// The HTTP client for workers cannot be built.
+    /// Returns an error if the HTTP client for workers cannot be built.
     pub fn new(
         settings: CoordinatorSettings,
         (table, objects): (TableClient, ObjectClient),
@@ -154,25 +155,30 @@
         })
     }
 
-    /// What the rest of the process sees.
+    /// Returns the handle through which other components read the owned shards.
     pub fn handle(&self) -> CoordinatorHandle {
         self.handle.clone()
     }
 
-    /// Gains and loses shards until `shutdown`, then hands all over.
+    /// Claims and releases shards until `shutdown` is raised, then hands over all owned shards.
     pub async fn run(mut self, shutdown: ShutdownSignal) {
         let period = Duration::from_millis(self.settings.heartbeat_ms.into());
         while !shutdown.is_raised() {
-            // A failed look changes nothing: terms run on until their grace ends.
+            // After a failure the terms stay active until their grace period ends.
             let _ = self.update_shards(false).await;
             let _ = timeout(period, shutdown.wait()).await;
         }
         self.members.mark_leaving();
         if let Err(error) = self.update_shards(true).await {
-            tracing::info!(%error, "shards not handed over; others take them when we are gone");
+            tracing::info!(
+                %error,
+                "shards were not handed over; other members claim them once this one counts as dead"
+            );
         }
     }
 
+    /// Compares the rows of all shards with the live members, and claims, confirms, hands over or
+    /// ends the terms of this process accordingly.
     async fn update_shards(&mut self, leaving: bool) -> Result<(), WaxError> {
         if self.members.last_observed().is_none() {
             return Ok(());
@@ -214,7 +220,8 @@
         Ok(())
     }
 
-    /// The row is ours: confirms the term, if it is this one's.
+    /// Confirms the term of a shard whose row names this process, or starts a term if none is
+    /// active.
     fn confirm_or_resume(
         &mut self,
         shard: ShardId,
@@ -222,13 +229,14 @@
         started_at: TimePoint,
     ) {
         let (Some(row), Some(term)) = (row, self.terms.get(&shard)) else {
-            // A claim whose reply was lost: it is claimed again under the next epoch.
+            // No term is active, for instance because the reply to a claim was lost.
             if let Some(row) = row {
                 self.resume_claim(shard, row, started_at);
             }
             return;
         };
-        // Looked at before it is confirmed: a term that ended in an outage is begun anew.
+        // The check must precede the confirmation: a term that expired during an outage of the
+        // store is ended here, and the next pass starts a new one.
         if !term.is_active(self.clock.now()) {
             return self.end_term(shard);
         }
@@ -237,7 +245,8 @@
         }
     }
 
-    /// The row says that it is ours and no term runs: the term begins with this look.
+    /// Starts a term under the epoch of the row, which names this process as the owner; the row was
+    /// read at `started_at` or later.
     fn resume_claim(&mut self, shard: ShardId, row: &RowEntry<ShardRow>, started_at: TimePoint) {
         self.start_term(shard, row.value.epoch, row.version, started_at);
     }
@@ -284,7 +293,8 @@
                 Some(shared) => {
                     shards.insert(shard, shared);
                 }
-                // A later term may have begun before the end of this one was noticed.
+                // A later term may have started before the loop of this one stopped; its entry
+                // stays.
                 None if shards
                     .get(&shard)
                     .is_some_and(|shared| !shared.is_term_active()) =>
@@ -298,7 +308,8 @@
         spawn(run_shard(term, self.options, clients, self.clock, publish)).detach();
     }
 
-    /// Hands a shard over: acts no more, then gives the row away.
+    /// Ends the term of a shard and then removes the owner from the shard's row, so that another
+    /// member can claim the shard at once.
     async fn hand_over(&mut self, shard: ShardId, row: Option<RowEntry<ShardRow>>) {
         self.end_term(shard);
         let Some(row) = row else { return };
@@ -310,7 +321,7 @@
         let mut transaction = TableTransaction::default();
         transaction.put(shard_key(shard), row.version, &next);
         let deadline = self.clock.now() + Duration::from_millis(self.settings.heartbeat_ms.into());
-        // Where it fails, the others take it once this process is gone.
+        // If the commit fails, another member claims the shard once this process counts as dead.
         let _ = self.clients.table.commit(&transaction, deadline).await;
     }
 
--- a/crates/wax-tasks/src/drains.rs
+++ b/crates/wax-tasks/src/drains.rs
@@ -1,4 +1,5 @@
-//! Failure domains that operators drain, one row each: nothing new is placed or started there.
+//! Failure domains that operators have drained. Each domain has one row in the table; no task is
+//! placed or started in a drained domain.
 
 use compio::time::sleep;
 use serde::{Deserialize, Serialize};
@@ -12,22 +13,23 @@
 use wax_trace::FailureStreak;
 use wax_types::{ErrorKind, RowVersion, Step, TimePoint, WaxError};
 
-/// Keys of the rows begin with it.
+/// Prefix of the keys of the rows.
 const DRAIN_PREFIX: &str = "drain/";
-/// Between two readings; a change of the operators is in force everywhere within five seconds.
+/// Interval between two reads of the rows. A change by an operator must be in force in every
+/// process within 5 s.
 const READ_PERIOD: Duration = Duration::from_secs(1);
-/// A change is offered to the store this long.
+/// Time-out of the commit of a change.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
-/// Longest name of a failure domain, bytes.
+/// Maximum length of the name of a failure domain.
 const MAX_NAME_BYTES: usize = 100;
 
-/// Whether a failure domain is drained.
+/// Row `drain/DOMAIN`: whether a failure domain is drained.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 struct DrainRow {
     drained: bool,
 }
 
-/// The drained failure domains as this process knows them.
+/// Drained failure domains as known to this process, and the operation that changes them.
 #[derive(Debug, Clone)]
 pub struct DomainDrains {
     table: TableClient,
@@ -37,14 +39,15 @@
 #[derive(Debug, Default)]
 struct KnownDrains {
     view: RefCell<DrainView>,
-    /// Counts what was learned: a reading that began before a change of our own is of the past.
+    /// Number of updates to the view. A read that started before a change by this process has an
+    /// older revision, and its result is discarded as stale.
     revision: Cell<u64>,
-    /// Rows that did not decode: each is told once.
+    /// Keys of rows that could not be decoded; an error is logged once for each.
     undecodable_keys: RefCell<BTreeSet<Box<str>>>,
 }
 
 impl DomainDrains {
-    /// Nothing is known to be drained before the first reading.
+    /// Creates an empty view; no domain is known before the first read.
     pub fn new(table: TableClient) -> Self {
         Self {
             table,
@@ -52,7 +55,7 @@
         }
     }
 
-    /// Reads the rows again and again for the life of the process.
+    /// Reads the rows periodically until the process ends.
     pub async fn run(self) {
         let streak = FailureStreak::new("reading of the drains");
         loop {
@@ -64,26 +67,28 @@
         }
     }
 
-    /// The drained failure domains.
+    /// Returns the names of the drained failure domains.
     pub fn domains(&self) -> Vec<Box<str>> {
         self.known.view.borrow().domains().iter().cloned().collect()
     }
 
-    /// Whether the rows were read; before that any domain may be drained.
+    /// Returns whether the rows have been read at least once. Before that, any domain may be
+    /// drained.
     pub(crate) fn are_known(&self) -> bool {
         self.known.view.borrow().age(self.now()).is_some()
     }
 
-    /// Whether a failure domain gets nothing new.
+    /// Returns whether a failure domain is drained.
     pub(crate) fn is_drained(&self, domain: &str) -> bool {
         self.known.view.borrow().domains().contains(domain)
     }
 
-    /// Drains a failure domain, or takes it back; it is in the store when this returns.
+    /// Drains a failure domain, or ends its drain. The change is stored when the call returns.
     ///
     /// # Errors
     ///
-    /// The name is none, the store does not answer, or others change the row at the same time.
+    /// Returns an error if the name is not valid, if the store does not answer, or if another
+    /// client changes the row at the same time.
     pub async fn set_drained(&self, domain: &str, drained: bool) -> Result<(), WaxError> {
         validate_domain_name(domain)?;
         let key = format!("{DRAIN_PREFIX}{domain}");
@@ -94,7 +99,8 @@
         let now = self.now();
         match self.table.commit(&transaction, now + COMMIT_TIMEOUT).await {
             CommitOutcome::Committed(_) => {
-                // Before the first reading the others are not known: it will bring this one too.
+                // Before the first read the view stays empty, because the other domains are not
+                // known yet; that read returns this row too.
                 if self.are_known() {
                     self.update_view(|view, new_revision| {
                         view.apply_changes(new_revision, [(domain.into(), drained)], now)
@@ -127,7 +133,8 @@
         Ok(())
     }
 
-    /// A row that cannot be read counts as a drain: what is not certain is kept out, and no other is hidden.
+    /// Returns whether a row drains its domain. A row that cannot be decoded counts as a drain, so
+    /// that no task starts in a domain that may be drained; the other rows stay in effect.
     fn is_drain_row(&self, row: &RowEntry<Value>) -> bool {
         match DrainRow::deserialize(&row.value) {
             Ok(value) => value.drained,
@@ -138,7 +145,10 @@
                     .borrow_mut()
                     .insert(row.key.clone())
                 {
-                    tracing::error!(%error, key = %row.key, "the row of a drain does not decode");
+                    tracing::error!(
+                        %error, key = %row.key,
+                        "the row of a drained failure domain cannot be decoded"
+                    );
                 }
                 true
             }
--- a/crates/wax-tasks/src/explain.rs
+++ b/crates/wax-tasks/src/explain.rs
@@ -1,4 +1,4 @@
-//! Says why a task stands where it stands, for operators.
+//! Explains to operators why a task is in its current state.
 
 use crate::coordinator::CoordinatorHandle;
 use crate::rows::TaskState;
@@ -7,19 +7,19 @@
 use serde::{Deserialize, Serialize};
 use wax_types::{JobId, ResourceVector, ShardId, TaskId, TimePoint};
 
-/// Why one task stands where it stands, as its shard's owner sees it.
+/// Explanation of the state of one task by the owner of its shard.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskExplanation {
-    /// The index of the task.
+    /// Index of the task in its job.
     pub index: u32,
-    /// Its shard.
+    /// Shard of the task.
     pub shard: ShardId,
-    /// The reason, and what would change it.
+    /// Reason for the state and, where there is one, what would change it.
     pub reason: Box<str>,
 }
 
 impl CoordinatorHandle {
-    /// The reasons for the tasks of a job whose shards are owned here.
+    /// Returns an explanation for each task of a job whose shard this process owns.
     pub fn explain(&self, now: TimePoint, job: JobId) -> Vec<TaskExplanation> {
         let shards = self.shards.borrow();
         let mut reasons: Vec<TaskExplanation> = shards
--- a/crates/wax-tasks/src/housekeeping.rs
+++ b/crates/wax-tasks/src/housekeeping.rs
@@ -1,4 +1,5 @@
-//! Orphans, notes of new jobs, and the platform's list of workers.
+//! Periodic work of a shard's owner: stops orphaned runs, processes the shard's inbox, and reads
+//! the platform's list of workers.
 
 use crate::commit::build_inbox_removal;
 use crate::rows::{InboxRow, PartRow, part_key};
@@ -13,11 +14,12 @@
 use wax_trace::{Counter, count};
 use wax_types::{WaxError, WorkerId};
 
-/// Between two looks at the notes of new jobs.
+/// Interval between two reads of the shard's inbox.
 const INBOX_PERIOD: Duration = Duration::from_millis(200);
 
 impl ShardLoop {
-    /// Stops runs without an allocation, once the ownership was confirmed after they were seen.
+    /// Stops orphans, which are runs without an allocation, once the ownership was confirmed after
+    /// they were first reported.
     pub(crate) fn stop_orphans(&self) {
         let confirmed_at = self.shared.term.confirmed_at();
         let due_stops: Vec<(WorkerId, TaskMark)> = {
@@ -39,12 +41,15 @@
         };
         for (worker, run_id) in due_stops {
             count(Counter::TasksOrphaned);
-            tracing::warn!(%worker, task = %run_id.task, epoch = %run_id.epoch, "stopping an orphan");
+            tracing::warn!(
+                %worker, task = %run_id.task, epoch = %run_id.epoch,
+                "stopping a run without an allocation"
+            );
             spawn(stop_run(self.shared.clone(), worker, run_id)).detach();
         }
     }
 
-    /// Takes new parts and cancellations, then deletes the notes.
+    /// Processes the messages in the shard's inbox, then deletes them.
     pub(crate) async fn process_inbox(&mut self) {
         if self.shared.now() < self.inbox_due {
             return;
@@ -64,7 +69,7 @@
         if !processed.is_empty() {
             let transaction = build_inbox_removal(&self.shared.term, processed);
             let deadline = self.shared.now() + COMMIT_TIMEOUT;
-            // A note that stays is taken again, which changes nothing.
+            // If the commit fails, the messages are processed again, which is idempotent.
             let _ = self.shared.table.commit(&transaction, deadline).await;
         }
     }
@@ -85,7 +90,7 @@
         Ok(())
     }
 
-    /// Takes workers that the platform lists anew, and addresses that changed.
+    /// Adds workers that the platform newly lists, and updates addresses that have changed.
     pub(crate) async fn refresh_workers(&mut self) {
         if self.shared.now() < self.directory_due {
             return;
@@ -111,7 +116,7 @@
             return;
         }
         let worker = info.id.clone();
-        tracing::info!(%worker, "worker listed");
+        tracing::info!(%worker, "new worker listed by the platform");
         let contact = WorkerContact::after_takeover(now, &self.shared.options.lease_timings);
         add_worker(&mut state, info, None, contact, now);
         drop(state);
--- a/crates/wax-tasks/src/job_service.rs
+++ b/crates/wax-tasks/src/job_service.rs
@@ -1,4 +1,5 @@
-//! Takes submissions and cancellations, and shows jobs, at any entry.
+//! Accepts, shows and cancels jobs. Every entry has a job service; the owners of the shards learn
+//! of new and cancelled jobs through inbox rows.
 
 use crate::rows::{
     ClosedRow, IdempotencyKeyRow, InboxRow, JobRow, JobSpec, PartLocation, PartRow, TaskRow,
@@ -22,28 +23,28 @@
     wall_clock_ms,
 };
 
-/// The list of workers is asked for again after this time.
+/// Age at which the cached list of workers is read again.
 const WORKER_LIST_MAX_AGE: Duration = Duration::from_secs(2);
-/// Tasks of one job at most.
+/// Maximum number of tasks of one job.
 const MAX_TASKS: u32 = 10_000;
-/// A cancellation is offered this often where the job's row changes meanwhile.
+/// Maximum number of attempts to commit a cancellation while other clients change the job's row.
 const MAX_CANCEL_ATTEMPTS: usize = 5;
 
-/// A submission as a caller sends it.
+/// Body of a submission by a caller.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SubmitRequest {
-    /// The service.
+    /// Service to which the job belongs.
     pub service: Box<str>,
-    /// The job kind, as declared in the settings tree.
+    /// Kind of the job, which must be declared in the settings tree.
     pub kind: Box<str>,
-    /// How many tasks; 1 if it is not said.
+    /// Number of tasks; 1 if the field is absent.
     #[serde(default = "one_task")]
     pub tasks: u32,
-    /// Size of each task in place of the kind's.
+    /// Size of each task; `None` for the size that the settings declare for the kind.
     #[serde(default)]
     pub size: Option<ResourceVector>,
-    /// Passed to the worker as it is.
+    /// Input of the job, passed to the workers unchanged.
     #[serde(default)]
     pub input: Value,
 }
@@ -52,34 +53,34 @@
     1
 }
 
-/// A task as it is shown.
+/// Task as shown to callers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskView {
-    /// Its index.
+    /// Index of the task in its job.
     pub index: u32,
-    /// Its row; `None` before its first placement.
+    /// Row of the task; `None` before its first placement.
     #[serde(flatten)]
     pub row: Option<TaskRow>,
 }
 
-/// A job as it is shown.
+/// Job as shown to callers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobView {
-    /// Its id.
+    /// Identifies the job.
     pub job: JobId,
-    /// What it asks for.
+    /// Specification of the job with all settings resolved.
     pub spec: JobSpec,
-    /// Unix milliseconds.
+    /// Time of the submission, Unix milliseconds.
     pub submitted_ms: u64,
-    /// Whether it was cancelled.
+    /// Whether the job was cancelled.
     pub cancelled: bool,
-    /// Whether all tasks have ended.
+    /// Whether all tasks of the job have ended.
     pub ended: bool,
-    /// Its tasks.
+    /// All tasks of the job by index.
     pub tasks: Vec<TaskView>,
 }
 
-/// The desk of one entry.
+/// Job service of one entry.
 #[derive(Debug)]
 pub struct JobService {
     table: TableClient,
@@ -93,7 +94,7 @@
 }
 
 impl JobService {
-    /// Prepares the desk of a system of `shards` shards.
+    /// Creates the job service of an entry in a system with `shards` shards.
     pub fn new(
         table: TableClient,
         writer: GroupWriter,
@@ -114,12 +115,14 @@
         }
     }
 
-    /// Accepts a job; the same key gives the same job.
+    /// Accepts a job and returns its id. A repeated call with the same idempotency key returns the
+    /// same job.
     ///
     /// # Errors
     ///
-    /// `Invalid` if the job can never run or is not declared; `Unavailable` if it was not
-    /// accepted; `Ambiguous` if that is not known, so that the same key finds out.
+    /// Returns `Invalid` if the job can never run or its kind is not declared, `Unavailable` if the
+    /// job was not accepted, and `Ambiguous` if the outcome is not known; a repetition with the
+    /// same key then resolves it.
     pub async fn submit(
         &self,
         tree: &SettingsTree,
@@ -191,7 +194,8 @@
         }
     }
 
-    /// The workers, asked for at most every few seconds; the last list serves in an outage.
+    /// Returns the workers from a cached list, which is read again when it has expired. If the
+    /// platform does not answer, the expired list is returned.
     async fn worker_list(&self) -> Result<Vec<WorkerInfo>, WaxError> {
         let now = self.clock.now();
         let known = self.workers.borrow().clone();
@@ -213,17 +217,18 @@
         }
     }
 
-    /// Shows a job.
+    /// Returns the current state of a job and its tasks.
     ///
     /// # Errors
     ///
-    /// There is no such job, or the store does not answer.
+    /// Returns an error if there is no such job or the store does not answer.
     pub async fn show(&self, job: JobId) -> Result<JobView, WaxError> {
         let row = self.read_job(job).await?.1;
         let mut tasks = Vec::new();
         let mut ended = true;
         for place in &row.parts {
-            // The open rows first: a part that closes in between shows as closed.
+            // The open rows are read first, so that a part that is closed between the two reads is
+            // shown as closed.
             let open = self.open_task_rows(job, *place).await?;
             let closed = self
                 .table
@@ -267,7 +272,7 @@
     ///
     /// # Errors
     ///
-    /// `NotFound` while there is no result; its label says how the task stands.
+    /// Returns `NotFound` while there is no result, with the state of the task in the label.
     pub async fn result(&self, job: JobId, index: u32) -> Result<Vec<u8>, WaxError> {
         let view = self.show(job).await?;
         let task = view.tasks.iter().find(|task| task.index == index);
@@ -297,11 +302,12 @@
         })
     }
 
-    /// Asks for a job to be cancelled; tasks that have ended stay ended.
+    /// Cancels a job. Tasks that have already ended keep their results.
     ///
     /// # Errors
     ///
-    /// There is no such job, or the store does not answer.
+    /// Returns an error if there is no such job or the store does not answer, and `Ambiguous` if
+    /// the job's row changes during each attempt.
     pub async fn cancel(&self, job: JobId, deadline: TimePoint) -> Result<(), WaxError> {
         for _ in 0..MAX_CANCEL_ATTEMPTS {
             let (version, mut row) = self.read_job(job).await?;
@@ -345,7 +351,8 @@
         .with_help("ask again with the same idempotency key")
 }
 
-/// One transaction: the key, the job, its parts, and the notes to the shards' owners.
+/// Builds the transaction that inserts a job: the row of its idempotency key, the row of the job,
+/// the rows of its parts, and the inbox messages to the owners of the shards.
 fn submission_transaction(row_key: &str, job: JobId, row: &JobRow) -> TableTransaction {
     let absent = RowVersion::default();
     let mut transaction = TableTransaction::default();
@@ -365,7 +372,7 @@
     transaction
 }
 
-/// Fills a submission with the settings in force.
+/// Builds the specification of a job from a submission and the settings in force.
 fn resolve_spec(
     tree: &SettingsTree,
     team: &str,
--- a/crates/wax-tasks/src/ledger_feed.rs
+++ b/crates/wax-tasks/src/ledger_feed.rs
@@ -1,4 +1,5 @@
-//! Takes late usage from the workers to the ledger; a report is acknowledged once it is stored.
+//! Writes the usage reports of the workers to the ledger. Reports arrive after the usage and may be
+//! repeated; a report is acknowledged to its worker once it is stored.
 
 use crate::rows::{JobRow, job_key};
 use crate::shard::ShardShared;
@@ -12,14 +13,14 @@
 use wax_trace::{Counter, count, count_many};
 use wax_types::{JobId, WaxError, WorkerId, wall_clock_ms};
 
-/// Between two segments of one shard.
+/// Interval between two ledger segments of one shard.
 const SEGMENT_PERIOD: Duration = Duration::from_secs(1);
-/// Entries in one segment at most.
+/// Maximum number of entries in one segment.
 const MAX_SEGMENT_ENTRIES: usize = 2_000;
-/// Specs of ended jobs that are remembered.
+/// Maximum number of jobs whose accounts are cached; a full cache is cleared.
 const MAX_ACCOUNTS: usize = 4_096;
 
-/// Who is charged for a job.
+/// Team, service and kind that a job's usage is charged to.
 #[derive(Debug, Clone)]
 struct JobAccount {
     team: Box<str>,
@@ -27,16 +28,19 @@
     kind: Box<str>,
 }
 
-/// Reports that wait to be stored.
+/// Usage reports of one shard that are not stored yet.
+///
+/// Reports are identified by worker, boot of the worker, and sequence number.
 #[derive(Debug, Default)]
 pub(crate) struct LedgerFeed {
     pending: BTreeMap<(WorkerId, u64, u64), UsageReport>,
+    /// For each boot of a worker, the sequence number up to which all reports are stored.
     stored: HashMap<(WorkerId, u64), u64>,
     accounts: HashMap<JobId, JobAccount>,
 }
 
 impl LedgerFeed {
-    /// Takes the reports of one renewal, in any order and however often.
+    /// Adds the reports of one renewal. Reports may arrive in any order and more than once.
     pub(crate) fn add_reports(
         &mut self,
         state: &ShardState,
@@ -55,7 +59,7 @@
         }
     }
 
-    /// Whether a report was never seen here before.
+    /// Returns whether a report is neither stored nor pending.
     pub(crate) fn is_new(&self, worker: &WorkerId, report: &UsageReport) -> bool {
         let stored = self.stored.get(&(worker.clone(), report.boot)).copied();
         let key = (worker.clone(), report.boot, report.sequence);
@@ -122,7 +126,8 @@
             .collect()
     }
 
-    /// Forgets a batch that was stored; gives for each worker up to where all is stored.
+    /// Removes a stored batch from the pending reports. Returns, for each boot of a worker in the
+    /// batch, the sequence number up to which all reports are stored.
     fn mark_stored(
         &mut self,
         batch: &[((WorkerId, u64, u64), UsageReport)],
@@ -136,7 +141,7 @@
             *highest = (*highest).max(*sequence);
         }
         for (key, sequence) in &mut stored_through {
-            // A gap below, still waiting, must not be acknowledged with it.
+            // An earlier report may still be pending and must not be acknowledged.
             let gap = self
                 .pending
                 .keys()
@@ -153,12 +158,13 @@
     }
 }
 
-/// Stores what waits, every second, for as long as the term holds.
+/// Stores the pending reports every [`SEGMENT_PERIOD`] while the term is active and the shard has
+/// workers.
 pub(crate) async fn run_usage_writer(shared: Rc<ShardShared>) {
     while shared.is_term_active() && !shared.state.borrow().workers.is_empty() {
         sleep(SEGMENT_PERIOD).await;
         if let Err(error) = store_next_batch(&shared).await {
-            tracing::debug!(%error, "usage not stored yet");
+            tracing::debug!(%error, "usage reports were not stored; they stay pending");
         }
     }
 }
@@ -173,7 +179,7 @@
                 service: row.value.spec.service,
                 kind: row.value.spec.kind,
             },
-            // A run without a job is charged to nobody, but stays visible in the ledger.
+            // A run without a job is not charged to any team, but stays visible in the ledger.
             None => JobAccount {
                 team: "".into(),
                 service: "".into(),
--- a/crates/wax-tasks/src/lib.rs
+++ b/crates/wax-tasks/src/lib.rs
@@ -1,7 +1,8 @@
-//! Jobs and their tasks: submission, shards and their owners, leases, placement, recovery.
+//! Jobs and their tasks: submission, ownership of shards, leases, placement and recovery.
 //!
-//! `desk` takes submissions at any entry. `coordinator` gains and loses shards. One `shard` task
-//! runs for each shard that is owned, and one `worker_link` task for each of its workers.
+//! `job_service` accepts submissions at every entry. `coordinator` claims and releases shards. For
+//! each shard that this process owns, one async task runs the loop in `shard`, and one async task
+//! per worker of the shard runs the loop in `worker_link`.
 
 mod commit;
 #[cfg(test)]
--- a/crates/wax-tasks/src/ownership.rs
+++ b/crates/wax-tasks/src/ownership.rs
@@ -1,36 +1,38 @@
-//! Decides, for one shard, whether this process keeps, claims, releases or leaves it.
+//! Decides whether this process keeps, releases or claims a shard, or yields it to another process.
 
 use crate::rows::ShardRow;
 use wax_types::ProcessIncarnation;
 
-/// What to do about a shard now.
+/// Decision about the ownership of one shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShardChoice {
-    /// It is ours and stays ours.
+    /// This process owns the shard and keeps it.
     Keep,
-    /// It is ours and another live member ranks higher: hand it over.
+    /// This process owns the shard and hands it over, because another live member ranks higher or
+    /// this process is leaving.
     Release,
-    /// Nobody holds it, or its owner is dead, and we rank highest: take it.
+    /// The shard has no live owner and this process ranks highest: claim it.
     Claim,
-    /// It is somebody else's matter.
+    /// Another process owns the shard or is to claim it; a term that is still active here is ended.
     Yield,
 }
 
-/// This process, as far as the decision needs it.
+/// Properties of this process on which the decision depends.
 #[derive(Debug, Clone, Copy)]
 pub struct ProcessIdentity<'a> {
-    /// Its name.
+    /// Member name of the process.
     pub name: &'a str,
-    /// Its run.
+    /// Identifies this run of the process.
     pub incarnation: ProcessIncarnation,
-    /// Whether it gives all shards away.
+    /// Whether the process shuts down and hands over all shards.
     pub leaving: bool,
 }
 
-/// Decides about one shard.
+/// Decides about the ownership of one shard.
 ///
-/// `top` is the live member that ranks highest for it; `owner_alive` says whether the row's owner
-/// is a live member in the run that the row names.
+/// `row` is the shard's row, `None` before its first claim. `top` is the live candidate that ranks
+/// highest for the shard; `owner_alive` says whether the incarnation that the row names is a live
+/// member.
 pub fn decide_shard(
     row: Option<&ShardRow>,
     own: ProcessIdentity<'_>,
--- a/crates/wax-tasks/src/placement.rs
+++ b/crates/wax-tasks/src/placement.rs
@@ -1,4 +1,5 @@
-//! Places waiting tasks within quotas, and stops what must make room or was cancelled.
+//! Places waiting tasks within the quotas of their teams, and stops tasks that are evicted or
+//! cancelled.
 
 use crate::quota::{adjust_grants, quota_of};
 use crate::rows::{TaskRow, TaskState};
@@ -13,15 +14,15 @@
 use wax_settings::{NodePath, SettingsTree};
 use wax_types::{ResourceVector, TaskId, TimePoint, WorkerId};
 
-/// Between two looks at the grants of quotas.
+/// Interval between two adjustments of the quota grants.
 const QUOTA_PERIOD: Duration = Duration::from_millis(100);
-/// Tasks placed in one transaction at most.
+/// Maximum number of tasks placed in one transaction.
 const MAX_PLACEMENTS_PER_COMMIT: usize = 64;
-/// Tasks of the queue that are looked at in one tick.
+/// Maximum number of queued tasks that are considered in one iteration of the shard's loop.
 const MAX_QUEUE_SCAN: usize = 256;
 
 impl ShardLoop {
-    /// Waiting tasks of cancelled jobs end.
+    /// Returns the changes that end the waiting tasks of cancelled jobs.
     pub(crate) fn cancel_waiting(&self) -> Vec<TaskChange> {
         let state = self.shared.state.borrow();
         if state.cancelled.is_empty() {
@@ -41,7 +42,11 @@
             .collect()
     }
 
-    /// Places waiting tasks, urgent ones first; starts evictions where an urgent one needs room.
+    /// Returns the changes that place waiting tasks, latency-critical ones first, and starts to
+    /// evict tasks where a latency-critical task needs their capacity.
+    ///
+    /// `earlier_changes` are the changes of the same iteration, which are not committed yet.
+    /// Nothing is placed before the drained failure domains are known.
     pub(crate) fn place_waiting(&mut self, earlier_changes: &[TaskChange]) -> Vec<TaskChange> {
         if !self.shared.drains.are_known() {
             return Vec::new();
@@ -92,7 +97,7 @@
         changes
     }
 
-    /// Nothing is placed in a drained failure domain.
+    /// Closes the workers in drained failure domains to placements.
     fn exclude_drained(&self, scratch: &mut wax_policy::WorkerTable) {
         for entry in self.shared.state.borrow().workers.values() {
             if self.shared.drains.is_drained(&entry.info.failure_domain) {
@@ -101,7 +106,7 @@
         }
     }
 
-    /// Takes room for a task from its team's quota.
+    /// Reserves the size of a task in the quota of its team; returns whether the quota allows it.
     pub(crate) fn try_reserve_quota(&self, tree: &SettingsTree, task: TaskId) -> bool {
         let mut state = self.shared.state.borrow_mut();
         let Some((team, size)) = state.quota_charge(task) else {
@@ -119,7 +124,7 @@
         }
     }
 
-    /// Asks for grants that are missing, and gives back what is not used.
+    /// Requests missing grants from the teams' quotas and returns unused ones.
     pub(crate) async fn adjust_quotas(&mut self) {
         if self.shared.now() < self.quota_due {
             return;
@@ -137,7 +142,7 @@
         let deadline = self.shared.now() + COMMIT_TIMEOUT;
         let tree = self.shared.settings.tree();
         let guard = (key.as_str(), self.shared.term.version());
-        // In an outage the grants stay as they are.
+        // If the store does not answer, the grants stay unchanged.
         let _ = adjust_grants(&quotas, &self.shared.table, &tree, shard, guard, deadline).await;
         self.shared.state.borrow_mut().quotas = quotas.into_inner();
     }
@@ -192,7 +197,7 @@
         }
     }
 
-    /// Begins to stop a placed task, unless that is under way.
+    /// Starts to stop a placed task, unless a stop is already in progress.
     pub(crate) fn stop_task(&self, worker: &WorkerId, task: TaskId) {
         let mut state = self.shared.state.borrow_mut();
         let Some(entry) = state.tasks.get_mut(&task) else {
@@ -224,14 +229,14 @@
 }
 
 impl ShardState {
-    /// Whose quota a task is taken from, and how much of it.
+    /// Returns the team whose quota a task is charged to, and the size that is charged.
     pub(crate) fn quota_charge(&self, task: TaskId) -> Option<(Box<str>, ResourceVector)> {
         let size = self.demand(task)?.size;
         let team = self.part_of(task)?.row.spec.team.clone();
         Some((team, size))
     }
 
-    /// The row of a task that is cancelled before it runs again.
+    /// Returns the row of a waiting task after its cancellation.
     pub(crate) fn cancelled_row(&self, task: TaskId) -> TaskRow {
         let row = self.tasks.get(&task).and_then(|entry| entry.row.clone());
         TaskRow {
@@ -247,10 +252,11 @@
         }
     }
 
-    /// The workers as they will be once the stops under way are done.
+    /// Returns the worker table as it will be once all stops in progress have finished.
     ///
-    /// A placement that comes too early is left out of the commit; it keeps others from evicting
-    /// more than is needed.
+    /// Capacity that is about to be released counts as free, so that the waiting task that needs it
+    /// does not evict more tasks than necessary. A placement on capacity that is not released yet
+    /// is left out of the commit.
     pub(crate) fn table_without_stopping(&self) -> wax_policy::WorkerTable {
         let mut table = self.table.clone();
         for (task, entry) in self.tasks.iter().filter(|(_, entry)| entry.stopping) {
@@ -263,7 +269,8 @@
         table
     }
 
-    /// Placed tasks of cancelled jobs.
+    /// Returns the placed tasks of cancelled jobs that are not being stopped yet, with their
+    /// workers.
     pub(crate) fn cancelled_runs(&self) -> Vec<(TaskId, WorkerId)> {
         self.tasks
             .iter()
@@ -275,7 +282,7 @@
             .collect()
     }
 
-    /// The workers on which a task failed.
+    /// Returns the workers on which a task has failed and should not be placed again.
     pub(crate) fn failed_workers(&self, task: TaskId) -> Vec<wax_policy::WorkerKey> {
         let row = self.tasks.get(&task).and_then(|entry| entry.row.as_ref());
         row.map_or_else(Vec::new, |row| {
@@ -283,7 +290,7 @@
             let keys: Vec<_> = known
                 .filter_map(|worker| self.workers.get(worker).map(|entry| entry.key))
                 .collect();
-            // Where it failed everywhere, it may be tried anywhere.
+            // A task that has failed on every worker may be placed on any of them.
             if keys.len() >= self.workers.len() {
                 Vec::new()
             } else {
@@ -293,7 +300,7 @@
     }
 }
 
-/// What counts for a team, from the settings in force.
+/// Returns the weights of a team's objectives by the settings in force.
 pub(crate) fn team_weights(tree: &SettingsTree, team: &str) -> CustomerWeights {
     let settings = tree.resolve(&NodePath::team(team));
     CustomerWeights {
--- a/crates/wax-tasks/src/quota.rs
+++ b/crates/wax-tasks/src/quota.rs
@@ -1,7 +1,8 @@
-//! Quotas of teams, held across shards by grants: the sum of all grants never exceeds the quota.
+//! Quotas of teams. Each shard holds a grant from the quota of a team; the sum of the grants of all
+//! shards never exceeds the quota.
 //!
-//! Row `quota/TEAM` holds what each shard was granted. A shard places tasks of a team only within
-//! its grant, asks for more by compare-and-set of the row, and gives back what it does not use.
+//! Row `quota/TEAM` holds the grant of each shard. A shard places tasks of a team only within its
+//! grant, requests more by compare-and-set of the row, and returns the part that it does not use.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
@@ -11,15 +12,15 @@
 
 pub(crate) const QUOTA_PREFIX: &str = "quota/";
 
-/// Row `quota/TEAM`.
+/// Row `quota/TEAM`: grants from the quota of a team.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct QuotaRow {
-    /// What each shard may use.
+    /// Resources that each shard may use; a shard without a grant has no entry.
     pub grants: BTreeMap<ShardId, ResourceVector>,
 }
 
 impl QuotaRow {
-    /// The sum of all grants.
+    /// Returns the sum of all grants.
     pub fn total(&self) -> ResourceVector {
         self.grants
             .values()
@@ -28,7 +29,8 @@
             })
     }
 
-    /// Changes a shard's grant towards `wanted`: down at once, up within what the quota leaves.
+    /// Sets a shard's grant to `wanted`, limited to the part of the quota that the other shards'
+    /// grants leave.
     pub fn adjust(&mut self, shard: ShardId, wanted: ResourceVector, quota: ResourceVector) {
         self.grants.remove(&shard);
         let left = quota.saturating_sub(self.total());
@@ -51,7 +53,7 @@
     }
 }
 
-/// The larger of two in each component.
+/// Returns the maximum of each component.
 fn component_max(a: ResourceVector, b: ResourceVector) -> ResourceVector {
     ResourceVector {
         cpu_milli: a.cpu_milli.max(b.cpu_milli),
@@ -60,7 +62,7 @@
     }
 }
 
-/// The quota of a team in the settings in force.
+/// Returns the quota of a team by the settings in force.
 pub(crate) fn quota_of(tree: &SettingsTree, team: &str) -> ResourceVector {
     let settings = tree.resolve(&NodePath::team(team));
     ResourceVector::new(
@@ -72,29 +74,31 @@
 
 #[derive(Debug, Default)]
 struct TeamGrant {
+    /// Last known row of the team.
     row: QuotaRow,
+    /// Sum of the placed tasks and of the reservations in the current pass over the queue.
     used: ResourceVector,
-    /// Waiting tasks that the grant did not let through in the last look at the queue.
+    /// Sum of the waiting tasks that exceeded the grant in the last pass over the queue.
     wanted: ResourceVector,
-    /// The largest waiting task that the grant did let through and that found no room.
+    /// Maximum size, by component, of the waiting tasks that fitted the grant but no worker.
     retained: ResourceVector,
 }
 
 impl TeamGrant {
-    /// What the grant should be: all that runs or waits.
+    /// Returns the size that the grant should have.
     fn target(&self) -> ResourceVector {
         saturating_add(saturating_add(self.used, self.wanted), self.retained)
     }
 }
 
-/// What one shard knows of the quotas.
+/// Grants of one shard and their use, by team.
 #[derive(Debug, Default)]
 pub(crate) struct ShardQuotas {
     teams: HashMap<Box<str>, TeamGrant>,
 }
 
 impl ShardQuotas {
-    /// Begins with the rows of the table.
+    /// Creates the grants from the rows of the table.
     pub(crate) fn load(rows: Vec<RowEntry<QuotaRow>>) -> Self {
         let teams = rows
             .into_iter()
@@ -110,7 +114,7 @@
         Self { teams }
     }
 
-    /// Begins a look at the queue: what is placed now counts as used.
+    /// Starts a pass over the queue: resets the use of each grant to the tasks that are placed.
     pub(crate) fn begin_pass<'a>(
         &mut self,
         placed: impl Iterator<Item = (&'a str, ResourceVector)>,
@@ -130,12 +134,16 @@
         if !self.teams.contains_key(team) {
             self.teams.insert(team.into(), TeamGrant::default());
         }
-        self.teams.get_mut(team).expect("it was inserted")
+        self.teams
+            .get_mut(team)
+            .expect("the team was inserted above")
     }
 
-    /// Takes room for a task from the team's grant; says whether there was enough.
+    /// Reserves the size of a task in the grant of its team; returns whether the grant was
+    /// sufficient.
     ///
-    /// Nothing is taken while the grants of all shards exceed a quota that was lowered.
+    /// Nothing is reserved while the grants of all shards exceed the quota, as they may after the
+    /// quota was lowered.
     pub(crate) fn try_reserve(
         &mut self,
         shard: ShardId,
@@ -154,17 +162,18 @@
         false
     }
 
-    /// Gives back what [`QuotaBook::take`] took for a task that found no room.
+    /// Reverts [`ShardQuotas::try_reserve`] for a task that fits no worker.
     ///
-    /// The grant is kept for the largest such task: given back and asked for again, it would be
-    /// written each time; kept for all, it would hold back other shards that have room.
+    /// The grant stays large enough for the largest such task. Otherwise the shard would return and
+    /// request it in turns, with a write each time; a grant for all such tasks would withhold quota
+    /// from other shards that have free workers.
     pub(crate) fn unreserve(&mut self, team: &str, size: ResourceVector) {
         let grant = self.grant_mut(team);
         grant.used = grant.used.saturating_sub(size);
         grant.retained = component_max(grant.retained, size);
     }
 
-    /// Teams whose grant should change: too little for what waits, or more than is used.
+    /// Returns the teams whose grant differs from the size that it should have.
     fn teams_to_adjust(&self, shard: ShardId) -> Vec<Box<str>> {
         self.teams
             .iter()
@@ -176,7 +185,7 @@
             .collect()
     }
 
-    /// What a team's grant should become, if that is another than it is.
+    /// Returns the size that a team's grant should get, or `None` if the grant is right.
     #[cfg(test)]
     pub(crate) fn pending_target(&self, shard: ShardId, team: &str) -> Option<ResourceVector> {
         let teams = self.teams_to_adjust(shard);
@@ -186,7 +195,7 @@
             .map(|team| self.teams[team].target())
     }
 
-    /// Grants at once what the table would grant.
+    /// Adjusts the grant in memory as [`adjust_grants`] does in the table.
     #[cfg(test)]
     pub(crate) fn apply_grant(
         &mut self,
@@ -198,7 +207,7 @@
         self.grant_mut(team).row.adjust(shard, wanted, quota);
     }
 
-    /// Teams with waiting tasks that the quota holds back.
+    /// Returns the teams with waiting tasks that exceed their grant.
     pub(crate) fn limited_teams(&self) -> impl Iterator<Item = &str> {
         self.teams
             .iter()
@@ -207,11 +216,13 @@
     }
 }
 
-/// Changes the grants that are due, each by one transaction.
+/// Adjusts the grants that differ from the size that they should have, each in one transaction.
+///
+/// `guard` is the key and the version of the shard's row, a condition of each transaction.
 ///
 /// # Errors
 ///
-/// The store does not answer; grants stay as they are in the table.
+/// Returns an error if a row cannot be read; the remaining grants stay unchanged.
 pub(crate) async fn adjust_grants(
     quotas: &std::cell::RefCell<ShardQuotas>,
     table: &TableClient,
@@ -241,7 +252,8 @@
             transaction.require(guard.0, guard.1);
             let outcome = table.commit(&transaction, deadline).await;
             if !matches!(outcome, CommitOutcome::Committed(_)) {
-                // Another shard was first, or the fate is open: the row is read again next time.
+                // The row has changed or the outcome is indeterminate: the next call reads it
+                // again.
                 continue;
             }
         }
--- a/crates/wax-tasks/src/quota_tests.rs
+++ b/crates/wax-tasks/src/quota_tests.rs
@@ -1,4 +1,6 @@
-//! The book of one shard asks for grants and does not ask in vain again and again.
+//! Tests of the grants of one shard. A waiting task that fits the quota but no worker must not make
+//! the shard return its grant and request it again in each pass, which would write the row every
+//! time.
 
 use crate::quota::ShardQuotas;
 use wax_types::{ResourceVector, ShardId};
@@ -13,7 +15,7 @@
     quotas.begin_pass(std::iter::empty());
     assert!(
         !quotas.try_reserve(SHARD, "team", SIZE, QUOTA),
-        "nothing is granted yet"
+        "no grant exists yet"
     );
     assert_eq!(quotas.pending_target(SHARD, "team"), Some(SIZE));
     quotas.apply_grant(SHARD, "team", SIZE, QUOTA);
@@ -29,13 +31,13 @@
         assert_eq!(
             quotas.limited_teams().count(),
             0,
-            "it is room that is missing, not the quota"
+            "the task lacks a worker, not quota"
         );
     }
     quotas.begin_pass(std::iter::empty());
     assert_eq!(
         quotas.pending_target(SHARD, "team"),
         Some(ResourceVector::ZERO),
-        "given back when it left"
+        "the grant is returned once the task no longer waits"
     );
 }
--- a/crates/wax-tasks/src/rows.rs
+++ b/crates/wax-tasks/src/rows.rs
@@ -1,4 +1,4 @@
-//! The rows of jobs, tasks, allocations and shards, and their keys.
+//! Rows of jobs, tasks, allocations and shards in the table, and their keys.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -7,154 +7,156 @@
     JobId, ProcessIncarnation, ResourceVector, ShardEpoch, ShardId, TaskEpoch, TaskId, WorkerId,
 };
 
-/// What a job asks for, with all settings resolved at its submission.
+/// Specification of a job, with all settings resolved at its submission.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The team that is charged.
+    /// Team that is charged for the job.
     pub team: Box<str>,
-    /// The service.
+    /// Service to which the job belongs.
     pub service: Box<str>,
-    /// The job kind.
+    /// Kind of the job.
     pub kind: Box<str>,
-    /// How many tasks.
+    /// Number of tasks.
     pub tasks: u32,
-    /// Urgency.
+    /// Whether the tasks are latency-critical or batch work.
     pub class: TaskClass,
-    /// Size of each task.
+    /// Resources that each task requests.
     pub size: ResourceVector,
     /// Expected run time of each task, seconds.
     pub run_time_s: u32,
-    /// Runs of a task that may fail.
+    /// Number of failed runs after which a task fails for good.
     pub attempts: u32,
-    /// Passed to the worker as it is.
+    /// Input of the job, passed to the workers unchanged.
     pub input: Value,
 }
 
-/// Row `job/JOB`.
+/// Row `job/JOB`: a submitted job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRow {
-    /// What it asks for.
+    /// Specification of the job.
     pub spec: JobSpec,
-    /// Its parts.
+    /// Parts of the job; together they hold each task once.
     pub parts: Vec<PartLocation>,
-    /// Unix milliseconds.
+    /// Time of the submission, Unix milliseconds.
     pub submitted_ms: u64,
-    /// Whether its owner gave it up.
+    /// Whether the job was cancelled.
     pub cancelled: bool,
 }
 
-/// Where a part of a job is.
+/// Shard and task range of one part of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartLocation {
-    /// The shard that runs it.
+    /// Shard that runs the part.
     pub shard: ShardId,
-    /// Index of its first task.
+    /// Index of the part's first task.
     pub first: u32,
-    /// How many tasks.
+    /// Number of tasks in the part.
     pub count: u32,
 }
 
-/// Row `part/SHARD/JOB.FIRST`: tasks of a job that are not all ended.
+/// Row `part/SHARD/JOB.FIRST`: a part of a job in which not all tasks have ended.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PartRow {
-    /// The job.
+    /// Job to which the part belongs.
     pub job: JobId,
-    /// Where it is.
+    /// Shard and task range of the part.
     pub place: PartLocation,
-    /// The job's spec.
+    /// Specification of the job.
     pub spec: JobSpec,
-    /// Unix milliseconds.
+    /// Time of the submission, Unix milliseconds.
     pub submitted_ms: u64,
 }
 
-/// Row `jobkey/TEAM/KEY`: the job of an idempotency key.
+/// Row `jobkey/TEAM/KEY`: the job that was submitted with an idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct IdempotencyKeyRow {
-    /// The job.
+    /// Job that was submitted with the key.
     pub(crate) job: JobId,
 }
 
-/// Row `inbox/SHARD/...`: tells the owner of a shard to look at a job.
+/// Row `inbox/SHARD/...`: message that notifies the owner of a shard of a change of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum InboxRow {
-    /// A part was added.
+    /// A part was added: its job and the index of its first task.
     Part(JobId, u32),
     /// The job was cancelled.
     Cancel(JobId),
 }
 
-/// Where a task stands.
+/// Life-cycle state of a task.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TaskState {
     /// Placed on a worker under the row's epoch.
     Placed(WorkerId),
-    /// It ran before and waits to run again.
+    /// The task has run before and waits to run again.
     Waiting,
-    /// It ended with this result object.
+    /// The task has ended with this result object.
     Done(Box<str>),
-    /// It was given up.
+    /// The task has failed for good, for the given reason.
     Failed(Box<str>),
-    /// Its job was cancelled before it ended.
+    /// The job was cancelled before the task ended.
     Cancelled,
 }
 
 impl TaskState {
-    /// Whether nothing more happens to the task.
+    /// Returns whether the state is final.
     pub fn is_terminal(&self) -> bool {
         matches!(self, Self::Done(_) | Self::Failed(_) | Self::Cancelled)
     }
 }
 
-/// How one task stands; a task without it waits for its first placement.
+/// State of one task. A task without a row waits for its first placement.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskRow {
-    /// Counts the placements.
+    /// Number of placements so far; identifies the current one.
     pub epoch: TaskEpoch,
-    /// Where it stands.
+    /// Life-cycle state.
     pub state: TaskState,
-    /// Runs that failed.
+    /// Number of runs that have failed.
     pub failures: u32,
-    /// Workers on which it failed.
+    /// Workers on which a run of the task has failed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub failed_on: Vec<WorkerId>,
-    /// The last checkpoint; the next run resumes from it.
+    /// Object with the last checkpoint, from which the next run resumes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub checkpoint: Option<Box<str>>,
-    /// Evictions so far.
+    /// Number of times that a run was stopped before its end.
     #[serde(default)]
     pub evictions: u32,
 }
 
-/// Row `tasks/SHARD/JOB.FIRST`: how the tasks of a part stand, from its first task on.
+/// Row `tasks/SHARD/JOB.FIRST`: states of the tasks of a part, in the order of their indices.
 ///
-/// One row for the whole part, so that a commit that moves several of its tasks writes it once.
+/// The whole part shares one row, so that a commit that changes several of its tasks writes one
+/// row.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct TasksRow {
     pub(crate) tasks: Vec<Option<TaskRow>>,
 }
 
-/// One task in an allocation row.
+/// Reservation of one task in an allocation row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AllocEntry {
-    /// The task.
+    /// Task that holds the reservation.
     pub task: TaskId,
-    /// Its placement.
+    /// Epoch of the task's placement.
     pub epoch: TaskEpoch,
-    /// What is reserved.
+    /// Reserved resources.
     pub size: ResourceVector,
 }
 
-/// Row `alloc/SHARD/WORKER`: the one guard against placing more than a worker has.
+/// Row `alloc/SHARD/WORKER`: reservations on a worker. Each placement writes this row on condition
+/// of its version, which is the only protection against placing more than a worker's capacity.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AllocRow {
-    /// What is placed there.
+    /// Reservations of the tasks that are placed on the worker.
     pub tasks: Vec<AllocEntry>,
 }
 
 impl AllocRow {
-    /// The sum of what is reserved; `None` if it overflows.
+    /// Returns the sum of the reservations; `None` if it overflows.
     pub fn reserved(&self) -> Option<ResourceVector> {
         self.tasks
             .iter()
@@ -164,21 +166,21 @@
     }
 }
 
-/// Row `shard/SHARD`: who owns the shard.
+/// Row `shard/SHARD`: ownership of a shard.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardRow {
-    /// Name of the owner; `None` after a handover.
+    /// Member name of the owner; `None` after a handover.
     pub owner: Option<Box<str>>,
-    /// The owner's run.
+    /// Run of the owner's process; a restarted process is no longer the owner.
     pub incarnation: ProcessIncarnation,
-    /// Counts the owners.
+    /// Number of claims so far; the fencing token of the current owner.
     pub epoch: ShardEpoch,
 }
 
-/// Row `closed/JOB/FIRST`: the ends of the tasks of a part.
+/// Row `closed/JOB/FIRST`: final states of the tasks of a part.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ClosedRow {
-    /// The ends, from the part's first task on.
+    /// Final rows of the tasks, in the order of their indices.
     pub(crate) tasks: Vec<TaskRow>,
 }
 
--- a/crates/wax-tasks/src/shard.rs
+++ b/crates/wax-tasks/src/shard.rs
@@ -1,4 +1,5 @@
-//! What the tasks of one shard share for one term, and the term's rounds.
+//! Runs the ownership of one shard for one term: loads the state of the shard, runs its main loop,
+//! and loads the state again when the table was changed unexpectedly.
 
 use crate::drains::DomainDrains;
 use crate::ledger_feed::LedgerFeed;
@@ -18,10 +19,10 @@
 use wax_settings::SettingsHolder;
 use wax_types::{ProcessClock, TimePoint, WaxError, WorkerId};
 
-/// After a load that failed.
+/// Delay before a failed load is retried.
 const LOAD_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Terms and periods of all shards of a process.
+/// Settings that all shards of a process share.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ShardOptions {
     pub(crate) shards: u16,
@@ -30,7 +31,7 @@
     pub(crate) policy: PlacementPolicy,
 }
 
-/// What the tasks of one shard share for one term.
+/// State and clients that the async tasks of one shard share while one loaded state is in use.
 pub(crate) struct ShardShared {
     pub(crate) term: OwnerTerm,
     pub(crate) options: ShardOptions,
@@ -46,7 +47,7 @@
     events: UnboundedSender<WorkerEvent>,
 }
 
-/// Clients that a shard needs.
+/// Clients of other services that the owner of a shard uses.
 #[derive(Debug, Clone)]
 pub(crate) struct ShardClients {
     pub(crate) table: TableClient,
@@ -57,12 +58,12 @@
     pub(crate) drains: DomainDrains,
 }
 
-/// Why a round of ownership ended.
+/// Reason for which the main loop of a shard has ended.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum LoopExit {
-    /// The term is over.
+    /// The term of ownership has ended.
     TermEnded,
-    /// The table was not as remembered: load it again.
+    /// The table differs from the state in memory, which must be loaded again.
     Reload,
 }
 
@@ -71,35 +72,39 @@
         self.clock.now()
     }
 
-    /// Whether the owner may act now.
+    /// Returns whether the owner may act now.
     pub(crate) fn is_term_active(&self) -> bool {
         self.term.is_active(self.now())
     }
 
     pub(crate) fn send_event(&self, event: WorkerEvent) {
-        // The shard's loop outlives its links.
+        // A send can fail only after the main loop has ended, when the event no longer matters.
         let _ = self.events.unbounded_send(event);
     }
 
-    /// A worker has refused us for a later owner.
+    /// Ends the term after a worker has rejected a call because it knows a later owner.
     pub(crate) fn end_fenced_term(&self, error: &WaxError) {
-        tracing::info!(shard = %self.term.shard(), %error, "fenced by a worker");
+        tracing::info!(
+            shard = %self.term.shard(), %error,
+            "worker rejected the call: it knows a later owner of the shard"
+        );
         self.term.end();
     }
 
-    /// Whether a worker's failure domain is drained: it gets nothing new.
+    /// Returns whether the failure domain of a worker is drained, so that no task may start there.
     pub(crate) fn is_worker_drained(&self, worker: &WorkerId) -> bool {
         let state = self.state.borrow();
         let entry = state.workers.get(worker);
         entry.is_some_and(|entry| self.drains.is_drained(&entry.info.failure_domain))
     }
 
-    /// A worker's clock when it last answered, and our time then.
+    /// Returns the worker's clock by its last answer, and the local time at which the answer
+    /// arrived.
     pub(crate) fn worker_clock(&self, worker: &WorkerId) -> Option<(u64, TimePoint)> {
         self.state.borrow().workers.get(worker)?.clock
     }
 
-    /// What to send to a worker now, and where.
+    /// Returns the call to make to a worker now, and the worker's address.
     pub(crate) fn contact_choice(
         &self,
         worker: &WorkerId,
@@ -111,7 +116,9 @@
     }
 }
 
-/// Owns a shard until the term ends.
+/// Runs the ownership of a shard until the term ends.
+///
+/// `publish` receives the shared state after each load, and `None` at the end.
 pub(crate) async fn run_shard(
     term: OwnerTerm,
     options: ShardOptions,
@@ -133,7 +140,7 @@
         let state = match loaded {
             Ok(state) => state,
             Err(error) => {
-                tracing::debug!(shard = %term.shard(), %error, "shard not loaded");
+                tracing::debug!(shard = %term.shard(), %error, "loading the shard failed");
                 sleep(LOAD_RETRY_DELAY).await;
                 continue;
             }
@@ -159,12 +166,16 @@
         if end == LoopExit::TermEnded {
             break;
         }
-        tracing::warn!(shard = %term.shard(), "the table changed unexpectedly; loading again");
+        tracing::warn!(
+            shard = %term.shard(),
+            "the table differs from the state in memory; loading the shard again"
+        );
     }
     publish(None);
 }
 
-/// Takes the contacts over to the next round, and stops the links of this one.
+/// Removes the workers from the state and returns their contacts for the next loaded state. The
+/// links of the removed workers end.
 fn take_contacts(shared: &ShardShared) -> HashMap<WorkerId, WorkerContact> {
     let mut state = shared.state.borrow_mut();
     state
--- a/crates/wax-tasks/src/shard_load.rs
+++ b/crates/wax-tasks/src/shard_load.rs
@@ -1,4 +1,5 @@
-//! Reads the state of a shard from the table, at a takeover or after a surprise.
+//! Loads the state of a shard from the table, at a takeover and after an unexpected change of the
+//! table.
 
 use crate::quota::{QUOTA_PREFIX, QuotaRow, ShardQuotas};
 use crate::rows::{
@@ -15,7 +16,10 @@
 use wax_trace::{Counter, count};
 use wax_types::{RowVersion, ShardId, TaskId, TimePoint, WaxError, WorkerId, wall_clock_ms};
 
-/// Loads parts, tasks, workers and allocations.
+/// Loads the parts, tasks, workers, allocations, cancellations and quota grants of a shard.
+///
+/// `contacts` holds the contacts with workers from the previous loaded state of the same term; it
+/// is empty at a takeover.
 pub(crate) async fn load_shard(
     table: &TableClient,
     directory: &WorkerDirectory,
@@ -30,7 +34,7 @@
         state.add_part(entry.value, entry.version);
     }
     for entry in table.scan::<TasksRow>(&tasks_prefix(shard)).await? {
-        // The key ends like the id of the part's first task.
+        // After the prefix, the key has the format of the id of the part's first task.
         let first = entry.key[tasks_prefix(shard).len()..].parse::<TaskId>();
         if let Ok(first) = first {
             state.load_task_rows((first.job, first.index), entry.value, entry.version);
@@ -69,7 +73,8 @@
         .unwrap_or_else(|| WorkerContact::after_takeover(term.claimed_at(), lease_timings))
 }
 
-/// Adds a worker with what is allocated on it.
+/// Adds a worker with the tasks that are allocated on it. The worker stays closed to placements
+/// until it answers.
 pub(crate) fn add_worker(
     state: &mut ShardState,
     info: WorkerInfo,
@@ -124,7 +129,8 @@
     state.workers.insert(id, entry);
 }
 
-/// A worker that the platform no longer lists, while tasks are allocated on it.
+/// Adds a worker that the platform no longer lists but that has allocated tasks, so that their
+/// leases are tracked until they expire.
 fn add_unlisted_worker(
     state: &mut ShardState,
     shard: ShardId,
@@ -149,7 +155,7 @@
     add_worker(state, info, Some(alloc), contact, term.claimed_at());
 }
 
-/// Finds out which of the loaded jobs were cancelled.
+/// Marks those of the loaded jobs that were cancelled.
 async fn load_cancelled(table: &TableClient, state: &mut ShardState) -> Result<(), WaxError> {
     let keys: Vec<String> = state.parts.keys().map(|(job, _)| job_key(*job)).collect();
     for chunk in keys.chunks(200) {
@@ -165,7 +171,7 @@
     Ok(())
 }
 
-/// The notes that wait for the owner of a shard.
+/// Reads the messages in the inbox of a shard.
 pub(crate) async fn read_inbox(
     table: &TableClient,
     shard: ShardId,
--- a/crates/wax-tasks/src/shard_loop.rs
+++ b/crates/wax-tasks/src/shard_loop.rs
@@ -1,4 +1,5 @@
-//! One round of ownership on one loaded state: decide, commit, act.
+//! Main loop of the owner of a shard: decides changes of tasks, commits them, and then makes the
+//! resulting calls to workers. The loop ends when the term ends or the state must be loaded again.
 
 use crate::commit::{ChangeGroup, build_group};
 use crate::rows::{TaskRow, TaskState};
@@ -15,14 +16,14 @@
 use wax_trace::{Counter, count};
 use wax_types::{TimePoint, WorkerId};
 
-/// Between two looks at the platform's list of workers.
+/// Interval between two reads of the platform's list of workers.
 pub(crate) const DIRECTORY_PERIOD: Duration = Duration::from_secs(2);
-/// A commit is offered this long before its fate is looked at again.
+/// Time-out of one attempt to commit. The owner then checks its term before it tries again.
 pub(crate) const COMMIT_TIMEOUT: Duration = Duration::from_secs(2);
-/// After a commit that could not be sent.
+/// Delay before a commit that could not be sent is retried.
 const COMMIT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// One round of ownership on one loaded state.
+/// Main loop of the owner of a shard on one loaded state.
 pub(crate) struct ShardLoop {
     pub(crate) shared: Rc<ShardShared>,
     pub(crate) events: UnboundedReceiver<WorkerEvent>,
@@ -69,7 +70,8 @@
         LoopExit::TermEnded
     }
 
-    /// Commits a group; `None` where the round goes on.
+    /// Commits `changes` and applies them to the state. Returns `None` if the loop continues,
+    /// otherwise why it must end.
     pub(crate) async fn commit(&mut self, changes: Vec<TaskChange>) -> Option<LoopExit> {
         if changes.is_empty() {
             return None;
@@ -92,7 +94,10 @@
                     return None;
                 }
                 CommitOutcome::Conflict(keys) => {
-                    tracing::debug!(shard = %self.shared.term.shard(), ?keys, "commit refused");
+                    tracing::debug!(
+                        shard = %self.shared.term.shard(), ?keys,
+                        "commit conflicts with the table"
+                    );
                     let own = crate::rows::shard_key(self.shared.term.shard());
                     if keys.iter().any(|key| **key == *own) {
                         self.shared.term.end();
@@ -126,7 +131,7 @@
 }
 
 impl ShardState {
-    /// Forgets stops that an earlier round began.
+    /// Clears the flags of stops that were started before the state was loaded.
     pub(crate) fn clear_stopping(&mut self) {
         for task in self.tasks.values_mut() {
             task.stopping = false;
--- a/crates/wax-tasks/src/shard_state.rs
+++ b/crates/wax-tasks/src/shard_state.rs
@@ -1,4 +1,5 @@
-//! What the owner of a shard holds in memory; every change is committed to the table first.
+//! In-memory state of the owner of a shard. Changes of tasks are committed to the table before they
+//! are applied here.
 
 use crate::quota::ShardQuotas;
 use crate::rows::{AllocEntry, AllocRow, PartRow, TaskRow, TaskState, TasksRow};
@@ -12,81 +13,88 @@
 use wax_settings::TaskClass;
 use wax_types::{JobId, ResourceVector, RowVersion, TaskEpoch, TaskId, TimePoint, WorkerId};
 
-/// Each eviction that a task has suffered keeps it safe for this long after its next placement.
+/// Time for which a task is protected from eviction after a placement, for each eviction so far.
 const EVICTION_PROTECTION: Duration = Duration::from_secs(30);
+/// Maximum number of evictions that extend the protection of a task.
 const MAX_COUNTED_EVICTIONS: u32 = 10;
 
-/// Names a part: its job and the index of its first task.
+/// Identifies a part by its job and the index of its first task.
 pub(crate) type PartKey = (JobId, u32);
 
-/// A part whose tasks have not all ended.
+/// Part of a job in which not all tasks have ended.
 #[derive(Debug)]
 pub(crate) struct PartEntry {
     pub(crate) row: PartRow,
     pub(crate) kind: KindKey,
+    /// Version of the part's row; a condition of its deletion.
     pub(crate) version: RowVersion,
-    /// The version of the row that says how its tasks stand; 0 before there is one.
+    /// Version of the row with the states of the part's tasks; 0 before that row is written.
     pub(crate) tasks_version: RowVersion,
-    /// Tasks that have not ended.
+    /// Number of tasks that have not ended.
     pub(crate) open_tasks: u32,
 }
 
-/// How far the start of a run has come.
+/// State of the start of a run at its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum StartState {
-    /// It is not known whether the worker has the run.
+    /// The worker may or may not have the run.
     Unknown,
-    /// A start is under way.
+    /// A call that starts the run is in progress.
     Sending,
-    /// The worker has said that it runs, in this start of the worker.
+    /// The worker has confirmed the run, in the given boot.
     Running(u64),
 }
 
-/// A task of an open part.
+/// Task of an open part.
 #[derive(Debug)]
 pub(crate) struct TaskEntry {
     pub(crate) part: PartKey,
     pub(crate) row: Option<TaskRow>,
     pub(crate) start: StartState,
-    /// A stop is under way, for an eviction or a cancellation.
+    /// Whether a stop is in progress, for an eviction, a cancellation or a drain.
     pub(crate) stopping: bool,
 }
 
-/// A worker of the shard.
+/// Worker of the shard.
 #[derive(Debug)]
 pub(crate) struct WorkerEntry {
     pub(crate) info: WorkerInfo,
     pub(crate) key: WorkerKey,
     pub(crate) alloc: AllocRow,
+    /// Version of the allocation row; 0 before that row is written.
     pub(crate) alloc_version: RowVersion,
     pub(crate) contact: WorkerContact,
-    /// The worker's clock when it answered, and our time when the answer came.
+    /// The worker's clock by its last answer, and the local time at which the answer arrived.
     pub(crate) clock: Option<(u64, TimePoint)>,
+    /// Boot of the worker by its last answer; 0 before the first one.
     pub(crate) boot: u64,
+    /// Runs without an allocation that the worker has reported, with the time of the first report.
     pub(crate) orphans: HashMap<TaskMark, TimePoint>,
+    /// Ended runs that the worker may delete.
     pub(crate) forget: HashSet<TaskMark>,
+    /// Sequence number up to which the worker may delete its usage reports.
     pub(crate) usage_through: u64,
-    /// Runs that failed since one last succeeded.
+    /// Number of runs that have failed since the last successful one.
     pub(crate) failures: u32,
     pub(crate) quarantined_until: Option<TimePoint>,
-    /// When the set of its tasks last changed, Unix milliseconds.
+    /// Time at which the set of the worker's tasks last changed, Unix milliseconds.
     pub(crate) tasks_changed_ms: u64,
     pub(crate) mitigation: MitigationState,
 }
 
-/// A change of one task, before it is committed.
+/// Change of one task that is to be committed.
 #[derive(Debug, Clone)]
 pub(crate) struct TaskChange {
     pub(crate) task: TaskId,
     pub(crate) next: TaskRow,
-    /// The worker whose room is given back.
+    /// Worker on which the task's allocation is released.
     pub(crate) release: Option<WorkerId>,
-    /// The worker whose room is taken, and how much of it.
+    /// Worker on which the task gets an allocation, and the size of it.
     pub(crate) reserve: Option<(WorkerId, ResourceVector)>,
 }
 
 impl TaskChange {
-    /// The allocation that the change adds.
+    /// Returns the allocation that the change adds.
     pub(crate) fn allocation(&self) -> Option<AllocEntry> {
         let (_, size) = self.reserve.as_ref()?;
         Some(AllocEntry {
@@ -97,12 +105,12 @@
     }
 }
 
-/// The state of one shard.
+/// State of one shard.
 #[derive(Debug, Default)]
 pub(crate) struct ShardState {
     pub(crate) parts: HashMap<PartKey, PartEntry>,
     pub(crate) tasks: HashMap<TaskId, TaskEntry>,
-    /// Waiting tasks: urgent ones first, then by time of submission.
+    /// Waiting tasks: latency-critical ones first, then by time of submission.
     pub(crate) queue: BTreeSet<(bool, u64, TaskId)>,
     pub(crate) workers: HashMap<WorkerId, WorkerEntry>,
     pub(crate) table: WorkerTable,
@@ -115,7 +123,7 @@
 }
 
 impl ShardState {
-    /// Adds a part; tasks without a row wait.
+    /// Adds a part with all its tasks waiting, unless the part is known already.
     pub(crate) fn add_part(&mut self, row: PartRow, version: RowVersion) {
         let key = (row.job, row.place.first);
         if self.parts.contains_key(&key) {
@@ -152,7 +160,7 @@
         self.parts.insert(key, entry);
     }
 
-    /// Takes the row of a part's tasks as it was loaded.
+    /// Applies the loaded row with the states of a part's tasks.
     pub(crate) fn load_task_rows(&mut self, key: PartKey, row: TasksRow, version: RowVersion) {
         if let Some(part) = self.parts.get_mut(&key) {
             part.tasks_version = version;
@@ -186,12 +194,12 @@
         }
     }
 
-    /// The spec of a task's job.
+    /// Returns the part that a task belongs to.
     pub(crate) fn part_of(&self, task: TaskId) -> Option<&PartEntry> {
         self.parts.get(&self.tasks.get(&task)?.part)
     }
 
-    /// Marks of the runs that should be at a worker.
+    /// Returns the ids of the runs that are allocated on a worker.
     pub(crate) fn run_ids_on(&self, worker: &WorkerId) -> Vec<TaskMark> {
         self.workers.get(worker).map_or_else(Vec::new, |entry| {
             entry
@@ -206,7 +214,8 @@
         })
     }
 
-    /// What a task needs.
+    /// Returns what a task requests from a worker. The size is corrected by the measured use of its
+    /// job kind.
     pub(crate) fn demand(&self, task: TaskId) -> Option<TaskDemand> {
         let part = self.part_of(task)?;
         let declared = part.row.spec.size;
@@ -214,7 +223,7 @@
         let fits = |entry: &WorkerEntry| learned.fits_in(entry.info.capacity);
         Some(TaskDemand {
             kind: part.kind,
-            // What was learned never makes a task too large for every worker.
+            // The corrected size must not make the task too large for every worker.
             size: if self.workers.values().any(fits) {
                 learned
             } else {
@@ -224,7 +233,7 @@
         })
     }
 
-    /// The row of a task under its next placement.
+    /// Returns the row of a task for its next placement, under a new epoch.
     pub(crate) fn placed_row(&self, task: TaskId, worker: &WorkerId) -> Option<TaskRow> {
         let entry = self.tasks.get(&task)?;
         let mut row = entry.row.clone().unwrap_or(TaskRow {
@@ -240,7 +249,7 @@
         Some(row)
     }
 
-    /// What each team has placed here.
+    /// Returns the team and the size of each task that is placed in this shard.
     pub(crate) fn placed_by_team(&self) -> Vec<(Box<str>, ResourceVector)> {
         self.workers
             .values()
@@ -252,10 +261,11 @@
             .collect()
     }
 
-    /// Learns from late usage: true sizes, and what neighbours do to each other.
+    /// Updates the estimates from a usage report: the actual size of tasks of a kind, and the
+    /// interference between kinds on the same worker.
     ///
-    /// A report from before the worker's tasks last changed says nothing about its neighbours of
-    /// now, and is used for the size only.
+    /// If the worker's tasks have changed since the reported interval began, the report is used for
+    /// the size only, because it says nothing about the current neighbours.
     pub(crate) fn learn_from_usage(&mut self, worker: &WorkerId, report: &UsageReport) {
         let Some(part) = self.part_of(report.mark.task) else {
             return;
@@ -282,7 +292,7 @@
         self.pairs.learn(kind, &neighbours, band, excess.max(0.0));
     }
 
-    /// Takes a change that was committed.
+    /// Applies a committed change; `version` is the new version of the rows written.
     pub(crate) fn apply(&mut self, now: TimePoint, change: &TaskChange, version: RowVersion) {
         let Some(entry) = self.tasks.get_mut(&change.task) else {
             return;
@@ -344,7 +354,7 @@
         self.table.reserve(entry.key, running);
     }
 
-    /// Drops a part that was closed.
+    /// Removes a closed part and its tasks.
     pub(crate) fn remove_part(&mut self, key: PartKey) {
         let Some(part) = self.parts.remove(&key) else {
             return;
@@ -363,7 +373,8 @@
     }
 }
 
-/// Sorts urgent tasks before others, then by time of submission.
+/// Returns the position in the queue: latency-critical tasks before others, then by time of
+/// submission.
 pub(crate) fn queue_order(part: &PartRow, task: TaskId) -> (bool, u64, TaskId) {
     let urgent = part.spec.class == TaskClass::LatencyCritical;
     (!urgent, part.submitted_ms, task)
--- a/crates/wax-tasks/src/split.rs
+++ b/crates/wax-tasks/src/split.rs
@@ -1,4 +1,4 @@
-//! Cuts a job into parts and chooses the shard of each.
+//! Splits a job into parts and chooses the shard of each part.
 
 use crate::rows::PartLocation;
 use fastrand::Rng;
@@ -6,32 +6,32 @@
 use wax_policy::rank_score;
 use wax_types::{ResourceVector, ShardId};
 
-/// Tasks in one part at most; one row says how all of them stand.
+/// Maximum number of tasks in one part. One row holds the states of all of them.
 const MAX_PART_TASKS: u32 = 32;
 
-/// A worker as far as the split needs it.
+/// Properties of a worker on which the split depends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WorkerShape {
-    /// The shard of the worker.
+    /// Shard of the worker.
     pub shard: ShardId,
-    /// What it has.
+    /// Total resources of the worker.
     pub capacity: ResourceVector,
 }
 
-/// The job cannot run anywhere.
+/// Error of [`split_job`]: no worker is large enough for one task of the job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ImpossibleJob {
-    /// Why, with the largest worker.
+    /// Explanation that names the worker that comes nearest.
     pub reason: Box<str>,
 }
 
-/// The shard of a worker, by its name.
+/// Returns the shard of a worker, which is determined by a hash of the worker's name.
 pub fn shard_of_worker(worker: &str, shards: u16) -> ShardId {
     let index = rank_score(0, worker) % u64::from(shards.max(1));
     ShardId(index as u16)
 }
 
-/// How many tasks of a size a worker can hold at once.
+/// Returns how many tasks of a size fit on an empty worker.
 fn task_slots(capacity: ResourceVector, size: ResourceVector) -> u32 {
     let per = |have: u32, need: u32| have.checked_div(need).unwrap_or(u32::MAX);
     per(capacity.cpu_milli, size.cpu_milli)
@@ -39,11 +39,12 @@
         .min(per(capacity.accelerators, size.accelerators))
 }
 
-/// Cuts `tasks` tasks into parts, in proportion to what the shards' workers can hold.
+/// Splits `tasks` tasks into parts. The shard of each part is drawn at random, in proportion to the
+/// number of tasks that the shards' workers can hold.
 ///
 /// # Errors
 ///
-/// No worker is large enough for one task.
+/// Returns an error if no worker is large enough for one task.
 pub fn split_job(
     tasks: u32,
     size: ResourceVector,
--- a/crates/wax-tasks/src/term.rs
+++ b/crates/wax-tasks/src/term.rs
@@ -1,11 +1,12 @@
-//! The owner's right to act: until the grace after its last confirmed contact with the store.
+//! Term of ownership of a shard. The owner may act until a grace period after the last time that
+//! the table confirmed its ownership.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 use wax_types::{RowVersion, ShardEpoch, ShardId, TimePoint};
 
-/// One term of ownership of one shard; shared by all tasks that act under it.
+/// One term of ownership of one shard. Clones share their state.
 #[derive(Debug, Clone)]
 pub struct OwnerTerm {
     shared: Rc<TermShared>,
@@ -23,9 +24,11 @@
 }
 
 impl OwnerTerm {
-    /// A term that began with the commit of a claim.
+    /// Creates a term after the commit of a claim.
     ///
-    /// `claimed` is the time after the commit; `confirmed` the time before it was sent.
+    /// `confirmed_at` is the time before the commit was sent; `claimed_at` is the time after its
+    /// reply. `version` is the version of the shard's row, and `grace` the time for which the owner
+    /// may act after a confirmation.
     pub fn new(
         shard: ShardId,
         epoch: ShardEpoch,
@@ -48,46 +51,48 @@
         }
     }
 
-    /// The shard.
+    /// Returns the shard that is owned.
     pub fn shard(&self) -> ShardId {
         self.shared.shard
     }
 
-    /// The owner's fencing token.
+    /// Returns the epoch of the term, which is the owner's fencing token.
     pub fn epoch(&self) -> ShardEpoch {
         self.shared.epoch
     }
 
-    /// The version of the shard's row, a condition of every commit of the owner.
+    /// Returns the version of the shard's row, a condition of every commit of the owner.
     pub fn version(&self) -> RowVersion {
         self.shared.version
     }
 
-    /// When the term began.
+    /// Returns the time at which the term started.
     pub fn claimed_at(&self) -> TimePoint {
         self.shared.claimed_at
     }
 
-    /// When the ownership was last known to be confirmed.
+    /// Returns the time at which the last read or write that confirmed the ownership was started.
     pub fn confirmed_at(&self) -> TimePoint {
         self.shared.confirmed_at.get()
     }
 
-    /// The row was read and is still ours; the read was begun at `begun`.
+    /// Records that a read of the shard's row, started at `started_at`, has confirmed the
+    /// ownership.
     pub fn confirm(&self, started_at: TimePoint) {
         let confirmed_at = self.shared.confirmed_at.get().max(started_at);
         self.shared.confirmed_at.set(confirmed_at);
     }
 
-    /// The shard is lost, or handed over.
+    /// Ends the term for good, because the shard is lost or handed over.
     pub fn end(&self) {
         self.shared.ended.set(true);
     }
 
-    /// Whether the owner may act now. Asked again after every await.
+    /// Returns whether the owner may act now. Callers must check again after every await.
     ///
-    /// Once it has said no it says no for ever: whoever saw that has stopped for good, and a later
-    /// confirmation must not leave a shard that is owned and that nobody works on.
+    /// A term that was found expired stays inactive for good. The loop of the shard has stopped
+    /// then, and if a later confirmation revived the term, the shard would have an owner but no
+    /// loop.
     pub fn is_active(&self, now: TimePoint) -> bool {
         if now >= self.expires_at() {
             self.end();
@@ -95,7 +100,7 @@
         !self.shared.ended.get()
     }
 
-    /// Until when the owner may act, if nothing is confirmed again.
+    /// Returns the time at which the term expires without another confirmation.
     pub fn expires_at(&self) -> TimePoint {
         self.shared.confirmed_at.get() + self.shared.grace
     }
--- a/crates/wax-tasks/src/transition.rs
+++ b/crates/wax-tasks/src/transition.rs
@@ -1,23 +1,27 @@
-//! Decides what a worker's report of a run means for its task.
+//! State transitions of a task that follow from a worker's report of one of its runs.
 
 use crate::rows::{TaskRow, TaskState};
 use wax_platform::{TaskMark, TaskRun};
 use wax_types::WorkerId;
 
-/// What follows from a report.
+/// Consequence of a report.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RunChoice {
-    /// Nothing changes.
+    /// The current run is still in progress; nothing changes.
     NoChange,
-    /// The task's row becomes this, and its allocation is given back.
+    /// The run has ended: the task gets this row, and its allocation is released.
     Change(TaskRow),
-    /// The run belongs to no allocation: stop it once our ownership is confirmed again.
+    /// The run is in progress but is not the current one. It is to be stopped once the ownership of
+    /// the shard has been confirmed again, since a newer owner may have started the run.
     Orphan,
-    /// The run has ended and is recorded: the worker may forget it.
+    /// The run has ended and its end is recorded or irrelevant; the worker may delete it.
     Forget,
 }
 
-/// Decides about one run at `worker`; `row` is the task's row as we wrote it.
+/// Decides what follows from the report of a run by `worker`.
+///
+/// `row` is the last committed row of the task; `attempts` is the number of failed runs after which
+/// the task fails for good.
 pub fn decide_run(
     row: Option<&TaskRow>,
     worker: &WorkerId,
@@ -57,7 +61,7 @@
     }
 }
 
-/// The row after a failed run: waiting again, or given up with the reason.
+/// Returns the row of a task after a failed run: waiting again, or failed for good with the reason.
 pub(crate) fn after_failure(
     row: &TaskRow,
     worker: &WorkerId,
--- a/crates/wax-tasks/src/worker_events.rs
+++ b/crates/wax-tasks/src/worker_events.rs
@@ -1,4 +1,5 @@
-//! What the workers say, turned into changes of tasks.
+//! Processes the events of the worker links: turns reports about runs into changes of tasks,
+//! mitigates interference, and quarantines failing workers.
 
 use crate::placement::team_weights;
 use crate::rows::{TaskRow, TaskState};
@@ -15,15 +16,16 @@
 use wax_trace::{Counter, count, count_many};
 use wax_types::{TaskId, TimePoint, WorkerId};
 
-/// A task that is no longer throttled, in percent of its size.
+/// Share of its size that a task may use when it is not throttled.
 const FULL_SIZE_PERCENT: u8 = 100;
-/// Failed runs in a row after which a worker is quarantined.
+/// Number of consecutive failed runs after which a worker is quarantined.
 const FAILURES_TO_QUARANTINE: u32 = 5;
-/// After this time a quarantined worker gets a task again, as a probe.
+/// Time that a worker stays in quarantine. After it the worker gets tasks again; the first one that
+/// fails starts a new quarantine.
 const QUARANTINE_TIME: Duration = Duration::from_secs(30);
 
 impl ShardLoop {
-    /// Turns what the workers said into changes, one at most for each task.
+    /// Processes all queued events and returns the resulting changes, at most one per task.
     pub(crate) fn process_events(&mut self) -> Vec<TaskChange> {
         let mut changes: HashMap<TaskId, TaskChange> = HashMap::new();
         while let Ok(event) = self.events.try_recv() {
@@ -90,7 +92,7 @@
         changes
     }
 
-    /// Throttles, restores or evicts one neighbour of a slowed latency-critical task.
+    /// Throttles, restores or evicts one task on a worker that slows a latency-critical task.
     pub(crate) fn mitigate_interference(&self, worker: &WorkerId, usage: &[UsageReport]) {
         let now = self.shared.now();
         let tree = self.shared.settings.tree();
@@ -120,7 +122,8 @@
         spawn(call).detach();
     }
 
-    /// A worker that started anew has forgotten what it was told to keep.
+    /// Resets the state that belongs to an earlier boot of a worker: after a restart the worker has
+    /// lost its runs and numbers its usage reports from 1.
     pub(crate) fn update_boot(&self, worker: &WorkerId, boot: u64) {
         let mut state = self.shared.state.borrow_mut();
         if let Some(entry) = state.workers.get_mut(worker)
@@ -177,7 +180,10 @@
         }
     }
 
-    /// Runs that should be at the worker and are not: started again, or lost with its memory.
+    /// Finds the runs that are allocated on a worker but missing in its report of all runs.
+    ///
+    /// A run whose start may not have arrived is started again. A run of an earlier boot of the
+    /// worker is lost, and its task waits again.
     pub(crate) fn find_missing_runs(
         &self,
         worker: &WorkerId,
@@ -196,8 +202,11 @@
             match task.start {
                 StartState::Sending => {}
                 StartState::Running(boot) if boot == reply.boot => {
-                    // The report was on its way while the start was answered.
-                    tracing::debug!(%worker, task = %run_id.task, sent = sent.0, "run not in report");
+                    // The worker wrote its report before it received the start.
+                    tracing::debug!(
+                        %worker, task = %run_id.task, sent = sent.0,
+                        "run is not in the worker's report yet"
+                    );
                 }
                 StartState::Unknown => {
                     let shared = self.shared.clone();
@@ -221,7 +230,8 @@
         changes
     }
 
-    /// Every lease at a worker has lapsed: its tasks wait for another one.
+    /// Returns the changes after all leases on a worker have expired: its tasks wait for another
+    /// worker, and those of cancelled jobs end.
     pub(crate) fn process_lease_expiry(&self, worker: &WorkerId) -> Vec<TaskChange> {
         let state = self.shared.state.borrow();
         let lost: Vec<TaskChange> = state
@@ -244,14 +254,14 @@
             .collect();
         if !lost.is_empty() {
             count_many(Counter::TasksLost, lost.len() as u64);
-            tracing::warn!(%worker, tasks = lost.len(), "leases lapsed; tasks wait again");
+            tracing::warn!(%worker, tasks = lost.len(), "leases expired; tasks wait again");
         }
         lost
     }
 }
 
 impl ShardState {
-    /// Decides what to do about the worst slowdown of a latency-critical task at a worker.
+    /// Chooses the mitigation for the latency-critical task on a worker that is slowed down most.
     pub(crate) fn choose_mitigation(
         &mut self,
         now: TimePoint,
@@ -293,7 +303,8 @@
         entry.mitigation.decide(now, view)
     }
 
-    /// Learns about the worker from the end of a run: one that fails every task is quarantined.
+    /// Records the end of a run and quarantines a worker on which too many runs in a row have
+    /// failed.
     pub(crate) fn record_run_end(&mut self, now: TimePoint, worker: &WorkerId, next: &TaskRow) {
         let Some(entry) = self.workers.get_mut(worker) else {
             return;
@@ -309,7 +320,7 @@
             count(Counter::WorkersQuarantined);
             tracing::warn!(%worker, failures = entry.failures, "worker quarantined");
             entry.quarantined_until = Some(now + QUARANTINE_TIME);
-            // The probe after the quarantine must succeed, or it begins again.
+            // The first run that fails after the quarantine starts a new one.
             entry.failures = FAILURES_TO_QUARANTINE - 1;
             let key = entry.key;
             self.table.set_open(key, false);
--- a/crates/wax-tasks/src/worker_link.rs
+++ b/crates/wax-tasks/src/worker_link.rs
@@ -1,4 +1,4 @@
-//! The calls to one worker: renewals on a beat, starts and stops when they are due.
+//! Calls to one worker: periodic lease renewals, and starts, stops and throttling on demand.
 
 use crate::shard::ShardShared;
 use crate::shard_state::StartState;
@@ -13,22 +13,23 @@
 use wax_trace::{Counter, count};
 use wax_types::{ErrorKind, TimePoint, WaxError, WorkerId};
 
-/// What a worker's link tells the shard.
+/// Event that the link to a worker sends to the main loop of the shard.
 #[derive(Debug)]
 pub(crate) enum WorkerEvent {
-    /// The worker answered a renewal that was sent at the given time.
+    /// The worker has answered a renewal that was sent at the given time.
     Renewed(WorkerId, RenewReply, TimePoint),
-    /// One run changed, outside of a renewal.
+    /// The answer to a start or stop shows a new status of one run.
     RunChanged(WorkerId, TaskReport),
-    /// The worker cannot run the task.
+    /// The worker has refused to start a run, for the given reason.
     StartRefused(WorkerId, TaskMark, Box<str>),
-    /// A stop did not get through.
+    /// A call to stop a run has failed.
     StopFailed(TaskMark),
-    /// Every lease at the worker has surely lapsed.
+    /// All leases on the worker are known to have expired.
     LeasesExpired(WorkerId),
 }
 
-/// Renews the leases at one worker for as long as the term holds.
+/// Renews the leases on one worker periodically while the term is active and the shard has the
+/// worker.
 pub(crate) async fn run_worker_link(shared: Rc<ShardShared>, worker: WorkerId) {
     loop {
         if !shared.is_term_active() || !shared.state.borrow().workers.contains_key(&worker) {
@@ -36,7 +37,8 @@
         }
         let is_first_contact = shared.worker_clock(&worker).is_none();
         renew_leases(&shared, &worker).await;
-        // The first call only asks for the worker's clock: the leases are renewed at once after it.
+        // The worker's clock is unknown at the first call, which therefore renews no lease. The
+        // renewal follows immediately.
         if is_first_contact && shared.worker_clock(&worker).is_some() {
             continue;
         }
@@ -100,10 +102,11 @@
     }
 }
 
-/// Until when, on the worker's clock, a call that is sent now may take effect.
+/// Returns the time, in milliseconds of the worker's clock, until which a call that is sent now may
+/// take effect; 0 before the worker's first answer, so that the first call has no effect.
 ///
-/// The worker's clock was read before its answer came, so the bound errs to the early side. Zero
-/// until the worker has answered once: the first call only asks.
+/// The worker reads its clock before its answer arrives here, so the bound is early rather than
+/// late.
 fn call_valid_until(shared: &ShardShared, clock: Option<(u64, TimePoint)>, now: TimePoint) -> u64 {
     let Some((clock_ms, answered_at)) = clock else {
         return 0;
@@ -141,19 +144,22 @@
     drop(state);
     if was_reachable != reachable {
         let error = result.as_ref().err().map(ToString::to_string);
-        tracing::info!(%worker, reachable, error, "worker changed");
+        tracing::info!(%worker, reachable, error, "reachability of the worker changed");
     }
 }
 
-/// Starts a run that was placed by a committed transaction; a repeated start changes nothing.
+/// Starts a run whose placement is committed. The call is idempotent.
 pub(crate) async fn start_run(shared: Rc<ShardShared>, worker: WorkerId, run_id: TaskMark) {
     if shared.is_worker_drained(&worker) {
-        // Placed before the drain was heard of, and not seen to run: a stop forbids the start for good,
-        // and the task waits again.
+        // The task was placed before the drain was known here, and no answer shows that it runs.
+        // The stop prevents any later start of this run, and the task waits again.
         if let Some(task) = shared.state.borrow_mut().tasks.get_mut(&run_id.task) {
             task.stopping = true;
         }
-        tracing::info!(%worker, task = %run_id.task, epoch = %run_id.epoch, "not started: its failure domain is drained");
+        tracing::info!(
+            %worker, task = %run_id.task, epoch = %run_id.epoch,
+            "run not started: its failure domain is drained"
+        );
         return stop_run(shared, worker, run_id).await;
     }
     let Some((address, request)) = build_start(&shared, &worker, run_id) else {
@@ -174,7 +180,7 @@
             let event = WorkerEvent::StartRefused(worker.clone(), run_id, reason);
             (None, Some(event))
         }
-        // The next renewal shows whether it runs; if not, it is started again.
+        // The next renewal shows whether the run is in progress; if it is not, it is started again.
         Ok(StartReply::Late) => (Some(StartState::Unknown), None),
         Err(error) if error.kind == ErrorKind::Conflict => return shared.end_fenced_term(&error),
         Err(_) => (Some(StartState::Unknown), None),
@@ -213,7 +219,7 @@
     task.start = StartState::Sending;
     let checkpoint = task.row.as_ref()?.checkpoint.clone();
     let entry = state.workers.get_mut(worker)?;
-    // The start gives a lease too.
+    // The start grants a lease, so it counts as a renewal.
     entry
         .contact
         .note_renewal(now, &shared.options.lease_timings);
@@ -230,7 +236,7 @@
     Some((entry.info.address.clone(), request))
 }
 
-/// Stops a run, with a checkpoint.
+/// Stops a run after a checkpoint.
 pub(crate) async fn stop_run(shared: Rc<ShardShared>, worker: WorkerId, run_id: TaskMark) {
     let address = {
         let state = shared.state.borrow();
@@ -253,7 +259,7 @@
     }
     match result {
         Ok(reply) => {
-            // A run that the worker never had is fenced there now, and counts as stopped.
+            // A run that the worker does not know can no longer start there, and counts as stopped.
             let run = reply.run.unwrap_or(TaskRun::Stopped(reply.checkpoint));
             let report = TaskReport { mark: run_id, run };
             shared.send_event(WorkerEvent::RunChanged(worker, report));
@@ -263,7 +269,8 @@
     }
 }
 
-/// Lets a run use a share of its size; a call that does not get through is decided anew later.
+/// Limits a run to a share of its size. A failed call is not retried: the next usage report leads
+/// to a new decision.
 pub(crate) async fn throttle_run(
     shared: Rc<ShardShared>,
     worker: WorkerId,
@@ -285,5 +292,5 @@
     tracing::debug!(%worker, task = %run_id.task, percent, ok = result.is_ok(), "throttled");
 }
 
-/// The pause between two looks of a shard at its inbox and its queue.
+/// Delay between two iterations of the main loop of a shard.
 pub(crate) const SHARD_LOOP_PERIOD: Duration = Duration::from_millis(25);
--- a/crates/wax-tasks/tests/decisions.rs
+++ b/crates/wax-tasks/tests/decisions.rs
@@ -1,4 +1,5 @@
-//! Who owns a shard, what a report means, how a job is cut, how quotas are granted.
+//! Tests of the pure decisions: ownership of shards, consequences of workers' reports, expiry of
+//! terms, the split of a job into parts, and quota grants.
 
 use fastrand::Rng;
 use proptest::prelude::*;
@@ -159,7 +160,7 @@
     term.confirm(time_at(105));
     assert!(
         term.is_active(time_at(117)),
-        "an older confirmation shortens nothing"
+        "an older confirmation does not shorten the term"
     );
     assert!(!term.is_active(time_at(118)));
     let unconfirmed = ten_second_term();
@@ -172,7 +173,8 @@
 #[test]
 fn expired_term_is_not_revived() {
     let term = ten_second_term();
-    // Whoever saw this has stopped acting: the shard's round is over.
+    // This answer ends the main loop of the shard. A later confirmation must not revive the term,
+    // because the shard would then have an owner but no loop.
     assert!(!term.is_active(time_at(110)));
     term.confirm(time_at(111));
     assert!(!term.is_active(time_at(112)));
