--- a/crates/wax-member/src/heartbeat.rs
+++ b/crates/wax-member/src/heartbeat.rs
@@ -1,4 +1,5 @@
-//! Renews this process's row and observes all others.
+//! Heartbeat of a member: renews the row of this process, observes the rows of all others and
+//! deletes rows of members that have been dead for long.
 
 use crate::row::{MEMBER_PREFIX, MemberRow, member_key};
 use crate::watch::MemberWatch;
@@ -10,10 +11,11 @@
 use wax_platform::{CommitOutcome, TableClient, TableTransaction};
 use wax_types::{ErrorKind, ProcessClock, RowVersion, SettingsVersion, Step, TimePoint, WaxError};
 
-/// Rows that stood still for so many terms are deleted.
-const TERMS_BEFORE_DELETION: u32 = 20;
+/// Rows that have not changed for this number of membership TTLs are deleted.
+const TTLS_BEFORE_DELETION: u32 = 20;
 
-/// What the rest of the process knows of membership.
+/// Shared view of the membership: the row of this process and the last observed rows of all
+/// members.
 #[derive(Debug, Clone)]
 pub struct MemberHandle {
     shared: Rc<HandleShared>,
@@ -23,17 +25,18 @@
 struct HandleShared {
     row: RefCell<MemberRow>,
     watch: RefCell<MemberWatch>,
-    observed: Cell<Option<TimePoint>>,
+    last_observed: Cell<Option<TimePoint>>,
     ttl: Duration,
 }
 
 impl MemberHandle {
-    /// Begins with `row`; nothing is written yet.
+    /// Creates a handle for a process whose first row is `row`. Nothing is written to the table
+    /// yet.
     pub fn new(row: MemberRow, ttl: Duration) -> Self {
         let shared = HandleShared {
             row: RefCell::new(row),
             watch: RefCell::default(),
-            observed: Cell::new(None),
+            last_observed: Cell::new(None),
             ttl,
         };
         Self {
@@ -41,50 +44,52 @@
         }
     }
 
-    /// The next renewal says this version.
-    pub fn note_settings(&self, version: SettingsVersion) {
+    /// Sets the settings version that the next renewal publishes.
+    pub fn set_settings_version(&self, version: SettingsVersion) {
         self.shared.row.borrow_mut().settings = version;
     }
 
-    /// The next renewal says that this process takes no new work.
-    pub fn note_leaving(&self) {
+    /// Makes the next renewal publish that this process takes no new work.
+    pub fn mark_leaving(&self) {
         self.shared.row.borrow_mut().leaving = true;
     }
 
-    /// This process's own row.
+    /// Returns the row of this process.
     pub fn own_row(&self) -> MemberRow {
         self.shared.row.borrow().clone()
     }
 
-    /// The rows of the live members, as last observed.
-    pub fn live(&self, now: TimePoint) -> Vec<MemberRow> {
+    /// Returns the rows of the members that are live at `now` by the last observation.
+    pub fn live_members(&self, now: TimePoint) -> Vec<MemberRow> {
         let watch = self.shared.watch.borrow();
         watch
-            .live(now, self.shared.ttl)
+            .live_members(now, self.shared.ttl)
             .map(|state| state.row.clone())
             .collect()
     }
 
-    /// Runs `look` on the members as last observed.
-    pub fn with_watch<T>(&self, look: impl FnOnce(&MemberWatch) -> T) -> T {
-        look(&self.shared.watch.borrow())
+    /// Calls `read` with the members as last observed.
+    pub fn with_watch<T>(&self, read: impl FnOnce(&MemberWatch) -> T) -> T {
+        read(&self.shared.watch.borrow())
     }
 
-    /// When the members were last observed; `None` before the first time.
-    pub fn observed(&self) -> Option<TimePoint> {
-        self.shared.observed.get()
+    /// Returns the time of the last observation of the members; `None` before the first one.
+    pub fn last_observed(&self) -> Option<TimePoint> {
+        self.shared.last_observed.get()
     }
 
-    /// A member whose row stands still for this long is taken for dead.
+    /// Returns the time after which a member whose row does not change counts as dead.
     pub fn ttl(&self) -> Duration {
         self.shared.ttl
     }
 }
 
-/// Renews and observes every `period` until `stop`, then deletes the row.
+/// Renews the row of this process and observes all members every `period` until `stop` is raised,
+/// then deletes the row.
 ///
-/// `stop` comes after the drain: until then the row says that this process is leaving.
-pub async fn keep_membership(
+/// `stop` must be raised only after the process has drained; until then the row shows that the
+/// process is leaving.
+pub async fn maintain_membership(
     handle: MemberHandle,
     table: TableClient,
     clock: ProcessClock,
@@ -94,23 +99,23 @@
     let mut version = RowVersion::default();
     let mut failing = false;
     while !stop.is_raised() {
-        let result = beat(&handle, &table, clock, period, &mut version).await;
+        let result = renew_and_observe(&handle, &table, clock, period, &mut version).await;
         if let Err(error) = &result
             && !failing
         {
-            tracing::warn!(%error, "membership is not renewed");
+            tracing::warn!(%error, "membership renewal failed");
         }
         failing = result.is_err();
-        // Woken early, so that the end of the process does not wait for a whole period.
+        // The wait ends early at `stop`, so that the shutdown does not take a whole period longer.
         let _ = timeout(period, stop.wait()).await;
     }
     let mut transaction = TableTransaction::default();
     transaction.delete(member_key(&handle.own_row().name), version);
-    // Where it fails, the row stands still and the others delete it later.
+    // If the commit fails, other members delete the row once it is stale.
     let _ = table.commit(&transaction, clock.now() + period).await;
 }
 
-async fn beat(
+async fn renew_and_observe(
     handle: &MemberHandle,
     table: &TableClient,
     clock: ProcessClock,
@@ -127,22 +132,25 @@
     transaction.put(key.clone(), *version, &row);
     match table.commit(&transaction, clock.now() + period).await {
         CommitOutcome::Committed(written) => *version = written,
-        CommitOutcome::Conflict(_) => *version = claim_row(table, &key, &row).await?,
+        CommitOutcome::Conflict(_) => {
+            *version = read_conflicting_version(table, &key, &row).await?
+        }
         CommitOutcome::NotSent(error) | CommitOutcome::Unknown(error) => return Err(error),
     }
     let now = clock.now();
     let rows = table.scan::<MemberRow>(MEMBER_PREFIX).await?;
     handle.shared.watch.borrow_mut().observe(now, rows);
-    handle.shared.observed.set(Some(now));
-    delete_gone(handle, table, now, period).await;
+    handle.shared.last_observed.set(Some(now));
+    delete_stale_rows(handle, table, now, period).await;
     Ok(())
 }
 
-/// The version of a row under our name; the next beat overwrites it.
+/// Returns the version of the row that already exists under the name of this process, so that the
+/// next renewal overwrites it.
 ///
-/// The row may be an earlier run's. Where another live process has our name, the two overwrite
-/// each other, and both say so.
-async fn claim_row(
+/// The row may be left over from an earlier run. If another live process has the same name, the two
+/// processes overwrite each other's row and both log an error.
+async fn read_conflicting_version(
     table: &TableClient,
     key: &str,
     row: &MemberRow,
@@ -155,17 +163,22 @@
             ErrorKind::Conflict,
             Step::CommitTable,
             key,
-            "another process renews the row of this name",
+            "another live process renews the membership row of this name",
         );
-        tracing::error!(error = %error.with_help("give each process a name of its own"));
+        tracing::error!(error = %error.with_help("give each process a unique name"));
     }
     Ok(found.version)
 }
 
-async fn delete_gone(handle: &MemberHandle, table: &TableClient, now: TimePoint, limit: Duration) {
-    let gone: Vec<_> = handle.with_watch(|watch| {
+async fn delete_stale_rows(
+    handle: &MemberHandle,
+    table: &TableClient,
+    now: TimePoint,
+    commit_timeout: Duration,
+) {
+    let stale: Vec<_> = handle.with_watch(|watch| {
         watch
-            .gone(now, handle.ttl() * TERMS_BEFORE_DELETION)
+            .stale(now, handle.ttl() * TTLS_BEFORE_DELETION)
             .map(|state| {
                 (
                     member_key(&state.row.name),
@@ -175,11 +188,11 @@
             })
             .collect()
     });
-    for (key, version, row) in gone {
+    for (key, version, row) in stale {
         let mut transaction = TableTransaction::default();
         transaction.delete(key, version);
         tracing::info!(member = %row.name, "member row deleted");
-        // Whoever else deletes it does the same work.
-        let _ = table.commit(&transaction, now + limit).await;
+        // The outcome does not matter: every other member tries to delete the row too.
+        let _ = table.commit(&transaction, now + commit_timeout).await;
     }
 }
--- a/crates/wax-member/src/lib.rs
+++ b/crates/wax-member/src/lib.rs
@@ -1,9 +1,10 @@
-//! Membership: each daemon that others must find renews a row of the table.
+//! Membership of the daemons: each one renews a row of the table as its heartbeat and observes the
+//! rows of all others.
 
 mod heartbeat;
 mod row;
 mod watch;
 
-pub use heartbeat::{MemberHandle, keep_membership};
+pub use heartbeat::{MemberHandle, maintain_membership};
 pub use row::{MEMBER_PREFIX, MemberRow, member_key};
 pub use watch::{MemberState, MemberWatch};
--- a/crates/wax-tasks/src/commit.rs
+++ b/crates/wax-tasks/src/commit.rs
@@ -1,4 +1,5 @@
-//! Builds one transaction from many changes of tasks; the guard on capacity is here.
+//! Group commit: builds one transaction from the changes of many tasks and leaves out placements
+//! that would exceed the capacity of a worker.
 
 use crate::rows::{
     AllocRow, ClosedRow, TaskRow, TasksRow, alloc_key, closed_key, part_key, shard_key, tasks_key,
@@ -9,7 +10,7 @@
 use wax_platform::TableTransaction;
 use wax_types::{RowVersion, TaskId, TimePoint, WorkerId, wall_clock_ms};
 
-/// Changes that are committed together.
+/// Changes that are committed in one transaction.
 #[derive(Debug)]
 pub(crate) struct ChangeGroup {
     pub(crate) transaction: TableTransaction,
@@ -18,7 +19,8 @@
     closing: Vec<PartKey>,
 }
 
-/// Builds the transaction; changes that would exceed a worker are left out.
+/// Builds a group from `changes`. Placements that would exceed the capacity of their worker are
+/// left out.
 pub(crate) fn build_group(
     state: &ShardState,
     term: &OwnerTerm,
@@ -27,7 +29,7 @@
     let mut allocs = BTreeMap::new();
     let changes: Vec<TaskChange> = changes
         .into_iter()
-        .filter(|change| change_allocs(state, &mut allocs, change))
+        .filter(|change| update_allocations(state, &mut allocs, change))
         .collect();
     let closing = closing_parts(state, &changes);
     let mut group = ChangeGroup {
@@ -36,28 +38,30 @@
         allocs,
         closing,
     };
-    group.fill(state, term);
+    group.fill_transaction(state, term);
     group
 }
 
-/// Deletes notes that were taken.
+/// Builds the transaction that deletes processed messages from the inbox of a shard.
 ///
-/// An owner that was replaced must not: the next one may have loaded the shard before the notes
-/// were written, and would never see their jobs.
-pub(crate) fn build_removal(
+/// The transaction requires that the shard's row is unchanged, so a former owner cannot delete
+/// messages. Otherwise a new owner that loaded the shard before the messages were written would
+/// never learn of their jobs.
+pub(crate) fn build_inbox_removal(
     term: &OwnerTerm,
-    notes: Vec<(Box<str>, RowVersion)>,
+    messages: Vec<(Box<str>, RowVersion)>,
 ) -> TableTransaction {
     let mut transaction = TableTransaction::default();
-    for (key, version) in notes {
+    for (key, version) in messages {
         transaction.delete(key, version);
     }
     transaction.require(shard_key(term.shard()), term.version());
     transaction
 }
 
-/// Moves a task between allocation rows; refuses what exceeds a worker's capacity.
-fn change_allocs(
+/// Adds and removes the allocations of a change in `allocs`. Returns false, without any update, if
+/// the placement would exceed the capacity of the worker.
+fn update_allocations(
     state: &ShardState,
     allocs: &mut BTreeMap<WorkerId, AllocRow>,
     change: &TaskChange,
@@ -87,31 +91,31 @@
     true
 }
 
-/// Parts whose last open tasks end with these changes.
+/// Returns the parts whose last open tasks end with these changes.
 fn closing_parts(state: &ShardState, changes: &[TaskChange]) -> Vec<PartKey> {
-    let mut ending: HashMap<PartKey, u32> = HashMap::new();
+    let mut ended_tasks: HashMap<PartKey, u32> = HashMap::new();
     for change in changes
         .iter()
         .filter(|change| change.next.state.is_terminal())
     {
         if let Some(entry) = state.tasks.get(&change.task) {
-            *ending.entry(entry.part).or_default() += 1;
+            *ended_tasks.entry(entry.part).or_default() += 1;
         }
     }
-    ending
+    ended_tasks
         .into_iter()
-        .filter(|(key, ending)| {
+        .filter(|(key, ended_tasks)| {
             state
                 .parts
                 .get(key)
-                .is_some_and(|part| part.open == *ending)
+                .is_some_and(|part| part.open_tasks == *ended_tasks)
         })
         .map(|(key, _)| key)
         .collect()
 }
 
 impl ChangeGroup {
-    fn fill(&mut self, state: &ShardState, term: &OwnerTerm) {
+    fn fill_transaction(&mut self, state: &ShardState, term: &OwnerTerm) {
         let shard = term.shard();
         for key in self.closing.clone() {
             self.close_part(state, term, key);
@@ -119,7 +123,7 @@
         for key in self.open_parts(state) {
             if let Some(part) = state.parts.get(&key) {
                 let row = TasksRow {
-                    tasks: self.rows_of(state, part),
+                    tasks: self.task_rows(state, part),
                 };
                 let version = part.tasks_version;
                 self.transaction
@@ -127,7 +131,7 @@
             }
         }
         for (worker, row) in &self.allocs {
-            let version = state.workers.get(worker).map(|entry| entry.version);
+            let version = state.workers.get(worker).map(|entry| entry.alloc_version);
             let key = alloc_key(shard, worker);
             self.transaction.put(key, version.unwrap_or_default(), row);
         }
@@ -136,7 +140,7 @@
         }
     }
 
-    /// The parts that change and stay open, each once.
+    /// Returns the parts that have changed tasks and stay open.
     fn open_parts(&self, state: &ShardState) -> BTreeSet<PartKey> {
         let changed = self
             .changes
@@ -145,8 +149,8 @@
         changed.filter(|key| !self.closing.contains(key)).collect()
     }
 
-    /// How the tasks of a part stand with the changes.
-    fn rows_of(&self, state: &ShardState, part: &PartEntry) -> Vec<Option<TaskRow>> {
+    /// Returns the rows of all tasks of a part with the changes of this group applied.
+    fn task_rows(&self, state: &ShardState, part: &PartEntry) -> Vec<Option<TaskRow>> {
         let place = part.row.place;
         let tasks = (place.first..place.first + place.count).map(|index| TaskId {
             job: part.row.job,
@@ -163,14 +167,15 @@
             .collect()
     }
 
-    /// The ends of a part's tasks go into one row; the rows of the part and its tasks go.
+    /// Writes the final rows of a part's tasks into one closed row, and deletes the rows of the
+    /// part and of its tasks.
     fn close_part(&mut self, state: &ShardState, term: &OwnerTerm, key: PartKey) {
         let Some(part) = state.parts.get(&key) else {
             return;
         };
         let shard = term.shard();
         let closed = ClosedRow {
-            tasks: self.rows_of(state, part).into_iter().flatten().collect(),
+            tasks: self.task_rows(state, part).into_iter().flatten().collect(),
         };
         self.transaction
             .put(closed_key(key.0, key.1), RowVersion::default(), &closed);
@@ -182,7 +187,7 @@
         }
     }
 
-    /// Takes the committed group into memory.
+    /// Applies the group to the in-memory state after its commit, which gave the rows `version`.
     pub(crate) fn apply(&self, state: &mut ShardState, now: TimePoint, version: RowVersion) {
         for change in &self.changes {
             state.apply(now, change, version);
@@ -190,12 +195,12 @@
         for (worker, row) in &self.allocs {
             if let Some(entry) = state.workers.get_mut(worker) {
                 entry.alloc = row.clone();
-                entry.changed_ms = wall_clock_ms();
-                entry.version = version;
+                entry.tasks_changed_ms = wall_clock_ms();
+                entry.alloc_version = version;
             }
         }
         for key in &self.closing {
-            state.drop_part(*key);
+            state.remove_part(*key);
         }
     }
 }
--- a/crates/wax-tasks/src/drains.rs
+++ b/crates/wax-tasks/src/drains.rs
@@ -1,4 +1,5 @@
-//! Failure domains that operators drain, one row each: nothing new is placed or started there.
+//! Failure domains that operators have drained. Each domain has one row in the table; no task is
+//! placed or started in a drained domain.
 
 use compio::time::sleep;
 use serde::{Deserialize, Serialize};
@@ -12,22 +13,23 @@
 use wax_trace::FailureStreak;
 use wax_types::{ErrorKind, RowVersion, Step, TimePoint, WaxError};
 
-/// Keys of the rows begin with it.
+/// Prefix of the keys of the rows.
 const DRAIN_PREFIX: &str = "drain/";
-/// Between two readings; a change of the operators is in force everywhere within five seconds.
+/// Interval between two reads of the rows. A change by an operator must be in force in every
+/// process within 5 s.
 const READ_PERIOD: Duration = Duration::from_secs(1);
-/// A change is offered to the store this long.
-const COMMIT_SPAN: Duration = Duration::from_secs(3);
-/// Longest name of a failure domain, bytes.
-const MOST_NAME: usize = 100;
+/// Time-out of the commit of a change.
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum length of the name of a failure domain.
+const MAX_NAME_BYTES: usize = 100;
 
-/// Whether a failure domain is drained.
+/// Row `drain/DOMAIN`: whether a failure domain is drained.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 struct DrainRow {
     drained: bool,
 }
 
-/// The drained failure domains as this process knows them.
+/// Drained failure domains as known to this process, and the operation that changes them.
 #[derive(Debug, Clone)]
 pub struct DomainDrains {
     table: TableClient,
@@ -37,14 +39,15 @@
 #[derive(Debug, Default)]
 struct KnownDrains {
     view: RefCell<DrainView>,
-    /// Counts what was learned: a reading that began before a change of our own is of the past.
-    learned: Cell<u64>,
-    /// Rows that did not decode: each is told once.
-    damaged: RefCell<BTreeSet<Box<str>>>,
+    /// Number of updates to the view. A read that started before a change by this process has an
+    /// older revision, and its result is discarded as stale.
+    revision: Cell<u64>,
+    /// Keys of rows that could not be decoded; an error is logged once for each.
+    undecodable_keys: RefCell<BTreeSet<Box<str>>>,
 }
 
 impl DomainDrains {
-    /// Nothing is known to be drained before the first reading.
+    /// Creates an empty view; no domain is known before the first read.
     pub fn new(table: TableClient) -> Self {
         Self {
             table,
@@ -52,8 +55,8 @@
         }
     }
 
-    /// Reads the rows again and again for the life of the process.
-    pub async fn keep(self) {
+    /// Reads the rows periodically until the process ends.
+    pub async fn run(self) {
         let streak = FailureStreak::new("reading of the drains");
         loop {
             match self.read().await {
@@ -64,40 +67,43 @@
         }
     }
 
-    /// The drained failure domains.
-    pub fn names(&self) -> Vec<Box<str>> {
+    /// Returns the names of the drained failure domains.
+    pub fn domains(&self) -> Vec<Box<str>> {
         self.known.view.borrow().domains().iter().cloned().collect()
     }
 
-    /// Whether the rows were read; before that any domain may be drained.
+    /// Returns whether the rows have been read at least once. Before that, any domain may be
+    /// drained.
     pub(crate) fn are_known(&self) -> bool {
         self.known.view.borrow().age(self.now()).is_some()
     }
 
-    /// Whether a failure domain gets nothing new.
+    /// Returns whether a failure domain is drained.
     pub(crate) fn is_drained(&self, domain: &str) -> bool {
         self.known.view.borrow().domains().contains(domain)
     }
 
-    /// Drains a failure domain, or takes it back; it is in the store when this returns.
+    /// Drains a failure domain, or ends its drain. The change is stored when the call returns.
     ///
     /// # Errors
     ///
-    /// The name is none, the store does not answer, or others change the row at the same time.
-    pub async fn change(&self, domain: &str, drained: bool) -> Result<(), WaxError> {
-        check_name(domain)?;
+    /// Returns an error if the name is not valid, if the store does not answer, or if another
+    /// client changes the row at the same time.
+    pub async fn set_drained(&self, domain: &str, drained: bool) -> Result<(), WaxError> {
+        validate_domain_name(domain)?;
         let key = format!("{DRAIN_PREFIX}{domain}");
         let before = self.table.read::<Value>(&key).await?;
         let version = before.map_or_else(RowVersion::default, |row| row.version);
         let mut transaction = TableTransaction::default();
         transaction.put(key, version, &DrainRow { drained });
         let now = self.now();
-        match self.table.commit(&transaction, now + COMMIT_SPAN).await {
+        match self.table.commit(&transaction, now + COMMIT_TIMEOUT).await {
             CommitOutcome::Committed(_) => {
-                // Before the first reading the others are not known: it will bring this one too.
+                // Before the first read the view stays empty, because the other domains are not
+                // known yet; that read returns this row too.
                 if self.are_known() {
-                    self.learn(|view, nth| {
-                        view.apply_changes(nth, [(domain.into(), drained)], now)
+                    self.update_view(|view, new_revision| {
+                        view.apply_changes(new_revision, [(domain.into(), drained)], now)
                     });
                 }
                 Ok(())
@@ -116,35 +122,44 @@
     }
 
     async fn read(&self) -> Result<(), WaxError> {
-        let (asked, learned) = (self.now(), self.known.learned.get());
+        let (started_at, revision) = (self.now(), self.known.revision.get());
         let rows = self.table.scan::<Value>(DRAIN_PREFIX).await?;
-        let drained = rows.iter().filter(|row| self.is_drain(row));
+        let drained = rows.iter().filter(|row| self.is_drain_row(row));
         let names = drained.filter_map(|row| row.key.strip_prefix(DRAIN_PREFIX));
         let names: BTreeSet<Box<str>> = names.map(Into::into).collect();
-        if self.known.learned.get() == learned {
-            self.learn(|view, nth| view.replace(nth, names, asked));
+        if self.known.revision.get() == revision {
+            self.update_view(|view, new_revision| view.replace(new_revision, names, started_at));
         }
         Ok(())
     }
 
-    /// A row that cannot be read counts as a drain: what is not certain is kept out, and no other is hidden.
-    fn is_drain(&self, row: &RowEntry<Value>) -> bool {
+    /// Returns whether a row drains its domain. A row that cannot be decoded counts as a drain, so
+    /// that no task starts in a domain that may be drained; the other rows stay in effect.
+    fn is_drain_row(&self, row: &RowEntry<Value>) -> bool {
         match DrainRow::deserialize(&row.value) {
             Ok(value) => value.drained,
             Err(error) => {
-                if self.known.damaged.borrow_mut().insert(row.key.clone()) {
-                    tracing::error!(%error, key = %row.key, "the row of a drain does not decode");
+                if self
+                    .known
+                    .undecodable_keys
+                    .borrow_mut()
+                    .insert(row.key.clone())
+                {
+                    tracing::error!(
+                        %error, key = %row.key,
+                        "the row of a drained failure domain cannot be decoded"
+                    );
                 }
                 true
             }
         }
     }
 
-    fn learn(&self, change: impl FnOnce(&mut DrainView, u64) -> bool) {
-        let nth = self.known.learned.get() + 1;
-        self.known.learned.set(nth);
+    fn update_view(&self, change: impl FnOnce(&mut DrainView, u64) -> bool) {
+        let new_revision = self.known.revision.get() + 1;
+        self.known.revision.set(new_revision);
         let mut view = self.known.view.borrow_mut();
-        if change(&mut view, nth) {
+        if change(&mut view, new_revision) {
             tracing::info!(domains = ?view.domains(), "drained failure domains");
         }
     }
@@ -154,13 +169,13 @@
     }
 }
 
-fn check_name(domain: &str) -> Result<(), WaxError> {
-    let is_plain = |sign: char| sign.is_ascii_alphanumeric() || "-_.".contains(sign);
-    if !domain.is_empty() && domain.len() <= MOST_NAME && domain.chars().all(is_plain) {
+fn validate_domain_name(domain: &str) -> Result<(), WaxError> {
+    let is_plain = |character: char| character.is_ascii_alphanumeric() || "-_.".contains(character);
+    if !domain.is_empty() && domain.len() <= MAX_NAME_BYTES && domain.chars().all(is_plain) {
         return Ok(());
     }
     let text = format!(
-        "expected the name of a failure domain: letters, digits, - _ . and at most {MOST_NAME} of them"
+        "expected the name of a failure domain: letters, digits, - _ . and at most {MAX_NAME_BYTES} of them"
     );
     Err(WaxError::new(
         ErrorKind::Invalid,
--- a/crates/wax-tasks/src/lib.rs
+++ b/crates/wax-tasks/src/lib.rs
@@ -1,38 +1,39 @@
-//! Jobs and their tasks: submission, shards and their owners, leases, placement, recovery.
+//! Jobs and their tasks: submission, ownership of shards, leases, placement and recovery.
 //!
-//! `desk` takes submissions at any entry. `coordinator` gains and loses shards. One `shard` task
-//! runs for each shard that is owned, and one `worker_link` task for each of its workers.
+//! `job_service` accepts submissions at every entry. `coordinator` claims and releases shards. For
+//! each shard that this process owns, one async task runs the loop in `shard`, and one async task
+//! per worker of the shard runs the loop in `worker_link`.
 
 mod commit;
 #[cfg(test)]
 mod commit_tests;
 mod coordinator;
-mod desk;
 mod drains;
 mod explain;
+mod housekeeping;
+mod job_service;
 mod ledger_feed;
 mod ownership;
-mod placing;
+mod placement;
 mod quota;
 #[cfg(test)]
 mod quota_tests;
-mod reports;
-mod round;
 mod rows;
 mod shard;
 mod shard_load;
+mod shard_loop;
 mod shard_state;
 mod split;
 mod term;
 mod transition;
-mod upkeep;
+mod worker_events;
 mod worker_link;
 
 pub use coordinator::{CoordinatorHandle, CoordinatorProcess, ShardStatus};
-pub use desk::{JobDesk, JobView, SubmitRequest, TaskView};
 pub use drains::DomainDrains;
-pub use explain::TaskReason;
-pub use ownership::{OwnIdentity, ShardChoice, decide_shard};
+pub use explain::TaskExplanation;
+pub use job_service::{JobService, JobView, SubmitRequest, TaskView};
+pub use ownership::{ProcessIdentity, ShardChoice, decide_shard};
 pub use quota::QuotaRow;
 pub use rows::{AllocEntry, AllocRow, JobRow, JobSpec, PartRow, ShardRow, TaskRow, TaskState};
 pub use split::{WorkerShape, shard_of_worker, split_job};
--- a/crates/wax-tasks/src/ownership.rs
+++ b/crates/wax-tasks/src/ownership.rs
@@ -1,55 +1,57 @@
-//! Decides, for one shard, whether this process keeps, claims, releases or leaves it.
+//! Decides whether this process keeps, releases or claims a shard, or yields it to another process.
 
 use crate::rows::ShardRow;
 use wax_types::ProcessIncarnation;
 
-/// What to do about a shard now.
+/// Decision about the ownership of one shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShardChoice {
-    /// It is ours and stays ours.
+    /// This process owns the shard and keeps it.
     Keep,
-    /// It is ours and another live member ranks higher: hand it over.
+    /// This process owns the shard and hands it over, because another live member ranks higher or
+    /// this process is leaving.
     Release,
-    /// Nobody holds it, or its owner is dead, and we rank highest: take it.
+    /// The shard has no live owner and this process ranks highest: claim it.
     Claim,
-    /// It is somebody else's matter.
-    Leave,
+    /// Another process owns the shard or is to claim it; a term that is still active here is ended.
+    Yield,
 }
 
-/// This process, as far as the decision needs it.
+/// Properties of this process on which the decision depends.
 #[derive(Debug, Clone, Copy)]
-pub struct OwnIdentity<'a> {
-    /// Its name.
+pub struct ProcessIdentity<'a> {
+    /// Member name of the process.
     pub name: &'a str,
-    /// Its run.
+    /// Identifies this run of the process.
     pub incarnation: ProcessIncarnation,
-    /// Whether it gives all shards away.
+    /// Whether the process shuts down and hands over all shards.
     pub leaving: bool,
 }
 
-/// Decides about one shard.
+/// Decides about the ownership of one shard.
 ///
-/// `top` is the live member that ranks highest for it; `owner_alive` says whether the row's owner
-/// is a live member in the run that the row names.
+/// `row` is the shard's row, `None` before its first claim. `top` is the live candidate that ranks
+/// highest for the shard; `owner_alive` says whether the incarnation that the row names is a live
+/// member.
 pub fn decide_shard(
     row: Option<&ShardRow>,
-    own: OwnIdentity<'_>,
+    own: ProcessIdentity<'_>,
     top: Option<&str>,
     owner_alive: bool,
 ) -> ShardChoice {
-    let ours = row.is_some_and(|row| {
+    let is_owner = row.is_some_and(|row| {
         row.owner.as_deref() == Some(own.name) && row.incarnation == own.incarnation
     });
-    let wanted = !own.leaving && top == Some(own.name);
-    match (ours, wanted) {
+    let should_own = !own.leaving && top == Some(own.name);
+    match (is_owner, should_own) {
         (true, true) => ShardChoice::Keep,
         (true, false) if own.leaving || top.is_some() => ShardChoice::Release,
         (true, false) => ShardChoice::Keep,
-        (false, true) if !held(row, owner_alive) => ShardChoice::Claim,
-        (false, _) => ShardChoice::Leave,
+        (false, true) if !has_live_owner(row, owner_alive) => ShardChoice::Claim,
+        (false, _) => ShardChoice::Yield,
     }
 }
 
-fn held(row: Option<&ShardRow>, owner_alive: bool) -> bool {
+fn has_live_owner(row: Option<&ShardRow>, owner_alive: bool) -> bool {
     row.is_some_and(|row| row.owner.is_some() && owner_alive)
 }
--- a/crates/wax-tasks/src/shard.rs
+++ b/crates/wax-tasks/src/shard.rs
@@ -1,9 +1,10 @@
-//! What the tasks of one shard share for one term, and the term's rounds.
+//! Runs the ownership of one shard for one term: loads the state of the shard, runs its main loop,
+//! and loads the state again when the table was changed unexpectedly.
 
 use crate::drains::DomainDrains;
 use crate::ledger_feed::LedgerFeed;
-use crate::round::ShardRound;
 use crate::shard_load::load_shard;
+use crate::shard_loop::ShardLoop;
 use crate::shard_state::ShardState;
 use crate::term::OwnerTerm;
 use crate::worker_link::WorkerEvent;
@@ -18,19 +19,19 @@
 use wax_settings::SettingsHolder;
 use wax_types::{ProcessClock, TimePoint, WaxError, WorkerId};
 
-/// After a load that failed.
-const LOAD_PAUSE: Duration = Duration::from_millis(300);
+/// Delay before a failed load is retried.
+const LOAD_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Terms and periods of all shards of a process.
+/// Settings that all shards of a process share.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ShardOptions {
     pub(crate) shards: u16,
-    pub(crate) terms: LeaseTimings,
-    pub(crate) renew: Duration,
+    pub(crate) lease_timings: LeaseTimings,
+    pub(crate) renew_period: Duration,
     pub(crate) policy: PlacementPolicy,
 }
 
-/// What the tasks of one shard share for one term.
+/// State and clients that the async tasks of one shard share while one loaded state is in use.
 pub(crate) struct ShardShared {
     pub(crate) term: OwnerTerm,
     pub(crate) options: ShardOptions,
@@ -46,7 +47,7 @@
     events: UnboundedSender<WorkerEvent>,
 }
 
-/// Clients that a shard needs.
+/// Clients of other services that the owner of a shard uses.
 #[derive(Debug, Clone)]
 pub(crate) struct ShardClients {
     pub(crate) table: TableClient,
@@ -57,12 +58,12 @@
     pub(crate) drains: DomainDrains,
 }
 
-/// Why a round of ownership ended.
+/// Reason for which the main loop of a shard has ended.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum RoundEnd {
-    /// The term is over.
-    Ended,
-    /// The table was not as remembered: load it again.
+pub(crate) enum LoopExit {
+    /// The term of ownership has ended.
+    TermEnded,
+    /// The table differs from the state in memory, which must be loaded again.
     Reload,
 }
 
@@ -71,36 +72,40 @@
         self.clock.now()
     }
 
-    /// Whether the owner may act now.
-    pub(crate) fn holds(&self) -> bool {
-        self.term.holds(self.now())
+    /// Returns whether the owner may act now.
+    pub(crate) fn is_term_active(&self) -> bool {
+        self.term.is_active(self.now())
     }
 
-    pub(crate) fn send(&self, event: WorkerEvent) {
-        // The shard's loop outlives its links.
+    pub(crate) fn send_event(&self, event: WorkerEvent) {
+        // A send can fail only after the main loop has ended, when the event no longer matters.
         let _ = self.events.unbounded_send(event);
     }
 
-    /// A worker has refused us for a later owner.
-    pub(crate) fn fenced(&self, error: &WaxError) {
-        tracing::info!(shard = %self.term.shard(), %error, "fenced by a worker");
+    /// Ends the term after a worker has rejected a call because it knows a later owner.
+    pub(crate) fn end_fenced_term(&self, error: &WaxError) {
+        tracing::info!(
+            shard = %self.term.shard(), %error,
+            "worker rejected the call: it knows a later owner of the shard"
+        );
         self.term.end();
     }
 
-    /// Whether a worker's failure domain is drained: it gets nothing new.
-    pub(crate) fn is_drained(&self, worker: &WorkerId) -> bool {
+    /// Returns whether the failure domain of a worker is drained, so that no task may start there.
+    pub(crate) fn is_worker_drained(&self, worker: &WorkerId) -> bool {
         let state = self.state.borrow();
         let entry = state.workers.get(worker);
         entry.is_some_and(|entry| self.drains.is_drained(&entry.info.failure_domain))
     }
 
-    /// A worker's clock when it last answered, and our time then.
-    pub(crate) fn clock_of(&self, worker: &WorkerId) -> Option<(u64, TimePoint)> {
+    /// Returns the worker's clock by its last answer, and the local time at which the answer
+    /// arrived.
+    pub(crate) fn worker_clock(&self, worker: &WorkerId) -> Option<(u64, TimePoint)> {
         self.state.borrow().workers.get(worker)?.clock
     }
 
-    /// What to send to a worker now, and where.
-    pub(crate) fn look_at(
+    /// Returns the call to make to a worker now, and the worker's address.
+    pub(crate) fn contact_choice(
         &self,
         worker: &WorkerId,
         now: TimePoint,
@@ -111,7 +116,9 @@
     }
 }
 
-/// Owns a shard until the term ends.
+/// Runs the ownership of a shard until the term ends.
+///
+/// `publish` receives the shared state after each load, and `None` at the end.
 pub(crate) async fn run_shard(
     term: OwnerTerm,
     options: ShardOptions,
@@ -120,12 +127,12 @@
     publish: impl Fn(Option<Rc<ShardShared>>),
 ) {
     let mut contacts = HashMap::new();
-    while term.holds(clock.now()) {
+    while term.is_active(clock.now()) {
         let loaded = load_shard(
             &clients.table,
             &clients.directory,
             &term,
-            &options.terms,
+            &options.lease_timings,
             options.shards,
             &contacts,
         )
@@ -133,8 +140,8 @@
         let state = match loaded {
             Ok(state) => state,
             Err(error) => {
-                tracing::debug!(shard = %term.shard(), %error, "shard not loaded");
-                sleep(LOAD_PAUSE).await;
+                tracing::debug!(shard = %term.shard(), %error, "loading the shard failed");
+                sleep(LOAD_RETRY_DELAY).await;
                 continue;
             }
         };
@@ -154,17 +161,21 @@
             events,
         });
         publish(Some(shared.clone()));
-        let end = ShardRound::new(shared.clone(), inbox).run().await;
+        let end = ShardLoop::new(shared.clone(), inbox).run().await;
         contacts = take_contacts(&shared);
-        if end == RoundEnd::Ended {
+        if end == LoopExit::TermEnded {
             break;
         }
-        tracing::warn!(shard = %term.shard(), "the table changed unexpectedly; loading again");
+        tracing::warn!(
+            shard = %term.shard(),
+            "the table differs from the state in memory; loading the shard again"
+        );
     }
     publish(None);
 }
 
-/// Takes the contacts over to the next round, and stops the links of this one.
+/// Removes the workers from the state and returns their contacts for the next loaded state. The
+/// links of the removed workers end.
 fn take_contacts(shared: &ShardShared) -> HashMap<WorkerId, WorkerContact> {
     let mut state = shared.state.borrow_mut();
     state
--- a/crates/wax-tasks/src/shard_state.rs
+++ b/crates/wax-tasks/src/shard_state.rs
@@ -1,6 +1,7 @@
-//! What the owner of a shard holds in memory; every change is committed to the table first.
+//! In-memory state of the owner of a shard. Changes of tasks are committed to the table before they
+//! are applied here.
 
-use crate::quota::QuotaBook;
+use crate::quota::ShardQuotas;
 use crate::rows::{AllocEntry, AllocRow, PartRow, TaskRow, TaskState, TasksRow};
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::time::Duration;
@@ -12,81 +13,88 @@
 use wax_settings::TaskClass;
 use wax_types::{JobId, ResourceVector, RowVersion, TaskEpoch, TaskId, TimePoint, WorkerId};
 
-/// Each eviction that a task has suffered keeps it safe for this long after its next placement.
-const EVICTED_SPAN: Duration = Duration::from_secs(30);
-const MOST_EVICTIONS_COUNTED: u32 = 10;
+/// Time for which a task is protected from eviction after a placement, for each eviction so far.
+const EVICTION_PROTECTION: Duration = Duration::from_secs(30);
+/// Maximum number of evictions that extend the protection of a task.
+const MAX_COUNTED_EVICTIONS: u32 = 10;
 
-/// Names a part: its job and the index of its first task.
+/// Identifies a part by its job and the index of its first task.
 pub(crate) type PartKey = (JobId, u32);
 
-/// A part whose tasks have not all ended.
+/// Part of a job in which not all tasks have ended.
 #[derive(Debug)]
 pub(crate) struct PartEntry {
     pub(crate) row: PartRow,
     pub(crate) kind: KindKey,
+    /// Version of the part's row; a condition of its deletion.
     pub(crate) version: RowVersion,
-    /// The version of the row that says how its tasks stand; 0 before there is one.
+    /// Version of the row with the states of the part's tasks; 0 before that row is written.
     pub(crate) tasks_version: RowVersion,
-    /// Tasks that have not ended.
-    pub(crate) open: u32,
+    /// Number of tasks that have not ended.
+    pub(crate) open_tasks: u32,
 }
 
-/// How far the start of a run has come.
+/// State of the start of a run at its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum StartState {
-    /// It is not known whether the worker has the run.
-    Unsure,
-    /// A start is under way.
+    /// The worker may or may not have the run.
+    Unknown,
+    /// A call that starts the run is in progress.
     Sending,
-    /// The worker has said that it runs, in this start of the worker.
+    /// The worker has confirmed the run, in the given boot.
     Running(u64),
 }
 
-/// A task of an open part.
+/// Task of an open part.
 #[derive(Debug)]
 pub(crate) struct TaskEntry {
     pub(crate) part: PartKey,
     pub(crate) row: Option<TaskRow>,
     pub(crate) start: StartState,
-    /// A stop is under way, for an eviction or a cancellation.
+    /// Whether a stop is in progress, for an eviction, a cancellation or a drain.
     pub(crate) stopping: bool,
 }
 
-/// A worker of the shard.
+/// Worker of the shard.
 #[derive(Debug)]
 pub(crate) struct WorkerEntry {
     pub(crate) info: WorkerInfo,
     pub(crate) key: WorkerKey,
     pub(crate) alloc: AllocRow,
-    pub(crate) version: RowVersion,
+    /// Version of the allocation row; 0 before that row is written.
+    pub(crate) alloc_version: RowVersion,
     pub(crate) contact: WorkerContact,
-    /// The worker's clock when it answered, and our time when the answer came.
+    /// The worker's clock by its last answer, and the local time at which the answer arrived.
     pub(crate) clock: Option<(u64, TimePoint)>,
+    /// Boot of the worker by its last answer; 0 before the first one.
     pub(crate) boot: u64,
+    /// Runs without an allocation that the worker has reported, with the time of the first report.
     pub(crate) orphans: HashMap<TaskRunId, TimePoint>,
+    /// Ended runs that the worker may delete.
     pub(crate) forget: HashSet<TaskRunId>,
+    /// Sequence number up to which the worker may delete its usage reports.
     pub(crate) usage_through: u64,
-    /// Runs that failed since one last succeeded.
+    /// Number of runs that have failed since the last successful one.
     pub(crate) failures: u32,
     pub(crate) quarantined_until: Option<TimePoint>,
-    /// When the set of its tasks last changed, Unix milliseconds.
-    pub(crate) changed_ms: u64,
-    pub(crate) relief: MitigationState,
+    /// Time at which the set of the worker's tasks last changed, Unix milliseconds.
+    pub(crate) tasks_changed_ms: u64,
+    pub(crate) mitigation: MitigationState,
 }
 
-/// A change of one task, before it is committed.
+/// Change of one task that is to be committed.
 #[derive(Debug, Clone)]
 pub(crate) struct TaskChange {
     pub(crate) task: TaskId,
     pub(crate) next: TaskRow,
-    /// The worker whose room is given back.
+    /// Worker on which the task's allocation is released.
     pub(crate) release: Option<WorkerId>,
-    /// The worker whose room is taken, and how much of it.
+    /// Worker on which the task gets an allocation, and the size of it.
     pub(crate) reserve: Option<(WorkerId, ResourceVector)>,
 }
 
 impl TaskChange {
-    /// The allocation that the change adds.
+    /// Returns the allocation that the change adds.
     pub(crate) fn allocation(&self) -> Option<AllocEntry> {
         let (_, size) = self.reserve.as_ref()?;
         Some(AllocEntry {
@@ -97,12 +105,12 @@
     }
 }
 
-/// The state of one shard.
+/// State of one shard.
 #[derive(Debug, Default)]
 pub(crate) struct ShardState {
     pub(crate) parts: HashMap<PartKey, PartEntry>,
     pub(crate) tasks: HashMap<TaskId, TaskEntry>,
-    /// Waiting tasks: urgent ones first, then by time of submission.
+    /// Waiting tasks: latency-critical ones first, then by time of submission.
     pub(crate) queue: BTreeSet<(bool, u64, TaskId)>,
     pub(crate) workers: HashMap<WorkerId, WorkerEntry>,
     pub(crate) table: WorkerTable,
@@ -111,11 +119,11 @@
     pub(crate) kinds: KindTable,
     pub(crate) pairs: PairTable,
     pub(crate) sizes: SizeTable,
-    pub(crate) quotas: QuotaBook,
+    pub(crate) quotas: ShardQuotas,
 }
 
 impl ShardState {
-    /// Adds a part; tasks without a row wait.
+    /// Adds a part with all its tasks waiting, unless the part is known already.
     pub(crate) fn add_part(&mut self, row: PartRow, version: RowVersion) {
         let key = (row.job, row.place.first);
         if self.parts.contains_key(&key) {
@@ -131,7 +139,7 @@
                 TaskEntry {
                     part: key,
                     row: None,
-                    start: StartState::Unsure,
+                    start: StartState::Unknown,
                     stopping: false,
                 },
             );
@@ -141,19 +149,19 @@
         let kind = self
             .kinds
             .key(&format!("{}/{}/{}", spec.team, spec.service, spec.kind));
-        let open = row.place.count;
+        let open_tasks = row.place.count;
         let entry = PartEntry {
             row,
             kind,
             version,
             tasks_version: RowVersion::default(),
-            open,
+            open_tasks,
         };
         self.parts.insert(key, entry);
     }
 
-    /// Takes the row of a part's tasks as it was loaded.
-    pub(crate) fn load_tasks(&mut self, key: PartKey, row: TasksRow, version: RowVersion) {
+    /// Applies the loaded row with the states of a part's tasks.
+    pub(crate) fn load_task_rows(&mut self, key: PartKey, row: TasksRow, version: RowVersion) {
         if let Some(part) = self.parts.get_mut(&key) {
             part.tasks_version = version;
         }
@@ -163,12 +171,12 @@
                 index: key.1 + offset as u32,
             };
             if let Some(row) = row {
-                self.load_task(task, row);
+                self.load_task_row(task, row);
             }
         }
     }
 
-    fn load_task(&mut self, task: TaskId, row: TaskRow) {
+    fn load_task_row(&mut self, task: TaskId, row: TaskRow) {
         let Some(entry) = self.tasks.get_mut(&task) else {
             return;
         };
@@ -181,18 +189,18 @@
                 self.queue.remove(&queue_order(&part.row, task));
             }
             if ended {
-                part.open -= 1;
+                part.open_tasks -= 1;
             }
         }
     }
 
-    /// The spec of a task's job.
+    /// Returns the part that a task belongs to.
     pub(crate) fn part_of(&self, task: TaskId) -> Option<&PartEntry> {
         self.parts.get(&self.tasks.get(&task)?.part)
     }
 
-    /// Marks of the runs that should be at a worker.
-    pub(crate) fn marks_at(&self, worker: &WorkerId) -> Vec<TaskRunId> {
+    /// Returns the ids of the runs that are allocated on a worker.
+    pub(crate) fn run_ids_on(&self, worker: &WorkerId) -> Vec<TaskRunId> {
         self.workers.get(worker).map_or_else(Vec::new, |entry| {
             entry
                 .alloc
@@ -206,7 +214,8 @@
         })
     }
 
-    /// What a task needs.
+    /// Returns what a task requests from a worker. The size is corrected by the measured use of its
+    /// job kind.
     pub(crate) fn demand(&self, task: TaskId) -> Option<TaskDemand> {
         let part = self.part_of(task)?;
         let declared = part.row.spec.size;
@@ -214,7 +223,7 @@
         let fits = |entry: &WorkerEntry| learned.fits_in(entry.info.capacity);
         Some(TaskDemand {
             kind: part.kind,
-            // What was learned never makes a task too large for every worker.
+            // The corrected size must not make the task too large for every worker.
             size: if self.workers.values().any(fits) {
                 learned
             } else {
@@ -224,7 +233,7 @@
         })
     }
 
-    /// The row of a task under its next placement.
+    /// Returns the row of a task for its next placement, under a new epoch.
     pub(crate) fn placed_row(&self, task: TaskId, worker: &WorkerId) -> Option<TaskRow> {
         let entry = self.tasks.get(&task)?;
         let mut row = entry.row.clone().unwrap_or(TaskRow {
@@ -240,7 +249,7 @@
         Some(row)
     }
 
-    /// What each team has placed here.
+    /// Returns the team and the size of each task that is placed in this shard.
     pub(crate) fn placed_by_team(&self) -> Vec<(Box<str>, ResourceVector)> {
         self.workers
             .values()
@@ -252,11 +261,12 @@
             .collect()
     }
 
-    /// Learns from late usage: true sizes, and what neighbours do to each other.
+    /// Updates the estimates from a usage report: the actual size of tasks of a kind, and the
+    /// interference between kinds on the same worker.
     ///
-    /// A report from before the worker's tasks last changed says nothing about its neighbours of
-    /// now, and is used for the size only.
-    pub(crate) fn learn(&mut self, worker: &WorkerId, report: &UsageReport) {
+    /// If the worker's tasks have changed since the reported interval began, the report is used for
+    /// the size only, because it says nothing about the current neighbours.
+    pub(crate) fn learn_from_usage(&mut self, worker: &WorkerId, report: &UsageReport) {
         let Some(part) = self.part_of(report.run_id.task) else {
             return;
         };
@@ -266,29 +276,29 @@
         let Some(entry) = self.workers.get(worker) else {
             return;
         };
-        let Some(slot) = self.table.get(entry.key) else {
+        let Some(capacity) = self.table.get(entry.key) else {
             return;
         };
-        if report.start_ms < entry.changed_ms {
+        if report.start_ms < entry.tasks_changed_ms {
             return;
         }
-        let others = slot
+        let others = capacity
             .tasks()
             .iter()
             .filter(|task| task.task != report.run_id.task);
         let neighbours: Vec<KindKey> = others.map(|task| task.kind).collect();
-        let band = slot.load_band();
+        let band = capacity.load_band();
         let excess = f64::from(report.slowdown_percent) / 100.0 - 1.0;
         self.pairs.learn(kind, &neighbours, band, excess.max(0.0));
     }
 
-    /// Takes a change that was committed.
+    /// Applies a committed change; `version` is the new version of the rows written.
     pub(crate) fn apply(&mut self, now: TimePoint, change: &TaskChange, version: RowVersion) {
         let Some(entry) = self.tasks.get_mut(&change.task) else {
             return;
         };
         entry.row = Some(change.next.clone());
-        entry.start = StartState::Unsure;
+        entry.start = StartState::Unknown;
         entry.stopping = false;
         let part = entry.part;
         if let Some(part) = self.parts.get_mut(&part) {
@@ -300,7 +310,7 @@
                 self.queue.remove(&order);
             }
             if change.next.state.is_terminal() {
-                part.open -= 1;
+                part.open_tasks -= 1;
             }
         }
         if let Some(worker) = &change.release {
@@ -330,7 +340,7 @@
         let Some(entry) = self.workers.get(worker) else {
             return;
         };
-        let safe = EVICTED_SPAN * change.next.evictions.min(MOST_EVICTIONS_COUNTED);
+        let protection = EVICTION_PROTECTION * change.next.evictions.min(MAX_COUNTED_EVICTIONS);
         let running = RunningTask {
             task: change.task,
             kind: demand.kind,
@@ -338,14 +348,14 @@
             urgent: demand.urgent,
             evictable: !demand.urgent,
             saved_at: now,
-            protected_until: now + safe,
+            protected_until: now + protection,
             due_today: false,
         };
         self.table.reserve(entry.key, running);
     }
 
-    /// Drops a part that was closed.
-    pub(crate) fn drop_part(&mut self, key: PartKey) {
+    /// Removes a closed part and its tasks.
+    pub(crate) fn remove_part(&mut self, key: PartKey) {
         let Some(part) = self.parts.remove(&key) else {
             return;
         };
@@ -363,7 +373,8 @@
     }
 }
 
-/// Sorts urgent tasks before others, then by time of submission.
+/// Returns the position in the queue: latency-critical tasks before others, then by time of
+/// submission.
 pub(crate) fn queue_order(part: &PartRow, task: TaskId) -> (bool, u64, TaskId) {
     let urgent = part.spec.class == TaskClass::LatencyCritical;
     (!urgent, part.submitted_ms, task)
--- a/crates/wax-tasks/src/split.rs
+++ b/crates/wax-tasks/src/split.rs
@@ -1,73 +1,74 @@
-//! Cuts a job into parts and chooses the shard of each.
+//! Splits a job into parts and chooses the shard of each part.
 
-use crate::rows::PartPlace;
+use crate::rows::PartLocation;
 use fastrand::Rng;
 use std::collections::BTreeMap;
 use wax_policy::rank_score;
 use wax_types::{ResourceVector, ShardId};
 
-/// Tasks in one part at most; one row says how all of them stand.
-const PART_TASKS: u32 = 32;
+/// Maximum number of tasks in one part. One row holds the states of all of them.
+const MAX_PART_TASKS: u32 = 32;
 
-/// A worker as far as the split needs it.
+/// Properties of a worker on which the split depends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WorkerShape {
-    /// The shard of the worker.
+    /// Shard of the worker.
     pub shard: ShardId,
-    /// What it has.
+    /// Total resources of the worker.
     pub capacity: ResourceVector,
 }
 
-/// The job cannot run anywhere.
+/// Error of [`split_job`]: no worker is large enough for one task of the job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ImpossibleJob {
-    /// Why, with the largest worker.
+    /// Explanation that names the worker that comes nearest.
     pub reason: Box<str>,
 }
 
-/// The shard of a worker, by its name.
+/// Returns the shard of a worker, which is determined by a hash of the worker's name.
 pub fn shard_of_worker(worker: &str, shards: u16) -> ShardId {
     let index = rank_score(0, worker) % u64::from(shards.max(1));
     ShardId(index as u16)
 }
 
-/// How many tasks of a size a worker can hold at once.
-fn slots_of(capacity: ResourceVector, size: ResourceVector) -> u32 {
+/// Returns how many tasks of a size fit on an empty worker.
+fn task_slots(capacity: ResourceVector, size: ResourceVector) -> u32 {
     let per = |have: u32, need: u32| have.checked_div(need).unwrap_or(u32::MAX);
     per(capacity.cpu_milli, size.cpu_milli)
         .min(per(capacity.memory_mib, size.memory_mib))
         .min(per(capacity.accelerators, size.accelerators))
 }
 
-/// Cuts `tasks` tasks into parts, in proportion to what the shards' workers can hold.
+/// Splits `tasks` tasks into parts. The shard of each part is drawn at random, in proportion to the
+/// number of tasks that the shards' workers can hold.
 ///
 /// # Errors
 ///
-/// No worker is large enough for one task.
+/// Returns an error if no worker is large enough for one task.
 pub fn split_job(
     tasks: u32,
     size: ResourceVector,
     workers: &[WorkerShape],
     rng: &mut Rng,
-) -> Result<Vec<PartPlace>, ImpossibleJob> {
-    let mut room: BTreeMap<ShardId, u64> = BTreeMap::new();
+) -> Result<Vec<PartLocation>, ImpossibleJob> {
+    let mut slots_by_shard: BTreeMap<ShardId, u64> = BTreeMap::new();
     for worker in workers {
-        let slots = u64::from(slots_of(worker.capacity, size));
+        let slots = u64::from(task_slots(worker.capacity, size));
         if slots > 0 {
-            *room.entry(worker.shard).or_default() += slots;
+            *slots_by_shard.entry(worker.shard).or_default() += slots;
         }
     }
-    if room.is_empty() {
-        return Err(impossible(size, workers));
+    if slots_by_shard.is_empty() {
+        return Err(impossible_job(size, workers));
     }
-    let total: u64 = room.values().sum();
-    let part = PART_TASKS.min(tasks.div_ceil(room.len() as u32).max(1));
+    let total: u64 = slots_by_shard.values().sum();
+    let part_size = MAX_PART_TASKS.min(tasks.div_ceil(slots_by_shard.len() as u32).max(1));
     let mut parts = Vec::new();
     let mut first = 0;
     while first < tasks {
-        let count = part.min(tasks - first);
-        let shard = draw_shard(&room, rng.u64(..total));
-        parts.push(PartPlace {
+        let count = part_size.min(tasks - first);
+        let shard = pick_shard(&slots_by_shard, rng.u64(..total));
+        parts.push(PartLocation {
             shard,
             first,
             count,
@@ -77,17 +78,17 @@
     Ok(parts)
 }
 
-fn draw_shard(room: &BTreeMap<ShardId, u64>, mut draw: u64) -> ShardId {
-    for (shard, slots) in room {
-        if draw < *slots {
+fn pick_shard(slots_by_shard: &BTreeMap<ShardId, u64>, mut index: u64) -> ShardId {
+    for (shard, slots) in slots_by_shard {
+        if index < *slots {
             return *shard;
         }
-        draw -= slots;
+        index -= slots;
     }
     ShardId::default()
 }
 
-fn impossible(size: ResourceVector, workers: &[WorkerShape]) -> ImpossibleJob {
+fn impossible_job(size: ResourceVector, workers: &[WorkerShape]) -> ImpossibleJob {
     let largest = workers
         .iter()
         .map(|worker| worker.capacity)
