--- a/crates/wax-route/src/attempts.rs
+++ b/crates/wax-route/src/attempts.rs
@@ -20,7 +20,7 @@
     /// It was dispatched and its answer is lost.
     Lost(Box<str>),
     /// The connection to the sidecar broke; it may have been dispatched.
-    LinkGone,
+    LinkBroken,
     /// The sidecar can take so many bytes of the body.
     Credit(u32),
 }
@@ -49,7 +49,7 @@
     }
 
     /// Registers an attempt under a new key.
-    pub(crate) fn open(
+    pub(crate) fn register(
         &self,
         upstream: UpstreamKey,
         events: UnboundedSender<(AttemptKey, AttemptEvent)>,
@@ -66,7 +66,7 @@
     }
 
     /// Ends an attempt: whatever comes for it later is late.
-    pub(crate) fn close(&self, key: AttemptKey) {
+    pub(crate) fn remove(&self, key: AttemptKey) {
         self.pending.borrow_mut().remove(&key);
     }
 
@@ -85,12 +85,12 @@
     }
 
     /// Tells every attempt at a sidecar that its connection broke.
-    pub(crate) fn break_link(&self, upstream: UpstreamKey) {
+    pub(crate) fn fail_link(&self, upstream: UpstreamKey) {
         for (key, attempt) in &*self.pending.borrow() {
             if attempt.upstream == upstream {
                 let _ = attempt
                     .events
-                    .unbounded_send((*key, AttemptEvent::LinkGone));
+                    .unbounded_send((*key, AttemptEvent::LinkBroken));
             }
         }
     }
--- a/crates/wax-route/src/body_pump.rs
+++ b/crates/wax-route/src/body_forwarder.rs
@@ -15,50 +15,50 @@
 #[derive(Debug, Default)]
 pub(crate) struct BodyCredit {
     bytes: Cell<u64>,
-    over: Cell<bool>,
+    stopped: Cell<bool>,
     changed: Event,
 }
 
 impl BodyCredit {
-    pub(crate) fn grant(&self, bytes: u32) {
+    pub(crate) fn add(&self, bytes: u32) {
         self.bytes.set(self.bytes.get() + u64::from(bytes));
         self.changed.notify(usize::MAX);
     }
 
     /// Stops the pump.
-    pub(crate) fn end(&self) {
-        self.over.set(true);
+    pub(crate) fn stop(&self) {
+        self.stopped.set(true);
         self.changed.notify(usize::MAX);
     }
 
     /// Waits until some credit is there; says whether the body is still wanted.
-    async fn wait(&self) -> bool {
-        while self.bytes.get() == 0 && !self.over.get() {
+    async fn wait_for_credit(&self) -> bool {
+        while self.bytes.get() == 0 && !self.stopped.get() {
             let changed = self.changed.listen();
-            if self.bytes.get() == 0 && !self.over.get() {
+            if self.bytes.get() == 0 && !self.stopped.get() {
                 changed.await;
             }
         }
-        !self.over.get()
+        !self.stopped.get()
     }
 }
 
 /// A body on its way to one attempt.
-pub(crate) struct BodyPump {
+pub(crate) struct BodyForwarder {
     pub(crate) shared: Rc<EntryShared>,
     pub(crate) upstream: UpstreamKey,
     pub(crate) key: AttemptKey,
     pub(crate) credit: Rc<BodyCredit>,
     /// Bytes sent with the head.
-    pub(crate) sent: u64,
+    pub(crate) bytes_sent: u64,
     /// The most that the whole body may have.
-    pub(crate) limit: u64,
+    pub(crate) max_body_bytes: u64,
 }
 
-impl BodyPump {
+impl BodyForwarder {
     /// Reads and sends to the end; a body that is cut or too long cancels the attempt.
-    pub(crate) async fn run(mut self, carry: Bytes, mut body: Incoming) {
-        if !self.send(carry).await {
+    pub(crate) async fn run(mut self, first_data: Bytes, mut body: Incoming) {
+        if !self.send(first_data).await {
             return;
         }
         loop {
@@ -67,7 +67,7 @@
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
                 Some(Err(_)) => return self.cancel(),
             };
-            if self.sent + data.len() as u64 > self.limit {
+            if self.bytes_sent + data.len() as u64 > self.max_body_bytes {
                 return self.cancel();
             }
             if !self.send(data).await {
@@ -79,13 +79,13 @@
 
     async fn send(&mut self, mut data: Bytes) -> bool {
         while !data.is_empty() {
-            if !self.credit.wait().await {
+            if !self.credit.wait_for_credit().await {
                 return false;
             }
             let credit = self.credit.bytes.get();
             let part = data.split_to(data.len().min(credit as usize));
             self.credit.bytes.set(credit - part.len() as u64);
-            self.sent += part.len() as u64;
+            self.bytes_sent += part.len() as u64;
             self.send_chunk(part, false);
         }
         true
@@ -96,7 +96,7 @@
             attempt: Some(self.key.into()),
             data,
             last,
-            total_bytes: self.sent,
+            total_bytes: self.bytes_sent,
         };
         self.shared
             .peers
--- a/crates/wax-route/src/callers.rs
+++ b/crates/wax-route/src/callers.rs
@@ -1,10 +1,12 @@
 //! What callers may ask: quick requests, alerts of standing watches, jobs.
 
-use crate::answer::refusal;
-use crate::headers::{CallerFields, IDEMPOTENCY_KEY, RepeatClass, forwarded, invalid};
-use crate::once::{OnceState, ReserveChoice, reserve};
+use crate::headers::{
+    CallerHeaders, IDEMPOTENCY_KEY, RetrySafety, forwarded_headers, invalid_field,
+};
+use crate::idempotency::{IdempotencyState, ReserveResult, reserve_key};
 use crate::process::EntryShared;
-use crate::request::{FinalAnswer, PlaceGuard, RequestFlow, RequestParts};
+use crate::request::{AdmissionGuard, FinalResponse, RequestFlow, UpstreamRequest};
+use crate::response::error_reply_with_outcome;
 use bytes::{Bytes, BytesMut};
 use compio::time::timeout;
 use http::{Method, StatusCode};
@@ -20,7 +22,7 @@
 use wax_types::{ErrorKind, RunOutcome, Step, TimePoint, WaxError};
 
 /// A body up to this size is sent with each attempt and may be retried.
-const FIRST_BYTES: usize = 16 << 10;
+const MAX_RESENDABLE_BODY_BYTES: usize = 16 << 10;
 
 /// Answers callers.
 pub(crate) struct CallerHandler {
@@ -32,12 +34,12 @@
     service: Box<str>,
     path: String,
     /// Whether it is an alert, which is never idempotent.
-    alert: bool,
+    is_alert: bool,
 }
 
 /// The start of a body, and the rest if there is one.
-struct BodyStart {
-    first: Bytes,
+struct PartialBody {
+    start: Bytes,
     rest: Option<(Bytes, Incoming)>,
 }
 
@@ -46,13 +48,13 @@
         Self { shared }
     }
 
-    async fn call(&self, request: HttpRequest, target: CallTarget) -> HttpReply {
+    async fn handle_call(&self, request: HttpRequest, target: CallTarget) -> HttpReply {
         count(Counter::EntryRequests);
         match self.prepare(request, target).await {
-            Ok((parts, place, settings)) => self.serve(parts, place, &settings).await,
+            Ok((parts, admission, settings)) => self.execute(parts, admission, &settings).await,
             Err(error) => {
                 count(Counter::EntryRefused);
-                refusal(&error, RunOutcome::NotRun, None)
+                error_reply_with_outcome(&error, RunOutcome::NotRun, None)
             }
         }
     }
@@ -62,46 +64,47 @@
         &self,
         mut request: HttpRequest,
         target: CallTarget,
-    ) -> Result<(RequestParts, PlaceGuard, EffectiveSettings), WaxError> {
+    ) -> Result<(UpstreamRequest, AdmissionGuard, EffectiveSettings), WaxError> {
         let shared = &self.shared;
         let now = shared.clock.now();
-        if target.alert {
-            let marked = http::HeaderValue::from_static("true");
+        if target.is_alert {
+            let value = http::HeaderValue::from_static("true");
             request
                 .headers_mut()
-                .insert(crate::headers::NON_IDEMPOTENT, marked);
+                .insert(crate::headers::NON_IDEMPOTENT, value);
         }
-        let fields = CallerFields::read(request.method(), request.headers())?;
-        let settings = self.settings_of(&fields.team, &target.service)?;
-        let allowed = Duration::from_millis(settings.deadline_ms.into());
-        let deadline = now + fields.deadline.unwrap_or(allowed);
-        let place = self.admit(&fields.team, &settings, now)?;
-        let body_limit = u64::from(settings.body_kib) << 10;
-        let trace = fields.trace;
+        let caller = CallerHeaders::parse(request.method(), request.headers())?;
+        let settings = self.resolve_settings(&caller.team, &target.service)?;
+        let default_deadline = Duration::from_millis(settings.deadline_ms.into());
+        let deadline = now + caller.deadline.unwrap_or(default_deadline);
+        let admission = self.admit(&caller.team, &settings, now)?;
+        let max_body_bytes = u64::from(settings.body_kib) << 10;
+        let trace = caller.trace;
         let method = request.method().to_string();
-        let headers = forwarded(request.headers());
-        let body = read_start(request.into_body(), body_limit, deadline.since(now)).await?;
+        let headers = forwarded_headers(request.headers());
+        let body =
+            read_body_start(request.into_body(), max_body_bytes, deadline.since(now)).await?;
         let context = match trace {
             Some(parent) => parent.child(),
             None => TraceContext::start(shared.trace_one_in),
         };
-        let parts = RequestParts {
-            fields,
+        let parts = UpstreamRequest {
+            caller,
             service: target.service,
             method,
             path: target.path,
             headers,
             body_complete: body.rest.is_none(),
-            first: body.first,
-            rest: body.rest,
-            body_limit,
+            body_start: body.start,
+            body_rest: body.rest,
+            max_body_bytes,
             deadline,
             trace: context,
         };
-        Ok((parts, place, settings))
+        Ok((parts, admission, settings))
     }
 
-    fn settings_of(&self, team: &str, service: &str) -> Result<EffectiveSettings, WaxError> {
+    fn resolve_settings(&self, team: &str, service: &str) -> Result<EffectiveSettings, WaxError> {
         let shared = &self.shared;
         if !shared.settings_loaded.get() {
             let kind = ErrorKind::Unavailable(Duration::from_secs(1));
@@ -128,7 +131,7 @@
         team: &str,
         settings: &EffectiveSettings,
         now: TimePoint,
-    ) -> Result<PlaceGuard, WaxError> {
+    ) -> Result<AdmissionGuard, WaxError> {
         let limits = TeamLimits {
             in_flight: settings.requests_in_flight,
             weight: settings.weight,
@@ -136,53 +139,63 @@
             hedge_percent: settings.hedge_percent,
         };
         let choice = self.shared.teams.borrow_mut().admit(team, limits);
-        let (after, text) = match choice {
-            AdmitChoice::Admit(key) => return Ok(PlaceGuard::new(self.shared.clone(), key, now)),
-            AdmitChoice::OverQuota(after) => (after, "the team's quota of requests is used"),
-            AdmitChoice::OverShare(after) => (after, "all places are taken"),
+        let (delay, text) = match choice {
+            AdmitChoice::Admit(key) => {
+                return Ok(AdmissionGuard::new(self.shared.clone(), key, now));
+            }
+            AdmitChoice::OverQuota(delay) => (delay, "the team's quota of requests is used"),
+            AdmitChoice::OverShare(delay) => (delay, "all places are taken"),
         };
-        let kind = ErrorKind::Overload(after);
+        let kind = ErrorKind::Overload(delay);
         Err(WaxError::new(kind, Step::AdmitRequest, team, text))
     }
 
-    async fn serve(
+    async fn execute(
         &self,
-        parts: RequestParts,
-        place: PlaceGuard,
+        parts: UpstreamRequest,
+        admission: AdmissionGuard,
         settings: &EffectiveSettings,
     ) -> HttpReply {
-        let span = parts.trace.hop_span("entry", parts.fields.trace);
+        let span = parts.trace.hop_span("entry", parts.caller.trace);
         let _ = settings;
-        let answer = match parts.fields.repeat {
-            RepeatClass::OnceByKey => self.serve_once(parts, place).instrument(span.clone()).await,
+        let response = match parts.caller.retry_safety {
+            RetrySafety::AtMostOnceByKey => {
+                self.execute_once(parts, admission)
+                    .instrument(span.clone())
+                    .await
+            }
             _ => {
-                let flow = RequestFlow::new(self.shared.clone(), parts, place);
+                let flow = RequestFlow::new(self.shared.clone(), parts, admission);
                 flow.run().instrument(span.clone()).await
             }
         };
-        span.record("outcome", answer.outcome.as_str());
-        answer.reply
+        span.record("outcome", response.outcome.as_str());
+        response.reply
     }
 
     /// Reserves the key, runs the request, records its outcome.
-    async fn serve_once(&self, parts: RequestParts, place: PlaceGuard) -> FinalAnswer {
-        let key = parts.fields.key.clone().unwrap_or_default();
-        let team = parts.fields.team.clone();
+    async fn execute_once(
+        &self,
+        parts: UpstreamRequest,
+        admission: AdmissionGuard,
+    ) -> FinalResponse {
+        let key = parts.caller.idempotency_key.clone().unwrap_or_default();
+        let team = parts.caller.team.clone();
         let service = parts.service.clone();
-        let choice = reserve(&self.shared, &team, &service, &key, parts.deadline).await;
+        let choice = reserve_key(&self.shared, &team, &service, &key, parts.deadline).await;
         match choice {
-            ReserveChoice::Held(hold) => {
-                let flow = RequestFlow::new(self.shared.clone(), parts, place);
-                let answer = flow.run().await;
-                hold.record(&self.shared, answer.outcome);
-                answer
+            ReserveResult::Acquired(lock) => {
+                let flow = RequestFlow::new(self.shared.clone(), parts, admission);
+                let response = flow.run().await;
+                lock.record(&self.shared, response.outcome);
+                response
             }
-            ReserveChoice::Repeated(state) => {
+            ReserveResult::Repeated(state) => {
                 count(Counter::EntryRepeatedKeys);
-                repeated_answer(state)
+                repeated_key_response(state)
             }
-            ReserveChoice::Unavailable(error) => FinalAnswer {
-                reply: refusal(&error, RunOutcome::NotRun, None),
+            ReserveResult::Unavailable(error) => FinalResponse {
+                reply: error_reply_with_outcome(&error, RunOutcome::NotRun, None),
                 outcome: RunOutcome::NotRun,
             },
         }
@@ -190,33 +203,34 @@
 }
 
 /// The answer to a key that was used before: nothing is run again.
-fn repeated_answer(state: OnceState) -> FinalAnswer {
+fn repeated_key_response(state: IdempotencyState) -> FinalResponse {
     let (text, outcome) = match state {
-        OnceState::Ran => ("a request with this key ran before", RunOutcome::Ran),
+        IdempotencyState::Ran => ("a request with this key ran before", RunOutcome::Ran),
         _ => ("a request with this key may have run", RunOutcome::Unknown),
     };
     let error = WaxError::new(ErrorKind::Conflict, Step::ReserveKey, IDEMPOTENCY_KEY, text);
-    FinalAnswer {
-        reply: refusal(&error, outcome, None),
+    FinalResponse {
+        reply: error_reply_with_outcome(&error, outcome, None),
         outcome,
     }
 }
 
 /// Reads a body until it ends or is too long to be kept.
-async fn read_start(
+async fn read_body_start(
     mut body: Incoming,
-    limit: u64,
-    patience: Duration,
-) -> Result<BodyStart, WaxError> {
+    max_bytes: u64,
+    time_left: Duration,
+) -> Result<PartialBody, WaxError> {
     let too_long = || {
-        let text = format!("the body is longer than {limit} bytes");
-        invalid("content-length", &text).with_help("send less, or raise body_kib in the settings")
+        let text = format!("the body is longer than {max_bytes} bytes");
+        invalid_field("content-length", &text)
+            .with_help("send less, or raise body_kib in the settings")
     };
-    if body.size_hint().lower() > limit {
+    if body.size_hint().lower() > max_bytes {
         return Err(too_long());
     }
     let read = async {
-        let mut first = BytesMut::new();
+        let mut start = BytesMut::new();
         loop {
             let data = match body.frame().await {
                 None => break,
@@ -226,17 +240,17 @@
                     return Err(WaxError::new(kind, Step::ParseRequest, "caller", error));
                 }
             };
-            if (first.len() + data.len()) as u64 > limit {
+            if (start.len() + data.len()) as u64 > max_bytes {
                 return Err(too_long());
             }
-            if first.len() + data.len() > FIRST_BYTES {
-                return Ok((first.freeze(), Some(data)));
+            if start.len() + data.len() > MAX_RESENDABLE_BODY_BYTES {
+                return Ok((start.freeze(), Some(data)));
             }
-            first.extend_from_slice(&data);
+            start.extend_from_slice(&data);
         }
-        Ok((first.freeze(), None))
+        Ok((start.freeze(), None))
     };
-    match timeout(patience, read).await {
+    match timeout(time_left, read).await {
         Err(_) => {
             let text = "the body did not come before the deadline";
             Err(WaxError::new(
@@ -247,9 +261,9 @@
             ))
         }
         Ok(Err(error)) => Err(error),
-        Ok(Ok((first, carry))) => Ok(BodyStart {
-            first,
-            rest: carry.map(|carry| (carry, body)),
+        Ok(Ok((start, excess))) => Ok(PartialBody {
+            start,
+            rest: excess.map(|excess| (excess, body)),
         }),
     }
 }
@@ -261,27 +275,27 @@
             .uri()
             .query()
             .map_or_else(String::new, |query| format!("?{query}"));
-        let parts: Vec<&str> = path.split('/').skip(1).collect();
-        match (request.method(), parts.as_slice()) {
+        let segments: Vec<&str> = path.split('/').skip(1).collect();
+        match (request.method(), segments.as_slice()) {
             (_, ["v1", "call", service, rest @ ..]) => {
                 let target = CallTarget {
                     service: (*service).into(),
                     path: format!("/{}{query}", rest.join("/")),
-                    alert: false,
+                    is_alert: false,
                 };
-                self.call(request, target).await
+                self.handle_call(request, target).await
             }
             (&Method::POST, ["v1", "watches", service, watch, "alerts"]) => {
                 let target = CallTarget {
                     service: (*service).into(),
                     path: format!("/watches/{watch}/alerts"),
-                    alert: true,
+                    is_alert: true,
                 };
-                self.call(request, target).await
+                self.handle_call(request, target).await
             }
             (_, ["v1", "jobs", rest @ ..]) => {
-                let rest: Vec<String> = rest.iter().map(|part| (*part).to_owned()).collect();
-                crate::job_calls::handle(&self.shared, request, &rest).await
+                let rest: Vec<String> = rest.iter().map(|segment| (*segment).to_owned()).collect();
+                crate::job_api::handle(&self.shared, request, &rest).await
             }
             (&Method::GET, ["readyz"]) if self.shared.leaving.get() => {
                 empty_reply(StatusCode::SERVICE_UNAVAILABLE)
@@ -294,7 +308,7 @@
                     path.as_str(),
                     "no such path",
                 );
-                refusal(&error, RunOutcome::NotRun, None)
+                error_reply_with_outcome(&error, RunOutcome::NotRun, None)
             }
         }
     }
--- a/crates/wax-route/src/headers.rs
+++ b/crates/wax-route/src/headers.rs
@@ -15,10 +15,10 @@
 pub(crate) const RETRY_AFTER_MS: &str = "waxwing-retry-after-ms";
 
 /// The longest idempotency key, in bytes.
-const KEY_BYTES: usize = 200;
+const MAX_KEY_BYTES: usize = 200;
 
 /// Fields that concern one connection only, and those that an entry sets itself.
-const HOP_FIELDS: &[&str] = &[
+const NOT_FORWARDED: &[&str] = &[
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -34,85 +34,86 @@
 
 /// How a request may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum RepeatClass {
+pub(crate) enum RetrySafety {
     /// Running it twice does no harm: it may be retried and hedged.
     Idempotent,
     /// It is retried only where it surely did not run.
-    OnceByMethod,
+    OnlyIfNotRun,
     /// At most once, across callers that ask again: its key is reserved in the table.
-    OnceByKey,
+    AtMostOnceByKey,
 }
 
 /// What a caller says of its request.
 #[derive(Debug)]
-pub(crate) struct CallerFields {
+pub(crate) struct CallerHeaders {
     pub(crate) team: Box<str>,
     pub(crate) deadline: Option<Duration>,
-    pub(crate) repeat: RepeatClass,
-    pub(crate) key: Option<Box<str>>,
+    pub(crate) retry_safety: RetrySafety,
+    pub(crate) idempotency_key: Option<Box<str>>,
     pub(crate) trace: Option<TraceContext>,
 }
 
-impl CallerFields {
+impl CallerHeaders {
     /// Reads the fields.
     ///
     /// # Errors
     ///
     /// A field is missing or malformed; the error names it.
-    pub(crate) fn read(method: &Method, headers: &HeaderMap) -> Result<Self, WaxError> {
-        let team = text(headers, TEAM)?.ok_or_else(|| {
-            invalid(TEAM, "the field is missing").with_help("name your team in it")
+    pub(crate) fn parse(method: &Method, headers: &HeaderMap) -> Result<Self, WaxError> {
+        let team = header_text(headers, TEAM)?.ok_or_else(|| {
+            invalid_field(TEAM, "the field is missing").with_help("name your team in it")
         })?;
-        let deadline = match text(headers, DEADLINE)? {
+        let deadline = match header_text(headers, DEADLINE)? {
             None => None,
             Some(value) => Some(parse_deadline(value)?),
         };
-        let key = read_key(headers)?;
-        let marked = match text(headers, NON_IDEMPOTENT)? {
+        let idempotency_key = parse_idempotency_key(headers)?;
+        let non_idempotent = match header_text(headers, NON_IDEMPOTENT)? {
             None | Some("false") => false,
             Some("true") => true,
-            Some(_) => return Err(invalid(NON_IDEMPOTENT, "expected true or false")),
+            Some(_) => return Err(invalid_field(NON_IDEMPOTENT, "expected true or false")),
         };
-        let repeat = match (marked, method.is_idempotent()) {
-            (true, _) => RepeatClass::OnceByKey,
-            (false, true) => RepeatClass::Idempotent,
-            (false, false) => RepeatClass::OnceByMethod,
+        let retry_safety = match (non_idempotent, method.is_idempotent()) {
+            (true, _) => RetrySafety::AtMostOnceByKey,
+            (false, true) => RetrySafety::Idempotent,
+            (false, false) => RetrySafety::OnlyIfNotRun,
         };
-        if repeat == RepeatClass::OnceByKey && key.is_none() {
+        if retry_safety == RetrySafety::AtMostOnceByKey && idempotency_key.is_none() {
             return Err(
-                invalid(IDEMPOTENCY_KEY, "a non-idempotent request needs a key")
+                invalid_field(IDEMPOTENCY_KEY, "a non-idempotent request needs a key")
                     .with_help("send the same key each time you ask for the same effect"),
             );
         }
-        let trace = text(headers, TraceContext::HEADER)?.and_then(|value| value.parse().ok());
+        let trace =
+            header_text(headers, TraceContext::HEADER)?.and_then(|value| value.parse().ok());
         Ok(Self {
             team: team.into(),
             deadline,
-            repeat,
-            key,
+            retry_safety,
+            idempotency_key,
             trace,
         })
     }
 }
 
-pub(crate) fn invalid(field: &str, label: &str) -> WaxError {
+pub(crate) fn invalid_field(field: &str, label: &str) -> WaxError {
     WaxError::new(ErrorKind::Invalid, Step::ParseRequest, field, label)
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, WaxError> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, WaxError> {
     match headers.get(name) {
         None => Ok(None),
         Some(value) => value
             .to_str()
             .map(Some)
-            .map_err(|_| invalid(name, "expected visible ASCII")),
+            .map_err(|_| invalid_field(name, "expected visible ASCII")),
     }
 }
 
 fn parse_deadline(value: &str) -> Result<Duration, WaxError> {
     match value.parse::<u32>() {
         Ok(millis) if (1..=600_000).contains(&millis) => Ok(Duration::from_millis(millis.into())),
-        _ => Err(invalid(DEADLINE, "expected 1 to 600000 milliseconds")),
+        _ => Err(invalid_field(DEADLINE, "expected 1 to 600000 milliseconds")),
     }
 }
 
@@ -121,20 +122,21 @@
 /// # Errors
 ///
 /// The key is empty, too long, or not visible ASCII.
-pub(crate) fn read_key(headers: &HeaderMap) -> Result<Option<Box<str>>, WaxError> {
-    match text(headers, IDEMPOTENCY_KEY)? {
-        Some(key) if key.is_empty() || key.len() > KEY_BYTES => {
-            Err(invalid(IDEMPOTENCY_KEY, "expected 1 to 200 characters"))
-        }
+pub(crate) fn parse_idempotency_key(headers: &HeaderMap) -> Result<Option<Box<str>>, WaxError> {
+    match header_text(headers, IDEMPOTENCY_KEY)? {
+        Some(key) if key.is_empty() || key.len() > MAX_KEY_BYTES => Err(invalid_field(
+            IDEMPOTENCY_KEY,
+            "expected 1 to 200 characters",
+        )),
         key => Ok(key.map(Box::from)),
     }
 }
 
 /// The fields that go on to the upstream or to the caller.
-pub(crate) fn forwarded(headers: &HeaderMap) -> Vec<HeaderField> {
+pub(crate) fn forwarded_headers(headers: &HeaderMap) -> Vec<HeaderField> {
     headers
         .iter()
-        .filter(|(name, _)| !HOP_FIELDS.contains(&name.as_str()))
+        .filter(|(name, _)| !NOT_FORWARDED.contains(&name.as_str()))
         .map(|(name, value)| HeaderField {
             name: name.as_str().to_owned(),
             value: Bytes::copy_from_slice(value.as_bytes()),
--- a/crates/wax-route/src/once.rs
+++ b/crates/wax-route/src/idempotency.rs
@@ -9,12 +9,12 @@
 use wax_types::{ErrorKind, RowVersion, RunOutcome, Step, TimePoint, WaxError, wall_clock_ms};
 
 /// How long the outcome of a request is offered to the table.
-const RECORD_LIMIT: Duration = Duration::from_secs(30);
+const RECORD_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Where a key stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(crate) enum OnceState {
+pub(crate) enum IdempotencyState {
     /// An entry holds it and may dispatch or have dispatched.
     Reserved,
     /// The request ran and was answered.
@@ -27,8 +27,8 @@
 
 /// The row of one key.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub(crate) struct OnceRow {
-    pub(crate) state: OnceState,
+pub(crate) struct IdempotencyRow {
+    pub(crate) state: IdempotencyState,
     /// The entry that reserved it.
     pub(crate) entry: Box<str>,
     /// Drawn for this reservation.
@@ -39,18 +39,18 @@
 
 /// A key that this request holds.
 #[derive(Debug)]
-pub(crate) struct OnceHold {
+pub(crate) struct IdempotencyLock {
     key: Box<str>,
     version: RowVersion,
-    row: OnceRow,
+    row: IdempotencyRow,
 }
 
 /// What came of a reservation.
-pub(crate) enum ReserveChoice {
+pub(crate) enum ReserveResult {
     /// This request may be dispatched.
-    Held(OnceHold),
+    Acquired(IdempotencyLock),
     /// An earlier request with the key ran, or may have run.
-    Repeated(OnceState),
+    Repeated(IdempotencyState),
     /// The table cannot be asked; nothing was dispatched.
     Unavailable(WaxError),
 }
@@ -62,16 +62,16 @@
 }
 
 /// Reserves a key by one insert-if-absent.
-pub(crate) async fn reserve(
+pub(crate) async fn reserve_key(
     shared: &Rc<EntryShared>,
     team: &str,
     service: &str,
     key: &str,
     deadline: TimePoint,
-) -> ReserveChoice {
+) -> ReserveResult {
     let key = row_key(team, service, key);
-    let row = OnceRow {
-        state: OnceState::Reserved,
+    let row = IdempotencyRow {
+        state: IdempotencyState::Reserved,
         entry: shared.name.clone(),
         nonce: fastrand::u64(1..),
         at_ms: wall_clock_ms(),
@@ -83,49 +83,54 @@
         transaction.put(key.clone(), version, &row);
         match shared.writer.commit(transaction, deadline).await {
             CommitOutcome::Committed(version) => {
-                return ReserveChoice::Held(OnceHold { key, version, row });
+                return ReserveResult::Acquired(IdempotencyLock { key, version, row });
+            }
+            CommitOutcome::NotSent(error) => {
+                return ReserveResult::Unavailable(unavailable_error(error));
             }
-            CommitOutcome::NotSent(error) => return ReserveChoice::Unavailable(unavailable(error)),
             CommitOutcome::Unknown(error) => {
-                let doubtful = (key, row);
-                compio::runtime::spawn(release_doubtful(shared.clone(), doubtful)).detach();
-                return ReserveChoice::Unavailable(unavailable(error));
+                let indeterminate = (key, row);
+                compio::runtime::spawn(release_indeterminate(shared.clone(), indeterminate))
+                    .detach();
+                return ReserveResult::Unavailable(unavailable_error(error));
             }
             CommitOutcome::Conflict(_) => {}
         }
-        let left = deadline.since(shared.clock.now());
-        let Ok(found) = timeout(left, shared.table.read::<OnceRow>(&key)).await else {
+        let time_left = deadline.since(shared.clock.now());
+        let Ok(found) = timeout(time_left, shared.table.read::<IdempotencyRow>(&key)).await else {
             let kind = ErrorKind::Unavailable(Duration::from_secs(1));
             let text = "the table did not answer in time";
             let error = WaxError::new(kind, Step::ReserveKey, "table", text);
-            return ReserveChoice::Unavailable(unavailable(error));
+            return ReserveResult::Unavailable(unavailable_error(error));
         };
         match found {
-            Ok(Some(found)) if found.value.state == OnceState::Released => version = found.version,
-            Ok(Some(found)) => return ReserveChoice::Repeated(found.value.state),
+            Ok(Some(found)) if found.value.state == IdempotencyState::Released => {
+                version = found.version
+            }
+            Ok(Some(found)) => return ReserveResult::Repeated(found.value.state),
             Ok(None) => version = RowVersion::default(),
-            Err(error) => return ReserveChoice::Unavailable(unavailable(error)),
+            Err(error) => return ReserveResult::Unavailable(unavailable_error(error)),
         }
     }
-    ReserveChoice::Repeated(OnceState::Reserved)
+    ReserveResult::Repeated(IdempotencyState::Reserved)
 }
 
-fn unavailable(error: WaxError) -> WaxError {
+fn unavailable_error(error: WaxError) -> WaxError {
     let after = error.retry_after().unwrap_or(Duration::from_secs(1));
     let kind = ErrorKind::Unavailable(after);
     WaxError::new(kind, Step::ReserveKey, "table", error.label)
         .with_help("ask again with the same key")
 }
 
-impl OnceHold {
+impl IdempotencyLock {
     /// Records how the request ended; a key that did not run is free again.
     pub(crate) fn record(self, shared: &Rc<EntryShared>, outcome: RunOutcome) {
         let shared = shared.clone();
         compio::runtime::spawn(async move {
             let state = match outcome {
-                RunOutcome::Ran => OnceState::Ran,
-                RunOutcome::NotRun => OnceState::Released,
-                RunOutcome::Unknown => OnceState::Unknown,
+                RunOutcome::Ran => IdempotencyState::Ran,
+                RunOutcome::NotRun => IdempotencyState::Released,
+                RunOutcome::Unknown => IdempotencyState::Unknown,
             };
             write_state(&shared, self.key, self.version, self.row, state).await;
         })
@@ -137,13 +142,13 @@
     shared: &EntryShared,
     key: Box<str>,
     version: RowVersion,
-    mut row: OnceRow,
-    state: OnceState,
+    mut row: IdempotencyRow,
+    state: IdempotencyState,
 ) {
     row.state = state;
     let mut transaction = TableTransaction::default();
     transaction.put(key.clone(), version, &row);
-    let deadline = shared.clock.now() + RECORD_LIMIT;
+    let deadline = shared.clock.now() + RECORD_TIMEOUT;
     let outcome = shared.writer.commit(transaction, deadline).await;
     if !matches!(outcome, CommitOutcome::Committed(_)) {
         // The key stays reserved: a caller that asks again is told "unknown", which is safe.
@@ -152,13 +157,14 @@
 }
 
 /// A reservation whose fate is open was never dispatched: once it shows, it is released.
-async fn release_doubtful(shared: Rc<EntryShared>, (key, row): (Box<str>, OnceRow)) {
-    let end = shared.clock.now() + RECORD_LIMIT;
+async fn release_indeterminate(shared: Rc<EntryShared>, (key, row): (Box<str>, IdempotencyRow)) {
+    let end = shared.clock.now() + RECORD_TIMEOUT;
     while shared.clock.now() < end {
         compio::time::sleep(Duration::from_secs(1)).await;
-        if let Ok(Some(found)) = shared.table.read::<OnceRow>(&key).await {
-            if found.value.nonce == row.nonce && found.value.state == OnceState::Reserved {
-                return write_state(&shared, key, found.version, row, OnceState::Released).await;
+        if let Ok(Some(found)) = shared.table.read::<IdempotencyRow>(&key).await {
+            if found.value.nonce == row.nonce && found.value.state == IdempotencyState::Reserved {
+                return write_state(&shared, key, found.version, row, IdempotencyState::Released)
+                    .await;
             }
             return;
         }
--- a/crates/wax-route/src/job_calls.rs
+++ b/crates/wax-route/src/job_api.rs
@@ -1,6 +1,6 @@
 //! Jobs over HTTP: submit, show, result, cancel.
 
-use crate::headers::{IDEMPOTENCY_KEY, TEAM, invalid, read_key};
+use crate::headers::{IDEMPOTENCY_KEY, TEAM, invalid_field, parse_idempotency_key};
 use crate::process::EntryShared;
 use http::{Method, Response, StatusCode};
 use serde::{Deserialize, Serialize};
@@ -9,9 +9,9 @@
 use wax_http::{HttpReply, HttpRequest, ReplyBody, error_reply, json_reply, parse_json};
 use wax_types::{ErrorKind, JobId, Step, WaxError};
 
-const BODY_LIMIT: usize = 1 << 20;
+const MAX_BODY_BYTES: usize = 1 << 20;
 /// How long a submission or a cancellation is offered to the table.
-const COMMIT_SPAN: Duration = Duration::from_secs(3);
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Answer to a submission.
 #[derive(Debug, Serialize, Deserialize)]
@@ -30,7 +30,7 @@
         (&Method::POST, []) => submit(shared, request).await,
         (&Method::GET, [job]) => show(shared, job).await,
         (&Method::DELETE, [job]) => cancel(shared, job).await,
-        (&Method::GET, [job, "tasks", index, "result"]) => result_of(shared, job, index).await,
+        (&Method::GET, [job, "tasks", index, "result"]) => task_result(shared, job, index).await,
         _ => Err(WaxError::new(
             ErrorKind::NotFound,
             Step::ParseRequest,
@@ -47,9 +47,9 @@
         .get(TEAM)
         .and_then(|value| value.to_str().ok())
         .map(str::to_owned)
-        .ok_or_else(|| invalid(TEAM, "the field is missing"))?;
-    let key = read_key(request.headers())?.ok_or_else(|| {
-        invalid(IDEMPOTENCY_KEY, "the field is missing")
+        .ok_or_else(|| invalid_field(TEAM, "the field is missing"))?;
+    let key = parse_idempotency_key(request.headers())?.ok_or_else(|| {
+        invalid_field(IDEMPOTENCY_KEY, "the field is missing")
             .with_help("send the same key again to get the same job")
     })?;
     if !shared.settings_loaded.get() {
@@ -57,11 +57,11 @@
         let text = "no version of the settings has arrived yet";
         return Err(WaxError::new(kind, Step::SubmitJob, &*shared.name, text));
     }
-    let body = parse_json(request, BODY_LIMIT).await?;
+    let body = parse_json(request, MAX_BODY_BYTES).await?;
     let tree = shared.settings.tree();
-    let deadline = shared.clock.now() + COMMIT_SPAN;
+    let deadline = shared.clock.now() + COMMIT_TIMEOUT;
     let job = shared
-        .desk
+        .job_service
         .submit(&tree, &team, body, &key, deadline)
         .await?;
     let mut reply = json_reply(StatusCode::ACCEPTED, &SubmitReply { job });
@@ -71,27 +71,27 @@
     Ok(reply)
 }
 
-fn parse_job(text: &str) -> Result<JobId, WaxError> {
+fn parse_job_id(text: &str) -> Result<JobId, WaxError> {
     text.parse()
         .map_err(|error| WaxError::new(ErrorKind::Invalid, Step::ReadJob, text, error))
 }
 
 async fn show(shared: &EntryShared, job: &str) -> Result<HttpReply, WaxError> {
-    let view = shared.desk.show(parse_job(job)?).await?;
+    let view = shared.job_service.show(parse_job_id(job)?).await?;
     Ok(json_reply(StatusCode::OK, &view))
 }
 
 async fn cancel(shared: &EntryShared, job: &str) -> Result<HttpReply, WaxError> {
-    let job = parse_job(job)?;
-    let deadline = shared.clock.now() + COMMIT_SPAN;
-    shared.desk.cancel(job, deadline).await?;
+    let job = parse_job_id(job)?;
+    let deadline = shared.clock.now() + COMMIT_TIMEOUT;
+    shared.job_service.cancel(job, deadline).await?;
     Ok(json_reply(StatusCode::ACCEPTED, &SubmitReply { job }))
 }
 
-async fn result_of(shared: &EntryShared, job: &str, index: &str) -> Result<HttpReply, WaxError> {
+async fn task_result(shared: &EntryShared, job: &str, index: &str) -> Result<HttpReply, WaxError> {
     let index = index
         .parse()
         .map_err(|error| WaxError::new(ErrorKind::Invalid, Step::ReadJob, index, error))?;
-    let bytes = shared.desk.result(parse_job(job)?, index).await?;
+    let bytes = shared.job_service.result(parse_job_id(job)?, index).await?;
     Ok(Response::new(ReplyBody::whole(bytes)))
 }
--- a/crates/wax-route/src/lib.rs
+++ b/crates/wax-route/src/lib.rs
@@ -3,19 +3,19 @@
 //! Modules by life span: `process` lives as long as the daemon, `peer_link` as long as the
 //! connection to one sidecar, `request` and what it uses as long as one request.
 
-mod answer;
 mod attempts;
-mod body_pump;
+mod body_forwarder;
 mod callers;
 mod headers;
-mod job_calls;
-mod once;
+mod idempotency;
+mod job_api;
 mod operators;
 mod peer_link;
 mod peers;
 mod process;
 mod request;
-mod settings_calls;
+mod response;
+mod settings_api;
 mod settings_sync;
 mod status;
 
--- a/crates/wax-route/src/operators.rs
+++ b/crates/wax-route/src/operators.rs
@@ -1,7 +1,7 @@
 //! What operators may ask: status, settings, usage.
 
 use crate::process::EntryShared;
-use crate::settings_calls;
+use crate::settings_api;
 use crate::status::entry_status;
 use http::{Method, StatusCode};
 use serde::{Deserialize, Serialize};
@@ -11,7 +11,7 @@
 use wax_types::{ErrorKind, Step, WaxError, wall_clock_ms};
 
 /// Days of usage that may be asked for at once.
-const MOST_DAYS: u64 = 400;
+const MAX_DAYS: u64 = 400;
 
 /// Calls about a failure domain begin with it.
 const DOMAINS_PATH: &str = "/v1/domains/";
@@ -44,10 +44,10 @@
 
     async fn usage(&self, request: &HttpRequest) -> Result<HttpReply, WaxError> {
         let today = day_of(wall_clock_ms());
-        let from = number_of(request, "from_day")?.unwrap_or(today);
-        let to = number_of(request, "to_day")?.unwrap_or(today);
-        if to < from || to - from > MOST_DAYS {
-            let text = format!("expected a span of at most {MOST_DAYS} days, first day first");
+        let from = query_number(request, "from_day")?.unwrap_or(today);
+        let to = query_number(request, "to_day")?.unwrap_or(today);
+        if to < from || to - from > MAX_DAYS {
+            let text = format!("expected a span of at most {MAX_DAYS} days, first day first");
             let kind = ErrorKind::Invalid;
             return Err(WaxError::new(
                 kind,
@@ -60,7 +60,7 @@
         for entry in read_days(&self.shared.objects, from, to).await? {
             sum.add(&entry);
         }
-        let team = query_of(request, "team");
+        let team = query_value(request, "team");
         let rows = sum
             .rows()
             .into_iter()
@@ -76,7 +76,7 @@
 
     /// Why the tasks of a job stand where they stand, for the shards owned here.
     fn explain(&self, request: &HttpRequest) -> Result<HttpReply, WaxError> {
-        let text = query_of(request, "job").unwrap_or_default();
+        let text = query_value(request, "job").unwrap_or_default();
         let job = text
             .parse()
             .map_err(|error| WaxError::new(ErrorKind::Invalid, Step::ReadJob, text, error))?;
@@ -110,17 +110,17 @@
         Ok(json_reply(StatusCode::OK, &reply))
     }
 
-    async fn answer(&self, request: HttpRequest) -> Result<HttpReply, WaxError> {
+    async fn route(&self, request: HttpRequest) -> Result<HttpReply, WaxError> {
         let shared = &self.shared;
         let path = request.uri().path().to_owned();
         match (request.method(), path.as_str()) {
             (&Method::GET, "/v1/status") => Ok(json_reply(StatusCode::OK, &entry_status(shared))),
-            (&Method::GET, "/v1/settings") => settings_calls::get(shared).await,
-            (&Method::POST, "/v1/settings") => settings_calls::change(shared, request).await,
-            (&Method::GET, "/v1/settings/log") => settings_calls::log(shared).await,
+            (&Method::GET, "/v1/settings") => settings_api::get(shared).await,
+            (&Method::POST, "/v1/settings") => settings_api::change(shared, request).await,
+            (&Method::GET, "/v1/settings/log") => settings_api::log(shared).await,
             (&Method::GET, "/v1/settings/explain") => {
-                let node = query_of(&request, "path").unwrap_or("/").to_owned();
-                settings_calls::explain(shared, &node).await
+                let node = query_value(&request, "path").unwrap_or("/").to_owned();
+                settings_api::explain(shared, &node).await
             }
             (&Method::GET, "/v1/explain") => self.explain(&request),
             (&Method::GET, "/v1/usage") => self.usage(&request).await,
@@ -138,7 +138,7 @@
                     .filter(|part| !part.is_empty())
                     .map(str::to_owned)
                     .collect();
-                Ok(crate::job_calls::handle(shared, request, &rest).await)
+                Ok(crate::job_api::handle(shared, request, &rest).await)
             }
             (_, path) => {
                 let kind = ErrorKind::NotFound;
@@ -153,7 +153,7 @@
     }
 }
 
-fn query_of<'a>(request: &'a HttpRequest, name: &str) -> Option<&'a str> {
+fn query_value<'a>(request: &'a HttpRequest, name: &str) -> Option<&'a str> {
     request
         .uri()
         .query()?
@@ -163,8 +163,8 @@
         .map(|(_, value)| value)
 }
 
-fn number_of(request: &HttpRequest, name: &str) -> Result<Option<u64>, WaxError> {
-    match query_of(request, name) {
+fn query_number(request: &HttpRequest, name: &str) -> Result<Option<u64>, WaxError> {
+    match query_value(request, name) {
         None => Ok(None),
         Some(text) => text
             .parse()
@@ -175,7 +175,7 @@
 
 impl HttpHandler for OperatorHandler {
     async fn handle(&self, request: HttpRequest) -> HttpReply {
-        match self.answer(request).await {
+        match self.route(request).await {
             Ok(reply) => reply,
             Err(error) => error_reply(&error),
         }
--- a/crates/wax-route/src/peer_link.rs
+++ b/crates/wax-route/src/peer_link.rs
@@ -18,34 +18,34 @@
     FrameReader, LoadReport, PeerBody, PeerHello, PeerList, SettingsAck, SettingsPush, split_stream,
 };
 
-const GREETING_LIMIT: Duration = Duration::from_secs(2);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 /// A sidecar that says nothing for this long is taken for dead; it speaks every second.
-const SILENCE_LIMIT: Duration = Duration::from_secs(4);
-const HEARTBEAT: Duration = Duration::from_secs(1);
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
+const HEARTBEAT_PERIOD: Duration = Duration::from_secs(1);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Accepts sidecars for as long as the process lives.
 pub(crate) async fn accept_peers(shared: Rc<EntryShared>, listener: TcpListener) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => spawn(serve_peer(shared.clone(), stream)).detach(),
-            Err(_) => sleep(ACCEPT_PAUSE).await,
+            Ok((stream, _)) => spawn(handle_connection(shared.clone(), stream)).detach(),
+            Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
 /// Says the version in force every second, and the addresses of all entries where they change.
-pub(crate) async fn beat_peers(shared: Rc<EntryShared>) {
-    let mut said = Vec::new();
+pub(crate) async fn send_heartbeats(shared: Rc<EntryShared>) {
+    let mut sent_addresses = Vec::new();
     loop {
-        sleep(HEARTBEAT).await;
+        sleep(HEARTBEAT_PERIOD).await;
         let version = shared.settings.version().0;
         shared
             .peers
             .send_all(&PeerBody::SettingsAck(SettingsAck { version }));
         let addresses = shared.entry_addresses();
-        if addresses != said {
-            said.clone_from(&addresses);
+        if addresses != sent_addresses {
+            sent_addresses.clone_from(&addresses);
             shared
                 .peers
                 .send_all(&PeerBody::Peers(PeerList { addresses }));
@@ -53,20 +53,20 @@
     }
 }
 
-async fn serve_peer(shared: Rc<EntryShared>, stream: TcpStream) {
+async fn handle_connection(shared: Rc<EntryShared>, stream: TcpStream) {
     // Small frames must not wait for acknowledgements.
     let _ = stream.set_nodelay(true);
     let address = stream
         .peer_addr()
         .map_or_else(|_| "unknown".to_owned(), |address| address.to_string());
     let (mut reader, mut writer) = split_stream(stream);
-    let greeting = async {
+    let handshake = async {
         let hello = reader.read().await?;
-        writer.write(PeerBody::Hello(shared.hello())).await?;
+        writer.write(PeerBody::Hello(shared.own_hello())).await?;
         Ok::<_, std::io::Error>(hello)
     };
-    let hello = match timeout(GREETING_LIMIT, greeting).await {
-        Ok(Ok(Some(PeerBody::Hello(hello)))) if hello_is_valid(&hello) => hello,
+    let hello = match timeout(HANDSHAKE_TIMEOUT, handshake).await {
+        Ok(Ok(Some(PeerBody::Hello(hello)))) if is_valid_hello(&hello) => hello,
         other => {
             let reason = match other {
                 Err(_) => "no greeting in time".to_owned(),
@@ -85,7 +85,7 @@
     tracing::info!(sidecar = %peer.hello.name, %reason, "sidecar disconnected");
 }
 
-fn hello_is_valid(hello: &PeerHello) -> bool {
+fn is_valid_hello(hello: &PeerHello) -> bool {
     hello.protocol == PeerHello::PROTOCOL
         && !hello.service.is_empty()
         && !hello.name.is_empty()
@@ -112,7 +112,7 @@
         hello,
         key,
         outbox,
-        settings: Cell::new(SettingsVersion::default()),
+        settings_version: Cell::new(SettingsVersion::default()),
         leaving: Cell::new(false),
     });
     shared.peers.add(peer.clone());
@@ -127,7 +127,7 @@
     count(Counter::LinksLost);
     shared.peers.remove(shared.clock.now(), peer.key);
     shared.routes.borrow_mut().remove(peer.key);
-    shared.attempts.break_link(peer.key);
+    shared.attempts.fail_link(peer.key);
 }
 
 /// Reads until the connection ends; says why it did.
@@ -137,26 +137,26 @@
     reader: &mut FrameReader,
 ) -> Box<str> {
     loop {
-        let frame = match timeout(SILENCE_LIMIT, reader.read()).await {
+        let frame = match timeout(HEARTBEAT_TIMEOUT, reader.read()).await {
             Ok(Ok(Some(frame))) => frame,
             Ok(Ok(None)) => return "closed by the sidecar".into(),
             Ok(Err(error)) => return error.to_string().into(),
             Err(_) => return "no heartbeat".into(),
         };
-        if let Err(reason) = take_frame(shared, peer, frame) {
+        if let Err(reason) = handle_frame(shared, peer, frame) {
             return reason.into();
         }
     }
 }
 
-fn take_frame(
+fn handle_frame(
     shared: &Rc<EntryShared>,
     peer: &PeerState,
     frame: PeerBody,
 ) -> Result<(), &'static str> {
     let attempts = &shared.attempts;
     match frame {
-        PeerBody::Load(report) => take_load(shared, peer, report),
+        PeerBody::Load(report) => handle_load(shared, peer, report),
         PeerBody::Response(head) => {
             attempts.deliver(peer.key, head.attempt, AttemptEvent::Response(head));
         }
@@ -173,14 +173,16 @@
         PeerBody::Credit(credit) => {
             attempts.deliver(peer.key, credit.attempt, AttemptEvent::Credit(credit.bytes));
         }
-        PeerBody::SettingsAck(ack) => take_ack(shared, peer, SettingsVersion(ack.version)),
-        PeerBody::Settings(push) => take_settings(shared, &push),
+        PeerBody::SettingsAck(ack) => {
+            handle_settings_ack(shared, peer, SettingsVersion(ack.version))
+        }
+        PeerBody::Settings(push) => handle_settings_push(shared, &push),
         _ => return Err("a frame that no sidecar sends"),
     }
     Ok(())
 }
 
-fn take_load(shared: &EntryShared, peer: &PeerState, report: LoadReport) {
+fn handle_load(shared: &EntryShared, peer: &PeerState, report: LoadReport) {
     peer.leaving.set(report.leaving);
     let load = UpstreamLoad {
         slots_used: report.slots_used,
@@ -194,19 +196,19 @@
 }
 
 /// A sidecar with a smaller version gets what it lacks.
-fn take_ack(shared: &EntryShared, peer: &PeerState, version: SettingsVersion) {
-    peer.settings.set(version);
-    shared.settings_acked.notify(usize::MAX);
+fn handle_settings_ack(shared: &EntryShared, peer: &PeerState, version: SettingsVersion) {
+    peer.settings_version.set(version);
+    shared.settings_progress.notify(usize::MAX);
     if version < shared.settings.version() {
-        let push = shared.settings_push(version);
+        let push = shared.build_settings_push(version);
         let _ = peer.outbox.unbounded_send(PeerBody::Settings(push));
     }
 }
 
 /// A sidecar has a greater version: this entry was cut off from the store.
-fn take_settings(shared: &Rc<EntryShared>, push: &SettingsPush) {
+fn handle_settings_push(shared: &Rc<EntryShared>, push: &SettingsPush) {
     if let ApplyChoice::Applied(version) = shared.settings.apply_json(&push.tree) {
         tracing::info!(%version, source = "sidecar", "settings in force");
-        shared.after_settings(None);
+        shared.publish_settings(None);
     }
 }
--- a/crates/wax-route/src/peers.rs
+++ b/crates/wax-route/src/peers.rs
@@ -14,15 +14,15 @@
     pub(crate) hello: PeerHello,
     pub(crate) key: UpstreamKey,
     pub(crate) outbox: UnboundedSender<PeerBody>,
-    pub(crate) settings: Cell<SettingsVersion>,
+    pub(crate) settings_version: Cell<SettingsVersion>,
     pub(crate) leaving: Cell<bool>,
 }
 
 /// A sidecar that went away without saying that it leaves.
 #[derive(Debug, Clone)]
 pub(crate) struct LostPeer {
-    pub(crate) since: TimePoint,
-    pub(crate) settings: SettingsVersion,
+    pub(crate) lost_at: TimePoint,
+    pub(crate) settings_version: SettingsVersion,
 }
 
 /// All sidecars, by upstream key, and those that were lost, by name.
@@ -49,8 +49,8 @@
             .any(|other| other.hello.name == peer.hello.name);
         if !peer.leaving.get() && !replaced {
             let lost = LostPeer {
-                since: now,
-                settings: peer.settings.get(),
+                lost_at: now,
+                settings_version: peer.settings_version.get(),
             };
             self.lost
                 .borrow_mut()
@@ -63,9 +63,9 @@
     }
 
     /// The lost sidecars; those lost before `oldest` are forgotten.
-    pub(crate) fn lost(&self, oldest: TimePoint) -> Vec<(Box<str>, LostPeer)> {
+    pub(crate) fn recently_lost(&self, oldest: TimePoint) -> Vec<(Box<str>, LostPeer)> {
         let mut lost = self.lost.borrow_mut();
-        lost.retain(|_, peer| peer.since >= oldest);
+        lost.retain(|_, peer| peer.lost_at >= oldest);
         lost.iter()
             .map(|(name, peer)| (name.clone(), peer.clone()))
             .collect()
--- a/crates/wax-route/src/process.rs
+++ b/crates/wax-route/src/process.rs
@@ -3,9 +3,9 @@
 use crate::attempts::AttemptTable;
 use crate::callers::CallerHandler;
 use crate::operators::OperatorHandler;
-use crate::peer_link::{accept_peers, beat_peers};
+use crate::peer_link::{accept_peers, send_heartbeats};
 use crate::peers::PeerTable;
-use crate::settings_sync::{keep_settings, load_settings};
+use crate::settings_sync::{load_settings, poll_settings};
 use compio::net::TcpListener;
 use compio::runtime::spawn;
 use event_listener::Event;
@@ -24,7 +24,7 @@
 use wax_wire::{PeerHello, SettingsPush};
 
 /// For how long callers may still come after this entry has said that it leaves.
-const LEAVE_NOTICE: Duration = Duration::from_millis(300);
+const LISTENER_CLOSE_DELAY: Duration = Duration::from_millis(300);
 
 /// The entry daemon.
 pub struct EntryProcess {
@@ -46,9 +46,9 @@
     /// Membership.
     pub members: MemberHandle,
     /// The settings tree in force, shared with the shards.
-    pub tree: SettingsHolder,
+    pub settings: SettingsHolder,
     /// Submissions.
-    pub desk: JobDesk,
+    pub job_service: JobDesk,
     /// Shards owned by this process.
     pub coordinator: CoordinatorHandle,
     /// Failure domains that get nothing new.
@@ -62,10 +62,10 @@
     pub(crate) failure_domain: Box<str>,
     pub(crate) peers_address: SocketAddr,
     pub(crate) clock: ProcessClock,
-    pub(crate) started: wax_types::TimePoint,
+    pub(crate) started_at: wax_types::TimePoint,
     pub(crate) settings: SettingsHolder,
     pub(crate) settings_loaded: Cell<bool>,
-    pub(crate) settings_acked: Event,
+    pub(crate) settings_progress: Event,
     pub(crate) last_delta: RefCell<Option<TreeDelta>>,
     pub(crate) teams: RefCell<TeamTable>,
     pub(crate) routes: RefCell<RouteTable>,
@@ -75,7 +75,7 @@
     pub(crate) writer: GroupWriter,
     pub(crate) objects: ObjectClient,
     pub(crate) members: MemberHandle,
-    pub(crate) desk: JobDesk,
+    pub(crate) job_service: JobDesk,
     pub(crate) coordinator: CoordinatorHandle,
     pub(crate) drains: DomainDrains,
     pub(crate) policy: RoutePolicy,
@@ -99,10 +99,10 @@
             failure_domain: daemon.failure_domain.clone(),
             peers_address: peers.local_addr().unwrap_or(options.peers),
             clock,
-            started: clock.now(),
-            settings: services.tree,
+            started_at: clock.now(),
+            settings: services.settings,
             settings_loaded: Cell::new(false),
-            settings_acked: Event::new(),
+            settings_progress: Event::new(),
             last_delta: RefCell::default(),
             teams: RefCell::new(TeamTable::new(options.max_requests)),
             routes: RefCell::default(),
@@ -112,7 +112,7 @@
             writer: services.writer,
             objects: services.objects,
             members: services.members,
-            desk: services.desk,
+            job_service: services.job_service,
             coordinator: services.coordinator,
             drains: services.drains,
             policy: services.policy,
@@ -133,10 +133,10 @@
     pub async fn run(self, shutdown: ShutdownSignal) {
         let shared = self.shared;
         spawn(accept_peers(shared.clone(), self.peers)).detach();
-        spawn(beat_peers(shared.clone())).detach();
+        spawn(send_heartbeats(shared.clone())).detach();
         spawn(shared.drains.clone().keep()).detach();
         load_settings(&shared).await;
-        spawn(keep_settings(shared.clone(), self.poll)).detach();
+        spawn(poll_settings(shared.clone(), self.poll)).detach();
         let stop_callers = ShutdownSignal::default();
         let callers = Rc::new(CallerHandler::new(shared.clone()));
         let operators = Rc::new(OperatorHandler::new(shared.clone()));
@@ -149,7 +149,7 @@
         shared.leaving.set(true);
         shared.members.note_leaving();
         tracing::info!(attempts = shared.attempts.len(), "leaving");
-        compio::time::sleep(LEAVE_NOTICE).await;
+        compio::time::sleep(LISTENER_CLOSE_DELAY).await;
         stop_callers.raise();
         // A connection task that panicked has nothing left to finish.
         let _ = callers.await;
@@ -158,7 +158,7 @@
 }
 
 impl EntryShared {
-    pub(crate) fn hello(&self) -> PeerHello {
+    pub(crate) fn own_hello(&self) -> PeerHello {
         PeerHello {
             protocol: PeerHello::PROTOCOL,
             incarnation: self.members.own_row().incarnation.0,
@@ -184,7 +184,7 @@
     }
 
     /// What a process with `version` lacks: the last delta if that is enough, else the tree.
-    pub(crate) fn settings_push(&self, version: SettingsVersion) -> SettingsPush {
+    pub(crate) fn build_settings_push(&self, version: SettingsVersion) -> SettingsPush {
         let own = self.settings.version();
         let delta = self.last_delta.borrow();
         let delta = delta
@@ -205,18 +205,18 @@
     }
 
     /// Tells all sidecars and the membership row of a version that is in force here now.
-    pub(crate) fn after_settings(&self, delta: Option<TreeDelta>) {
+    pub(crate) fn publish_settings(&self, delta: Option<TreeDelta>) {
         *self.last_delta.borrow_mut() = delta;
         self.settings_loaded.set(true);
         self.members.note_settings(self.settings.version());
         for peer in self.peers.all() {
-            if peer.settings.get() < self.settings.version() {
-                let push = self.settings_push(peer.settings.get());
+            if peer.settings_version.get() < self.settings.version() {
+                let push = self.build_settings_push(peer.settings_version.get());
                 let _ = peer
                     .outbox
                     .unbounded_send(wax_wire::PeerBody::Settings(push));
             }
         }
-        self.settings_acked.notify(usize::MAX);
+        self.settings_progress.notify(usize::MAX);
     }
 }
--- a/crates/wax-route/src/request.rs
+++ b/crates/wax-route/src/request.rs
@@ -1,10 +1,10 @@
 //! One quick request: attempts, retries, a hedge, and exactly one final answer.
 
-use crate::answer::{AnswerParts, CollectStep, refusal};
 use crate::attempts::AttemptEvent;
-use crate::body_pump::{BodyCredit, BodyPump};
-use crate::headers::{CallerFields, RepeatClass};
+use crate::body_forwarder::{BodyCredit, BodyForwarder};
+use crate::headers::{CallerHeaders, RetrySafety};
 use crate::process::EntryShared;
+use crate::response::{BufferState, ResponseBuffer, error_reply_with_outcome};
 use bytes::Bytes;
 use compio::time::timeout;
 use futures_channel::mpsc::{UnboundedReceiver, UnboundedSender, unbounded};
@@ -19,60 +19,60 @@
 use wax_wire::{CancelRequest, HeaderField, NotRunAnswer, NotRunReason, PeerBody, RequestHead};
 
 /// Shortest time after which a caller is told to come back.
-const RETRY_FLOOR: Duration = Duration::from_millis(50);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// A request as it goes to an upstream, kept for further attempts.
-pub(crate) struct RequestParts {
-    pub(crate) fields: CallerFields,
+pub(crate) struct UpstreamRequest {
+    pub(crate) caller: CallerHeaders,
     pub(crate) service: Box<str>,
     pub(crate) method: String,
     pub(crate) path: String,
     pub(crate) headers: Vec<HeaderField>,
     /// The start of the body, sent with each attempt.
-    pub(crate) first: Bytes,
+    pub(crate) body_start: Bytes,
     /// The rest, if there is one; sent once at most.
-    pub(crate) rest: Option<(Bytes, Incoming)>,
+    pub(crate) body_rest: Option<(Bytes, Incoming)>,
     pub(crate) body_complete: bool,
-    pub(crate) body_limit: u64,
+    pub(crate) max_body_bytes: u64,
     pub(crate) deadline: TimePoint,
     pub(crate) trace: TraceContext,
 }
 
 /// An attempt under way; dropping it cancels it.
-pub(crate) struct LiveAttempt {
+pub(crate) struct InFlightAttempt {
     shared: Rc<EntryShared>,
     key: AttemptKey,
     upstream: UpstreamKey,
-    sent: TimePoint,
+    sent_at: TimePoint,
     ended: bool,
-    place: Option<Rc<PlaceGuard>>,
+    admission: Option<Rc<AdmissionGuard>>,
 }
 
 /// A team's place, given back when the last attempt and the request are gone.
-pub(crate) struct PlaceGuard {
+pub(crate) struct AdmissionGuard {
     shared: Rc<EntryShared>,
     team: TeamKey,
-    taken: TimePoint,
+    admitted_at: TimePoint,
 }
 
-impl PlaceGuard {
-    pub(crate) fn new(shared: Rc<EntryShared>, team: TeamKey, taken: TimePoint) -> Self {
+impl AdmissionGuard {
+    pub(crate) fn new(shared: Rc<EntryShared>, team: TeamKey, admitted_at: TimePoint) -> Self {
         Self {
             shared,
             team,
-            taken,
+            admitted_at,
         }
     }
 }
 
-impl Drop for PlaceGuard {
+impl Drop for AdmissionGuard {
     fn drop(&mut self) {
-        let held = self.shared.clock.now().since(self.taken);
-        self.shared.teams.borrow_mut().release(self.team, held);
+        let held_for = self.shared.clock.now().since(self.admitted_at);
+        self.shared.teams.borrow_mut().release(self.team, held_for);
     }
 }
 
-impl LiveAttempt {
+impl InFlightAttempt {
     pub(crate) fn key(&self) -> AttemptKey {
         self.key
     }
@@ -91,13 +91,13 @@
             .routes
             .borrow_mut()
             .end_attempt(now, self.upstream, end);
-        self.shared.attempts.close(self.key);
+        self.shared.attempts.remove(self.key);
     }
 
     /// Ends an attempt whose answer was taken to its end.
     pub(crate) fn finish(mut self) {
-        let time = self.shared.clock.now().since(self.sent);
-        self.end(AttemptEnd::Answered(time));
+        let elapsed = self.shared.clock.now().since(self.sent_at);
+        self.end(AttemptEnd::Answered(elapsed));
     }
 
     fn cancel(&self) {
@@ -110,40 +110,40 @@
     }
 }
 
-impl Drop for LiveAttempt {
+impl Drop for InFlightAttempt {
     fn drop(&mut self) {
         if !self.ended {
             self.cancel();
             self.end(AttemptEnd::Abandoned);
         }
-        self.place.take();
+        self.admission.take();
     }
 }
 
 /// What a request ended with.
-pub(crate) struct FinalAnswer {
+pub(crate) struct FinalResponse {
     pub(crate) reply: HttpReply,
     pub(crate) outcome: RunOutcome,
 }
 
 /// What the flow does after an event.
-enum FlowStep {
+enum FlowAction {
     Wait,
-    Done(FinalAnswer),
+    Finish(FinalResponse),
 }
 
 /// The flow of one request.
 pub(crate) struct RequestFlow {
     shared: Rc<EntryShared>,
-    parts: RequestParts,
-    place: Rc<PlaceGuard>,
-    live: Vec<LiveAttempt>,
-    tried: Vec<UpstreamKey>,
+    request: UpstreamRequest,
+    admission: Rc<AdmissionGuard>,
+    in_flight: Vec<InFlightAttempt>,
+    tried_upstreams: Vec<UpstreamKey>,
     /// Some attempt may have been executed.
-    maybe_run: bool,
-    last_refusal: Option<NotRunAnswer>,
-    answer: Option<(AttemptKey, AnswerParts)>,
-    credit: Option<Rc<BodyCredit>>,
+    may_have_run: bool,
+    last_not_run: Option<NotRunAnswer>,
+    response: Option<(AttemptKey, ResponseBuffer)>,
+    body_credit: Option<Rc<BodyCredit>>,
     sender: UnboundedSender<(AttemptKey, AttemptEvent)>,
     events: Option<UnboundedReceiver<(AttemptKey, AttemptEvent)>>,
     hedge_at: Option<TimePoint>,
@@ -151,27 +151,31 @@
 
 impl Drop for RequestFlow {
     fn drop(&mut self) {
-        if let Some(credit) = &self.credit
-            && self.answer.is_none()
+        if let Some(body_credit) = &self.body_credit
+            && self.response.is_none()
         {
-            credit.end();
+            body_credit.stop();
         }
     }
 }
 
 impl RequestFlow {
-    pub(crate) fn new(shared: Rc<EntryShared>, parts: RequestParts, place: PlaceGuard) -> Self {
+    pub(crate) fn new(
+        shared: Rc<EntryShared>,
+        request: UpstreamRequest,
+        admission: AdmissionGuard,
+    ) -> Self {
         let (sender, events) = unbounded();
         Self {
             shared,
-            parts,
-            place: Rc::new(place),
-            live: Vec::new(),
-            tried: Vec::new(),
-            maybe_run: false,
-            last_refusal: None,
-            answer: None,
-            credit: None,
+            request,
+            admission: Rc::new(admission),
+            in_flight: Vec::new(),
+            tried_upstreams: Vec::new(),
+            may_have_run: false,
+            last_not_run: None,
+            response: None,
+            body_credit: None,
             sender,
             events: Some(events),
             hedge_at: None,
@@ -179,43 +183,43 @@
     }
 
     /// Runs to the final answer.
-    pub(crate) async fn run(mut self) -> FinalAnswer {
-        if self.shared.clock.now() >= self.parts.deadline {
-            return self.give_up();
+    pub(crate) async fn run(mut self) -> FinalResponse {
+        if self.shared.clock.now() >= self.request.deadline {
+            return self.time_out();
         }
-        if let Some(answer) = self.send_attempt() {
-            return answer;
+        if let Some(response) = self.send_attempt() {
+            return response;
         }
         loop {
             let now = self.shared.clock.now();
-            if now >= self.parts.deadline {
-                return self.give_up();
+            if now >= self.request.deadline {
+                return self.time_out();
             }
-            let wake = self.hedge_at.unwrap_or(self.parts.deadline);
-            let wait = wake.min(self.parts.deadline).since(now);
+            let wake_at = self.hedge_at.unwrap_or(self.request.deadline);
+            let wait = wake_at.min(self.request.deadline).since(now);
             let next = match self.events.as_mut() {
                 Some(events) => timeout(wait, events.next()).await,
-                None => return self.give_up(),
+                None => return self.time_out(),
             };
             match next {
-                Err(_) => self.hedge(),
-                Ok(None) => return self.give_up(),
-                Ok(Some((key, event))) => match self.take_event(key, event) {
-                    FlowStep::Wait => {}
-                    FlowStep::Done(answer) => return answer,
+                Err(_) => self.send_hedge(),
+                Ok(None) => return self.time_out(),
+                Ok(Some((key, event))) => match self.handle_event(key, event) {
+                    FlowAction::Wait => {}
+                    FlowAction::Finish(response) => return response,
                 },
             }
         }
     }
 
     /// Sends one more attempt; gives the final answer where that cannot be done.
-    fn send_attempt(&mut self) -> Option<FinalAnswer> {
+    fn send_attempt(&mut self) -> Option<FinalResponse> {
         let now = self.shared.clock.now();
         let choice = self.shared.routes.borrow_mut().choose(
             now,
-            &self.parts.service,
-            self.parts.deadline,
-            &self.tried,
+            &self.request.service,
+            self.request.deadline,
+            &self.tried_upstreams,
             self.shared.policy,
             &mut self.shared.rng.borrow_mut(),
         );
@@ -224,77 +228,82 @@
                 self.send_to(now, upstream);
                 None
             }
-            RouteChoice::Late(after) => {
-                let kind = ErrorKind::Overload(after.max(RETRY_FLOOR));
-                Some(self.refuse(kind, "every upstream is busy past the deadline"))
+            RouteChoice::Late(delay) => {
+                let kind = ErrorKind::Overload(delay.max(MIN_RETRY_DELAY));
+                Some(self.finish_with_error(kind, "every upstream is busy past the deadline"))
             }
             RouteChoice::NoUpstream => {
                 let kind = ErrorKind::Unavailable(Duration::from_secs(1));
-                Some(self.refuse(kind, "no upstream of the service takes work"))
+                Some(self.finish_with_error(kind, "no upstream of the service takes work"))
             }
         }
     }
 
     fn send_to(&mut self, now: TimePoint, upstream: UpstreamKey) {
-        let key = self.shared.attempts.open(upstream, self.sender.clone());
+        let key = self.shared.attempts.register(upstream, self.sender.clone());
         let head = RequestHead {
             attempt: Some(key.into()),
-            method: self.parts.method.clone(),
-            path: self.parts.path.clone(),
+            method: self.request.method.clone(),
+            path: self.request.path.clone(),
             headers: self.attempt_headers(),
-            deadline_ms: self.parts.deadline.since(now).as_millis() as u32,
-            body: self.parts.first.clone(),
-            body_complete: self.parts.body_complete,
-            team: self.parts.fields.team.to_string(),
+            deadline_ms: self.request.deadline.since(now).as_millis() as u32,
+            body: self.request.body_start.clone(),
+            body_complete: self.request.body_complete,
+            team: self.request.caller.team.to_string(),
         };
         self.shared.routes.borrow_mut().begin_attempt(now, upstream);
-        self.tried.push(upstream);
-        self.live.push(LiveAttempt {
+        self.tried_upstreams.push(upstream);
+        self.in_flight.push(InFlightAttempt {
             shared: self.shared.clone(),
             key,
             upstream,
-            sent: now,
+            sent_at: now,
             ended: false,
-            place: Some(self.place.clone()),
+            admission: Some(self.admission.clone()),
         });
         if !self.shared.peers.send(upstream, PeerBody::Request(head)) {
             // It never left this process.
             let event = AttemptEvent::NotRun(NotRunAnswer::default());
             let _ = self.sender.unbounded_send((key, event));
         }
-        self.plan_hedge(now, upstream);
+        self.schedule_hedge(now, upstream);
     }
 
     fn attempt_headers(&self) -> Vec<HeaderField> {
-        let mut headers = self.parts.headers.clone();
+        let mut headers = self.request.headers.clone();
         headers.push(HeaderField {
             name: TraceContext::HEADER.to_owned(),
-            value: self.parts.trace.to_string().into(),
+            value: self.request.trace.to_string().into(),
         });
         headers
     }
 
-    fn plan_hedge(&mut self, now: TimePoint, upstream: UpstreamKey) {
-        let may = self.parts.fields.repeat == RepeatClass::Idempotent
-            && self.parts.body_complete
-            && self.tried.len() == 1
+    fn schedule_hedge(&mut self, now: TimePoint, upstream: UpstreamKey) {
+        let can_hedge = self.request.caller.retry_safety == RetrySafety::Idempotent
+            && self.request.body_complete
+            && self.tried_upstreams.len() == 1
             && self
                 .shared
                 .routes
                 .borrow()
-                .upstream_count(&self.parts.service)
+                .upstream_count(&self.request.service)
                 > 1;
-        if may {
+        if can_hedge {
             let routes = self.shared.routes.borrow();
-            self.hedge_at = routes.hedge_time(now, upstream, self.parts.deadline);
+            self.hedge_at = routes.hedge_time(now, upstream, self.request.deadline);
         }
     }
 
-    fn hedge(&mut self) {
-        if self.hedge_at.take().is_none() || self.answer.is_some() {
+    fn send_hedge(&mut self) {
+        if self.hedge_at.take().is_none() || self.response.is_some() {
             return;
         }
-        if !self.shared.teams.borrow_mut().spend_hedge(self.place.team) {
+        if !self
+            .shared
+            .teams
+            .borrow_mut()
+            .spend_hedge(self.admission.team)
+        {
             return;
         }
         count(Counter::EntryHedges);
@@ -302,157 +311,178 @@
         let _ = self.send_attempt();
     }
 
-    fn take_event(&mut self, key: AttemptKey, event: AttemptEvent) -> FlowStep {
-        if !self.live.iter().any(|attempt| attempt.key == key) {
-            return FlowStep::Wait;
+    fn handle_event(&mut self, key: AttemptKey, event: AttemptEvent) -> FlowAction {
+        if !self.in_flight.iter().any(|attempt| attempt.key == key) {
+            return FlowAction::Wait;
         }
         match event {
-            AttemptEvent::Response(head) => self.take_head(key, head),
-            AttemptEvent::Chunk(chunk) => self.take_chunk(key, &chunk),
-            AttemptEvent::Credit(bytes) => self.take_credit(key, bytes),
-            AttemptEvent::NotRun(answer) => self.take_refusal(key, answer),
-            AttemptEvent::Lost(detail) => self.take_loss(key, &detail),
-            AttemptEvent::LinkGone => self.take_loss(key, "the connection to the sidecar broke"),
+            AttemptEvent::Response(head) => self.handle_response_head(key, head),
+            AttemptEvent::Chunk(chunk) => self.handle_chunk(key, &chunk),
+            AttemptEvent::Credit(bytes) => self.handle_credit(key, bytes),
+            AttemptEvent::NotRun(not_run) => self.handle_not_run(key, not_run),
+            AttemptEvent::Lost(detail) => self.handle_loss(key, &detail),
+            AttemptEvent::LinkBroken => {
+                self.handle_loss(key, "the connection to the sidecar broke")
+            }
         }
     }
 
     /// The first attempt that answers wins; the others are cancelled.
-    fn take_head(&mut self, key: AttemptKey, head: wax_wire::ResponseHead) -> FlowStep {
-        if self.answer.is_none() {
-            self.live.retain(|attempt| attempt.key == key);
+    fn handle_response_head(
+        &mut self,
+        key: AttemptKey,
+        head: wax_wire::ResponseHead,
+    ) -> FlowAction {
+        if self.response.is_none() {
+            self.in_flight.retain(|attempt| attempt.key == key);
             self.hedge_at = None;
-            self.answer = Some((key, AnswerParts::new(head)));
-            self.maybe_run = true;
+            self.response = Some((key, ResponseBuffer::new(head)));
+            self.may_have_run = true;
         }
-        FlowStep::Wait
+        FlowAction::Wait
     }
 
-    fn take_chunk(&mut self, key: AttemptKey, chunk: &wax_wire::BodyChunk) -> FlowStep {
-        let Some((winner, parts)) = &mut self.answer else {
-            return FlowStep::Wait;
+    fn handle_chunk(&mut self, key: AttemptKey, chunk: &wax_wire::BodyChunk) -> FlowAction {
+        let Some((winner, buffer)) = &mut self.response else {
+            return FlowAction::Wait;
         };
         if *winner != key {
-            return FlowStep::Wait;
+            return FlowAction::Wait;
         }
-        match parts.add(chunk) {
-            CollectStep::More => FlowStep::Wait,
-            CollectStep::Broken => self.take_loss(key, "the answer's parts do not add up"),
-            CollectStep::Whole => {
+        match buffer.add(chunk) {
+            BufferState::Incomplete => FlowAction::Wait,
+            BufferState::Corrupt => self.handle_loss(key, "the answer's parts do not add up"),
+            BufferState::Complete => {
                 count(Counter::EntryAnswered);
-                if let Some(attempt) = self.live.pop() {
+                if let Some(attempt) = self.in_flight.pop() {
                     attempt.finish();
                 }
-                self.answered(AnswerParts::into_reply)
+                self.finish_with_response(ResponseBuffer::into_reply)
             }
-            CollectStep::Long => {
-                let (Some(attempt), Some(events)) = (self.live.pop(), self.events.take()) else {
-                    return FlowStep::Wait;
+            BufferState::TooLong => {
+                let (Some(attempt), Some(events)) = (self.in_flight.pop(), self.events.take())
+                else {
+                    return FlowAction::Wait;
                 };
                 let shared = self.shared.clone();
-                self.answered(|parts| parts.into_stream(shared, attempt, events))
+                self.finish_with_response(|buffer| buffer.into_stream(shared, attempt, events))
             }
         }
     }
 
-    fn answered(&mut self, build: impl FnOnce(AnswerParts) -> HttpReply) -> FlowStep {
-        match self.answer.take() {
-            Some((_, parts)) => FlowStep::Done(FinalAnswer {
-                reply: build(parts),
+    fn finish_with_response(
+        &mut self,
+        build: impl FnOnce(ResponseBuffer) -> HttpReply,
+    ) -> FlowAction {
+        match self.response.take() {
+            Some((_, buffer)) => FlowAction::Finish(FinalResponse {
+                reply: build(buffer),
                 outcome: RunOutcome::Ran,
             }),
-            None => FlowStep::Wait,
+            None => FlowAction::Wait,
         }
     }
 
-    fn take_credit(&mut self, key: AttemptKey, bytes: u32) -> FlowStep {
-        if let Some((carry, body)) = self.parts.rest.take() {
-            let credit = Rc::new(BodyCredit::default());
-            let upstream = self.live.iter().find(|attempt| attempt.key == key);
-            if let Some(attempt) = upstream {
-                let pump = BodyPump {
+    fn handle_credit(&mut self, key: AttemptKey, bytes: u32) -> FlowAction {
+        if let Some((first_data, body)) = self.request.body_rest.take() {
+            let body_credit = Rc::new(BodyCredit::default());
+            let attempt = self.in_flight.iter().find(|attempt| attempt.key == key);
+            if let Some(attempt) = attempt {
+                let forwarder = BodyForwarder {
                     shared: self.shared.clone(),
                     upstream: attempt.upstream,
                     key,
-                    credit: credit.clone(),
-                    sent: self.parts.first.len() as u64,
-                    limit: self.parts.body_limit,
+                    credit: body_credit.clone(),
+                    bytes_sent: self.request.body_start.len() as u64,
+                    max_body_bytes: self.request.max_body_bytes,
                 };
-                compio::runtime::spawn(pump.run(carry, body)).detach();
+                compio::runtime::spawn(forwarder.run(first_data, body)).detach();
             }
-            self.credit = Some(credit);
+            self.body_credit = Some(body_credit);
         }
-        if let Some(credit) = &self.credit {
-            credit.grant(bytes);
+        if let Some(body_credit) = &self.body_credit {
+            body_credit.add(bytes);
         }
-        FlowStep::Wait
+        FlowAction::Wait
     }
 
-    fn take_refusal(&mut self, key: AttemptKey, answer: NotRunAnswer) -> FlowStep {
-        let failed = answer.reason() == NotRunReason::UpstreamUnreachable;
-        self.drop_attempt(
+    fn handle_not_run(&mut self, key: AttemptKey, not_run: NotRunAnswer) -> FlowAction {
+        let is_unreachable = not_run.reason() == NotRunReason::UpstreamUnreachable;
+        self.end_attempt(
             key,
-            if failed {
+            if is_unreachable {
                 AttemptEnd::Failed
             } else {
                 AttemptEnd::Refused
             },
         );
-        self.last_refusal = Some(answer);
-        self.after_failure(
-            answer.reason() != NotRunReason::Malformed,
+        self.last_not_run = Some(not_run);
+        self.retry_or_finish(
+            not_run.reason() != NotRunReason::Malformed,
             "the upstream did not run it",
         )
     }
 
-    fn take_loss(&mut self, key: AttemptKey, detail: &str) -> FlowStep {
-        self.drop_attempt(key, AttemptEnd::Failed);
-        self.answer = None;
-        self.maybe_run = true;
-        self.after_failure(self.parts.fields.repeat == RepeatClass::Idempotent, detail)
+    fn handle_loss(&mut self, key: AttemptKey, detail: &str) -> FlowAction {
+        self.end_attempt(key, AttemptEnd::Failed);
+        self.response = None;
+        self.may_have_run = true;
+        self.retry_or_finish(
+            self.request.caller.retry_safety == RetrySafety::Idempotent,
+            detail,
+        )
     }
 
-    fn drop_attempt(&mut self, key: AttemptKey, end: AttemptEnd) {
-        if let Some(position) = self.live.iter().position(|attempt| attempt.key == key) {
-            let mut attempt = self.live.swap_remove(position);
+    fn end_attempt(&mut self, key: AttemptKey, end: AttemptEnd) {
+        if let Some(position) = self.in_flight.iter().position(|attempt| attempt.key == key) {
+            let mut attempt = self.in_flight.swap_remove(position);
             attempt.end(end);
         }
     }
 
     /// Retries where that is allowed; otherwise the request ends now.
-    fn after_failure(&mut self, may_retry: bool, detail: &str) -> FlowStep {
-        if !self.live.is_empty() {
-            return FlowStep::Wait;
+    fn retry_or_finish(&mut self, may_retry: bool, detail: &str) -> FlowAction {
+        if !self.in_flight.is_empty() {
+            return FlowAction::Wait;
         }
-        let body_left = self.parts.body_complete || self.parts.rest.is_some();
-        let others = self
+        let can_send_body = self.request.body_complete || self.request.body_rest.is_some();
+        let has_untried_upstream = self
             .shared
             .routes
             .borrow()
-            .upstream_count(&self.parts.service)
-            > self.tried.len();
-        let may_retry = may_retry && body_left && (others || self.maybe_run);
-        if may_retry && self.shared.teams.borrow_mut().spend_retry(self.place.team) {
+            .upstream_count(&self.request.service)
+            > self.tried_upstreams.len();
+        let may_retry = may_retry && can_send_body && (has_untried_upstream || self.may_have_run);
+        if may_retry
+            && self
+                .shared
+                .teams
+                .borrow_mut()
+                .spend_retry(self.admission.team)
+        {
             count(Counter::EntryRetries);
             return match self.send_attempt() {
-                None => FlowStep::Wait,
-                Some(answer) => FlowStep::Done(answer),
+                None => FlowAction::Wait,
+                Some(response) => FlowAction::Finish(response),
             };
         }
-        let after = self.refusal_time();
-        if self.maybe_run {
-            return FlowStep::Done(self.refuse(ErrorKind::Ambiguous, detail));
+        let delay = self.retry_delay();
+        if self.may_have_run {
+            return FlowAction::Finish(self.finish_with_error(ErrorKind::Ambiguous, detail));
         }
-        let text = self.refusal_text(detail);
-        FlowStep::Done(self.refuse(ErrorKind::Overload(after), &text))
+        let text = self.not_run_text(detail);
+        FlowAction::Finish(self.finish_with_error(ErrorKind::Overload(delay), &text))
     }
 
-    fn refusal_time(&self) -> Duration {
-        let millis = self.last_refusal.map_or(0, |answer| answer.retry_after_ms);
-        Duration::from_millis(millis.into()).max(RETRY_FLOOR)
+    fn retry_delay(&self) -> Duration {
+        let millis = self
+            .last_not_run
+            .map_or(0, |not_run| not_run.retry_after_ms);
+        Duration::from_millis(millis.into()).max(MIN_RETRY_DELAY)
     }
 
-    fn refusal_text(&self, detail: &str) -> String {
-        match self.last_refusal.map(|answer| answer.reason()) {
+    fn not_run_text(&self, detail: &str) -> String {
+        match self.last_not_run.map(|not_run| not_run.reason()) {
             Some(NotRunReason::Leaving) => "the upstream is leaving".into(),
             Some(NotRunReason::QueueFull) => "the upstream's queue is full".into(),
             Some(NotRunReason::DeadlineHopeless) => "the deadline cannot be met".into(),
@@ -463,30 +493,34 @@
     }
 
     /// The deadline has passed.
-    fn give_up(&mut self) -> FinalAnswer {
+    fn time_out(&mut self) -> FinalResponse {
         count(Counter::EntryTimeouts);
-        if !self.live.is_empty() {
-            self.maybe_run = true;
+        if !self.in_flight.is_empty() {
+            self.may_have_run = true;
         }
-        for attempt in &mut self.live {
+        for attempt in &mut self.in_flight {
             attempt.cancel();
             attempt.end(AttemptEnd::Failed);
         }
-        self.live.clear();
-        self.refuse(ErrorKind::Timeout, "the deadline passed")
+        self.in_flight.clear();
+        self.finish_with_error(ErrorKind::Timeout, "the deadline passed")
     }
 
     /// The final answer without an answer of an upstream.
-    fn refuse(&self, kind: ErrorKind, text: &str) -> FinalAnswer {
-        let outcome = if self.maybe_run {
+    fn finish_with_error(&self, kind: ErrorKind, text: &str) -> FinalResponse {
+        let outcome = if self.may_have_run {
             RunOutcome::Unknown
         } else {
             RunOutcome::NotRun
         };
-        let error = WaxError::new(kind, Step::RouteRequest, &*self.parts.service, text);
-        let after = self.refusal_time();
-        FinalAnswer {
-            reply: refusal(&error, outcome, Some(error.retry_after().unwrap_or(after))),
+        let error = WaxError::new(kind, Step::RouteRequest, &*self.request.service, text);
+        let delay = self.retry_delay();
+        FinalResponse {
+            reply: error_reply_with_outcome(
+                &error,
+                outcome,
+                Some(error.retry_after().unwrap_or(delay)),
+            ),
             outcome,
         }
     }
--- a/crates/wax-route/src/answer.rs
+++ b/crates/wax-route/src/response.rs
@@ -3,7 +3,7 @@
 use crate::attempts::AttemptEvent;
 use crate::headers::{OUTCOME, RETRY_AFTER_MS};
 use crate::process::EntryShared;
-use crate::request::LiveAttempt;
+use crate::request::InFlightAttempt;
 use bytes::{Bytes, BytesMut};
 use futures_channel::mpsc::UnboundedReceiver;
 use futures_util::StreamExt;
@@ -16,55 +16,55 @@
 use wax_wire::{BodyChunk, CreditGrant, PeerBody, ResponseHead};
 
 /// An answer up to this size is held until it is whole.
-pub(crate) const HELD_BYTES: usize = 64 << 10;
+pub(crate) const MAX_BUFFERED_BYTES: usize = 64 << 10;
 
 /// A part of an answer as it is collected.
 #[derive(Debug)]
-pub(crate) struct AnswerParts {
+pub(crate) struct ResponseBuffer {
     head: ResponseHead,
-    held: BytesMut,
+    buffered: BytesMut,
 }
 
 /// Where the collection stands after a chunk.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum CollectStep {
+pub(crate) enum BufferState {
     /// More is to come, and it may still be held.
-    More,
+    Incomplete,
     /// It is whole.
-    Whole,
+    Complete,
     /// It is too long to be held.
-    Long,
+    TooLong,
     /// The parts do not add up to what was sent.
-    Broken,
+    Corrupt,
 }
 
-impl AnswerParts {
+impl ResponseBuffer {
     pub(crate) fn new(head: ResponseHead) -> Self {
         Self {
             head,
-            held: BytesMut::new(),
+            buffered: BytesMut::new(),
         }
     }
 
-    pub(crate) fn add(&mut self, chunk: &BodyChunk) -> CollectStep {
-        self.held.extend_from_slice(&chunk.data);
+    pub(crate) fn add(&mut self, chunk: &BodyChunk) -> BufferState {
+        self.buffered.extend_from_slice(&chunk.data);
         if chunk.last {
-            return if chunk.total_bytes == self.held.len() as u64 {
-                CollectStep::Whole
+            return if chunk.total_bytes == self.buffered.len() as u64 {
+                BufferState::Complete
             } else {
-                CollectStep::Broken
+                BufferState::Corrupt
             };
         }
-        if self.held.len() > HELD_BYTES {
-            CollectStep::Long
+        if self.buffered.len() > MAX_BUFFERED_BYTES {
+            BufferState::TooLong
         } else {
-            CollectStep::More
+            BufferState::Incomplete
         }
     }
 
     /// The answer from memory.
     pub(crate) fn into_reply(self) -> HttpReply {
-        let body = ReplyBody::whole(self.held.freeze());
+        let body = ReplyBody::whole(self.buffered.freeze());
         build_reply(&self.head, body)
     }
 
@@ -72,35 +72,35 @@
     pub(crate) fn into_stream(
         self,
         shared: Rc<EntryShared>,
-        attempt: LiveAttempt,
+        attempt: InFlightAttempt,
         events: UnboundedReceiver<(AttemptKey, AttemptEvent)>,
     ) -> HttpReply {
         let key = attempt.key();
         let upstream = attempt.upstream();
-        let granter = shared.clone();
+        let credit_shared = shared.clone();
         let (sender, body) = body_channel(move |bytes| {
             let credit = CreditGrant {
                 attempt: Some(key.into()),
                 bytes: bytes as u32,
             };
-            granter.peers.send(upstream, PeerBody::Credit(credit));
+            credit_shared.peers.send(upstream, PeerBody::Credit(credit));
         });
         let reply = build_reply(&self.head, body);
-        let held = self.held.freeze();
-        compio::runtime::spawn(pass_parts(attempt, held, sender, events)).detach();
+        let buffered = self.buffered.freeze();
+        compio::runtime::spawn(stream_chunks(attempt, buffered, sender, events)).detach();
         reply
     }
 }
 
 /// Passes parts on until the answer is whole; otherwise the caller sees a cut connection.
-async fn pass_parts(
-    attempt: LiveAttempt,
-    held: Bytes,
+async fn stream_chunks(
+    attempt: InFlightAttempt,
+    buffered: Bytes,
     sender: BodySender,
     mut events: UnboundedReceiver<(AttemptKey, AttemptEvent)>,
 ) {
-    let mut total = held.len() as u64;
-    sender.send(held);
+    let mut total = buffered.len() as u64;
+    sender.send(buffered);
     while let Some((key, event)) = events.next().await {
         if key != attempt.key() {
             continue;
@@ -151,7 +151,11 @@
 }
 
 /// The final answer to a request without an answer of its own.
-pub(crate) fn refusal(error: &WaxError, outcome: RunOutcome, after: Option<Duration>) -> HttpReply {
+pub(crate) fn error_reply_with_outcome(
+    error: &WaxError,
+    outcome: RunOutcome,
+    after: Option<Duration>,
+) -> HttpReply {
     let mut reply = error_reply(error);
     set_outcome(&mut reply, outcome);
     if let Some(after) = after.or(error.retry_after()) {
--- a/crates/wax-route/src/settings_calls.rs
+++ b/crates/wax-route/src/settings_api.rs
@@ -1,8 +1,8 @@
 //! The settings tree over HTTP, for operators.
 
 use crate::process::EntryShared;
-use crate::settings_sync::{commit_change, pull, read_log};
-use crate::status::{ForceStatus, force_status};
+use crate::settings_sync::{commit_change, pull_settings, read_log};
+use crate::status::{RolloutStatus, rollout_status};
 use compio::time::timeout;
 use http::StatusCode;
 use serde::{Deserialize, Serialize};
@@ -13,11 +13,11 @@
 use wax_settings::{NodePath, SettingsTree, TreeChange, ValueOrigin};
 use wax_types::{ErrorKind, SettingsVersion, Step, WaxError};
 
-const BODY_LIMIT: usize = 16 << 20;
-const COMMIT_SPAN: Duration = Duration::from_secs(3);
-const LOG_ENTRIES: u64 = 50;
+const MAX_BODY_BYTES: usize = 16 << 20;
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
+const MAX_LOG_ENTRIES: u64 = 50;
 /// Between two looks at how far a version has come.
-const WAIT_STEP: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// One value to set or clear.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -56,7 +56,7 @@
 pub(crate) struct ChangeReply {
     version: SettingsVersion,
     changes: Vec<TreeChange>,
-    force: Option<ForceStatus>,
+    force: Option<RolloutStatus>,
 }
 
 /// Answer to a question about one node.
@@ -94,7 +94,7 @@
 pub(crate) async fn log(shared: &Rc<EntryShared>) -> Result<HttpReply, WaxError> {
     Ok(json_reply(
         StatusCode::OK,
-        &read_log(shared, LOG_ENTRIES).await?,
+        &read_log(shared, MAX_LOG_ENTRIES).await?,
     ))
 }
 
@@ -102,8 +102,8 @@
     shared: &Rc<EntryShared>,
     request: HttpRequest,
 ) -> Result<HttpReply, WaxError> {
-    let request: ChangeRequest = parse_json(request, BODY_LIMIT).await?;
-    pull(shared).await.map_err(|error| WaxError {
+    let request: ChangeRequest = parse_json(request, MAX_BODY_BYTES).await?;
+    pull_settings(shared).await.map_err(|error| WaxError {
         kind: ErrorKind::Unavailable(error.retry_after().unwrap_or(Duration::from_secs(1))),
         step: Step::ChangeSettings,
         ..error
@@ -111,7 +111,7 @@
     let before = shared.settings.tree();
     let expected = request.expected.unwrap_or(before.version);
     let mut after = (*before).clone();
-    apply_request(&mut after, &request)?;
+    apply_edits(&mut after, &request)?;
     after.check()?;
     let changes = before.diff(&after);
     if request.dry_run {
@@ -122,10 +122,10 @@
         };
         return Ok(json_reply(StatusCode::OK, &reply));
     }
-    let deadline = shared.clock.now() + COMMIT_SPAN;
-    let edit = |tree: &mut SettingsTree| apply_request(tree, &request);
+    let deadline = shared.clock.now() + COMMIT_TIMEOUT;
+    let edit = |tree: &mut SettingsTree| apply_edits(tree, &request);
     let version = commit_change(shared, expected, &request.author, edit, deadline).await?;
-    let force = wait_in_force(shared, version, Duration::from_millis(request.wait_ms)).await;
+    let force = wait_for_rollout(shared, version, Duration::from_millis(request.wait_ms)).await;
     let reply = ChangeReply {
         version,
         changes,
@@ -134,7 +134,7 @@
     Ok(json_reply(StatusCode::OK, &reply))
 }
 
-fn apply_request(tree: &mut SettingsTree, request: &ChangeRequest) -> Result<(), WaxError> {
+fn apply_edits(tree: &mut SettingsTree, request: &ChangeRequest) -> Result<(), WaxError> {
     if let Some(next) = &request.tree {
         tree.nodes = next.nodes.clone();
     }
@@ -145,18 +145,18 @@
 }
 
 /// Waits until a version is in force everywhere, or for `span`.
-async fn wait_in_force(
+async fn wait_for_rollout(
     shared: &Rc<EntryShared>,
     version: SettingsVersion,
-    span: Duration,
-) -> ForceStatus {
-    let end = shared.clock.now() + span;
+    max_wait: Duration,
+) -> RolloutStatus {
+    let end = shared.clock.now() + max_wait;
     loop {
-        let status = force_status(shared, version);
+        let status = rollout_status(shared, version);
         if status.in_force == status.processes || shared.clock.now() >= end {
             return status;
         }
         // Acknowledgements of sidecars wake this; those of entries come with their rows.
-        let _ = timeout(WAIT_STEP, shared.settings_acked.listen()).await;
+        let _ = timeout(POLL_INTERVAL, shared.settings_progress.listen()).await;
     }
 }
--- a/crates/wax-route/src/settings_sync.rs
+++ b/crates/wax-route/src/settings_sync.rs
@@ -14,9 +14,9 @@
 const NODE_PREFIX: &str = "settings/node/";
 const LOG_PREFIX: &str = "settings/log/";
 /// The log is read this far; a process further behind reads the whole tree.
-const LOG_REACH: u64 = 32;
+const MAX_LOG_DELTAS: u64 = 32;
 /// A whole read that meets a change is begun again, this often.
-const READ_TRIES: usize = 5;
+const MAX_READ_ATTEMPTS: usize = 5;
 
 /// Row `settings/head`: the one guard of the order of versions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -41,22 +41,22 @@
 
 /// Reads the tree at the start; where the store does not answer, a sidecar's version may come.
 pub(crate) async fn load_settings(shared: &Rc<EntryShared>) {
-    if let Err(error) = pull(shared).await {
+    if let Err(error) = pull_settings(shared).await {
         tracing::warn!(%error, "settings not read; serving nothing until a version arrives");
     }
 }
 
 /// Pulls a greater version, every `period`; pushes from peers come besides.
-pub(crate) async fn keep_settings(shared: Rc<EntryShared>, period: Duration) {
+pub(crate) async fn poll_settings(shared: Rc<EntryShared>, period: Duration) {
     loop {
         sleep(period).await;
         // An outage is reported by the store's health; what was in force stays in force.
-        let _ = pull(&shared).await;
+        let _ = pull_settings(&shared).await;
     }
 }
 
 /// Brings this process to the version of the head row.
-pub(crate) async fn pull(shared: &Rc<EntryShared>) -> Result<(), WaxError> {
+pub(crate) async fn pull_settings(shared: &Rc<EntryShared>) -> Result<(), WaxError> {
     let head = read_head(shared).await?;
     let target = head.map_or_else(SettingsVersion::default, |row| row.value.version);
     let own = shared.settings.version();
@@ -66,34 +66,34 @@
         }
         return Ok(());
     }
-    if target.0 - own.0 > LOG_REACH {
+    if target.0 - own.0 > MAX_LOG_DELTAS {
         let tree = read_tree(shared).await?;
-        take_tree(shared, tree);
+        apply_tree(shared, tree);
         return Ok(());
     }
     for delta in read_deltas(shared, own.next(), target).await? {
-        take_delta(shared, delta);
+        apply_and_publish_delta(shared, delta);
     }
     if shared.settings.version() < target {
         let tree = read_tree(shared).await?;
-        take_tree(shared, tree);
+        apply_tree(shared, tree);
     }
     Ok(())
 }
 
-fn take_tree(shared: &EntryShared, tree: SettingsTree) {
+fn apply_tree(shared: &EntryShared, tree: SettingsTree) {
     if let ApplyChoice::Applied(version) = shared.settings.apply(tree) {
         count(Counter::SettingsApplied);
         tracing::info!(%version, "settings in force");
-        shared.after_settings(None);
+        shared.publish_settings(None);
     }
 }
 
-fn take_delta(shared: &EntryShared, delta: TreeDelta) {
+fn apply_and_publish_delta(shared: &EntryShared, delta: TreeDelta) {
     if let ApplyChoice::Applied(version) = shared.settings.apply_delta(&delta) {
         count(Counter::SettingsApplied);
         tracing::info!(%version, author = %delta.author, "settings in force");
-        shared.after_settings(Some(delta));
+        shared.publish_settings(Some(delta));
     }
 }
 
@@ -103,7 +103,7 @@
 
 /// Reads the whole tree between two looks at the head that show the same version.
 async fn read_tree(shared: &EntryShared) -> Result<SettingsTree, WaxError> {
-    for _ in 0..READ_TRIES {
+    for _ in 0..MAX_READ_ATTEMPTS {
         let before = read_head(shared).await?;
         let rows = shared.table.scan::<NodeRow>(NODE_PREFIX).await?;
         let after = read_head(shared).await?;
@@ -140,11 +140,11 @@
     change: impl FnOnce(&mut SettingsTree) -> Result<(), WaxError>,
     deadline: TimePoint,
 ) -> Result<SettingsVersion, WaxError> {
-    pull(shared).await?;
+    pull_settings(shared).await?;
     let head = read_head(shared).await?;
     let tree = shared.settings.tree();
     if tree.version != expected {
-        return Err(conflict(shared, tree.version).await);
+        return Err(conflict_error(shared, tree.version).await);
     }
     let mut next = (*tree).clone();
     change(&mut next)?;
@@ -157,12 +157,12 @@
     match shared.writer.commit(transaction, deadline).await {
         CommitOutcome::Committed(_) => {
             let version = delta.version;
-            take_delta(shared, delta);
+            apply_and_publish_delta(shared, delta);
             Ok(version)
         }
         CommitOutcome::Conflict(_) => {
-            pull(shared).await?;
-            Err(conflict(shared, shared.settings.version()).await)
+            pull_settings(shared).await?;
+            Err(conflict_error(shared, shared.settings.version()).await)
         }
         CommitOutcome::NotSent(error) => Err(WaxError {
             kind: ErrorKind::Unavailable(error.retry_after().unwrap_or(Duration::from_secs(1))),
@@ -220,13 +220,13 @@
 }
 
 /// Names the version that won and who made it.
-async fn conflict(shared: &EntryShared, winner: SettingsVersion) -> WaxError {
-    let log = shared.table.read::<TreeDelta>(&log_key(winner)).await;
+async fn conflict_error(shared: &EntryShared, current: SettingsVersion) -> WaxError {
+    let log = shared.table.read::<TreeDelta>(&log_key(current)).await;
     let author = match log {
         Ok(Some(row)) => row.value.author,
         _ => "somebody".into(),
     };
-    let text = format!("version {winner} by {author} is in force");
+    let text = format!("version {current} by {author} is in force");
     WaxError::new(ErrorKind::Conflict, Step::ChangeSettings, "settings", text)
         .with_help("look at the difference and apply the change to that version")
 }
@@ -236,9 +236,12 @@
 /// # Errors
 ///
 /// The store does not answer.
-pub(crate) async fn read_log(shared: &EntryShared, most: u64) -> Result<Vec<TreeDelta>, WaxError> {
+pub(crate) async fn read_log(
+    shared: &EntryShared,
+    max_entries: u64,
+) -> Result<Vec<TreeDelta>, WaxError> {
     let newest = shared.settings.version();
-    let oldest = SettingsVersion(newest.0.saturating_sub(most) + 1);
+    let oldest = SettingsVersion(newest.0.saturating_sub(max_entries) + 1);
     let mut log = read_deltas(shared, oldest, newest).await?;
     log.reverse();
     Ok(log)
--- a/crates/wax-route/src/status.rs
+++ b/crates/wax-route/src/status.rs
@@ -9,11 +9,11 @@
 use wax_types::SettingsVersion;
 
 /// A sidecar that was lost this long ago is no longer counted.
-const LOST_COUNTED: Duration = Duration::from_secs(60);
+const LOST_SIDECAR_RETENTION: Duration = Duration::from_secs(60);
 
 /// How far a version of the settings has come.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct ForceStatus {
+pub(crate) struct RolloutStatus {
     /// The version.
     pub(crate) version: SettingsVersion,
     /// Processes that apply it or a greater one.
@@ -51,7 +51,7 @@
 pub(crate) struct EntryStatus {
     entry: Box<str>,
     uptime_ms: u64,
-    settings: ForceStatus,
+    settings: RolloutStatus,
     /// Milliseconds since the store went down; `None` while it answers.
     store_down_ms: Option<u64>,
     /// Failure domains that get nothing new.
@@ -63,32 +63,32 @@
 }
 
 /// Counts the processes that apply a version, as this entry knows them.
-pub(crate) fn force_status(shared: &EntryShared, version: SettingsVersion) -> ForceStatus {
+pub(crate) fn rollout_status(shared: &EntryShared, version: SettingsVersion) -> RolloutStatus {
     let now = shared.clock.now();
     let mut known: BTreeMap<Box<str>, (SettingsVersion, Option<u64>)> = BTreeMap::new();
     for member in shared.members.live(now) {
         known.insert(member.name, (member.settings, None));
     }
     known.insert(shared.name.clone(), (shared.settings.version(), None));
-    for (name, lost) in shared.peers.lost(now - LOST_COUNTED) {
-        let since = now.since(lost.since).as_millis() as u64;
-        known.insert(name, (lost.settings, Some(since)));
+    for (name, lost) in shared.peers.recently_lost(now - LOST_SIDECAR_RETENTION) {
+        let lost_ms = now.since(lost.lost_at).as_millis() as u64;
+        known.insert(name, (lost.settings_version, Some(lost_ms)));
     }
     for peer in shared.peers.all() {
         let name = peer.hello.name.as_str().into();
-        known.insert(name, (peer.settings.get(), None));
+        known.insert(name, (peer.settings_version.get(), None));
     }
     let processes = known.len();
     let missing: Vec<MissingProcess> = known
         .into_iter()
-        .filter(|(_, (applied, lost))| *applied < version || lost.is_some())
-        .map(|(name, (applied, lost))| MissingProcess {
+        .filter(|(_, (applied, lost_ms))| *applied < version || lost_ms.is_some())
+        .map(|(name, (applied, lost_ms))| MissingProcess {
             name,
             version: applied,
-            unreachable_ms: lost,
+            unreachable_ms: lost_ms,
         })
         .collect();
-    ForceStatus {
+    RolloutStatus {
         version,
         in_force: processes - missing.len(),
         processes,
@@ -123,13 +123,13 @@
         failure_domain: peer.hello.failure_domain.as_str().into(),
         service: Some(peer.hello.service.as_str().into()),
         operators: None,
-        settings: peer.settings.get(),
+        settings: peer.settings_version.get(),
         leaving: peer.leaving.get(),
     }));
     EntryStatus {
         entry: shared.name.clone(),
-        uptime_ms: now.since(shared.started).as_millis() as u64,
-        settings: force_status(shared, shared.settings.version()),
+        uptime_ms: now.since(shared.started_at).as_millis() as u64,
+        settings: rollout_status(shared, shared.settings.version()),
         store_down_ms: shared
             .table
             .health()
--- a/crates/wax-sidecar/src/announce.rs
+++ b/crates/wax-sidecar/src/announce.rs
@@ -6,24 +6,24 @@
 use std::time::Duration;
 
 /// Between two announcements of a changed load.
-const CHANGE_PAUSE: Duration = Duration::from_millis(100);
+const MIN_ANNOUNCE_INTERVAL: Duration = Duration::from_millis(100);
 /// Longest time without an announcement; the heartbeat of the sidecar.
-const HEARTBEAT: Duration = Duration::from_secs(1);
+const HEARTBEAT_PERIOD: Duration = Duration::from_secs(1);
 
 /// Announces until the process ends.
 pub(crate) async fn announce_load(shared: Rc<SidecarShared>) {
     let mut last = None;
-    let mut quiet = Duration::ZERO;
+    let mut since_last = Duration::ZERO;
     loop {
-        sleep(CHANGE_PAUSE).await;
-        quiet += CHANGE_PAUSE;
+        sleep(MIN_ANNOUNCE_INTERVAL).await;
+        since_last += MIN_ANNOUNCE_INTERVAL;
         let report = shared.load_report();
-        if last != Some(report) || quiet >= HEARTBEAT {
+        if last != Some(report) || since_last >= HEARTBEAT_PERIOD {
             shared.announce();
             last = Some(report);
-            quiet = Duration::ZERO;
+            since_last = Duration::ZERO;
         }
-        if quiet.is_zero() {
+        if since_last.is_zero() {
             shared.pool().probe().await;
         }
     }
--- a/crates/wax-sidecar/src/attempt.rs
+++ b/crates/wax-sidecar/src/attempt.rs
@@ -21,7 +21,7 @@
 };
 
 /// Connections tried for one attempt, where each proved stale before anything was sent.
-const CONNECTION_TRIES: usize = 3;
+const MAX_CONNECTION_TRIES: usize = 3;
 const TRACE_HEADER: &str = TraceContext::HEADER;
 
 /// An attempt that has not been dispatched.
@@ -54,17 +54,17 @@
 struct HandleShared {
     link: u64,
     outbox: UnboundedSender<PeerBody>,
-    unwanted: Cell<bool>,
+    abandoned: Cell<bool>,
     credit: Cell<u64>,
-    granted: Event,
+    credit_changed: Event,
     body: RefCell<Option<BodySender>>,
-    body_bytes: Cell<u64>,
+    body_received: Cell<u64>,
 }
 
 /// How the call of the upstream ended.
-enum CallEnd {
+enum CallResult {
     /// The answer was read to its end; the connection may be used again.
-    Whole(ClientConnection),
+    Complete(ClientConnection),
     /// Nothing was sent to the upstream.
     NotSent(NotRunReason),
     /// Something may have been sent; the answer is lost or cut.
@@ -107,11 +107,11 @@
         let shared = HandleShared {
             link: self.link,
             outbox: self.outbox,
-            unwanted: Cell::new(false),
+            abandoned: Cell::new(false),
             credit: Cell::new(WINDOW_BYTES.into()),
-            granted: Event::new(),
+            credit_changed: Event::new(),
             body: RefCell::default(),
-            body_bytes: Cell::new(self.head.body.len() as u64),
+            body_received: Cell::new(self.head.body.len() as u64),
         };
         let handle = AttemptHandle {
             shared: Rc::new(shared),
@@ -150,8 +150,8 @@
 
     /// From now on the answer is read and thrown away.
     pub(crate) fn abandon(&self) {
-        self.shared.unwanted.set(true);
-        self.shared.granted.notify(usize::MAX);
+        self.shared.abandoned.set(true);
+        self.shared.credit_changed.notify(usize::MAX);
         // A body that stops arriving is cut, so that the upstream does not wait for it.
         self.shared.body.borrow_mut().take();
     }
@@ -160,13 +160,13 @@
     pub(crate) fn grant(&self, bytes: u32) {
         let credit = self.shared.credit.get() + u64::from(bytes);
         self.shared.credit.set(credit);
-        self.shared.granted.notify(usize::MAX);
+        self.shared.credit_changed.notify(usize::MAX);
     }
 
     /// Passes a part of the request's body on.
-    pub(crate) fn take_chunk(&self, chunk: BodyChunk) {
-        let total = self.shared.body_bytes.get() + chunk.data.len() as u64;
-        self.shared.body_bytes.set(total);
+    pub(crate) fn receive_body_chunk(&self, chunk: BodyChunk) {
+        let total = self.shared.body_received.get() + chunk.data.len() as u64;
+        self.shared.body_received.set(total);
         if let Some(body) = &*self.shared.body.borrow()
             && !chunk.data.is_empty()
         {
@@ -207,20 +207,20 @@
         body
     }
 
-    fn is_unwanted(&self) -> bool {
-        self.shared.unwanted.get() || self.shared.outbox.is_closed()
+    fn is_abandoned(&self) -> bool {
+        self.shared.abandoned.get() || self.shared.outbox.is_closed()
     }
 
     fn send(&self, body: PeerBody) {
-        if !self.is_unwanted() {
+        if !self.is_abandoned() {
             let _ = self.shared.outbox.unbounded_send(body);
         }
     }
 
     /// Waits for credit and spends it; gives up at `limit` or when the answer is unwanted.
-    async fn spend(&self, bytes: u64, limit: Instant) -> bool {
+    async fn spend_credit(&self, bytes: u64, time_limit: Instant) -> bool {
         loop {
-            if self.is_unwanted() {
+            if self.is_abandoned() {
                 return false;
             }
             let credit = self.shared.credit.get();
@@ -228,10 +228,10 @@
                 self.shared.credit.set(credit.saturating_sub(bytes));
                 return true;
             }
-            let granted = self.shared.granted.listen();
+            let credit_changed = self.shared.credit_changed.listen();
             if self.shared.credit.get() == credit
-                && !self.is_unwanted()
-                && timeout_at(limit, granted).await.is_err()
+                && !self.is_abandoned()
+                && timeout_at(time_limit, credit_changed).await.is_err()
             {
                 return false;
             }
@@ -253,24 +253,24 @@
         });
         let start = Instant::now();
         let end = self.call(&shared, context).instrument(span.clone()).await;
-        let spent = start.elapsed();
+        let elapsed = start.elapsed();
         match end {
-            CallEnd::Whole(connection) => {
+            CallResult::Complete(connection) => {
                 span.record("outcome", "ran");
                 // First, so that the next attempt finds it and opens no further one.
-                shared.keep_connection(connection).await;
-                shared.finish_attempt(self.key, Some(spent));
+                shared.return_connection(connection).await;
+                shared.finish_attempt(self.key, Some(elapsed));
             }
-            CallEnd::NotSent(reason) => {
+            CallResult::NotSent(reason) => {
                 span.record("outcome", "not-run");
                 shared.finish_attempt(self.key, None);
                 let outbox = &self.handle.shared.outbox;
                 send_not_run(outbox, self.key, reason, Duration::from_millis(100));
             }
-            CallEnd::Lost(detail) => {
+            CallResult::Lost(detail) => {
                 span.record("outcome", "unknown");
                 count(Counter::SidecarLost);
-                shared.finish_attempt(self.key, Some(spent));
+                shared.finish_attempt(self.key, Some(elapsed));
                 self.handle.send(PeerBody::Lost(RequestLost {
                     attempt: Some(self.key.into()),
                     detail: detail.into(),
@@ -288,39 +288,41 @@
         std::str::from_utf8(&field.value).ok()?.parse().ok()
     }
 
-    async fn call(&mut self, shared: &SidecarShared, context: Option<TraceContext>) -> CallEnd {
+    async fn call(&mut self, shared: &SidecarShared, context: Option<TraceContext>) -> CallResult {
         let Some(mut request) = self.build_request(shared, context) else {
-            return CallEnd::NotSent(NotRunReason::Malformed);
+            return CallResult::NotSent(NotRunReason::Malformed);
         };
-        let limit = Instant::now() + shared.answer_limit();
-        for round in 0..CONNECTION_TRIES {
-            let taken = if round == 0 {
+        let time_limit = Instant::now() + shared.answer_timeout();
+        for tries in 0..MAX_CONNECTION_TRIES {
+            let result = if tries == 0 {
                 shared.pool().take().await
             } else {
                 shared.pool().open().await
             };
-            let Ok(mut connection) = taken else {
-                return CallEnd::NotSent(NotRunReason::UpstreamUnreachable);
+            let Ok(mut connection) = result else {
+                return CallResult::NotSent(NotRunReason::UpstreamUnreachable);
             };
             if shared.clock().now() > self.deadline {
                 shared.pool().put_back(connection);
-                return CallEnd::NotSent(NotRunReason::DeadlineHopeless);
+                return CallResult::NotSent(NotRunReason::DeadlineHopeless);
             }
-            if self.handle.is_unwanted() {
+            if self.handle.is_abandoned() {
                 shared.pool().put_back(connection);
-                return CallEnd::NotSent(NotRunReason::Cancelled);
+                return CallResult::NotSent(NotRunReason::Cancelled);
             }
-            match timeout_at(limit, connection.try_send(request)).await {
-                Err(_) => return CallEnd::Lost("no answer from the upstream in time".into()),
+            match timeout_at(time_limit, connection.try_send(request)).await {
+                Err(_) => return CallResult::Lost("no answer from the upstream in time".into()),
                 Ok(Ok(response)) => {
                     count(Counter::SidecarDispatched);
-                    return self.pass_answer(connection, response, limit).await;
+                    return self
+                        .forward_response(connection, response, time_limit)
+                        .await;
                 }
                 Ok(Err((_, Some(unsent)))) => request = unsent,
-                Ok(Err((error, None))) => return CallEnd::Lost(error.to_string().into()),
+                Ok(Err((error, None))) => return CallResult::Lost(error.to_string().into()),
             }
         }
-        CallEnd::NotSent(NotRunReason::UpstreamUnreachable)
+        CallResult::NotSent(NotRunReason::UpstreamUnreachable)
     }
 
     fn build_request(
@@ -348,12 +350,12 @@
         Some(request)
     }
 
-    async fn pass_answer(
+    async fn forward_response(
         &self,
         connection: ClientConnection,
         response: Response<Incoming>,
-        limit: Instant,
-    ) -> CallEnd {
+        time_limit: Instant,
+    ) -> CallResult {
         let (parts, mut body) = response.into_parts();
         let headers = parts
             .headers
@@ -370,14 +372,18 @@
         }));
         let mut total = 0;
         loop {
-            let data = match timeout_at(limit, body.frame()).await {
-                Err(_) => return CallEnd::Lost("the answer did not end in time".into()),
-                Ok(Some(Err(error))) => return CallEnd::Lost(error.to_string().into()),
+            let data = match timeout_at(time_limit, body.frame()).await {
+                Err(_) => return CallResult::Lost("the answer did not end in time".into()),
+                Ok(Some(Err(error))) => return CallResult::Lost(error.to_string().into()),
                 Ok(None) => break,
                 Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
             };
             total += data.len() as u64;
-            if !self.handle.spend(data.len() as u64, limit).await {
+            if !self
+                .handle
+                .spend_credit(data.len() as u64, time_limit)
+                .await
+            {
                 // Nobody wants the rest; it is read on so that the slot is counted to the end.
                 self.handle.abandon();
                 continue;
@@ -385,7 +391,7 @@
             self.send_chunk(data, None);
         }
         self.send_chunk(Bytes::new(), Some(total));
-        CallEnd::Whole(connection)
+        CallResult::Complete(connection)
     }
 
     fn send_chunk(&self, data: Bytes, total: Option<u64>) {
--- a/crates/wax-sidecar/src/table.rs
+++ b/crates/wax-sidecar/src/attempt_table.rs
@@ -5,7 +5,7 @@
 use wax_types::AttemptKey;
 
 /// Cancels remembered for attempts that have not arrived.
-const TOMBSTONES: usize = 4_096;
+const MAX_TOMBSTONES: usize = 4_096;
 
 /// Where an attempt stands.
 #[derive(Debug)]
@@ -18,9 +18,9 @@
 
 /// What a cancel found.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum CancelChoice {
+pub(crate) enum CancelResult {
     /// It waited, and is taken out: it will not run.
-    NotRun,
+    WasQueued,
     /// It runs; its answer is thrown away.
     Running,
     /// It never came; if it does, it will not run.
@@ -86,23 +86,23 @@
     }
 
     /// Decides what a cancel does; the caller carries it out.
-    pub(crate) fn cancel(&mut self, key: AttemptKey) -> CancelChoice {
+    pub(crate) fn cancel(&mut self, key: AttemptKey) -> CancelResult {
         match self.attempts.get(&key) {
-            Some(AttemptState::Queued(_)) => CancelChoice::NotRun,
-            Some(AttemptState::Running(_)) => CancelChoice::Running,
+            Some(AttemptState::Queued(_)) => CancelResult::WasQueued,
+            Some(AttemptState::Running(_)) => CancelResult::Running,
             None => {
-                self.bury(key);
-                CancelChoice::Tombstone
+                self.add_tombstone(key);
+                CancelResult::Tombstone
             }
         }
     }
 
-    fn bury(&mut self, key: AttemptKey) {
+    fn add_tombstone(&mut self, key: AttemptKey) {
         if !self.tombstones.insert(key) {
             return;
         }
         self.tombstone_order.push_back(key);
-        if self.tombstone_order.len() > TOMBSTONES
+        if self.tombstone_order.len() > MAX_TOMBSTONES
             && let Some(oldest) = self.tombstone_order.pop_front()
         {
             self.tombstones.remove(&oldest);
--- a/crates/wax-sidecar/src/lib.rs
+++ b/crates/wax-sidecar/src/lib.rs
@@ -5,9 +5,9 @@
 
 mod announce;
 mod attempt;
+mod attempt_table;
 mod link;
 mod pool;
 mod process;
-mod table;
 
 pub use process::SidecarProcess;
--- a/crates/wax-sidecar/src/link.rs
+++ b/crates/wax-sidecar/src/link.rs
@@ -17,17 +17,17 @@
 use wax_types::{ErrorKind, Step, WaxError};
 use wax_wire::{FrameReader, PeerBody, PeerHello, SettingsAck, SettingsPush, split_stream};
 
-const RETRY_FLOOR: Duration = Duration::from_millis(50);
-const RETRY_CEILING: Duration = Duration::from_secs(2);
-const CONNECT_LIMIT: Duration = Duration::from_secs(2);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// An entry that says nothing for this long is taken for dead; it speaks every second.
-const SILENCE_LIMIT: Duration = Duration::from_secs(5);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(5);
 /// Dials without success after which a learned entry is forgotten.
-const TRIES_BEFORE_FORGETTING: u32 = 30;
+const MAX_FAILED_DIALS: u32 = 30;
 
 /// Keeps one entry connected.
-pub(crate) async fn keep_link(shared: Rc<SidecarShared>, address: SocketAddr) {
-    let mut backoff = BackoffPlan::new(RETRY_FLOOR, RETRY_CEILING);
+pub(crate) async fn maintain_link(shared: Rc<SidecarShared>, address: SocketAddr) {
+    let mut backoff = BackoffPlan::new(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
     let mut rng = Rng::new();
     let mut failures = 0;
     while !shared.is_stopping() {
@@ -41,7 +41,7 @@
                 tracing::debug!(%error, "entry not connected");
             }
         }
-        if failures >= TRIES_BEFORE_FORGETTING && shared.forget_entry(address) {
+        if failures >= MAX_FAILED_DIALS && shared.remove_entry(address) {
             return;
         }
         sleep(backoff.next_delay(&mut rng)).await;
@@ -50,10 +50,10 @@
 
 async fn connect(shared: &Rc<SidecarShared>, address: SocketAddr) -> Result<(), WaxError> {
     let unreachable = |error: &dyn std::fmt::Display| {
-        let kind = ErrorKind::Unavailable(RETRY_CEILING);
+        let kind = ErrorKind::Unavailable(MAX_RETRY_DELAY);
         WaxError::new(kind, Step::Connect, address.to_string(), error)
     };
-    let stream = match timeout(CONNECT_LIMIT, TcpStream::connect(address)).await {
+    let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(error)) => return Err(unreachable(&error)),
         Err(_) => return Err(unreachable(&"no connection in time")),
@@ -61,18 +61,18 @@
     // Small frames must not wait for acknowledgements.
     let _ = stream.set_nodelay(true);
     let (mut reader, mut writer) = split_stream(stream);
-    let hello = async {
-        writer.write(PeerBody::Hello(shared.hello())).await?;
+    let handshake = async {
+        writer.write(PeerBody::Hello(shared.own_hello())).await?;
         reader.read().await
     };
-    let hello = match timeout(CONNECT_LIMIT, hello).await {
+    let hello = match timeout(CONNECT_TIMEOUT, handshake).await {
         Ok(Ok(Some(PeerBody::Hello(hello)))) => hello,
-        Ok(Ok(_)) => return Err(handshake(address, "the peer is no entry")),
+        Ok(Ok(_)) => return Err(handshake_error(address, "the peer is no entry")),
         Ok(Err(error)) => return Err(unreachable(&error)),
         Err(_) => return Err(unreachable(&"no greeting in time")),
     };
     if hello.protocol != PeerHello::PROTOCOL {
-        return Err(handshake(address, "the entry speaks another version"));
+        return Err(handshake_error(address, "the entry speaks another version"));
     }
     let (outbox, mut frames) = unbounded();
     let writing = spawn(async move { writer.drain(&mut frames).await });
@@ -82,7 +82,7 @@
     shared.change_open_links(1);
     let result = {
         let reading = pin!(read_frames(shared, &mut reader, &outbox, link));
-        let stopping = pin!(shared.wait_stopping());
+        let stopping = pin!(shared.wait_for_stop());
         match select(stopping, reading).await {
             Either::Left(_) => "leaving".into(),
             Either::Right((reason, _)) => reason,
@@ -100,7 +100,7 @@
     Ok(())
 }
 
-fn handshake(address: SocketAddr, text: &str) -> WaxError {
+fn handshake_error(address: SocketAddr, text: &str) -> WaxError {
     WaxError::new(
         ErrorKind::Protocol,
         Step::Handshake,
@@ -117,19 +117,19 @@
     link: u64,
 ) -> Box<str> {
     loop {
-        let frame = match timeout(SILENCE_LIMIT, reader.read()).await {
+        let frame = match timeout(HEARTBEAT_TIMEOUT, reader.read()).await {
             Ok(Ok(Some(frame))) => frame,
             Ok(Ok(None)) => return "closed by the entry".into(),
             Ok(Err(error)) => return error.to_string().into(),
             Err(_) => return "no heartbeat".into(),
         };
-        if let Err(reason) = take_frame(shared, frame, outbox, link) {
+        if let Err(reason) = handle_frame(shared, frame, outbox, link) {
             return reason;
         }
     }
 }
 
-fn take_frame(
+fn handle_frame(
     shared: &Rc<SidecarShared>,
     frame: PeerBody,
     outbox: &UnboundedSender<PeerBody>,
@@ -137,12 +137,12 @@
 ) -> Result<(), Box<str>> {
     match frame {
         PeerBody::Request(head) => match head.attempt {
-            Some(id) => shared.take_request(id.into(), head, outbox, link),
+            Some(id) => shared.receive_request(id.into(), head, outbox, link),
             None => return Err("a request without a key".into()),
         },
         PeerBody::Chunk(chunk) => {
             if let Some(handle) = shared.running_attempt(chunk.attempt) {
-                handle.take_chunk(chunk);
+                handle.receive_body_chunk(chunk);
             }
         }
         PeerBody::Credit(credit) => {
@@ -155,12 +155,12 @@
                 shared.cancel(id.into());
             }
         }
-        PeerBody::Settings(push) => take_settings(shared, &push),
-        PeerBody::SettingsAck(ack) => answer_ack(shared, ack, outbox),
+        PeerBody::Settings(push) => handle_settings_push(shared, &push),
+        PeerBody::SettingsAck(ack) => handle_settings_ack(shared, ack, outbox),
         PeerBody::Peers(list) => {
             for address in list.addresses {
                 if let Ok(address) = address.parse() {
-                    shared.learn_entry(address);
+                    shared.add_entry(address);
                 }
             }
         }
@@ -169,7 +169,7 @@
     Ok(())
 }
 
-fn take_settings(shared: &SidecarShared, push: &SettingsPush) {
+fn handle_settings_push(shared: &SidecarShared, push: &SettingsPush) {
     let choice = if push.delta.is_empty() {
         shared.settings().apply_json(&push.tree)
     } else {
@@ -189,7 +189,11 @@
 }
 
 /// An entry with a smaller version gets ours: it may be cut off from the store.
-fn answer_ack(shared: &SidecarShared, ack: SettingsAck, outbox: &UnboundedSender<PeerBody>) {
+fn handle_settings_ack(
+    shared: &SidecarShared,
+    ack: SettingsAck,
+    outbox: &UnboundedSender<PeerBody>,
+) {
     let settings = shared.settings();
     if ack.version < settings.version().0 {
         let push = SettingsPush {
--- a/crates/wax-sidecar/src/pool.rs
+++ b/crates/wax-sidecar/src/pool.rs
@@ -7,24 +7,24 @@
 use wax_trace::{Counter, count};
 use wax_types::{ErrorKind, Step, WaxError};
 
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Idle connections and the count of all open ones.
 #[derive(Debug)]
 pub(crate) struct UpstreamPool {
     address: SocketAddr,
-    limit: usize,
-    count: ConnectionCount,
+    max_connections: usize,
+    open_count: ConnectionCount,
     idle: RefCell<Vec<ClientConnection>>,
     reachable: Cell<bool>,
 }
 
 impl UpstreamPool {
-    pub(crate) fn new(address: SocketAddr, limit: usize) -> Self {
+    pub(crate) fn new(address: SocketAddr, max_connections: usize) -> Self {
         Self {
             address,
-            limit,
-            count: ConnectionCount::default(),
+            max_connections,
+            open_count: ConnectionCount::default(),
             idle: RefCell::default(),
             reachable: Cell::new(true),
         }
@@ -51,9 +51,9 @@
 
     /// A new connection; fails at the upstream's bound.
     pub(crate) async fn open(&self) -> Result<ClientConnection, WaxError> {
-        if self.count.get() >= self.limit {
+        if self.open_count.get() >= self.max_connections {
             let kind = ErrorKind::Overload(Duration::from_millis(100));
-            let text = format!("all {} connections are in use", self.limit);
+            let text = format!("all {} connections are in use", self.max_connections);
             return Err(WaxError::new(
                 kind,
                 Step::Connect,
@@ -62,12 +62,12 @@
             ));
         }
         count(Counter::SidecarConnects);
-        let result = ClientConnection::open(self.address, CONNECT_LIMIT, &self.count).await;
-        self.note_reachable(result.is_ok());
+        let result = ClientConnection::open(self.address, CONNECT_TIMEOUT, &self.open_count).await;
+        self.set_reachable(result.is_ok());
         result
     }
 
-    fn note_reachable(&self, reachable: bool) {
+    fn set_reachable(&self, reachable: bool) {
         if self.reachable.replace(reachable) != reachable {
             tracing::info!(upstream = %self.address, reachable, "upstream changed");
         }
--- a/crates/wax-sidecar/src/process.rs
+++ b/crates/wax-sidecar/src/process.rs
@@ -2,9 +2,9 @@
 
 use crate::announce::announce_load;
 use crate::attempt::{AttemptHandle, QueuedAttempt, RunningAttempt};
-use crate::link::keep_link;
+use crate::attempt_table::{AttemptState, AttemptTable, CancelResult};
+use crate::link::maintain_link;
 use crate::pool::UpstreamPool;
-use crate::table::{AttemptState, AttemptTable, CancelChoice};
 use compio::runtime::spawn;
 use compio::time::sleep;
 use futures_channel::mpsc::UnboundedSender;
@@ -25,9 +25,9 @@
 /// How often the drain looks whether it is done.
 const DRAIN_POLL: Duration = Duration::from_millis(10);
 /// A connection that takes none of its last frames for this long is cut.
-const FLUSH_LIMIT: Duration = Duration::from_secs(5);
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(5);
 /// For how long entries may still send to an upstream that has said that it leaves.
-const LEAVE_NOTICE: Duration = Duration::from_millis(200);
+const MIN_DRAIN_TIME: Duration = Duration::from_millis(200);
 
 /// The sidecar daemon.
 pub struct SidecarProcess {
@@ -39,7 +39,7 @@
     options: SidecarSettings,
     clock: ProcessClock,
     gate: RefCell<SlotGate<AttemptKey>>,
-    table: RefCell<AttemptTable>,
+    attempt_table: RefCell<AttemptTable>,
     pool: UpstreamPool,
     settings: SettingsHolder,
     links: RefCell<BTreeMap<u64, UnboundedSender<PeerBody>>>,
@@ -68,7 +68,7 @@
             options,
             clock,
             gate: RefCell::new(gate),
-            table: RefCell::default(),
+            attempt_table: RefCell::default(),
             pool,
             settings: SettingsHolder::default(),
             links: RefCell::default(),
@@ -87,7 +87,7 @@
     pub async fn run(self, shutdown: ShutdownSignal) {
         let shared = self.shared;
         for address in shared.options.entries.clone() {
-            shared.learn_entry(address);
+            shared.add_entry(address);
         }
         spawn(announce_load(shared.clone())).detach();
         shutdown.wait().await;
@@ -96,7 +96,7 @@
 }
 
 impl SidecarShared {
-    pub(crate) fn hello(&self) -> PeerHello {
+    pub(crate) fn own_hello(&self) -> PeerHello {
         self.hello.clone()
     }
 
@@ -116,7 +116,7 @@
         self.options.upstream.to_string()
     }
 
-    pub(crate) fn answer_limit(&self) -> Duration {
+    pub(crate) fn answer_timeout(&self) -> Duration {
         Duration::from_millis(self.options.answer_ms.into())
     }
 
@@ -125,7 +125,7 @@
     }
 
     /// Waits until the drain is done and connections are to be closed.
-    pub(crate) async fn wait_stopping(&self) {
+    pub(crate) async fn wait_for_stop(&self) {
         self.stopping.wait().await;
     }
 
@@ -136,14 +136,14 @@
     }
 
     /// Connects to an entry unless it is connected already.
-    pub(crate) fn learn_entry(self: &Rc<Self>, address: SocketAddr) {
+    pub(crate) fn add_entry(self: &Rc<Self>, address: SocketAddr) {
         if self.entries.borrow_mut().insert(address) {
-            spawn(keep_link(self.clone(), address)).detach();
+            spawn(maintain_link(self.clone(), address)).detach();
         }
     }
 
     /// Forgets an entry that cannot be reached, unless the settings name it.
-    pub(crate) fn forget_entry(&self, address: SocketAddr) -> bool {
+    pub(crate) fn remove_entry(&self, address: SocketAddr) -> bool {
         if self.options.entries.contains(&address) {
             return false;
         }
@@ -165,7 +165,7 @@
     /// Forgets a connection: what it queued is dropped, what it runs is no longer wanted.
     pub(crate) fn remove_link(self: &Rc<Self>, link: u64) {
         self.links.borrow_mut().remove(&link);
-        let keys = self.table.borrow().keys_of_link(link);
+        let keys = self.attempt_table.borrow().keys_of_link(link);
         for key in keys {
             self.cancel(key);
         }
@@ -200,11 +200,11 @@
     }
 
     pub(crate) fn running_attempt(&self, id: Option<AttemptId>) -> Option<AttemptHandle> {
-        self.table.borrow().running(id?.into()).cloned()
+        self.attempt_table.borrow().running(id?.into()).cloned()
     }
 
     /// Decides about a request at the moment of its arrival: run, queue or refuse.
-    pub(crate) fn take_request(
+    pub(crate) fn receive_request(
         self: &Rc<Self>,
         key: AttemptKey,
         head: RequestHead,
@@ -212,12 +212,12 @@
         link: u64,
     ) {
         let now = self.clock.now();
-        if self.table.borrow().contains(key) {
+        if self.attempt_table.borrow().contains(key) {
             // A key is never used again, so this is the same request a second time.
             return;
         }
         let attempt = QueuedAttempt::new(key, head, now, outbox.clone(), link);
-        if self.table.borrow_mut().take_tombstone(key) {
+        if self.attempt_table.borrow_mut().take_tombstone(key) {
             return attempt.refuse(NotRunReason::Cancelled, Duration::ZERO);
         }
         if self.leaving.get() {
@@ -228,7 +228,7 @@
             GateChoice::Run => self.start(key, attempt.into_running()),
             GateChoice::Queue => {
                 let state = AttemptState::Queued(attempt);
-                self.table.borrow_mut().insert(key, state);
+                self.attempt_table.borrow_mut().insert(key, state);
             }
             GateChoice::Full(after) => attempt.refuse(NotRunReason::QueueFull, after),
             GateChoice::CannotMeetDeadline(after) => {
@@ -239,49 +239,49 @@
 
     fn start(self: &Rc<Self>, key: AttemptKey, attempt: RunningAttempt) {
         let state = AttemptState::Running(attempt.handle());
-        self.table.borrow_mut().insert(key, state);
+        self.attempt_table.borrow_mut().insert(key, state);
         spawn(attempt.run(self.clone())).detach();
     }
 
     /// Gives an attempt up.
     pub(crate) fn cancel(&self, key: AttemptKey) {
-        let choice = self.table.borrow_mut().cancel(key);
+        let choice = self.attempt_table.borrow_mut().cancel(key);
         match choice {
-            CancelChoice::NotRun => {
+            CancelResult::WasQueued => {
                 count(Counter::SidecarCancelled);
                 self.gate.borrow_mut().remove(key);
-                if let Some(attempt) = self.table.borrow_mut().take_queued(key) {
+                if let Some(attempt) = self.attempt_table.borrow_mut().take_queued(key) {
                     attempt.refuse(NotRunReason::Cancelled, Duration::ZERO);
                 }
             }
-            CancelChoice::Running => {
-                if let Some(handle) = self.table.borrow().running(key) {
+            CancelResult::Running => {
+                if let Some(handle) = self.attempt_table.borrow().running(key) {
                     handle.abandon();
                 }
             }
-            CancelChoice::Tombstone => count(Counter::SidecarCancelled),
+            CancelResult::Tombstone => count(Counter::SidecarCancelled),
         }
     }
 
     /// Gives the slot of an attempt back and starts what waits.
     ///
     /// `spent` is `None` where the upstream was not reached.
-    pub(crate) fn finish_attempt(self: &Rc<Self>, key: AttemptKey, spent: Option<Duration>) {
-        self.table.borrow_mut().remove(key);
-        match spent {
-            Some(spent) => self.gate.borrow_mut().release(spent),
+    pub(crate) fn finish_attempt(self: &Rc<Self>, key: AttemptKey, service_time: Option<Duration>) {
+        self.attempt_table.borrow_mut().remove(key);
+        match service_time {
+            Some(service_time) => self.gate.borrow_mut().release(service_time),
             None => self.gate.borrow_mut().release_unused(),
         }
-        self.start_waiting();
+        self.start_queued();
     }
 
-    fn start_waiting(self: &Rc<Self>) {
+    fn start_queued(self: &Rc<Self>) {
         loop {
             let choice = self.gate.borrow_mut().dequeue(self.clock.now());
             match choice {
                 DequeueChoice::Idle => return,
                 DequeueChoice::Run(key) => {
-                    let attempt = self.table.borrow_mut().take_queued(key);
+                    let attempt = self.attempt_table.borrow_mut().take_queued(key);
                     match attempt {
                         Some(attempt) => self.start(key, attempt.into_running()),
                         None => self.gate.borrow_mut().release_unused(),
@@ -289,7 +289,7 @@
                 }
                 DequeueChoice::Drop(key) => {
                     let wait = self.gate.borrow().expected_wait();
-                    if let Some(attempt) = self.table.borrow_mut().take_queued(key) {
+                    if let Some(attempt) = self.attempt_table.borrow_mut().take_queued(key) {
                         attempt.refuse(NotRunReason::DeadlineHopeless, wait);
                     }
                 }
@@ -298,7 +298,7 @@
     }
 
     /// Keeps a connection once hyper says that it can be used again.
-    pub(crate) async fn keep_connection(&self, mut connection: ClientConnection) {
+    pub(crate) async fn return_connection(&self, mut connection: ClientConnection) {
         if connection.ready().await {
             self.pool.put_back(connection);
         }
@@ -307,22 +307,22 @@
     /// Announces that the upstream leaves, finishes what is in progress, closes the connections.
     async fn drain(&self) {
         let start = self.clock.now();
-        let limit = Duration::from_millis(self.options.drain_ms.into());
+        let max_time = Duration::from_millis(self.options.drain_ms.into());
         self.leaving.set(true);
         self.announce();
-        tracing::info!(attempts = self.table.borrow().len(), "leaving");
+        tracing::info!(attempts = self.attempt_table.borrow().len(), "leaving");
         loop {
             sleep(DRAIN_POLL).await;
-            let spent = self.clock.now().since(start);
-            let idle = self.table.borrow().len() == 0;
-            if (idle && spent >= LEAVE_NOTICE) || spent >= limit {
+            let elapsed = self.clock.now().since(start);
+            let idle = self.attempt_table.borrow().len() == 0;
+            if (idle && elapsed >= MIN_DRAIN_TIME) || elapsed >= max_time {
                 break;
             }
         }
-        let unfinished = self.table.borrow().len();
+        let unfinished = self.attempt_table.borrow().len();
         self.stopping.raise();
-        let closing = self.clock.now();
-        while self.open_links.get() > 0 && self.clock.now().since(closing) < FLUSH_LIMIT {
+        let closing_at = self.clock.now();
+        while self.open_links.get() > 0 && self.clock.now().since(closing_at) < FLUSH_TIMEOUT {
             sleep(DRAIN_POLL).await;
         }
         tracing::info!(unfinished, unflushed = self.open_links.get(), "drained");
