--- a/crates/wax-route/src/headers.rs
+++ b/crates/wax-route/src/headers.rs
@@ -18,7 +18,7 @@
 const MAX_KEY_BYTES: usize = 200;
 
 /// Fields that concern one connection only, and those that an entry sets itself.
-const NOT_FORWARDED: &[&str] = &[
+const NOT_FORWARDED_HEADERS: &[&str] = &[
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -136,7 +136,7 @@
 pub(crate) fn forwarded_headers(headers: &HeaderMap) -> Vec<HeaderField> {
     headers
         .iter()
-        .filter(|(name, _)| !NOT_FORWARDED.contains(&name.as_str()))
+        .filter(|(name, _)| !NOT_FORWARDED_HEADERS.contains(&name.as_str()))
         .map(|(name, value)| HeaderField {
             name: name.as_str().to_owned(),
             value: Bytes::copy_from_slice(value.as_bytes()),
--- a/crates/wax-route/src/idempotency.rs
+++ b/crates/wax-route/src/idempotency.rs
@@ -89,9 +89,8 @@
                 return ReserveResult::Unavailable(unavailable_error(error));
             }
             CommitOutcome::Unknown(error) => {
-                let indeterminate = (key, row);
-                compio::runtime::spawn(release_indeterminate(shared.clone(), indeterminate))
-                    .detach();
+                let reservation = (key, row);
+                compio::runtime::spawn(release_indeterminate(shared.clone(), reservation)).detach();
                 return ReserveResult::Unavailable(unavailable_error(error));
             }
             CommitOutcome::Conflict(_) => {}
--- a/crates/wax-route/src/process.rs
+++ b/crates/wax-route/src/process.rs
@@ -32,7 +32,7 @@
     callers: TcpListener,
     operators: TcpListener,
     peers: TcpListener,
-    poll: Duration,
+    settings_poll_interval: Duration,
 }
 
 /// What the daemon gives to its entry.
@@ -125,7 +125,7 @@
             callers,
             operators,
             peers,
-            poll: Duration::from_millis(options.settings_poll_ms.into()),
+            settings_poll_interval: Duration::from_millis(options.settings_poll_ms.into()),
         }
     }
 
@@ -136,7 +136,7 @@
         spawn(send_heartbeats(shared.clone())).detach();
         spawn(shared.drains.clone().keep()).detach();
         load_settings(&shared).await;
-        spawn(poll_settings(shared.clone(), self.poll)).detach();
+        spawn(poll_settings(shared.clone(), self.settings_poll_interval)).detach();
         let stop_callers = ShutdownSignal::default();
         let callers = Rc::new(CallerHandler::new(shared.clone()));
         let operators = Rc::new(OperatorHandler::new(shared.clone()));
--- a/crates/wax-route/src/settings_sync.rs
+++ b/crates/wax-route/src/settings_sync.rs
@@ -72,7 +72,7 @@
         return Ok(());
     }
     for delta in read_deltas(shared, own.next(), target).await? {
-        apply_and_publish_delta(shared, delta);
+        apply_delta(shared, delta);
     }
     if shared.settings.version() < target {
         let tree = read_tree(shared).await?;
@@ -89,7 +89,7 @@
     }
 }
 
-fn apply_and_publish_delta(shared: &EntryShared, delta: TreeDelta) {
+fn apply_delta(shared: &EntryShared, delta: TreeDelta) {
     if let ApplyChoice::Applied(version) = shared.settings.apply_delta(&delta) {
         count(Counter::SettingsApplied);
         tracing::info!(%version, author = %delta.author, "settings in force");
@@ -157,7 +157,7 @@
     match shared.writer.commit(transaction, deadline).await {
         CommitOutcome::Committed(_) => {
             let version = delta.version;
-            apply_and_publish_delta(shared, delta);
+            apply_delta(shared, delta);
             Ok(version)
         }
         CommitOutcome::Conflict(_) => {
--- a/crates/wax-sidecar/src/attempt.rs
+++ b/crates/wax-sidecar/src/attempt.rs
@@ -47,11 +47,11 @@
 /// What the connection's reader needs of a running attempt.
 #[derive(Debug, Clone)]
 pub(crate) struct AttemptHandle {
-    shared: Rc<HandleShared>,
+    shared: Rc<HandleState>,
 }
 
 #[derive(Debug)]
-struct HandleShared {
+struct HandleState {
     link: u64,
     outbox: UnboundedSender<PeerBody>,
     abandoned: Cell<bool>,
@@ -104,7 +104,7 @@
 
     /// Makes it a running attempt; a slot must be held for it.
     pub(crate) fn into_running(mut self) -> RunningAttempt {
-        let shared = HandleShared {
+        let shared = HandleState {
             link: self.link,
             outbox: self.outbox,
             abandoned: Cell::new(false),
@@ -293,8 +293,8 @@
             return CallResult::NotSent(NotRunReason::Malformed);
         };
         let time_limit = Instant::now() + shared.answer_timeout();
-        for tries in 0..MAX_CONNECTION_TRIES {
-            let result = if tries == 0 {
+        for try_number in 0..MAX_CONNECTION_TRIES {
+            let result = if try_number == 0 {
                 shared.pool().take().await
             } else {
                 shared.pool().open().await
--- a/crates/wax-sidecar/src/process.rs
+++ b/crates/wax-sidecar/src/process.rs
@@ -307,7 +307,7 @@
     /// Announces that the upstream leaves, finishes what is in progress, closes the connections.
     async fn drain(&self) {
         let start = self.clock.now();
-        let max_time = Duration::from_millis(self.options.drain_ms.into());
+        let max_drain_time = Duration::from_millis(self.options.drain_ms.into());
         self.leaving.set(true);
         self.announce();
         tracing::info!(attempts = self.attempt_table.borrow().len(), "leaving");
@@ -315,7 +315,7 @@
             sleep(DRAIN_POLL).await;
             let elapsed = self.clock.now().since(start);
             let idle = self.attempt_table.borrow().len() == 0;
-            if (idle && elapsed >= MIN_DRAIN_TIME) || elapsed >= max_time {
+            if (idle && elapsed >= MIN_DRAIN_TIME) || elapsed >= max_drain_time {
                 break;
             }
         }
