--- a/crates/wax-route/src/attempts.rs
+++ b/crates/wax-route/src/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts that wait for an answer: the one place where an answer meets its request.
+//! Table of the attempts in flight, which delivers the answers of sidecars to their requests.
 
 use futures_channel::mpsc::UnboundedSender;
 use std::cell::{Cell, RefCell};
@@ -8,20 +8,20 @@
 use wax_types::{AttemptKey, ProcessIncarnation};
 use wax_wire::{AttemptId, BodyChunk, NotRunAnswer, ResponseHead};
 
-/// What happens to an attempt.
+/// Event of an attempt in flight.
 #[derive(Debug)]
 pub(crate) enum AttemptEvent {
-    /// The upstream answers.
+    /// The upstream returned the head of its response.
     Response(ResponseHead),
-    /// A part of the answer.
+    /// Part of the response body.
     Chunk(BodyChunk),
-    /// It was not run.
+    /// The attempt was not run and will not run.
     NotRun(NotRunAnswer),
-    /// It was dispatched and its answer is lost.
+    /// The attempt was sent to the upstream, and the response is lost. Holds the reason.
     Lost(Box<str>),
-    /// The connection to the sidecar broke; it may have been dispatched.
+    /// The connection to the sidecar broke; the attempt may have been sent to the upstream.
     LinkBroken,
-    /// The sidecar can take so many bytes of the body.
+    /// Number of further bytes of the request body that the sidecar accepts.
     Credit(u32),
 }
 
@@ -31,7 +31,7 @@
     events: UnboundedSender<(AttemptKey, AttemptEvent)>,
 }
 
-/// The pending attempts by key; a key is never used again.
+/// Attempts in flight by key. Keys are never reused.
 #[derive(Debug)]
 pub(crate) struct AttemptTable {
     incarnation: ProcessIncarnation,
@@ -65,26 +65,26 @@
         key
     }
 
-    /// Ends an attempt: whatever comes for it later is late.
+    /// Removes an attempt. Later answers for it are dropped and counted as late.
     pub(crate) fn remove(&self, key: AttemptKey) {
         self.pending.borrow_mut().remove(&key);
     }
 
-    /// Passes an event on, if it comes from the sidecar that the attempt was sent to.
+    /// Delivers an event to its request if it comes from the sidecar that the attempt was sent to.
     pub(crate) fn deliver(&self, from: UpstreamKey, id: Option<AttemptId>, event: AttemptEvent) {
         let pending = self.pending.borrow();
         let key = id.map(AttemptKey::from);
         let attempt = key.and_then(|key| Some((key, pending.get(&key)?)));
         match attempt {
             Some((key, attempt)) if attempt.upstream == from => {
-                // A request that ended a moment ago does not take it.
+                // Sending fails if the request has just ended; the event is no longer needed then.
                 let _ = attempt.events.unbounded_send((key, event));
             }
             _ => count(Counter::EntryLateAnswers),
         }
     }
 
-    /// Tells every attempt at a sidecar that its connection broke.
+    /// Reports the loss of the connection to a sidecar to all its attempts.
     pub(crate) fn fail_link(&self, upstream: UpstreamKey) {
         for (key, attempt) in &*self.pending.borrow() {
             if attempt.upstream == upstream {
--- a/crates/wax-route/src/body_forwarder.rs
+++ b/crates/wax-route/src/body_forwarder.rs
@@ -1,4 +1,4 @@
-//! Sends the rest of a long request body, as the sidecar gives credit.
+//! Forwards the rest of a long request body to a sidecar, within the credit that the sidecar grants.
 
 use crate::process::EntryShared;
 use bytes::Bytes;
@@ -11,7 +11,8 @@
 use wax_types::AttemptKey;
 use wax_wire::{BodyChunk, CancelRequest, PeerBody};
 
-/// The credit of one body, shared with the request that receives the grants.
+/// Credit for one body: number of bytes that may be sent. Shared between the forwarder and the
+/// request, which receives the grants of the sidecar.
 #[derive(Debug, Default)]
 pub(crate) struct BodyCredit {
     bytes: Cell<u64>,
@@ -25,13 +26,13 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// Stops the pump.
+    /// Stops the forwarder.
     pub(crate) fn stop(&self) {
         self.stopped.set(true);
         self.changed.notify(usize::MAX);
     }
 
-    /// Waits until some credit is there; says whether the body is still wanted.
+    /// Waits for credit. Returns `false` if the forwarder was stopped.
     async fn wait_for_credit(&self) -> bool {
         while self.bytes.get() == 0 && !self.stopped.get() {
             let changed = self.changed.listen();
@@ -43,20 +44,20 @@
     }
 }
 
-/// A body on its way to one attempt.
+/// Forwards one body to one attempt.
 pub(crate) struct BodyForwarder {
     pub(crate) shared: Rc<EntryShared>,
     pub(crate) upstream: UpstreamKey,
     pub(crate) key: AttemptKey,
     pub(crate) credit: Rc<BodyCredit>,
-    /// Bytes sent with the head.
+    /// Number of bytes of the body that were sent, with the request head and since.
     pub(crate) bytes_sent: u64,
-    /// The most that the whole body may have.
+    /// Maximum size of the whole body.
     pub(crate) max_body_bytes: u64,
 }
 
 impl BodyForwarder {
-    /// Reads and sends to the end; a body that is cut or too long cancels the attempt.
+    /// Forwards the body to its end. A body that breaks off or is too long cancels the attempt.
     pub(crate) async fn run(mut self, first_data: Bytes, mut body: Incoming) {
         if !self.send(first_data).await {
             return;
--- a/crates/wax-route/src/callers.rs
+++ b/crates/wax-route/src/callers.rs
@@ -1,4 +1,4 @@
-//! What callers may ask: quick requests, alerts of standing watches, jobs.
+//! HTTP interface for callers: quick requests, alerts of watches, and jobs.
 
 use crate::headers::{
     CallerHeaders, IDEMPOTENCY_KEY, RetrySafety, forwarded_headers, invalid_field,
@@ -21,25 +21,27 @@
 use wax_trace::{Counter, TraceContext, count};
 use wax_types::{ErrorKind, RunOutcome, Step, TimePoint, WaxError};
 
-/// A body up to this size is sent with each attempt and may be retried.
+/// Longest body that is kept for retries. Of a longer one, the rest is sent only once.
 const MAX_RESENDABLE_BODY_BYTES: usize = 16 << 10;
 
-/// Answers callers.
+/// Handles the requests of callers.
 pub(crate) struct CallerHandler {
     shared: Rc<EntryShared>,
 }
 
-/// Where a quick request goes.
+/// Service that a quick request is for, and the path at that service.
 struct CallTarget {
     service: Box<str>,
     path: String,
-    /// Whether it is an alert, which is never idempotent.
+    /// Whether the request is the alert of a watch. Alerts are never idempotent.
     is_alert: bool,
 }
 
-/// The start of a body, and the rest if there is one.
+/// Body of which the start was read.
 struct PartialBody {
     start: Bytes,
+    /// First data that `start` did not hold, and the stream of what follows; `None` if `start` is the
+    /// whole body.
     rest: Option<(Bytes, Incoming)>,
 }
 
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Checks and admits a request; nothing is sent yet.
+    /// Validates and admits a request without sending anything.
     async fn prepare(
         &self,
         mut request: HttpRequest,
@@ -173,7 +175,7 @@
         response.reply
     }
 
-    /// Reserves the key, runs the request, records its outcome.
+    /// Reserves the idempotency key, runs the request and records its outcome.
     async fn execute_once(
         &self,
         parts: UpstreamRequest,
@@ -202,7 +204,8 @@
     }
 }
 
-/// The answer to a key that was used before: nothing is run again.
+/// Builds the response to a request whose idempotency key was used before. Such a request is not
+/// run again.
 fn repeated_key_response(state: IdempotencyState) -> FinalResponse {
     let (text, outcome) = match state {
         IdempotencyState::Ran => ("a request with this key ran before", RunOutcome::Ran),
@@ -215,7 +218,11 @@
     }
 }
 
-/// Reads a body until it ends or is too long to be kept.
+/// Reads a body to its end, or until it exceeds [`MAX_RESENDABLE_BODY_BYTES`].
+///
+/// # Errors
+///
+/// The body is longer than `max_bytes`, cannot be read, or does not arrive within `time_left`.
 async fn read_body_start(
     mut body: Incoming,
     max_bytes: u64,
--- a/crates/wax-route/src/headers.rs
+++ b/crates/wax-route/src/headers.rs
@@ -1,4 +1,4 @@
-//! What the entry reads from a caller's header fields.
+//! Header fields of requests from callers and of responses to them.
 
 use bytes::Bytes;
 use http::{HeaderMap, Method};
@@ -14,10 +14,11 @@
 pub(crate) const OUTCOME: &str = "waxwing-outcome";
 pub(crate) const RETRY_AFTER_MS: &str = "waxwing-retry-after-ms";
 
-/// The longest idempotency key, in bytes.
+/// Maximum length of an idempotency key.
 const MAX_KEY_BYTES: usize = 200;
 
-/// Fields that concern one connection only, and those that an entry sets itself.
+/// Header fields that are not forwarded: those of one connection, and those that the entry or the
+/// sidecar sets itself.
 const NOT_FORWARDED_HEADERS: &[&str] = &[
     "connection",
     "keep-alive",
@@ -32,21 +33,23 @@
     TraceContext::HEADER,
 ];
 
-/// How a request may be repeated.
+/// Conditions under which a request may be sent to an upstream again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RetrySafety {
-    /// Running it twice does no harm: it may be retried and hedged.
+    /// Idempotent: may be retried and hedged.
     Idempotent,
-    /// It is retried only where it surely did not run.
+    /// The method is not idempotent: retried only if the earlier attempt provably did not run.
     OnlyIfNotRun,
-    /// At most once, across callers that ask again: its key is reserved in the table.
+    /// The caller marked the request as non-idempotent: at most one execution, also if the caller
+    /// repeats the request. The idempotency key is reserved in the table.
     AtMostOnceByKey,
 }
 
-/// What a caller says of its request.
+/// Parsed header fields of a caller's request.
 #[derive(Debug)]
 pub(crate) struct CallerHeaders {
     pub(crate) team: Box<str>,
+    /// Time within which the caller wants a response; `None` uses the deadline in the settings.
     pub(crate) deadline: Option<Duration>,
     pub(crate) retry_safety: RetrySafety,
     pub(crate) idempotency_key: Option<Box<str>>,
@@ -54,11 +57,11 @@
 }
 
 impl CallerHeaders {
-    /// Reads the fields.
+    /// Parses the header fields of a request.
     ///
     /// # Errors
     ///
-    /// A field is missing or malformed; the error names it.
+    /// A required field is missing, or a field is malformed. The error names the field.
     pub(crate) fn parse(method: &Method, headers: &HeaderMap) -> Result<Self, WaxError> {
         let team = header_text(headers, TEAM)?.ok_or_else(|| {
             invalid_field(TEAM, "the field is missing").with_help("name your team in it")
@@ -117,7 +120,7 @@
     }
 }
 
-/// Reads the idempotency key.
+/// Parses the idempotency key; `None` if there is none.
 ///
 /// # Errors
 ///
@@ -132,7 +135,7 @@
     }
 }
 
-/// The fields that go on to the upstream or to the caller.
+/// Returns the header fields of a request that are forwarded to the upstream.
 pub(crate) fn forwarded_headers(headers: &HeaderMap) -> Vec<HeaderField> {
     headers
         .iter()
--- a/crates/wax-route/src/idempotency.rs
+++ b/crates/wax-route/src/idempotency.rs
@@ -1,4 +1,5 @@
-//! At most once: a caller's idempotency key is reserved in the table before the first dispatch.
+//! At-most-once execution: a caller's idempotency key is reserved in the table before the first
+//! attempt is sent.
 
 use crate::process::EntryShared;
 use compio::time::timeout;
@@ -8,36 +9,37 @@
 use wax_platform::{CommitOutcome, TableTransaction};
 use wax_types::{ErrorKind, RowVersion, RunOutcome, Step, TimePoint, WaxError, wall_clock_ms};
 
-/// How long the outcome of a request is offered to the table.
+/// Timeout for recording the outcome of a request, and for releasing a reservation whose commit is
+/// indeterminate.
 const RECORD_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Where a key stands.
+/// State of an idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum IdempotencyState {
-    /// An entry holds it and may dispatch or have dispatched.
+    /// An entry holds the key and may have sent the request to an upstream.
     Reserved,
-    /// The request ran and was answered.
+    /// The request ran and the caller received a response.
     Ran,
-    /// The request was dispatched; whether it ran is not known.
+    /// The request was sent to an upstream, and it is unknown whether it ran.
     Unknown,
-    /// The request surely did not run; the key may be reserved again.
+    /// The request provably did not run; the key may be reserved again.
     Released,
 }
 
-/// The row of one key.
+/// Row of one idempotency key in the table.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct IdempotencyRow {
     pub(crate) state: IdempotencyState,
-    /// The entry that reserved it.
+    /// Name of the entry that reserved the key.
     pub(crate) entry: Box<str>,
-    /// Drawn for this reservation.
+    /// Random number that identifies this reservation.
     pub(crate) nonce: u64,
-    /// Unix milliseconds.
+    /// Time of the reservation, Unix milliseconds.
     pub(crate) at_ms: u64,
 }
 
-/// A key that this request holds.
+/// Key that is reserved for one request.
 #[derive(Debug)]
 pub(crate) struct IdempotencyLock {
     key: Box<str>,
@@ -45,23 +47,23 @@
     row: IdempotencyRow,
 }
 
-/// What came of a reservation.
+/// Result of a reservation.
 pub(crate) enum ReserveResult {
-    /// This request may be dispatched.
+    /// The key is reserved; the request may be sent to an upstream.
     Acquired(IdempotencyLock),
-    /// An earlier request with the key ran, or may have run.
+    /// An earlier request with this key ran or may have run.
     Repeated(IdempotencyState),
-    /// The table cannot be asked; nothing was dispatched.
+    /// The table is not available; nothing was sent to an upstream.
     Unavailable(WaxError),
 }
 
-/// The table key; the caller's key is hexadecimal so that it holds no separator.
+/// Returns the row key. The caller's key is hex-encoded, because it may contain the separator `/`.
 fn row_key(team: &str, service: &str, key: &str) -> Box<str> {
     let hex: String = key.bytes().map(|byte| format!("{byte:02x}")).collect();
     format!("once/{team}/{service}/{hex}").into()
 }
 
-/// Reserves a key by one insert-if-absent.
+/// Reserves a key by a conditional insert, which succeeds only if the row does not exist.
 pub(crate) async fn reserve_key(
     shared: &Rc<EntryShared>,
     team: &str,
@@ -77,7 +79,7 @@
         at_ms: wall_clock_ms(),
     };
     let mut version = RowVersion::default();
-    // Twice: a key that was released is reserved over its row.
+    // The second round overwrites the row of a released key.
     for _ in 0..2 {
         let mut transaction = TableTransaction::default();
         transaction.put(key.clone(), version, &row);
@@ -122,7 +124,7 @@
 }
 
 impl IdempotencyLock {
-    /// Records how the request ended; a key that did not run is free again.
+    /// Records the outcome of the request. If the request did not run, the key may be reserved again.
     pub(crate) fn record(self, shared: &Rc<EntryShared>, outcome: RunOutcome) {
         let shared = shared.clone();
         compio::runtime::spawn(async move {
@@ -150,12 +152,14 @@
     let deadline = shared.clock.now() + RECORD_TIMEOUT;
     let outcome = shared.writer.commit(transaction, deadline).await;
     if !matches!(outcome, CommitOutcome::Committed(_)) {
-        // The key stays reserved: a caller that asks again is told "unknown", which is safe.
-        tracing::debug!(%key, ?outcome, "outcome of a key not recorded");
+        // The key stays reserved. A repeated request gets the outcome "unknown" and is not run, so
+        // at-most-once execution holds.
+        tracing::debug!(%key, ?outcome, "outcome of an idempotency key not recorded");
     }
 }
 
-/// A reservation whose fate is open was never dispatched: once it shows, it is released.
+/// Releases a reservation whose commit is indeterminate, if it took effect. Its request was not sent
+/// to an upstream, so the key may be reserved again.
 async fn release_indeterminate(shared: Rc<EntryShared>, (key, row): (Box<str>, IdempotencyRow)) {
     let end = shared.clock.now() + RECORD_TIMEOUT;
     while shared.clock.now() < end {
--- a/crates/wax-route/src/job_api.rs
+++ b/crates/wax-route/src/job_api.rs
@@ -1,4 +1,4 @@
-//! Jobs over HTTP: submit, show, result, cancel.
+//! HTTP interface of jobs: submit, show, cancel, and fetch the result of a task.
 
 use crate::headers::{IDEMPOTENCY_KEY, TEAM, invalid_field, parse_idempotency_key};
 use crate::process::EntryShared;
@@ -10,10 +10,10 @@
 use wax_types::{ErrorKind, JobId, Step, WaxError};
 
 const MAX_BODY_BYTES: usize = 1 << 20;
-/// How long a submission or a cancellation is offered to the table.
+/// Timeout for the commit of a submission or a cancellation.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Answer to a submission.
+/// Reply to a submission or a cancellation.
 #[derive(Debug, Serialize, Deserialize)]
 struct SubmitReply {
     job: JobId,
--- a/crates/wax-route/src/lib.rs
+++ b/crates/wax-route/src/lib.rs
@@ -1,7 +1,8 @@
-//! The entry: takes requests of callers and operators and routes them to upstreams.
+//! The entry: receives the requests of callers and operators and routes quick requests to
+//! upstreams through their sidecars.
 //!
-//! Modules by life span: `process` lives as long as the daemon, `peer_link` as long as the
-//! connection to one sidecar, `request` and what it uses as long as one request.
+//! State in `process` lasts for the whole process, state in `peer_link` for the connection to one
+//! sidecar, and state in `request` and the modules that it uses for one request.
 
 mod attempts;
 mod body_forwarder;
--- a/crates/wax-route/src/operators.rs
+++ b/crates/wax-route/src/operators.rs
@@ -1,4 +1,4 @@
-//! What operators may ask: status, settings, usage.
+//! HTTP interface for operators: status, settings, usage, drains, jobs and explanations.
 
 use crate::process::EntryShared;
 use crate::settings_api;
@@ -10,27 +10,28 @@
 use wax_ledger::{UsageRow, UsageSum, day_of, read_days};
 use wax_types::{ErrorKind, Step, WaxError, wall_clock_ms};
 
-/// Days of usage that may be asked for at once.
+/// Maximum difference between the first and the last day of a query for usage.
 const MAX_DAYS: u64 = 400;
 
-/// Calls about a failure domain begin with it.
+/// Prefix of the paths that concern a failure domain.
 const DOMAINS_PATH: &str = "/v1/domains/";
 
-/// Answers operators.
+/// Handles the requests of operators.
 pub(crate) struct OperatorHandler {
     shared: Rc<EntryShared>,
 }
 
-/// Answer to `GET /v1/usage`.
+/// Reply to `GET /v1/usage`.
 #[derive(Debug, Serialize, Deserialize)]
 struct UsageReply {
-    /// Days since the Unix epoch.
+    /// First day, in days since the Unix epoch.
     from_day: u64,
+    /// Last day, included.
     to_day: u64,
     rows: Vec<UsageRow>,
 }
 
-/// Answer to a change of a failure domain.
+/// Reply to a change of the drain of a failure domain.
 #[derive(Debug, Serialize, Deserialize)]
 struct DomainReply {
     domain: Box<str>,
@@ -74,7 +75,7 @@
         Ok(json_reply(StatusCode::OK, &reply))
     }
 
-    /// Why the tasks of a job stand where they stand, for the shards owned here.
+    /// Explains the current state of the tasks of a job, for the shards that this process owns.
     fn explain(&self, request: &HttpRequest) -> Result<HttpReply, WaxError> {
         let text = query_value(request, "job").unwrap_or_default();
         let job = text
@@ -85,7 +86,7 @@
         Ok(json_reply(StatusCode::OK, &reasons))
     }
 
-    /// `POST /v1/domains/NAME/drain` drains a failure domain, `DELETE` takes it back.
+    /// Drains a failure domain (`POST /v1/domains/NAME/drain`) or ends its drain (`DELETE`).
     async fn change_domain(&self, method: &Method, path: &str) -> Result<HttpReply, WaxError> {
         let name = path[DOMAINS_PATH.len()..].strip_suffix("/drain");
         let drained = match *method {
--- a/crates/wax-route/src/peer_link.rs
+++ b/crates/wax-route/src/peer_link.rs
@@ -1,4 +1,4 @@
-//! The connection of one sidecar: its frames, its heartbeat, its end.
+//! Connections from sidecars: handshake, heartbeats, and the frames that sidecars send.
 
 use crate::attempts::AttemptEvent;
 use crate::peers::PeerState;
@@ -19,12 +19,12 @@
 };
 
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A sidecar that says nothing for this long is taken for dead; it speaks every second.
+/// A connection without a frame for this long is closed. Sidecars send a heartbeat every second.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
 const HEARTBEAT_PERIOD: Duration = Duration::from_secs(1);
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Accepts sidecars for as long as the process lives.
+/// Accepts connections from sidecars until the process ends.
 pub(crate) async fn accept_peers(shared: Rc<EntryShared>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -34,7 +34,8 @@
     }
 }
 
-/// Says the version in force every second, and the addresses of all entries where they change.
+/// Sends every sidecar the settings version in force once a second, and the addresses of all
+/// entries whenever they change.
 pub(crate) async fn send_heartbeats(shared: Rc<EntryShared>) {
     let mut sent_addresses = Vec::new();
     loop {
@@ -54,7 +55,7 @@
 }
 
 async fn handle_connection(shared: Rc<EntryShared>, stream: TcpStream) {
-    // Small frames must not wait for acknowledgements.
+    // Without TCP_NODELAY, small frames wait for the acknowledgement of earlier ones.
     let _ = stream.set_nodelay(true);
     let address = stream
         .peer_addr()
@@ -69,11 +70,11 @@
         Ok(Ok(Some(PeerBody::Hello(hello)))) if is_valid_hello(&hello) => hello,
         other => {
             let reason = match other {
-                Err(_) => "no greeting in time".to_owned(),
+                Err(_) => "handshake timed out".to_owned(),
                 Ok(Err(error)) => error.to_string(),
-                Ok(Ok(_)) => "no valid greeting".to_owned(),
+                Ok(Ok(_)) => "invalid handshake".to_owned(),
             };
-            tracing::warn!(peer = %address, reason, "peer refused");
+            tracing::warn!(peer = %address, reason, "sidecar connection rejected");
             return;
         }
     };
@@ -130,7 +131,7 @@
     shared.attempts.fail_link(peer.key);
 }
 
-/// Reads until the connection ends; says why it did.
+/// Handles frames until the connection ends. Returns the reason for its end.
 async fn read_frames(
     shared: &Rc<EntryShared>,
     peer: &PeerState,
@@ -141,7 +142,7 @@
             Ok(Ok(Some(frame))) => frame,
             Ok(Ok(None)) => return "closed by the sidecar".into(),
             Ok(Err(error)) => return error.to_string().into(),
-            Err(_) => return "no heartbeat".into(),
+            Err(_) => return "heartbeat timed out".into(),
         };
         if let Err(reason) = handle_frame(shared, peer, frame) {
             return reason.into();
@@ -177,7 +178,7 @@
             handle_settings_ack(shared, peer, SettingsVersion(ack.version))
         }
         PeerBody::Settings(push) => handle_settings_push(shared, &push),
-        _ => return Err("a frame that no sidecar sends"),
+        _ => return Err("unexpected kind of frame from a sidecar"),
     }
     Ok(())
 }
@@ -195,7 +196,8 @@
     shared.routes.borrow_mut().update_load(now, peer.key, load);
 }
 
-/// A sidecar with a smaller version gets what it lacks.
+/// Records the settings version of a sidecar, and sends an update if it is older than the one in
+/// force.
 fn handle_settings_ack(shared: &EntryShared, peer: &PeerState, version: SettingsVersion) {
     peer.settings_version.set(version);
     shared.settings_progress.notify(usize::MAX);
@@ -205,7 +207,8 @@
     }
 }
 
-/// A sidecar has a greater version: this entry was cut off from the store.
+/// Applies the settings tree of a sidecar that has a newer version. This happens after the entry has
+/// lost its connection to the store.
 fn handle_settings_push(shared: &Rc<EntryShared>, push: &SettingsPush) {
     if let ApplyChoice::Applied(version) = shared.settings.apply_json(&push.tree) {
         tracing::info!(%version, source = "sidecar", "settings in force");
--- a/crates/wax-route/src/peers.rs
+++ b/crates/wax-route/src/peers.rs
@@ -1,4 +1,4 @@
-//! The sidecars that are connected to this entry.
+//! Sidecars that are connected to this entry, and those that were lost recently.
 
 use futures_channel::mpsc::UnboundedSender;
 use std::cell::{Cell, RefCell};
@@ -8,24 +8,26 @@
 use wax_types::{SettingsVersion, TimePoint};
 use wax_wire::{PeerBody, PeerHello};
 
-/// One connected sidecar.
+/// State of one connected sidecar.
 #[derive(Debug)]
 pub(crate) struct PeerState {
     pub(crate) hello: PeerHello,
     pub(crate) key: UpstreamKey,
     pub(crate) outbox: UnboundedSender<PeerBody>,
+    /// Latest settings version that the sidecar confirmed; 0 before the first confirmation.
     pub(crate) settings_version: Cell<SettingsVersion>,
+    /// Whether the sidecar has announced that it shuts down.
     pub(crate) leaving: Cell<bool>,
 }
 
-/// A sidecar that went away without saying that it leaves.
+/// Sidecar that disconnected without announcing that it shuts down.
 #[derive(Debug, Clone)]
 pub(crate) struct LostPeer {
     pub(crate) lost_at: TimePoint,
     pub(crate) settings_version: SettingsVersion,
 }
 
-/// All sidecars, by upstream key, and those that were lost, by name.
+/// Connected sidecars by upstream key, and lost sidecars by name.
 #[derive(Debug, Default)]
 pub(crate) struct PeerTable {
     peers: RefCell<BTreeMap<UpstreamKey, Rc<PeerState>>>,
@@ -38,7 +40,8 @@
         self.peers.borrow_mut().insert(peer.key, peer);
     }
 
-    /// Removes a sidecar; one that did not say that it leaves is remembered as lost.
+    /// Removes the connection of a sidecar. The sidecar is kept as lost unless it announced its
+    /// shutdown or has another connection to this entry.
     pub(crate) fn remove(&self, now: TimePoint, key: UpstreamKey) {
         let Some(peer) = self.peers.borrow_mut().remove(&key) else {
             return;
@@ -62,7 +65,7 @@
         self.peers.borrow().values().cloned().collect()
     }
 
-    /// The lost sidecars; those lost before `oldest` are forgotten.
+    /// Returns the sidecars that were lost since `oldest`, and forgets those lost earlier.
     pub(crate) fn recently_lost(&self, oldest: TimePoint) -> Vec<(Box<str>, LostPeer)> {
         let mut lost = self.lost.borrow_mut();
         lost.retain(|_, peer| peer.lost_at >= oldest);
@@ -71,7 +74,8 @@
             .collect()
     }
 
-    /// Sends a frame to one sidecar; a lost connection shows to its reader.
+    /// Sends a frame to one sidecar. Returns `false` if it is not connected; `true` does not mean that
+    /// the frame arrived. The reader of the connection reports its loss.
     pub(crate) fn send(&self, key: UpstreamKey, body: PeerBody) -> bool {
         match self.peers.borrow().get(&key) {
             Some(peer) => peer.outbox.unbounded_send(body).is_ok(),
@@ -79,7 +83,7 @@
         }
     }
 
-    /// Sends a frame to every sidecar.
+    /// Sends a frame to every connected sidecar.
     pub(crate) fn send_all(&self, body: &PeerBody) {
         for peer in self.peers.borrow().values() {
             let _ = peer.outbox.unbounded_send(body.clone());
--- a/crates/wax-route/src/process.rs
+++ b/crates/wax-route/src/process.rs
@@ -1,4 +1,4 @@
-//! What lives as long as the entry.
+//! The process of an entry and the state that all its requests and connections share.
 
 use crate::attempts::AttemptTable;
 use crate::callers::CallerHandler;
@@ -23,10 +23,11 @@
 use wax_types::{ProcessClock, SettingsVersion};
 use wax_wire::{PeerHello, SettingsPush};
 
-/// For how long callers may still come after this entry has said that it leaves.
+/// Time between the first failed readiness probe and the close of the listeners. The load balancer
+/// still sends requests until it has noticed.
 const LISTENER_CLOSE_DELAY: Duration = Duration::from_millis(300);
 
-/// The entry daemon.
+/// An entry: its listeners for callers, operators and sidecars, and its shared state.
 pub struct EntryProcess {
     shared: Rc<EntryShared>,
     callers: TcpListener,
@@ -35,25 +36,25 @@
     settings_poll_interval: Duration,
 }
 
-/// What the daemon gives to its entry.
+/// Services of the daemon that an entry uses.
 pub struct EntryServices {
-    /// Rows of the table.
+    /// Client that reads the rows of the store.
     pub table: TableClient,
-    /// Merged commits.
+    /// Writer that merges concurrent commits to the store.
     pub writer: GroupWriter,
-    /// Objects.
+    /// Client of the object store, from which usage is read.
     pub objects: ObjectClient,
-    /// Membership.
+    /// Membership of this process and of the other entries.
     pub members: MemberHandle,
-    /// The settings tree in force, shared with the shards.
+    /// Settings tree in force, shared with the shards that this process owns.
     pub settings: SettingsHolder,
-    /// Submissions.
+    /// Service that accepts, shows and cancels jobs.
     pub job_service: JobDesk,
-    /// Shards owned by this process.
+    /// Status of the shards that this process owns, and the state of their tasks.
     pub coordinator: CoordinatorHandle,
-    /// Failure domains that get nothing new.
+    /// Drained failure domains, in which no new task starts.
     pub drains: DomainDrains,
-    /// How upstreams are chosen.
+    /// Policy that chooses the upstream of an attempt.
     pub policy: RoutePolicy,
 }
 
@@ -64,8 +65,11 @@
     pub(crate) clock: ProcessClock,
     pub(crate) started_at: wax_types::TimePoint,
     pub(crate) settings: SettingsHolder,
+    /// Whether a version of the settings was loaded since the start. Requests are rejected before.
     pub(crate) settings_loaded: Cell<bool>,
+    /// Notified when this entry applies a version of the settings or a sidecar confirms one.
     pub(crate) settings_progress: Event,
+    /// Change that led to the settings in force; `None` if the whole tree was replaced.
     pub(crate) last_delta: RefCell<Option<TreeDelta>>,
     pub(crate) teams: RefCell<TeamTable>,
     pub(crate) routes: RefCell<RouteTable>,
@@ -81,11 +85,12 @@
     pub(crate) policy: RoutePolicy,
     pub(crate) rng: RefCell<Rng>,
     pub(crate) leaving: Cell<bool>,
+    /// One in this many requests without a `traceparent` is traced; 0 for none.
     pub(crate) trace_one_in: u32,
 }
 
 impl EntryProcess {
-    /// Prepares the process on listeners that are bound already.
+    /// Creates the process on bound listeners for callers, operators and sidecars, in this order.
     pub fn new(
         daemon: &DaemonSettings,
         options: &EntrySettings,
@@ -129,7 +134,7 @@
         }
     }
 
-    /// Serves until `shutdown`, then drains: no request in progress is cut off.
+    /// Serves until `shutdown`, then stops accepting requests and lets those in progress finish.
     pub async fn run(self, shutdown: ShutdownSignal) {
         let shared = self.shared;
         spawn(accept_peers(shared.clone(), self.peers)).detach();
@@ -145,13 +150,14 @@
         let callers = spawn(callers.run());
         spawn(operators.run()).detach();
         shutdown.wait().await;
-        // Readiness fails from here, so that the balancer sends no more; then the listener closes.
+        // Readiness probes fail from here on, so that the load balancer stops sending requests before
+        // the listeners close.
         shared.leaving.set(true);
         shared.members.note_leaving();
         tracing::info!(attempts = shared.attempts.len(), "leaving");
         compio::time::sleep(LISTENER_CLOSE_DELAY).await;
         stop_callers.raise();
-        // A connection task that panicked has nothing left to finish.
+        // An error means that the task panicked; there is nothing left to wait for then.
         let _ = callers.await;
         tracing::info!("drained");
     }
@@ -169,7 +175,7 @@
         }
     }
 
-    /// Where sidecars can reach this entry and the others.
+    /// Returns the addresses for sidecars of this entry and of all others that are not leaving.
     pub(crate) fn entry_addresses(&self) -> Vec<String> {
         let mut addresses = vec![self.peers_address.to_string()];
         for member in self.members.live(self.clock.now()) {
@@ -183,7 +189,8 @@
         addresses
     }
 
-    /// What a process with `version` lacks: the last delta if that is enough, else the tree.
+    /// Builds the update for a sidecar at `version`: the last delta if it leads from there to the
+    /// version in force, otherwise the whole tree.
     pub(crate) fn build_settings_push(&self, version: SettingsVersion) -> SettingsPush {
         let own = self.settings.version();
         let delta = self.last_delta.borrow();
@@ -204,7 +211,8 @@
         }
     }
 
-    /// Tells all sidecars and the membership row of a version that is in force here now.
+    /// Publishes the version of the settings that is now in force: to the membership row, and to all
+    /// sidecars that have an older one.
     pub(crate) fn publish_settings(&self, delta: Option<TreeDelta>) {
         *self.last_delta.borrow_mut() = delta;
         self.settings_loaded.set(true);
--- a/crates/wax-route/src/request.rs
+++ b/crates/wax-route/src/request.rs
@@ -1,4 +1,5 @@
-//! One quick request: attempts, retries, a hedge, and exactly one final answer.
+//! Execution of one quick request: attempts at upstreams, retries, at most one hedged request, and
+//! exactly one final response.
 
 use crate::attempts::AttemptEvent;
 use crate::body_forwarder::{BodyCredit, BodyForwarder};
@@ -18,27 +19,30 @@
 use wax_types::{AttemptKey, ErrorKind, RunOutcome, Step, TimePoint, WaxError};
 use wax_wire::{CancelRequest, HeaderField, NotRunAnswer, NotRunReason, PeerBody, RequestHead};
 
-/// Shortest time after which a caller is told to come back.
+/// Lower bound of the retry delay in a response to a caller.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// A request as it goes to an upstream, kept for further attempts.
+/// Request as sent to an upstream, kept until the final response for further attempts.
 pub(crate) struct UpstreamRequest {
     pub(crate) caller: CallerHeaders,
     pub(crate) service: Box<str>,
     pub(crate) method: String,
     pub(crate) path: String,
     pub(crate) headers: Vec<HeaderField>,
-    /// The start of the body, sent with each attempt.
+    /// Start of the body, sent with each attempt.
     pub(crate) body_start: Bytes,
-    /// The rest, if there is one; sent once at most.
+    /// Remainder of a body that is too long to be resent: the first unsent data, and the stream of
+    /// what follows. Taken by the attempt that first receives credit, so at most one attempt can send
+    /// the whole body. `None` if `body_start` is the whole body.
     pub(crate) body_rest: Option<(Bytes, Incoming)>,
+    /// Whether `body_start` is the whole body.
     pub(crate) body_complete: bool,
     pub(crate) max_body_bytes: u64,
     pub(crate) deadline: TimePoint,
     pub(crate) trace: TraceContext,
 }
 
-/// An attempt under way; dropping it cancels it.
+/// Attempt that was sent to a sidecar and has not ended. Dropping it cancels the attempt.
 pub(crate) struct InFlightAttempt {
     shared: Rc<EntryShared>,
     key: AttemptKey,
@@ -48,7 +52,8 @@
     admission: Option<Rc<AdmissionGuard>>,
 }
 
-/// A team's place, given back when the last attempt and the request are gone.
+/// One request that counts against its team's limit of requests in flight, until the request and
+/// its last attempt are dropped.
 pub(crate) struct AdmissionGuard {
     shared: Rc<EntryShared>,
     team: TeamKey,
@@ -94,7 +99,7 @@
         self.shared.attempts.remove(self.key);
     }
 
-    /// Ends an attempt whose answer was taken to its end.
+    /// Ends an attempt whose response was received completely.
     pub(crate) fn finish(mut self) {
         let elapsed = self.shared.clock.now().since(self.sent_at);
         self.end(AttemptEnd::Answered(elapsed));
@@ -120,32 +125,36 @@
     }
 }
 
-/// What a request ended with.
+/// Response to the caller, and whether the request ran.
 pub(crate) struct FinalResponse {
     pub(crate) reply: HttpReply,
     pub(crate) outcome: RunOutcome,
 }
 
-/// What the flow does after an event.
+/// What a request does after an event.
 enum FlowAction {
     Wait,
     Finish(FinalResponse),
 }
 
-/// The flow of one request.
+/// Drives one request to its final response.
 pub(crate) struct RequestFlow {
     shared: Rc<EntryShared>,
     request: UpstreamRequest,
     admission: Rc<AdmissionGuard>,
     in_flight: Vec<InFlightAttempt>,
     tried_upstreams: Vec<UpstreamKey>,
-    /// Some attempt may have been executed.
+    /// Whether an upstream may have run an attempt.
     may_have_run: bool,
+    /// Answer of the latest attempt that was not run.
     last_not_run: Option<NotRunAnswer>,
+    /// First attempt that returned a response head, and its response so far.
     response: Option<(AttemptKey, ResponseBuffer)>,
+    /// Credit for sending `body_rest`; `None` until it is being sent.
     body_credit: Option<Rc<BodyCredit>>,
     sender: UnboundedSender<(AttemptKey, AttemptEvent)>,
     events: Option<UnboundedReceiver<(AttemptKey, AttemptEvent)>>,
+    /// Time at which a hedged request is sent; `None` if none is planned.
     hedge_at: Option<TimePoint>,
 }
 
@@ -182,7 +191,7 @@
         }
     }
 
-    /// Runs to the final answer.
+    /// Sends attempts until there is a final response, at the latest at the deadline.
     pub(crate) async fn run(mut self) -> FinalResponse {
         if self.shared.clock.now() >= self.request.deadline {
             return self.time_out();
@@ -212,7 +221,7 @@
         }
     }
 
-    /// Sends one more attempt; gives the final answer where that cannot be done.
+    /// Sends one more attempt. Returns the final response if no upstream can take it.
     fn send_attempt(&mut self) -> Option<FinalResponse> {
         let now = self.shared.clock.now();
         let choice = self.shared.routes.borrow_mut().choose(
@@ -262,7 +271,7 @@
             admission: Some(self.admission.clone()),
         });
         if !self.shared.peers.send(upstream, PeerBody::Request(head)) {
-            // It never left this process.
+            // The connection to the sidecar is closed, so the attempt was not sent.
             let event = AttemptEvent::NotRun(NotRunAnswer::default());
             let _ = self.sender.unbounded_send((key, event));
         }
@@ -307,7 +316,7 @@
             return;
         }
         count(Counter::EntryHedges);
-        // Where nobody else takes it, the first attempt goes on alone.
+        // If no upstream can take the hedged request, the first attempt continues alone.
         let _ = self.send_attempt();
     }
 
@@ -327,7 +336,7 @@
         }
     }
 
-    /// The first attempt that answers wins; the others are cancelled.
+    /// The first attempt with a response head provides the response; the others are cancelled.
     fn handle_response_head(
         &mut self,
         key: AttemptKey,
@@ -440,7 +449,11 @@
         }
     }
 
-    /// Retries where that is allowed; otherwise the request ends now.
+    /// Retries if no other attempt is in flight and a retry is allowed; otherwise ends the request.
+    ///
+    /// `may_retry` says whether repeating the request is safe. A retry also needs a body that can be
+    /// sent again, the retry budget of the team, and an untried upstream or an attempt that may have
+    /// run.
     fn retry_or_finish(&mut self, may_retry: bool, detail: &str) -> FlowAction {
         if !self.in_flight.is_empty() {
             return FlowAction::Wait;
@@ -492,7 +505,7 @@
         }
     }
 
-    /// The deadline has passed.
+    /// Cancels all attempts and ends the request with a time-out.
     fn time_out(&mut self) -> FinalResponse {
         count(Counter::EntryTimeouts);
         if !self.in_flight.is_empty() {
@@ -506,7 +519,7 @@
         self.finish_with_error(ErrorKind::Timeout, "the deadline passed")
     }
 
-    /// The final answer without an answer of an upstream.
+    /// Returns the final response of a request that has no response of an upstream.
     fn finish_with_error(&self, kind: ErrorKind, text: &str) -> FinalResponse {
         let outcome = if self.may_have_run {
             RunOutcome::Unknown
--- a/crates/wax-route/src/response.rs
+++ b/crates/wax-route/src/response.rs
@@ -1,4 +1,5 @@
-//! Passes an answer to its caller: whole from memory if it is short, else in parts.
+//! Sends the response of an upstream to the caller: short responses from memory, longer ones as a
+//! stream.
 
 use crate::attempts::AttemptEvent;
 use crate::headers::{OUTCOME, RETRY_AFTER_MS};
@@ -15,26 +16,26 @@
 use wax_types::{AttemptKey, RunOutcome, WaxError};
 use wax_wire::{BodyChunk, CreditGrant, PeerBody, ResponseHead};
 
-/// An answer up to this size is held until it is whole.
+/// Longest response body that is buffered until it is complete; longer ones are streamed.
 pub(crate) const MAX_BUFFERED_BYTES: usize = 64 << 10;
 
-/// A part of an answer as it is collected.
+/// Response of an upstream while its chunks are collected.
 #[derive(Debug)]
 pub(crate) struct ResponseBuffer {
     head: ResponseHead,
     buffered: BytesMut,
 }
 
-/// Where the collection stands after a chunk.
+/// State of a buffered response after a chunk.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum BufferState {
-    /// More is to come, and it may still be held.
+    /// More chunks follow, and the buffer has room for them.
     Incomplete,
-    /// It is whole.
+    /// The response is complete.
     Complete,
-    /// It is too long to be held.
+    /// The response exceeds [`MAX_BUFFERED_BYTES`] and must be streamed.
     TooLong,
-    /// The parts do not add up to what was sent.
+    /// The chunks do not add up to the total size that the sidecar reported.
     Corrupt,
 }
 
@@ -62,13 +63,13 @@
         }
     }
 
-    /// The answer from memory.
+    /// Returns a complete response from memory.
     pub(crate) fn into_reply(self) -> HttpReply {
         let body = ReplyBody::whole(self.buffered.freeze());
         build_reply(&self.head, body)
     }
 
-    /// The answer in parts; what comes later is passed on by a task of its own.
+    /// Returns a streamed response; a separate task forwards the chunks that are still to come.
     pub(crate) fn into_stream(
         self,
         shared: Rc<EntryShared>,
@@ -92,7 +93,8 @@
     }
 }
 
-/// Passes parts on until the answer is whole; otherwise the caller sees a cut connection.
+/// Forwards chunks to the caller until the response is complete. If it cannot be completed, the
+/// connection to the caller is closed, so that the caller detects the truncated response.
 async fn stream_chunks(
     attempt: InFlightAttempt,
     buffered: Bytes,
@@ -118,7 +120,7 @@
             break;
         }
     }
-    // Dropping the attempt cancels it; dropping the sender cuts the connection.
+    // Dropping the attempt cancels it; dropping the sender closes the connection to the caller.
     count(Counter::EntryCutAnswers);
 }
 
@@ -150,7 +152,9 @@
     reply.headers_mut().insert(OUTCOME, value);
 }
 
-/// The final answer to a request without an answer of its own.
+/// Builds the response to a request that got none from an upstream.
+///
+/// `after` is the retry delay for the caller; `None` uses the delay of `error`, if it has one.
 pub(crate) fn error_reply_with_outcome(
     error: &WaxError,
     outcome: RunOutcome,
--- a/crates/wax-route/src/settings_api.rs
+++ b/crates/wax-route/src/settings_api.rs
@@ -1,4 +1,4 @@
-//! The settings tree over HTTP, for operators.
+//! HTTP interface of the settings tree, for operators.
 
 use crate::process::EntryShared;
 use crate::settings_sync::{commit_change, pull_settings, read_log};
@@ -16,16 +16,16 @@
 const MAX_BODY_BYTES: usize = 16 << 20;
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
 const MAX_LOG_ENTRIES: u64 = 50;
-/// Between two looks at how far a version has come.
+/// Maximum time between two checks of the rollout of a version.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// One value to set or clear.
+/// Change of one value: set or cleared.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct ValueEdit {
     path: NodePath,
     key: Box<str>,
-    /// `None` clears the override.
+    /// `None` clears the value, so that the node inherits it again.
     value: Option<Value>,
 }
 
@@ -33,33 +33,34 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct ChangeRequest {
-    /// The version that the change was made for; the present one if it is left out.
+    /// Version that the change is based on; `None` means the version in force.
     #[serde(default)]
     expected: Option<SettingsVersion>,
     author: Box<str>,
-    /// Single values; or
+    /// Changes of single values, applied after `tree`.
     #[serde(default)]
     edits: Vec<ValueEdit>,
-    /// the whole tree.
+    /// Replaces all nodes of the tree.
     #[serde(default)]
     tree: Option<SettingsTree>,
-    /// Only shows what would change.
+    /// Returns the changes without committing them.
     #[serde(default)]
     dry_run: bool,
-    /// Waits this long for the version to be in force everywhere.
+    /// Maximum time to wait until all known processes apply the version.
     #[serde(default)]
     wait_ms: u64,
 }
 
-/// Answer to a change.
+/// Reply to `POST /v1/settings`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct ChangeReply {
     version: SettingsVersion,
     changes: Vec<TreeChange>,
+    /// Rollout of the new version; `None` for a dry run.
     force: Option<RolloutStatus>,
 }
 
-/// Answer to a question about one node.
+/// Reply to `GET /v1/settings/explain`: the origin of each value of one node.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct ExplainReply {
     version: SettingsVersion,
@@ -144,7 +145,7 @@
     Ok(())
 }
 
-/// Waits until a version is in force everywhere, or for `span`.
+/// Waits until all known processes apply a version, for at most `max_wait`.
 async fn wait_for_rollout(
     shared: &Rc<EntryShared>,
     version: SettingsVersion,
@@ -156,7 +157,8 @@
         if status.in_force == status.processes || shared.clock.now() >= end {
             return status;
         }
-        // Acknowledgements of sidecars wake this; those of entries come with their rows.
+        // Confirmations of sidecars end the wait early. The versions of other entries are read from
+        // their membership rows, hence the check at each interval.
         let _ = timeout(POLL_INTERVAL, shared.settings_progress.listen()).await;
     }
 }
--- a/crates/wax-route/src/settings_sync.rs
+++ b/crates/wax-route/src/settings_sync.rs
@@ -1,4 +1,5 @@
-//! The settings tree in the table: one head row whose version grows, a log, one row a node.
+//! The settings tree in the table: a head row with the version, a log of changes, and a row for each
+//! node. The version grows with each change.
 
 use crate::process::EntryShared;
 use compio::time::sleep;
@@ -13,18 +14,19 @@
 const HEAD_KEY: &str = "settings/head";
 const NODE_PREFIX: &str = "settings/node/";
 const LOG_PREFIX: &str = "settings/log/";
-/// The log is read this far; a process further behind reads the whole tree.
+/// Maximum number of deltas that are read from the log. A process that is further behind reads the
+/// whole tree.
 const MAX_LOG_DELTAS: u64 = 32;
-/// A whole read that meets a change is begun again, this often.
+/// Maximum number of attempts to read the whole tree without a change in between.
 const MAX_READ_ATTEMPTS: usize = 5;
 
-/// Row `settings/head`: the one guard of the order of versions.
+/// Row `settings/head`. Each change is conditional on this row, which puts the versions in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 struct HeadRow {
     version: SettingsVersion,
 }
 
-/// Row `settings/node/PATH`.
+/// Row `settings/node/PATH`: the settings of one node.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 struct NodeRow {
     path: NodePath,
@@ -39,23 +41,24 @@
     format!("{NODE_PREFIX}{path}")
 }
 
-/// Reads the tree at the start; where the store does not answer, a sidecar's version may come.
+/// Reads the settings at the start of the process. If the store does not answer, a sidecar may
+/// still send its version.
 pub(crate) async fn load_settings(shared: &Rc<EntryShared>) {
     if let Err(error) = pull_settings(shared).await {
-        tracing::warn!(%error, "settings not read; serving nothing until a version arrives");
+        tracing::warn!(%error, "settings not read; requests are rejected until a version arrives");
     }
 }
 
-/// Pulls a greater version, every `period`; pushes from peers come besides.
+/// Reads newer settings from the store every `period`, in addition to the updates from sidecars.
 pub(crate) async fn poll_settings(shared: Rc<EntryShared>, period: Duration) {
     loop {
         sleep(period).await;
-        // An outage is reported by the store's health; what was in force stays in force.
+        // The settings in force stay in force. The store client reports its outage.
         let _ = pull_settings(&shared).await;
     }
 }
 
-/// Brings this process to the version of the head row.
+/// Applies all changes up to the version in the head row.
 pub(crate) async fn pull_settings(shared: &Rc<EntryShared>) -> Result<(), WaxError> {
     let head = read_head(shared).await?;
     let target = head.map_or_else(SettingsVersion::default, |row| row.value.version);
@@ -101,7 +104,7 @@
     shared.table.read::<HeadRow>(HEAD_KEY).await
 }
 
-/// Reads the whole tree between two looks at the head that show the same version.
+/// Reads the whole tree. The head row is read before and after, to detect a concurrent change.
 async fn read_tree(shared: &EntryShared) -> Result<SettingsTree, WaxError> {
     for _ in 0..MAX_READ_ATTEMPTS {
         let before = read_head(shared).await?;
@@ -127,12 +130,12 @@
     ))
 }
 
-/// Commits a change of the tree by compare-and-set of the head row.
+/// Commits a change of the tree on the condition that the head row is unchanged.
 ///
 /// # Errors
 ///
-/// `Conflict` if another change came first, with its version and author; `Unavailable` if
-/// nothing was sent; `Ambiguous` if the fate is not known.
+/// `Conflict` if the version in force is not `expected`; the error names that version and its author.
+/// `Unavailable` if nothing was sent to the store. `Ambiguous` if the commit is indeterminate.
 pub(crate) async fn commit_change(
     shared: &Rc<EntryShared>,
     expected: SettingsVersion,
@@ -219,7 +222,7 @@
     Ok(transaction)
 }
 
-/// Names the version that won and who made it.
+/// Builds the error that names the version in force and its author.
 async fn conflict_error(shared: &EntryShared, current: SettingsVersion) -> WaxError {
     let log = shared.table.read::<TreeDelta>(&log_key(current)).await;
     let author = match log {
@@ -231,7 +234,7 @@
         .with_help("look at the difference and apply the change to that version")
 }
 
-/// The newest entries of the log, newest first.
+/// Returns up to `max_entries` of the newest entries of the log, newest first.
 ///
 /// # Errors
 ///
@@ -247,7 +250,8 @@
     Ok(log)
 }
 
-/// The deltas of the versions `from` to `to`, both included, in their order.
+/// Reads the deltas of the versions `from` to `to`, both included, in ascending order. Versions
+/// that are not in the log are left out.
 async fn read_deltas(
     shared: &EntryShared,
     from: SettingsVersion,
--- a/crates/wax-route/src/status.rs
+++ b/crates/wax-route/src/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of the whole system, from this entry.
+//! Status of the system as this entry knows it, for operators.
 
 use crate::process::EntryShared;
 use serde::{Deserialize, Serialize};
@@ -8,53 +8,53 @@
 use wax_trace::counter_values;
 use wax_types::SettingsVersion;
 
-/// A sidecar that was lost this long ago is no longer counted.
+/// Time for which a lost sidecar is counted as unreachable; after that it is left out.
 const LOST_SIDECAR_RETENTION: Duration = Duration::from_secs(60);
 
-/// How far a version of the settings has come.
+/// Rollout of a version of the settings.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct RolloutStatus {
-    /// The version.
+    /// Version whose rollout is shown.
     pub(crate) version: SettingsVersion,
-    /// Processes that apply it or a greater one.
+    /// Number of reachable processes that apply this version or a newer one.
     pub(crate) in_force: usize,
-    /// Processes that are known.
+    /// Number of known processes: members, connected sidecars and recently lost sidecars.
     pub(crate) processes: usize,
-    /// Those that have not confirmed it, and why.
+    /// Processes that have not confirmed the version or cannot be reached.
     pub(crate) missing: Vec<MissingProcess>,
 }
 
-/// A process that has not confirmed a version.
+/// Process that has not confirmed a version or cannot be reached.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct MissingProcess {
     pub(crate) name: Box<str>,
     pub(crate) version: SettingsVersion,
-    /// Since when it cannot be reached; `None` if it can.
+    /// Milliseconds since the connection was lost; `None` if the process can be reached.
     pub(crate) unreachable_ms: Option<u64>,
 }
 
-/// One process that is known.
+/// Status of one known process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct MemberStatus {
     name: Box<str>,
     role: &'static str,
     failure_domain: Box<str>,
     service: Option<Box<str>>,
-    /// Where operators reach it, if it is an entry.
+    /// Address for operators; `None` for sidecars.
     operators: Option<Box<str>>,
     settings: SettingsVersion,
     leaving: bool,
 }
 
-/// Answer to `GET /v1/status`.
+/// Reply to `GET /v1/status`.
 #[derive(Debug, Serialize)]
 pub(crate) struct EntryStatus {
     entry: Box<str>,
     uptime_ms: u64,
     settings: RolloutStatus,
-    /// Milliseconds since the store went down; `None` while it answers.
+    /// Milliseconds since the store stopped answering; `None` while it answers.
     store_down_ms: Option<u64>,
-    /// Failure domains that get nothing new.
+    /// Drained failure domains, in which no new task starts.
     drained: Vec<Box<str>>,
     members: Vec<MemberStatus>,
     shards: Vec<ShardStatus>,
@@ -62,7 +62,7 @@
     counters: BTreeMap<&'static str, u64>,
 }
 
-/// Counts the processes that apply a version, as this entry knows them.
+/// Returns the rollout of a version among the processes that this entry knows.
 pub(crate) fn rollout_status(shared: &EntryShared, version: SettingsVersion) -> RolloutStatus {
     let now = shared.clock.now();
     let mut known: BTreeMap<Box<str>, (SettingsVersion, Option<u64>)> = BTreeMap::new();
@@ -96,7 +96,7 @@
     }
 }
 
-/// The status of the system from this entry.
+/// Returns the status of the system as this entry knows it.
 pub(crate) fn entry_status(shared: &EntryShared) -> EntryStatus {
     let now = shared.clock.now();
     let mut members: Vec<MemberStatus> = shared
--- a/crates/wax-sidecar/src/announce.rs
+++ b/crates/wax-sidecar/src/announce.rs
@@ -1,16 +1,17 @@
-//! Tells every entry the state and load of the upstream: at once, then at most every 100 ms.
+//! Sends the state and load of the upstream to all entries: after a change, and as a heartbeat.
 
 use crate::process::SidecarShared;
 use compio::time::sleep;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Between two announcements of a changed load.
+/// Minimum time between two announcements of a changed load.
 const MIN_ANNOUNCE_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest time without an announcement; the heartbeat of the sidecar.
+/// Maximum time without an announcement. Entries take announcements as the heartbeat of the sidecar.
 const HEARTBEAT_PERIOD: Duration = Duration::from_secs(1);
 
-/// Announces until the process ends.
+/// Announces the load until the process ends. Each announcement is followed by a probe of an upstream
+/// that was unreachable.
 pub(crate) async fn announce_load(shared: Rc<SidecarShared>) {
     let mut last = None;
     let mut since_last = Duration::ZERO;
--- a/crates/wax-sidecar/src/attempt.rs
+++ b/crates/wax-sidecar/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: queued, then running; each state is a type of its own.
+//! One attempt at the upstream. A type for each state: queued, then running.
 
 use crate::process::SidecarShared;
 use bytes::Bytes;
@@ -20,11 +20,12 @@
     RequestLost, ResponseHead, WINDOW_BYTES,
 };
 
-/// Connections tried for one attempt, where each proved stale before anything was sent.
+/// Maximum number of connections that are tried for one attempt. The next one is tried only if the
+/// previous one proved stale before anything was sent.
 const MAX_CONNECTION_TRIES: usize = 3;
 const TRACE_HEADER: &str = TraceContext::HEADER;
 
-/// An attempt that has not been dispatched.
+/// Attempt that has not been sent to the upstream.
 #[derive(Debug)]
 pub(crate) struct QueuedAttempt {
     key: AttemptKey,
@@ -34,7 +35,7 @@
     link: u64,
 }
 
-/// An attempt that holds a slot.
+/// Attempt that holds a slot of the upstream.
 #[derive(Debug)]
 pub(crate) struct RunningAttempt {
     key: AttemptKey,
@@ -44,7 +45,8 @@
     body: Option<ReplyBody>,
 }
 
-/// What the connection's reader needs of a running attempt.
+/// Handle of a running attempt, through which the connection to the entry delivers body chunks, credit
+/// and cancellation.
 #[derive(Debug, Clone)]
 pub(crate) struct AttemptHandle {
     shared: Rc<HandleState>,
@@ -54,20 +56,24 @@
 struct HandleState {
     link: u64,
     outbox: UnboundedSender<PeerBody>,
+    /// Whether the response is to be discarded.
     abandoned: Cell<bool>,
+    /// Bytes of the response that may still be sent to the entry.
     credit: Cell<u64>,
     credit_changed: Event,
+    /// Sender of the request body to the upstream; `None` if the body is complete or was cut.
     body: RefCell<Option<BodySender>>,
+    /// Number of bytes of the request body received so far.
     body_received: Cell<u64>,
 }
 
-/// How the call of the upstream ended.
+/// Result of the call of the upstream.
 enum CallResult {
-    /// The answer was read to its end; the connection may be used again.
+    /// The response was read to its end; the connection may be reused.
     Complete(ClientConnection),
     /// Nothing was sent to the upstream.
     NotSent(NotRunReason),
-    /// Something may have been sent; the answer is lost or cut.
+    /// The request may have been sent; the response is missing or incomplete.
     Lost(Box<str>),
 }
 
@@ -97,12 +103,12 @@
         self.link
     }
 
-    /// Answers that it was not run and never will be.
+    /// Reports to the entry that the attempt was not run and will not run.
     pub(crate) fn refuse(self, reason: NotRunReason, retry_after: Duration) {
         send_not_run(&self.outbox, self.key, reason, retry_after);
     }
 
-    /// Makes it a running attempt; a slot must be held for it.
+    /// Turns the attempt into a running one. The caller must hold a slot for it.
     pub(crate) fn into_running(mut self) -> RunningAttempt {
         let shared = HandleState {
             link: self.link,
@@ -139,7 +145,7 @@
         reason: reason.into(),
         retry_after_ms: retry_after.as_millis() as u32,
     };
-    // Where the connection is gone, the entry has already given the attempt up.
+    // Sending fails if the connection has ended; the entry has then ended the attempt itself.
     let _ = outbox.unbounded_send(PeerBody::NotRun(answer));
 }
 
@@ -148,22 +154,23 @@
         self.shared.link
     }
 
-    /// From now on the answer is read and thrown away.
+    /// Marks the attempt as abandoned: its response is read and discarded from now on.
     pub(crate) fn abandon(&self) {
         self.shared.abandoned.set(true);
         self.shared.credit_changed.notify(usize::MAX);
-        // A body that stops arriving is cut, so that the upstream does not wait for it.
+        // Closes the request body, so that the upstream does not wait for the rest of it.
         self.shared.body.borrow_mut().take();
     }
 
-    /// Lets the answer go on by so many bytes.
+    /// Adds credit for sending the response to the entry.
     pub(crate) fn grant(&self, bytes: u32) {
         let credit = self.shared.credit.get() + u64::from(bytes);
         self.shared.credit.set(credit);
         self.shared.credit_changed.notify(usize::MAX);
     }
 
-    /// Passes a part of the request's body on.
+    /// Forwards a part of the request body to the upstream. After the last part, a body whose
+    /// length differs from the total that the entry reported is cut.
     pub(crate) fn receive_body_chunk(&self, chunk: BodyChunk) {
         let total = self.shared.body_received.get() + chunk.data.len() as u64;
         self.shared.body_received.set(total);
@@ -217,7 +224,8 @@
         }
     }
 
-    /// Waits for credit and spends it; gives up at `limit` or when the answer is unwanted.
+    /// Waits for credit and spends it. Returns `false` at `time_limit` or once the attempt is
+    /// abandoned. Data longer than the whole window is sent on a full window of credit.
     async fn spend_credit(&self, bytes: u64, time_limit: Instant) -> bool {
         loop {
             if self.is_abandoned() {
@@ -244,7 +252,7 @@
         self.handle.clone()
     }
 
-    /// Calls the upstream, passes the answer on, and gives the slot back.
+    /// Calls the upstream, forwards the response to the entry, and releases the slot.
     pub(crate) async fn run(mut self, shared: Rc<SidecarShared>) {
         let parent = self.trace_context();
         let context = parent.map(TraceContext::child);
@@ -257,7 +265,7 @@
         match end {
             CallResult::Complete(connection) => {
                 span.record("outcome", "ran");
-                // First, so that the next attempt finds it and opens no further one.
+                // The connection is returned before the slot, so that the next attempt reuses it.
                 shared.return_connection(connection).await;
                 shared.finish_attempt(self.key, Some(elapsed));
             }
@@ -384,7 +392,8 @@
                 .spend_credit(data.len() as u64, time_limit)
                 .await
             {
-                // Nobody wants the rest; it is read on so that the slot is counted to the end.
+                // The rest is discarded. It is still read, because the upstream works on the request
+                // until the end of its response and occupies the slot until then.
                 self.handle.abandon();
                 continue;
             }
--- a/crates/wax-sidecar/src/attempt_table.rs
+++ b/crates/wax-sidecar/src/attempt_table.rs
@@ -1,33 +1,34 @@
-//! The attempts that this sidecar knows: queued, running, or cancelled before they came.
+//! Table of the attempts at this sidecar: queued, running, or cancelled before their arrival.
 
 use crate::attempt::{AttemptHandle, QueuedAttempt};
 use std::collections::{HashMap, HashSet, VecDeque};
 use wax_types::AttemptKey;
 
-/// Cancels remembered for attempts that have not arrived.
+/// Maximum number of tombstones; beyond it, the oldest is dropped.
 const MAX_TOMBSTONES: usize = 4_096;
 
-/// Where an attempt stands.
+/// State of an attempt.
 #[derive(Debug)]
 pub(crate) enum AttemptState {
-    /// It waits for a slot.
+    /// Waits for a slot.
     Queued(QueuedAttempt),
-    /// It was dispatched, or is about to be.
+    /// Holds a slot; was sent to the upstream or is about to be.
     Running(AttemptHandle),
 }
 
-/// What a cancel found.
+/// State in which a cancellation found an attempt.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum CancelResult {
-    /// It waited, and is taken out: it will not run.
+    /// The attempt was queued; the caller must remove it, so that it does not run.
     WasQueued,
-    /// It runs; its answer is thrown away.
+    /// The attempt is running; its response is to be discarded.
     Running,
-    /// It never came; if it does, it will not run.
+    /// The attempt is not known. A tombstone keeps it from running if it arrives later.
     Tombstone,
 }
 
-/// All attempts of the process, by key.
+/// All attempts of the process by key, and the tombstones of attempts that were cancelled before
+/// their arrival.
 #[derive(Debug, Default)]
 pub(crate) struct AttemptTable {
     attempts: HashMap<AttemptKey, AttemptState>,
@@ -36,7 +37,7 @@
 }
 
 impl AttemptTable {
-    /// Whether a cancel came before the attempt; the tombstone is used up.
+    /// Removes the tombstone of an attempt. Returns whether there was one.
     pub(crate) fn take_tombstone(&mut self, key: AttemptKey) -> bool {
         self.tombstones.remove(&key)
     }
@@ -49,7 +50,7 @@
         self.attempts.insert(key, state);
     }
 
-    /// Takes a queued attempt out, to run or to refuse it.
+    /// Removes and returns an attempt if it is queued.
     pub(crate) fn take_queued(&mut self, key: AttemptKey) -> Option<QueuedAttempt> {
         match self.attempts.remove(&key) {
             Some(AttemptState::Queued(attempt)) => Some(attempt),
@@ -61,7 +62,7 @@
         }
     }
 
-    /// The handle of a running attempt.
+    /// Returns the handle of a running attempt.
     pub(crate) fn running(&self, key: AttemptKey) -> Option<&AttemptHandle> {
         match self.attempts.get(&key) {
             Some(AttemptState::Running(handle)) => Some(handle),
@@ -73,7 +74,7 @@
         self.attempts.remove(&key);
     }
 
-    /// The attempts that came over one connection.
+    /// Returns the attempts that arrived over one connection.
     pub(crate) fn keys_of_link(&self, link: u64) -> Vec<AttemptKey> {
         self.attempts
             .iter()
@@ -85,7 +86,8 @@
             .collect()
     }
 
-    /// Decides what a cancel does; the caller carries it out.
+    /// Looks up the attempt to cancel, and leaves a tombstone for an unknown one. The caller removes a
+    /// queued attempt or abandons a running one.
     pub(crate) fn cancel(&mut self, key: AttemptKey) -> CancelResult {
         match self.attempts.get(&key) {
             Some(AttemptState::Queued(_)) => CancelResult::WasQueued,
--- a/crates/wax-sidecar/src/lib.rs
+++ b/crates/wax-sidecar/src/lib.rs
@@ -1,7 +1,8 @@
-//! The process beside one upstream: announces it, keeps its slots, forwards requests to it.
+//! The sidecar of one upstream: reports its load to the entries, limits the requests that it runs at
+//! the same time, and forwards requests to it.
 //!
-//! Modules by life span: `process` lives as long as the daemon, `link` as long as the connection
-//! to one entry, `attempt` as long as one request; `pool` keeps the upstream's connections.
+//! State in `process` lasts for the whole process, state in `link` for the connection to one entry,
+//! and state in `attempt` for one request. `pool` manages the connections to the upstream.
 
 mod announce;
 mod attempt;
--- a/crates/wax-sidecar/src/link.rs
+++ b/crates/wax-sidecar/src/link.rs
@@ -1,4 +1,4 @@
-//! The connection to one entry: dialled again, with backoff, until the process ends.
+//! The connection to one entry, re-established with backoff until the process ends.
 
 use crate::process::SidecarShared;
 use compio::net::TcpStream;
@@ -20,12 +20,13 @@
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// An entry that says nothing for this long is taken for dead; it speaks every second.
+/// A connection without a frame for this long is closed. Entries send a heartbeat every second.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Dials without success after which a learned entry is forgotten.
+/// Number of consecutive failures to connect after which an entry that the settings do not name is
+/// removed.
 const MAX_FAILED_DIALS: u32 = 30;
 
-/// Keeps one entry connected.
+/// Maintains the connection to one entry until the process stops or the entry is removed.
 pub(crate) async fn maintain_link(shared: Rc<SidecarShared>, address: SocketAddr) {
     let mut backoff = BackoffPlan::new(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
     let mut rng = Rng::new();
@@ -56,9 +57,9 @@
     let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(error)) => return Err(unreachable(&error)),
-        Err(_) => return Err(unreachable(&"no connection in time")),
+        Err(_) => return Err(unreachable(&"connection attempt timed out")),
     };
-    // Small frames must not wait for acknowledgements.
+    // Without TCP_NODELAY, small frames wait for the acknowledgement of earlier ones.
     let _ = stream.set_nodelay(true);
     let (mut reader, mut writer) = split_stream(stream);
     let handshake = async {
@@ -67,12 +68,15 @@
     };
     let hello = match timeout(CONNECT_TIMEOUT, handshake).await {
         Ok(Ok(Some(PeerBody::Hello(hello)))) => hello,
-        Ok(Ok(_)) => return Err(handshake_error(address, "the peer is no entry")),
+        Ok(Ok(_)) => return Err(handshake_error(address, "the peer is not an entry")),
         Ok(Err(error)) => return Err(unreachable(&error)),
-        Err(_) => return Err(unreachable(&"no greeting in time")),
+        Err(_) => return Err(unreachable(&"handshake timed out")),
     };
     if hello.protocol != PeerHello::PROTOCOL {
-        return Err(handshake_error(address, "the entry speaks another version"));
+        return Err(handshake_error(
+            address,
+            "the entry uses another protocol version",
+        ));
     }
     let (outbox, mut frames) = unbounded();
     let writing = spawn(async move { writer.drain(&mut frames).await });
@@ -93,7 +97,7 @@
     count(Counter::LinksLost);
     tracing::info!(entry = %hello.name, reason = %result, "entry disconnected");
     if shared.is_stopping() {
-        // The last answers are flushed before the process ends.
+        // The process must not end before the last answers are written to the connection.
         let _ = writing.await;
     }
     shared.change_open_links(-1);
@@ -109,7 +113,7 @@
     )
 }
 
-/// Reads until the connection ends; says why it did.
+/// Handles frames until the connection ends. Returns the reason for its end.
 async fn read_frames(
     shared: &Rc<SidecarShared>,
     reader: &mut FrameReader,
@@ -121,7 +125,7 @@
             Ok(Ok(Some(frame))) => frame,
             Ok(Ok(None)) => return "closed by the entry".into(),
             Ok(Err(error)) => return error.to_string().into(),
-            Err(_) => return "no heartbeat".into(),
+            Err(_) => return "heartbeat timed out".into(),
         };
         if let Err(reason) = handle_frame(shared, frame, outbox, link) {
             return reason;
@@ -138,7 +142,7 @@
     match frame {
         PeerBody::Request(head) => match head.attempt {
             Some(id) => shared.receive_request(id.into(), head, outbox, link),
-            None => return Err("a request without a key".into()),
+            None => return Err("request without an attempt key".into()),
         },
         PeerBody::Chunk(chunk) => {
             if let Some(handle) = shared.running_attempt(chunk.attempt) {
@@ -164,7 +168,7 @@
                 }
             }
         }
-        _ => return Err("a frame that no entry sends".into()),
+        _ => return Err("unexpected kind of frame from an entry".into()),
     }
     Ok(())
 }
@@ -181,14 +185,18 @@
             tracing::info!(%version, "settings in force");
         }
         ApplyChoice::Stale => count(Counter::SettingsStale),
-        // The acknowledgement of the old version makes the entry send the whole tree.
+        // The delta does not follow on the version in force. The acknowledgement below reports that
+        // version, and the entry then sends the whole tree.
         ApplyChoice::Gap => {}
-        ApplyChoice::Unreadable(error) => tracing::warn!(%error, "settings not readable"),
+        ApplyChoice::Unreadable(error) => {
+            tracing::warn!(%error, "cannot parse the settings")
+        }
     }
     shared.acknowledge_settings();
 }
 
-/// An entry with a smaller version gets ours: it may be cut off from the store.
+/// Sends the own settings tree to an entry with an older version, which may have lost its connection
+/// to the store.
 fn handle_settings_ack(
     shared: &SidecarShared,
     ack: SettingsAck,
--- a/crates/wax-sidecar/src/pool.rs
+++ b/crates/wax-sidecar/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to the upstream, never more than it accepts.
+//! Pool of connections to the upstream, limited to the number that the upstream accepts.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Idle connections and the count of all open ones.
+/// Idle connections to the upstream, and the number of all open ones.
 #[derive(Debug)]
 pub(crate) struct UpstreamPool {
     address: SocketAddr,
@@ -30,12 +30,12 @@
         }
     }
 
-    /// Whether the last connection that was tried could be opened.
+    /// Returns whether the latest attempt to open a connection succeeded; `true` before the first one.
     pub(crate) fn is_reachable(&self) -> bool {
         self.reachable.get()
     }
 
-    /// An idle connection, or a new one.
+    /// Returns an idle connection, or opens one if there is none.
     pub(crate) async fn take(&self) -> Result<ClientConnection, WaxError> {
         while let Some(connection) = self.pop_idle() {
             if connection.is_ready() {
@@ -49,7 +49,7 @@
         self.idle.borrow_mut().pop()
     }
 
-    /// A new connection; fails at the upstream's bound.
+    /// Opens a connection. Fails if the maximum number of connections is open.
     pub(crate) async fn open(&self) -> Result<ClientConnection, WaxError> {
         if self.open_count.get() >= self.max_connections {
             let kind = ErrorKind::Overload(Duration::from_millis(100));
@@ -69,16 +69,16 @@
 
     fn set_reachable(&self, reachable: bool) {
         if self.reachable.replace(reachable) != reachable {
-            tracing::info!(upstream = %self.address, reachable, "upstream changed");
+            tracing::info!(upstream = %self.address, reachable, "upstream reachability changed");
         }
     }
 
-    /// Keeps a connection whose answer was read to its end.
+    /// Adds a connection that can be reused to the idle ones.
     pub(crate) fn put_back(&self, connection: ClientConnection) {
         self.idle.borrow_mut().push(connection);
     }
 
-    /// Opens a connection where the upstream was last found unreachable.
+    /// Tries to open a connection if the upstream was found unreachable.
     pub(crate) async fn probe(&self) {
         if self.is_reachable() {
             return;
--- a/crates/wax-sidecar/src/process.rs
+++ b/crates/wax-sidecar/src/process.rs
@@ -1,4 +1,4 @@
-//! What lives as long as the sidecar.
+//! The process of a sidecar and the state that its connections and attempts share.
 
 use crate::announce::announce_load;
 use crate::attempt::{AttemptHandle, QueuedAttempt, RunningAttempt};
@@ -22,14 +22,15 @@
     AttemptId, LoadReport, NotRunReason, PeerBody, PeerHello, RequestHead, SettingsAck,
 };
 
-/// How often the drain looks whether it is done.
+/// Interval at which the drain checks for its end.
 const DRAIN_POLL: Duration = Duration::from_millis(10);
-/// A connection that takes none of its last frames for this long is cut.
+/// Maximum time to wait for the last frames to be written to the entries before the process ends.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(5);
-/// For how long entries may still send to an upstream that has said that it leaves.
+/// Minimum duration of the drain. Entries may still send requests until they have received the
+/// announcement; these requests are refused as not run, so that the entries can retry elsewhere.
 const MIN_DRAIN_TIME: Duration = Duration::from_millis(200);
 
-/// The sidecar daemon.
+/// A sidecar: its options and the state of its upstream.
 pub struct SidecarProcess {
     shared: Rc<SidecarShared>,
 }
@@ -43,15 +44,18 @@
     pool: UpstreamPool,
     settings: SettingsHolder,
     links: RefCell<BTreeMap<u64, UnboundedSender<PeerBody>>>,
+    /// Number of the next connection to an entry.
     next_link: Cell<u64>,
+    /// Addresses of all entries that this sidecar connects to.
     entries: RefCell<BTreeSet<SocketAddr>>,
     leaving: Cell<bool>,
     stopping: ShutdownSignal,
+    /// Number of connections with frames that may not have been written.
     open_links: Cell<usize>,
 }
 
 impl SidecarProcess {
-    /// Prepares the process; nothing is connected yet.
+    /// Creates the process without opening a connection.
     pub fn new(daemon: &DaemonSettings, options: SidecarSettings, clock: ProcessClock) -> Self {
         let hello = PeerHello {
             protocol: PeerHello::PROTOCOL,
@@ -83,7 +87,7 @@
         }
     }
 
-    /// Serves until `shutdown`, then drains.
+    /// Serves until `shutdown`, then drains: finishes the attempts in progress and refuses new ones.
     pub async fn run(self, shutdown: ShutdownSignal) {
         let shared = self.shared;
         for address in shared.options.entries.clone() {
@@ -124,25 +128,25 @@
         self.stopping.is_raised()
     }
 
-    /// Waits until the drain is done and connections are to be closed.
+    /// Waits until the drain has ended and the connections are to be closed.
     pub(crate) async fn wait_for_stop(&self) {
         self.stopping.wait().await;
     }
 
-    /// Counts the connections whose last frames are not flushed.
+    /// Adds `change` to the number of connections with frames that may not have been written.
     pub(crate) fn change_open_links(&self, change: isize) {
         let open = self.open_links.get().saturating_add_signed(change);
         self.open_links.set(open);
     }
 
-    /// Connects to an entry unless it is connected already.
+    /// Starts a connection to an entry unless the address is already known.
     pub(crate) fn add_entry(self: &Rc<Self>, address: SocketAddr) {
         if self.entries.borrow_mut().insert(address) {
             spawn(maintain_link(self.clone(), address)).detach();
         }
     }
 
-    /// Forgets an entry that cannot be reached, unless the settings name it.
+    /// Removes an unreachable entry unless the settings name it. Returns whether it was removed.
     pub(crate) fn remove_entry(&self, address: SocketAddr) -> bool {
         if self.options.entries.contains(&address) {
             return false;
@@ -150,6 +154,7 @@
         self.entries.borrow_mut().remove(&address)
     }
 
+    /// Registers a connection to an entry, and sends the settings version and the load on it.
     pub(crate) fn add_link(&self, outbox: UnboundedSender<PeerBody>) -> u64 {
         let link = self.next_link.get();
         self.next_link.set(link + 1);
@@ -162,7 +167,7 @@
         link
     }
 
-    /// Forgets a connection: what it queued is dropped, what it runs is no longer wanted.
+    /// Removes a connection and cancels the attempts that arrived on it.
     pub(crate) fn remove_link(self: &Rc<Self>, link: u64) {
         self.links.borrow_mut().remove(&link);
         let keys = self.attempt_table.borrow().keys_of_link(link);
@@ -171,12 +176,12 @@
         }
     }
 
-    /// Sends the present load to every entry.
+    /// Sends the current load to all connected entries.
     pub(crate) fn announce(&self) {
         self.send_all(&PeerBody::Load(self.load_report()));
     }
 
-    /// Tells every entry the version in force.
+    /// Sends the settings version in force to all connected entries.
     pub(crate) fn acknowledge_settings(&self) {
         let version = self.settings.version().0;
         self.send_all(&PeerBody::SettingsAck(SettingsAck { version }));
@@ -203,7 +208,7 @@
         self.attempt_table.borrow().running(id?.into()).cloned()
     }
 
-    /// Decides about a request at the moment of its arrival: run, queue or refuse.
+    /// Runs, queues or refuses a request that has arrived.
     pub(crate) fn receive_request(
         self: &Rc<Self>,
         key: AttemptKey,
@@ -213,7 +218,7 @@
     ) {
         let now = self.clock.now();
         if self.attempt_table.borrow().contains(key) {
-            // A key is never used again, so this is the same request a second time.
+            // Keys are never reused, so this is a duplicate of the same request.
             return;
         }
         let attempt = QueuedAttempt::new(key, head, now, outbox.clone(), link);
@@ -243,7 +248,7 @@
         spawn(attempt.run(self.clone())).detach();
     }
 
-    /// Gives an attempt up.
+    /// Cancels an attempt.
     pub(crate) fn cancel(&self, key: AttemptKey) {
         let choice = self.attempt_table.borrow_mut().cancel(key);
         match choice {
@@ -263,9 +268,9 @@
         }
     }
 
-    /// Gives the slot of an attempt back and starts what waits.
+    /// Releases the slot of an attempt and starts queued attempts.
     ///
-    /// `spent` is `None` where the upstream was not reached.
+    /// `service_time` is `None` if nothing was sent to the upstream.
     pub(crate) fn finish_attempt(self: &Rc<Self>, key: AttemptKey, service_time: Option<Duration>) {
         self.attempt_table.borrow_mut().remove(key);
         match service_time {
@@ -297,14 +302,15 @@
         }
     }
 
-    /// Keeps a connection once hyper says that it can be used again.
+    /// Returns a connection to the pool once it can be reused.
     pub(crate) async fn return_connection(&self, mut connection: ClientConnection) {
         if connection.ready().await {
             self.pool.put_back(connection);
         }
     }
 
-    /// Announces that the upstream leaves, finishes what is in progress, closes the connections.
+    /// Announces the shutdown, waits for the attempts in progress for at most `drain_ms`, and closes
+    /// the connections.
     async fn drain(&self) {
         let start = self.clock.now();
         let max_drain_time = Duration::from_millis(self.options.drain_ms.into());
