--- a/crates/wax-route/src/body_pump.rs
+++ b/crates/wax-route/src/body_forwarder.rs
@@ -1,4 +1,4 @@
-//! Sends the rest of a long request body, as the sidecar gives credit.
+//! Forwards the rest of a long request body to a sidecar, within the credit that the sidecar grants.
 
 use crate::process::EntryShared;
 use bytes::Bytes;
@@ -11,54 +11,55 @@
 use wax_types::AttemptKey;
 use wax_wire::{BodyChunk, CancelRequest, PeerBody};
 
-/// The credit of one body, shared with the request that receives the grants.
+/// Credit for one body: number of bytes that may be sent. Shared between the forwarder and the
+/// request, which receives the grants of the sidecar.
 #[derive(Debug, Default)]
 pub(crate) struct BodyCredit {
     bytes: Cell<u64>,
-    over: Cell<bool>,
+    stopped: Cell<bool>,
     changed: Event,
 }
 
 impl BodyCredit {
-    pub(crate) fn grant(&self, bytes: u32) {
+    pub(crate) fn add(&self, bytes: u32) {
         self.bytes.set(self.bytes.get() + u64::from(bytes));
         self.changed.notify(usize::MAX);
     }
 
-    /// Stops the pump.
-    pub(crate) fn end(&self) {
-        self.over.set(true);
+    /// Stops the forwarder.
+    pub(crate) fn stop(&self) {
+        self.stopped.set(true);
         self.changed.notify(usize::MAX);
     }
 
-    /// Waits until some credit is there; says whether the body is still wanted.
-    async fn wait(&self) -> bool {
-        while self.bytes.get() == 0 && !self.over.get() {
+    /// Waits for credit. Returns `false` if the forwarder was stopped.
+    async fn wait_for_credit(&self) -> bool {
+        while self.bytes.get() == 0 && !self.stopped.get() {
             let changed = self.changed.listen();
-            if self.bytes.get() == 0 && !self.over.get() {
+            if self.bytes.get() == 0 && !self.stopped.get() {
                 changed.await;
             }
         }
-        !self.over.get()
+        !self.stopped.get()
     }
 }
 
-/// A body on its way to one attempt.
-pub(crate) struct BodyPump {
+/// Forwards one body to one attempt.
+pub(crate) struct BodyForwarder {
     pub(crate) shared: Rc<EntryShared>,
     pub(crate) upstream: UpstreamKey,
     pub(crate) key: AttemptKey,
     pub(crate) credit: Rc<BodyCredit>,
-    /// Bytes sent with the head.
-    pub(crate) sent: u64,
-    /// The most that the whole body may have.
-    pub(crate) limit: u64,
+    /// Number of bytes of the body that were sent, with the request head and since.
+    pub(crate) bytes_sent: u64,
+    /// Maximum size of the whole body.
+    pub(crate) max_body_bytes: u64,
 }
 
-impl BodyPump {
-    /// Reads and sends to the end; a body that is cut or too long cancels the attempt.
-    pub(crate) async fn run(mut self, carry: Bytes, mut body: Incoming) {
-        if !self.send(carry).await {
+impl BodyForwarder {
+    /// Forwards the body to its end. A body that breaks off or is too long cancels the attempt.
+    pub(crate) async fn run(mut self, first_data: Bytes, mut body: Incoming) {
+        if !self.send(first_data).await {
             return;
         }
         loop {
@@ -67,7 +68,7 @@
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
                 Some(Err(_)) => return self.cancel(),
             };
-            if self.sent + data.len() as u64 > self.limit {
+            if self.bytes_sent + data.len() as u64 > self.max_body_bytes {
                 return self.cancel();
             }
             if !self.send(data).await {
@@ -79,13 +80,13 @@
 
     async fn send(&mut self, mut data: Bytes) -> bool {
         while !data.is_empty() {
-            if !self.credit.wait().await {
+            if !self.credit.wait_for_credit().await {
                 return false;
             }
             let credit = self.credit.bytes.get();
             let part = data.split_to(data.len().min(credit as usize));
             self.credit.bytes.set(credit - part.len() as u64);
-            self.sent += part.len() as u64;
+            self.bytes_sent += part.len() as u64;
             self.send_chunk(part, false);
         }
         true
@@ -96,7 +97,7 @@
             attempt: Some(self.key.into()),
             data,
             last,
-            total_bytes: self.sent,
+            total_bytes: self.bytes_sent,
         };
         self.shared
             .peers
--- a/crates/wax-route/src/peer_link.rs
+++ b/crates/wax-route/src/peer_link.rs
@@ -1,4 +1,4 @@
-//! The connection of one sidecar: its frames, its heartbeat, its end.
+//! Connections from sidecars: handshake, heartbeats, and the frames that sidecars send.
 
 use crate::attempts::AttemptEvent;
 use crate::peers::PeerState;
@@ -18,34 +18,35 @@
     LoadReport, PeerBody, PeerHello, PeerList, PeerReader, SettingsAck, SettingsPush, split_stream,
 };
 
-const GREETING_LIMIT: Duration = Duration::from_secs(2);
-/// A sidecar that says nothing for this long is taken for dead; it speaks every second.
-const SILENCE_LIMIT: Duration = Duration::from_secs(4);
-const HEARTBEAT: Duration = Duration::from_secs(1);
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
+/// A connection without a frame for this long is closed. Sidecars send a heartbeat every second.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
+const HEARTBEAT_PERIOD: Duration = Duration::from_secs(1);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Accepts sidecars for as long as the process lives.
+/// Accepts connections from sidecars until the process ends.
 pub(crate) async fn accept_peers(shared: Rc<EntryShared>, listener: TcpListener) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => spawn(serve_peer(shared.clone(), stream)).detach(),
-            Err(_) => sleep(ACCEPT_PAUSE).await,
+            Ok((stream, _)) => spawn(handle_connection(shared.clone(), stream)).detach(),
+            Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
-/// Says the version in force every second, and the addresses of all entries where they change.
-pub(crate) async fn beat_peers(shared: Rc<EntryShared>) {
-    let mut said = Vec::new();
+/// Sends every sidecar the settings version in force once a second, and the addresses of all
+/// entries whenever they change.
+pub(crate) async fn send_heartbeats(shared: Rc<EntryShared>) {
+    let mut sent_addresses = Vec::new();
     loop {
-        sleep(HEARTBEAT).await;
+        sleep(HEARTBEAT_PERIOD).await;
         let version = shared.settings.version().0;
         shared
             .peers
             .send_all(&PeerBody::SettingsAck(SettingsAck { version }));
         let addresses = shared.entry_addresses();
-        if addresses != said {
-            said.clone_from(&addresses);
+        if addresses != sent_addresses {
+            sent_addresses.clone_from(&addresses);
             shared
                 .peers
                 .send_all(&PeerBody::Peers(PeerList { addresses }));
@@ -53,27 +54,27 @@
     }
 }
 
-async fn serve_peer(shared: Rc<EntryShared>, stream: TcpStream) {
-    // Small frames must not wait for acknowledgements.
+async fn handle_connection(shared: Rc<EntryShared>, stream: TcpStream) {
+    // Without TCP_NODELAY, small frames wait for the acknowledgement of earlier ones.
     let _ = stream.set_nodelay(true);
     let address = stream
         .peer_addr()
         .map_or_else(|_| "unknown".to_owned(), |address| address.to_string());
     let (mut reader, mut writer) = split_stream(stream);
-    let greeting = async {
+    let handshake = async {
         let hello = reader.read().await?;
-        writer.write(PeerBody::Hello(shared.hello())).await?;
+        writer.write(PeerBody::Hello(shared.own_hello())).await?;
         Ok::<_, std::io::Error>(hello)
     };
-    let hello = match timeout(GREETING_LIMIT, greeting).await {
-        Ok(Ok(Some(PeerBody::Hello(hello)))) if hello_is_valid(&hello) => hello,
+    let hello = match timeout(HANDSHAKE_TIMEOUT, handshake).await {
+        Ok(Ok(Some(PeerBody::Hello(hello)))) if is_valid_hello(&hello) => hello,
         other => {
             let reason = match other {
-                Err(_) => "no greeting in time".to_owned(),
+                Err(_) => "handshake timed out".to_owned(),
                 Ok(Err(error)) => error.to_string(),
-                Ok(Ok(_)) => "no valid greeting".to_owned(),
+                Ok(Ok(_)) => "invalid handshake".to_owned(),
             };
-            tracing::warn!(peer = %address, reason, "peer refused");
+            tracing::warn!(peer = %address, reason, "sidecar connection rejected");
             return;
         }
     };
@@ -85,7 +86,7 @@
     tracing::info!(sidecar = %peer.hello.name, %reason, "sidecar disconnected");
 }
 
-fn hello_is_valid(hello: &PeerHello) -> bool {
+fn is_valid_hello(hello: &PeerHello) -> bool {
     hello.protocol == PeerHello::PROTOCOL
         && !hello.service.is_empty()
         && !hello.name.is_empty()
@@ -112,7 +113,7 @@
         hello,
         key,
         outbox,
-        settings: Cell::new(SettingsVersion::default()),
+        settings_version: Cell::new(SettingsVersion::default()),
         leaving: Cell::new(false),
     });
     shared.peers.add(peer.clone());
@@ -127,36 +128,36 @@
     count(Counter::LinksLost);
     shared.peers.remove(shared.clock.now(), peer.key);
     shared.routes.borrow_mut().remove(peer.key);
-    shared.attempts.break_link(peer.key);
+    shared.attempts.fail_link(peer.key);
 }
 
-/// Reads until the connection ends; says why it did.
+/// Handles frames until the connection ends. Returns the reason for its end.
 async fn read_frames(
     shared: &Rc<EntryShared>,
     peer: &PeerState,
     reader: &mut PeerReader,
 ) -> Box<str> {
     loop {
-        let frame = match timeout(SILENCE_LIMIT, reader.read()).await {
+        let frame = match timeout(HEARTBEAT_TIMEOUT, reader.read()).await {
             Ok(Ok(Some(frame))) => frame,
             Ok(Ok(None)) => return "closed by the sidecar".into(),
             Ok(Err(error)) => return error.to_string().into(),
-            Err(_) => return "no heartbeat".into(),
+            Err(_) => return "heartbeat timed out".into(),
         };
-        if let Err(reason) = take_frame(shared, peer, frame) {
+        if let Err(reason) = handle_frame(shared, peer, frame) {
             return reason.into();
         }
     }
 }
 
-fn take_frame(
+fn handle_frame(
     shared: &Rc<EntryShared>,
     peer: &PeerState,
     frame: PeerBody,
 ) -> Result<(), &'static str> {
     let attempts = &shared.attempts;
     match frame {
-        PeerBody::Load(report) => take_load(shared, peer, report),
+        PeerBody::Load(report) => handle_load(shared, peer, report),
         PeerBody::Response(head) => {
             attempts.deliver(peer.key, head.attempt, AttemptEvent::Response(head));
         }
@@ -173,14 +174,16 @@
         PeerBody::Credit(credit) => {
             attempts.deliver(peer.key, credit.attempt, AttemptEvent::Credit(credit.bytes));
         }
-        PeerBody::SettingsAck(ack) => take_ack(shared, peer, SettingsVersion(ack.version)),
-        PeerBody::Settings(push) => take_settings(shared, &push),
-        _ => return Err("a frame that no sidecar sends"),
+        PeerBody::SettingsAck(ack) => {
+            handle_settings_ack(shared, peer, SettingsVersion(ack.version))
+        }
+        PeerBody::Settings(push) => handle_settings_push(shared, &push),
+        _ => return Err("unexpected kind of frame from a sidecar"),
     }
     Ok(())
 }
 
-fn take_load(shared: &EntryShared, peer: &PeerState, report: LoadReport) {
+fn handle_load(shared: &EntryShared, peer: &PeerState, report: LoadReport) {
     peer.leaving.set(report.leaving);
     let load = UpstreamLoad {
         slots_used: report.slots_used,
@@ -193,20 +196,22 @@
     shared.routes.borrow_mut().update_load(now, peer.key, load);
 }
 
-/// A sidecar with a smaller version gets what it lacks.
-fn take_ack(shared: &EntryShared, peer: &PeerState, version: SettingsVersion) {
-    peer.settings.set(version);
-    shared.settings_acked.notify(usize::MAX);
+/// Records the settings version of a sidecar, and sends an update if it is older than the one in
+/// force.
+fn handle_settings_ack(shared: &EntryShared, peer: &PeerState, version: SettingsVersion) {
+    peer.settings_version.set(version);
+    shared.settings_progress.notify(usize::MAX);
     if version < shared.settings.version() {
-        let push = shared.settings_push(version);
+        let push = shared.build_settings_push(version);
         let _ = peer.outbox.unbounded_send(PeerBody::Settings(push));
     }
 }
 
-/// A sidecar has a greater version: this entry was cut off from the store.
-fn take_settings(shared: &Rc<EntryShared>, push: &SettingsPush) {
+/// Applies the settings tree of a sidecar that has a newer version. This happens after the entry has
+/// lost its connection to the store.
+fn handle_settings_push(shared: &Rc<EntryShared>, push: &SettingsPush) {
     if let ApplyChoice::Applied(version) = shared.settings.apply_json(&push.tree) {
         tracing::info!(%version, source = "sidecar", "settings in force");
-        shared.after_settings(None);
+        shared.publish_settings(None);
     }
 }
--- a/crates/wax-route/src/process.rs
+++ b/crates/wax-route/src/process.rs
@@ -1,11 +1,11 @@
-//! What lives as long as the entry.
+//! The process of an entry and the state that all its requests and connections share.
 
 use crate::attempts::AttemptTable;
 use crate::callers::CallerHandler;
 use crate::operators::OperatorHandler;
-use crate::peer_link::{accept_peers, beat_peers};
+use crate::peer_link::{accept_peers, send_heartbeats};
 use crate::peers::PeerTable;
-use crate::settings_sync::{keep_settings, load_settings};
+use crate::settings_sync::{load_settings, poll_settings};
 use compio::net::TcpListener;
 use compio::runtime::spawn;
 use event_listener::Event;
@@ -23,37 +23,38 @@
 use wax_types::{ProcessClock, SettingsVersion};
 use wax_wire::{PeerHello, SettingsPush};
 
-/// For how long callers may still come after this entry has said that it leaves.
-const LEAVE_NOTICE: Duration = Duration::from_millis(300);
+/// Time between the first failed readiness probe and the close of the listeners. The load balancer
+/// still sends requests until it has noticed.
+const LISTENER_CLOSE_DELAY: Duration = Duration::from_millis(300);
 
-/// The entry daemon.
+/// An entry: its listeners for callers, operators and sidecars, and its shared state.
 pub struct EntryProcess {
     shared: Rc<EntryShared>,
     callers: TcpListener,
     operators: TcpListener,
     peers: TcpListener,
-    poll: Duration,
+    settings_poll_interval: Duration,
 }
 
-/// What the daemon gives to its entry.
+/// Services of the daemon that an entry uses.
 pub struct EntryServices {
-    /// Rows of the table.
+    /// Client that reads the rows of the store.
     pub table: TableClient,
-    /// Merged commits.
+    /// Writer that merges concurrent commits to the store.
     pub writer: GroupWriter,
-    /// Objects.
+    /// Client of the object store, from which usage is read.
     pub objects: ObjectClient,
-    /// Membership.
+    /// Membership of this process and of the other entries.
     pub members: MemberHandle,
-    /// The settings tree in force, shared with the shards.
-    pub tree: SettingsHolder,
-    /// Submissions.
-    pub desk: JobService,
-    /// Shards owned by this process.
+    /// Settings tree in force, shared with the shards that this process owns.
+    pub settings: SettingsHolder,
+    /// Service that accepts, shows and cancels jobs.
+    pub job_service: JobService,
+    /// Status of the shards that this process owns, and the state of their tasks.
     pub coordinator: CoordinatorHandle,
-    /// Failure domains that get nothing new.
+    /// Drained failure domains, in which no new task starts.
     pub drains: DomainDrains,
-    /// How upstreams are chosen.
+    /// Policy that chooses the upstream of an attempt.
     pub policy: RoutePolicy,
 }
 
@@ -62,10 +63,13 @@
     pub(crate) failure_domain: Box<str>,
     pub(crate) peers_address: SocketAddr,
     pub(crate) clock: ProcessClock,
-    pub(crate) started: wax_types::TimePoint,
+    pub(crate) started_at: wax_types::TimePoint,
     pub(crate) settings: SettingsHolder,
+    /// Whether a version of the settings was loaded since the start. Requests are rejected before.
     pub(crate) settings_loaded: Cell<bool>,
-    pub(crate) settings_acked: Event,
+    /// Notified when this entry applies a version of the settings or a sidecar confirms one.
+    pub(crate) settings_progress: Event,
+    /// Change that led to the settings in force; `None` if the whole tree was replaced.
     pub(crate) last_delta: RefCell<Option<TreeDelta>>,
     pub(crate) teams: RefCell<TeamTable>,
     pub(crate) routes: RefCell<RouteTable>,
@@ -75,17 +79,18 @@
     pub(crate) writer: GroupWriter,
     pub(crate) objects: ObjectClient,
     pub(crate) members: MemberHandle,
-    pub(crate) desk: JobService,
+    pub(crate) job_service: JobService,
     pub(crate) coordinator: CoordinatorHandle,
     pub(crate) drains: DomainDrains,
     pub(crate) policy: RoutePolicy,
     pub(crate) rng: RefCell<Rng>,
     pub(crate) leaving: Cell<bool>,
+    /// One in this many requests without a `traceparent` is traced; 0 for none.
     pub(crate) trace_one_in: u32,
 }
 
 impl EntryProcess {
-    /// Prepares the process on listeners that are bound already.
+    /// Creates the process on bound listeners for callers, operators and sidecars, in this order.
     pub fn new(
         daemon: &DaemonSettings,
         options: &EntrySettings,
@@ -99,10 +104,10 @@
             failure_domain: daemon.failure_domain.clone(),
             peers_address: peers.local_addr().unwrap_or(options.peers),
             clock,
-            started: clock.now(),
-            settings: services.tree,
+            started_at: clock.now(),
+            settings: services.settings,
             settings_loaded: Cell::new(false),
-            settings_acked: Event::new(),
+            settings_progress: Event::new(),
             last_delta: RefCell::default(),
             teams: RefCell::new(TeamTable::new(options.max_requests)),
             routes: RefCell::default(),
@@ -112,7 +117,7 @@
             writer: services.writer,
             objects: services.objects,
             members: services.members,
-            desk: services.desk,
+            job_service: services.job_service,
             coordinator: services.coordinator,
             drains: services.drains,
             policy: services.policy,
@@ -125,18 +130,18 @@
             callers,
             operators,
             peers,
-            poll: Duration::from_millis(options.settings_poll_ms.into()),
+            settings_poll_interval: Duration::from_millis(options.settings_poll_ms.into()),
         }
     }
 
-    /// Serves until `shutdown`, then drains: no request in progress is cut off.
+    /// Serves until `shutdown`, then stops accepting requests and lets those in progress finish.
     pub async fn run(self, shutdown: ShutdownSignal) {
         let shared = self.shared;
         spawn(accept_peers(shared.clone(), self.peers)).detach();
-        spawn(beat_peers(shared.clone())).detach();
+        spawn(send_heartbeats(shared.clone())).detach();
         spawn(shared.drains.clone().run()).detach();
         load_settings(&shared).await;
-        spawn(keep_settings(shared.clone(), self.poll)).detach();
+        spawn(poll_settings(shared.clone(), self.settings_poll_interval)).detach();
         let stop_callers = ShutdownSignal::default();
         let callers = Rc::new(CallerHandler::new(shared.clone()));
         let operators = Rc::new(OperatorHandler::new(shared.clone()));
@@ -145,20 +150,21 @@
         let callers = spawn(callers.run());
         spawn(operators.run()).detach();
         shutdown.wait().await;
-        // Readiness fails from here, so that the balancer sends no more; then the listener closes.
+        // Readiness probes fail from here on, so that the load balancer stops sending requests before
+        // the listeners close.
         shared.leaving.set(true);
         shared.members.mark_leaving();
         tracing::info!(attempts = shared.attempts.len(), "leaving");
-        compio::time::sleep(LEAVE_NOTICE).await;
+        compio::time::sleep(LISTENER_CLOSE_DELAY).await;
         stop_callers.raise();
-        // A connection task that panicked has nothing left to finish.
+        // An error means that the task panicked; there is nothing left to wait for then.
         let _ = callers.await;
         tracing::info!("drained");
     }
 }
 
 impl EntryShared {
-    pub(crate) fn hello(&self) -> PeerHello {
+    pub(crate) fn own_hello(&self) -> PeerHello {
         PeerHello {
             protocol: PeerHello::PROTOCOL,
             incarnation: self.members.own_row().incarnation.0,
@@ -169,7 +175,7 @@
         }
     }
 
-    /// Where sidecars can reach this entry and the others.
+    /// Returns the addresses for sidecars of this entry and of all others that are not leaving.
     pub(crate) fn entry_addresses(&self) -> Vec<String> {
         let mut addresses = vec![self.peers_address.to_string()];
         for member in self.members.live_members(self.clock.now()) {
@@ -183,8 +189,9 @@
         addresses
     }
 
-    /// What a process with `version` lacks: the last delta if that is enough, else the tree.
-    pub(crate) fn settings_push(&self, version: SettingsVersion) -> SettingsPush {
+    /// Builds the update for a sidecar at `version`: the last delta if it leads from there to the
+    /// version in force, otherwise the whole tree.
+    pub(crate) fn build_settings_push(&self, version: SettingsVersion) -> SettingsPush {
         let own = self.settings.version();
         let delta = self.last_delta.borrow();
         let delta = delta
@@ -204,19 +211,20 @@
         }
     }
 
-    /// Tells all sidecars and the membership row of a version that is in force here now.
-    pub(crate) fn after_settings(&self, delta: Option<TreeDelta>) {
+    /// Publishes the version of the settings that is now in force: to the membership row, and to all
+    /// sidecars that have an older one.
+    pub(crate) fn publish_settings(&self, delta: Option<TreeDelta>) {
         *self.last_delta.borrow_mut() = delta;
         self.settings_loaded.set(true);
         self.members.set_settings_version(self.settings.version());
         for peer in self.peers.all() {
-            if peer.settings.get() < self.settings.version() {
-                let push = self.settings_push(peer.settings.get());
+            if peer.settings_version.get() < self.settings.version() {
+                let push = self.build_settings_push(peer.settings_version.get());
                 let _ = peer
                     .outbox
                     .unbounded_send(wax_wire::PeerBody::Settings(push));
             }
         }
-        self.settings_acked.notify(usize::MAX);
+        self.settings_progress.notify(usize::MAX);
     }
 }
--- a/crates/wax-route/src/answer.rs
+++ b/crates/wax-route/src/response.rs
@@ -1,9 +1,10 @@
-//! Passes an answer to its caller: whole from memory if it is short, else in parts.
+//! Sends the response of an upstream to the caller: short responses from memory, longer ones as a
+//! stream.
 
 use crate::attempts::AttemptEvent;
 use crate::headers::{OUTCOME, RETRY_AFTER_MS};
 use crate::process::EntryShared;
-use crate::request::LiveAttempt;
+use crate::request::InFlightAttempt;
 use bytes::{Bytes, BytesMut};
 use futures_channel::mpsc::UnboundedReceiver;
 use futures_util::StreamExt;
@@ -15,92 +16,93 @@
 use wax_types::{AttemptKey, RunOutcome, WaxError};
 use wax_wire::{BodyChunk, CreditGrant, PeerBody, ResponseHead};
 
-/// An answer up to this size is held until it is whole.
-pub(crate) const HELD_BYTES: usize = 64 << 10;
+/// Longest response body that is buffered until it is complete; longer ones are streamed.
+pub(crate) const MAX_BUFFERED_BYTES: usize = 64 << 10;
 
-/// A part of an answer as it is collected.
+/// Response of an upstream while its chunks are collected.
 #[derive(Debug)]
-pub(crate) struct AnswerParts {
+pub(crate) struct ResponseBuffer {
     head: ResponseHead,
-    held: BytesMut,
+    buffered: BytesMut,
 }
 
-/// Where the collection stands after a chunk.
+/// State of a buffered response after a chunk.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum CollectStep {
-    /// More is to come, and it may still be held.
-    More,
-    /// It is whole.
-    Whole,
-    /// It is too long to be held.
-    Long,
-    /// The parts do not add up to what was sent.
-    Broken,
+pub(crate) enum BufferState {
+    /// More chunks follow, and the buffer has room for them.
+    Incomplete,
+    /// The response is complete.
+    Complete,
+    /// The response exceeds [`MAX_BUFFERED_BYTES`] and must be streamed.
+    TooLong,
+    /// The chunks do not add up to the total size that the sidecar reported.
+    Corrupt,
 }
 
-impl AnswerParts {
+impl ResponseBuffer {
     pub(crate) fn new(head: ResponseHead) -> Self {
         Self {
             head,
-            held: BytesMut::new(),
+            buffered: BytesMut::new(),
         }
     }
 
-    pub(crate) fn add(&mut self, chunk: &BodyChunk) -> CollectStep {
-        self.held.extend_from_slice(&chunk.data);
+    pub(crate) fn add(&mut self, chunk: &BodyChunk) -> BufferState {
+        self.buffered.extend_from_slice(&chunk.data);
         if chunk.last {
-            return if chunk.total_bytes == self.held.len() as u64 {
-                CollectStep::Whole
+            return if chunk.total_bytes == self.buffered.len() as u64 {
+                BufferState::Complete
             } else {
-                CollectStep::Broken
+                BufferState::Corrupt
             };
         }
-        if self.held.len() > HELD_BYTES {
-            CollectStep::Long
+        if self.buffered.len() > MAX_BUFFERED_BYTES {
+            BufferState::TooLong
         } else {
-            CollectStep::More
+            BufferState::Incomplete
         }
     }
 
-    /// The answer from memory.
+    /// Returns a complete response from memory.
     pub(crate) fn into_reply(self) -> HttpReply {
-        let body = ReplyBody::whole(self.held.freeze());
+        let body = ReplyBody::whole(self.buffered.freeze());
         build_reply(&self.head, body)
     }
 
-    /// The answer in parts; what comes later is passed on by a task of its own.
+    /// Returns a streamed response; a separate task forwards the chunks that are still to come.
     pub(crate) fn into_stream(
         self,
         shared: Rc<EntryShared>,
-        attempt: LiveAttempt,
+        attempt: InFlightAttempt,
         events: UnboundedReceiver<(AttemptKey, AttemptEvent)>,
     ) -> HttpReply {
         let key = attempt.key();
         let upstream = attempt.upstream();
-        let granter = shared.clone();
+        let credit_shared = shared.clone();
         let (sender, body) = body_channel(move |bytes| {
             let credit = CreditGrant {
                 attempt: Some(key.into()),
                 bytes: bytes as u32,
             };
-            granter.peers.send(upstream, PeerBody::Credit(credit));
+            credit_shared.peers.send(upstream, PeerBody::Credit(credit));
         });
         let reply = build_reply(&self.head, body);
-        let held = self.held.freeze();
-        compio::runtime::spawn(pass_parts(attempt, held, sender, events)).detach();
+        let buffered = self.buffered.freeze();
+        compio::runtime::spawn(stream_chunks(attempt, buffered, sender, events)).detach();
         reply
     }
 }
 
-/// Passes parts on until the answer is whole; otherwise the caller sees a cut connection.
-async fn pass_parts(
-    attempt: LiveAttempt,
-    held: Bytes,
+/// Forwards chunks to the caller until the response is complete. If it cannot be completed, the
+/// connection to the caller is closed, so that the caller detects the truncated response.
+async fn stream_chunks(
+    attempt: InFlightAttempt,
+    buffered: Bytes,
     sender: BodySender,
     mut events: UnboundedReceiver<(AttemptKey, AttemptEvent)>,
 ) {
-    let mut total = held.len() as u64;
-    sender.send(held);
+    let mut total = buffered.len() as u64;
+    sender.send(buffered);
     while let Some((key, event)) = events.next().await {
         if key != attempt.key() {
             continue;
@@ -118,7 +120,7 @@
             break;
         }
     }
-    // Dropping the attempt cancels it; dropping the sender cuts the connection.
+    // Dropping the attempt cancels it; dropping the sender closes the connection to the caller.
     count(Counter::EntryCutAnswers);
 }
 
@@ -150,8 +152,14 @@
     reply.headers_mut().insert(OUTCOME, value);
 }
 
-/// The final answer to a request without an answer of its own.
-pub(crate) fn refusal(error: &WaxError, outcome: RunOutcome, after: Option<Duration>) -> HttpReply {
+/// Builds the response to a request that got none from an upstream.
+///
+/// `after` is the retry delay for the caller; `None` uses the delay of `error`, if it has one.
+pub(crate) fn error_reply_with_outcome(
+    error: &WaxError,
+    outcome: RunOutcome,
+    after: Option<Duration>,
+) -> HttpReply {
     let mut reply = error_reply(error);
     set_outcome(&mut reply, outcome);
     if let Some(after) = after.or(error.retry_after()) {
--- a/crates/wax-route/src/status.rs
+++ b/crates/wax-route/src/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of the whole system, from this entry.
+//! Status of the system as this entry knows it, for operators.
 
 use crate::process::EntryShared;
 use serde::{Deserialize, Serialize};
@@ -8,53 +8,53 @@
 use wax_trace::counter_values;
 use wax_types::SettingsVersion;
 
-/// A sidecar that was lost this long ago is no longer counted.
-const LOST_COUNTED: Duration = Duration::from_secs(60);
+/// Time for which a lost sidecar is counted as unreachable; after that it is left out.
+const LOST_SIDECAR_RETENTION: Duration = Duration::from_secs(60);
 
-/// How far a version of the settings has come.
+/// Rollout of a version of the settings.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct ForceStatus {
-    /// The version.
+pub(crate) struct RolloutStatus {
+    /// Version whose rollout is shown.
     pub(crate) version: SettingsVersion,
-    /// Processes that apply it or a greater one.
+    /// Number of reachable processes that apply this version or a newer one.
     pub(crate) in_force: usize,
-    /// Processes that are known.
+    /// Number of known processes: members, connected sidecars and recently lost sidecars.
     pub(crate) processes: usize,
-    /// Those that have not confirmed it, and why.
+    /// Processes that have not confirmed the version or cannot be reached.
     pub(crate) missing: Vec<MissingProcess>,
 }
 
-/// A process that has not confirmed a version.
+/// Process that has not confirmed a version or cannot be reached.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct MissingProcess {
     pub(crate) name: Box<str>,
     pub(crate) version: SettingsVersion,
-    /// Since when it cannot be reached; `None` if it can.
+    /// Milliseconds since the connection was lost; `None` if the process can be reached.
     pub(crate) unreachable_ms: Option<u64>,
 }
 
-/// One process that is known.
+/// Status of one known process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct MemberStatus {
     name: Box<str>,
     role: &'static str,
     failure_domain: Box<str>,
     service: Option<Box<str>>,
-    /// Where operators reach it, if it is an entry.
+    /// Address for operators; `None` for sidecars.
     operators: Option<Box<str>>,
     settings: SettingsVersion,
     leaving: bool,
 }
 
-/// Answer to `GET /v1/status`.
+/// Reply to `GET /v1/status`.
 #[derive(Debug, Serialize)]
 pub(crate) struct EntryStatus {
     entry: Box<str>,
     uptime_ms: u64,
-    settings: ForceStatus,
-    /// Milliseconds since the store went down; `None` while it answers.
+    settings: RolloutStatus,
+    /// Milliseconds since the store stopped answering; `None` while it answers.
     store_down_ms: Option<u64>,
-    /// Failure domains that get nothing new.
+    /// Drained failure domains, in which no new task starts.
     drained: Vec<Box<str>>,
     members: Vec<MemberStatus>,
     shards: Vec<ShardStatus>,
@@ -62,33 +62,33 @@
     counters: BTreeMap<&'static str, u64>,
 }
 
-/// Counts the processes that apply a version, as this entry knows them.
-pub(crate) fn force_status(shared: &EntryShared, version: SettingsVersion) -> ForceStatus {
+/// Returns the rollout of a version among the processes that this entry knows.
+pub(crate) fn rollout_status(shared: &EntryShared, version: SettingsVersion) -> RolloutStatus {
     let now = shared.clock.now();
     let mut known: BTreeMap<Box<str>, (SettingsVersion, Option<u64>)> = BTreeMap::new();
     for member in shared.members.live_members(now) {
         known.insert(member.name, (member.settings, None));
     }
     known.insert(shared.name.clone(), (shared.settings.version(), None));
-    for (name, lost) in shared.peers.lost(now - LOST_COUNTED) {
-        let since = now.since(lost.since).as_millis() as u64;
-        known.insert(name, (lost.settings, Some(since)));
+    for (name, lost) in shared.peers.recently_lost(now - LOST_SIDECAR_RETENTION) {
+        let lost_ms = now.since(lost.lost_at).as_millis() as u64;
+        known.insert(name, (lost.settings_version, Some(lost_ms)));
     }
     for peer in shared.peers.all() {
         let name = peer.hello.name.as_str().into();
-        known.insert(name, (peer.settings.get(), None));
+        known.insert(name, (peer.settings_version.get(), None));
     }
     let processes = known.len();
     let missing: Vec<MissingProcess> = known
         .into_iter()
-        .filter(|(_, (applied, lost))| *applied < version || lost.is_some())
-        .map(|(name, (applied, lost))| MissingProcess {
+        .filter(|(_, (applied, lost_ms))| *applied < version || lost_ms.is_some())
+        .map(|(name, (applied, lost_ms))| MissingProcess {
             name,
             version: applied,
-            unreachable_ms: lost,
+            unreachable_ms: lost_ms,
         })
         .collect();
-    ForceStatus {
+    RolloutStatus {
         version,
         in_force: processes - missing.len(),
         processes,
@@ -96,7 +96,7 @@
     }
 }
 
-/// The status of the system from this entry.
+/// Returns the status of the system as this entry knows it.
 pub(crate) fn entry_status(shared: &EntryShared) -> EntryStatus {
     let now = shared.clock.now();
     let mut members: Vec<MemberStatus> = shared
@@ -123,13 +123,13 @@
         failure_domain: peer.hello.failure_domain.as_str().into(),
         service: Some(peer.hello.service.as_str().into()),
         operators: None,
-        settings: peer.settings.get(),
+        settings: peer.settings_version.get(),
         leaving: peer.leaving.get(),
     }));
     EntryStatus {
         entry: shared.name.clone(),
-        uptime_ms: now.since(shared.started).as_millis() as u64,
-        settings: force_status(shared, shared.settings.version()),
+        uptime_ms: now.since(shared.started_at).as_millis() as u64,
+        settings: rollout_status(shared, shared.settings.version()),
         store_down_ms: shared
             .table
             .store()
--- a/crates/wax-sidecar/src/link.rs
+++ b/crates/wax-sidecar/src/link.rs
@@ -1,4 +1,4 @@
-//! The connection to one entry: dialled again, with backoff, until the process ends.
+//! The connection to one entry, re-established with backoff until the process ends.
 
 use crate::process::SidecarShared;
 use compio::net::TcpStream;
@@ -17,17 +17,18 @@
 use wax_types::{ErrorKind, Step, WaxError};
 use wax_wire::{PeerBody, PeerHello, PeerReader, SettingsAck, SettingsPush, split_stream};
 
-const RETRY_FLOOR: Duration = Duration::from_millis(50);
-const RETRY_CEILING: Duration = Duration::from_secs(2);
-const CONNECT_LIMIT: Duration = Duration::from_secs(2);
-/// An entry that says nothing for this long is taken for dead; it speaks every second.
-const SILENCE_LIMIT: Duration = Duration::from_secs(5);
-/// Dials without success after which a learned entry is forgotten.
-const TRIES_BEFORE_FORGETTING: u32 = 30;
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// A connection without a frame for this long is closed. Entries send a heartbeat every second.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Number of consecutive failures to connect after which an entry that the settings do not name is
+/// removed.
+const MAX_FAILED_DIALS: u32 = 30;
 
-/// Keeps one entry connected.
-pub(crate) async fn keep_link(shared: Rc<SidecarShared>, address: SocketAddr) {
-    let mut backoff = BackoffPlan::new(RETRY_FLOOR, RETRY_CEILING);
+/// Maintains the connection to one entry until the process stops or the entry is removed.
+pub(crate) async fn maintain_link(shared: Rc<SidecarShared>, address: SocketAddr) {
+    let mut backoff = BackoffPlan::new(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
     let mut rng = Rng::new();
     let mut failures = 0;
     while !shared.is_stopping() {
@@ -41,7 +42,7 @@
                 tracing::debug!(%error, "entry not connected");
             }
         }
-        if failures >= TRIES_BEFORE_FORGETTING && shared.forget_entry(address) {
+        if failures >= MAX_FAILED_DIALS && shared.remove_entry(address) {
             return;
         }
         sleep(backoff.next_delay(&mut rng)).await;
@@ -50,29 +51,32 @@
 
 async fn connect(shared: &Rc<SidecarShared>, address: SocketAddr) -> Result<(), WaxError> {
     let unreachable = |error: &dyn std::fmt::Display| {
-        let kind = ErrorKind::Unavailable(RETRY_CEILING);
+        let kind = ErrorKind::Unavailable(MAX_RETRY_DELAY);
         WaxError::new(kind, Step::Connect, address.to_string(), error)
     };
-    let stream = match timeout(CONNECT_LIMIT, TcpStream::connect(address)).await {
+    let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(error)) => return Err(unreachable(&error)),
-        Err(_) => return Err(unreachable(&"no connection in time")),
+        Err(_) => return Err(unreachable(&"connection attempt timed out")),
     };
-    // Small frames must not wait for acknowledgements.
+    // Without TCP_NODELAY, small frames wait for the acknowledgement of earlier ones.
     let _ = stream.set_nodelay(true);
     let (mut reader, mut writer) = split_stream(stream);
-    let hello = async {
-        writer.write(PeerBody::Hello(shared.hello())).await?;
+    let handshake = async {
+        writer.write(PeerBody::Hello(shared.own_hello())).await?;
         reader.read().await
     };
-    let hello = match timeout(CONNECT_LIMIT, hello).await {
+    let hello = match timeout(CONNECT_TIMEOUT, handshake).await {
         Ok(Ok(Some(PeerBody::Hello(hello)))) => hello,
-        Ok(Ok(_)) => return Err(handshake(address, "the peer is no entry")),
+        Ok(Ok(_)) => return Err(handshake_error(address, "the peer is not an entry")),
         Ok(Err(error)) => return Err(unreachable(&error)),
-        Err(_) => return Err(unreachable(&"no greeting in time")),
+        Err(_) => return Err(unreachable(&"handshake timed out")),
     };
     if hello.protocol != PeerHello::PROTOCOL {
-        return Err(handshake(address, "the entry speaks another version"));
+        return Err(handshake_error(
+            address,
+            "the entry uses another protocol version",
+        ));
     }
     let (outbox, mut frames) = unbounded();
     let writing = spawn(async move { writer.forward(&mut frames).await });
@@ -82,7 +86,7 @@
     shared.change_open_links(1);
     let result = {
         let reading = pin!(read_frames(shared, &mut reader, &outbox, link));
-        let stopping = pin!(shared.wait_stopping());
+        let stopping = pin!(shared.wait_for_stop());
         match select(stopping, reading).await {
             Either::Left(_) => "leaving".into(),
             Either::Right((reason, _)) => reason,
@@ -93,14 +97,14 @@
     count(Counter::LinksLost);
     tracing::info!(entry = %hello.name, reason = %result, "entry disconnected");
     if shared.is_stopping() {
-        // The last answers are flushed before the process ends.
+        // The process must not end before the last answers are written to the connection.
         let _ = writing.await;
     }
     shared.change_open_links(-1);
     Ok(())
 }
 
-fn handshake(address: SocketAddr, text: &str) -> WaxError {
+fn handshake_error(address: SocketAddr, text: &str) -> WaxError {
     WaxError::new(
         ErrorKind::Protocol,
         Step::Handshake,
@@ -109,7 +113,7 @@
     )
 }
 
-/// Reads until the connection ends; says why it did.
+/// Handles frames until the connection ends. Returns the reason for its end.
 async fn read_frames(
     shared: &Rc<SidecarShared>,
     reader: &mut PeerReader,
@@ -117,19 +121,19 @@
     link: u64,
 ) -> Box<str> {
     loop {
-        let frame = match timeout(SILENCE_LIMIT, reader.read()).await {
+        let frame = match timeout(HEARTBEAT_TIMEOUT, reader.read()).await {
             Ok(Ok(Some(frame))) => frame,
             Ok(Ok(None)) => return "closed by the entry".into(),
             Ok(Err(error)) => return error.to_string().into(),
-            Err(_) => return "no heartbeat".into(),
+            Err(_) => return "heartbeat timed out".into(),
         };
-        if let Err(reason) = take_frame(shared, frame, outbox, link) {
+        if let Err(reason) = handle_frame(shared, frame, outbox, link) {
             return reason;
         }
     }
 }
 
-fn take_frame(
+fn handle_frame(
     shared: &Rc<SidecarShared>,
     frame: PeerBody,
     outbox: &UnboundedSender<PeerBody>,
@@ -137,12 +141,12 @@
 ) -> Result<(), Box<str>> {
     match frame {
         PeerBody::Request(head) => match head.attempt {
-            Some(id) => shared.take_request(id.into(), head, outbox, link),
-            None => return Err("a request without a key".into()),
+            Some(id) => shared.receive_request(id.into(), head, outbox, link),
+            None => return Err("request without an attempt key".into()),
         },
         PeerBody::Chunk(chunk) => {
             if let Some(handle) = shared.running_attempt(chunk.attempt) {
-                handle.take_chunk(chunk);
+                handle.receive_body_chunk(chunk);
             }
         }
         PeerBody::Credit(credit) => {
@@ -155,21 +159,21 @@
                 shared.cancel(id.into());
             }
         }
-        PeerBody::Settings(push) => take_settings(shared, &push),
-        PeerBody::SettingsAck(ack) => answer_ack(shared, ack, outbox),
+        PeerBody::Settings(push) => handle_settings_push(shared, &push),
+        PeerBody::SettingsAck(ack) => handle_settings_ack(shared, ack, outbox),
         PeerBody::Peers(list) => {
             for address in list.addresses {
                 if let Ok(address) = address.parse() {
-                    shared.learn_entry(address);
+                    shared.add_entry(address);
                 }
             }
         }
-        _ => return Err("a frame that no entry sends".into()),
+        _ => return Err("unexpected kind of frame from an entry".into()),
     }
     Ok(())
 }
 
-fn take_settings(shared: &SidecarShared, push: &SettingsPush) {
+fn handle_settings_push(shared: &SidecarShared, push: &SettingsPush) {
     let choice = if push.delta.is_empty() {
         shared.settings().apply_json(&push.tree)
     } else {
@@ -181,15 +185,23 @@
             tracing::info!(%version, "settings in force");
         }
         ApplyChoice::Stale => count(Counter::SettingsStale),
-        // The acknowledgement of the old version makes the entry send the whole tree.
+        // The delta does not follow on the version in force. The acknowledgement below reports that
+        // version, and the entry then sends the whole tree.
         ApplyChoice::Gap => {}
-        ApplyChoice::Unreadable(error) => tracing::warn!(%error, "settings not readable"),
+        ApplyChoice::Unreadable(error) => {
+            tracing::warn!(%error, "cannot parse the settings")
+        }
     }
     shared.acknowledge_settings();
 }
 
-/// An entry with a smaller version gets ours: it may be cut off from the store.
-fn answer_ack(shared: &SidecarShared, ack: SettingsAck, outbox: &UnboundedSender<PeerBody>) {
+/// Sends the own settings tree to an entry with an older version, which may have lost its connection
+/// to the store.
+fn handle_settings_ack(
+    shared: &SidecarShared,
+    ack: SettingsAck,
+    outbox: &UnboundedSender<PeerBody>,
+) {
     let settings = shared.settings();
     if ack.version < settings.version().0 {
         let push = SettingsPush {
--- a/crates/wax-sidecar/src/pool.rs
+++ b/crates/wax-sidecar/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to the upstream, never more than it accepts.
+//! Pool of connections to the upstream, limited to the number that the upstream accepts.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -7,35 +7,35 @@
 use wax_trace::{Counter, count};
 use wax_types::{ErrorKind, Step, WaxError};
 
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Idle connections and the count of all open ones.
+/// Idle connections to the upstream, and the number of all open ones.
 #[derive(Debug)]
 pub(crate) struct UpstreamPool {
     address: SocketAddr,
-    limit: usize,
-    count: ConnectionCount,
+    max_connections: usize,
+    open_count: ConnectionCount,
     idle: RefCell<Vec<ClientConnection>>,
     reachable: Cell<bool>,
 }
 
 impl UpstreamPool {
-    pub(crate) fn new(address: SocketAddr, limit: usize) -> Self {
+    pub(crate) fn new(address: SocketAddr, max_connections: usize) -> Self {
         Self {
             address,
-            limit,
-            count: ConnectionCount::default(),
+            max_connections,
+            open_count: ConnectionCount::default(),
             idle: RefCell::default(),
             reachable: Cell::new(true),
         }
     }
 
-    /// Whether the last connection that was tried could be opened.
+    /// Returns whether the latest attempt to open a connection succeeded; `true` before the first one.
     pub(crate) fn is_reachable(&self) -> bool {
         self.reachable.get()
     }
 
-    /// An idle connection, or a new one.
+    /// Returns an idle connection, or opens one if there is none.
     pub(crate) async fn take(&self) -> Result<ClientConnection, WaxError> {
         while let Some(connection) = self.pop_idle() {
             if connection.is_ready() {
@@ -49,11 +49,11 @@
         self.idle.borrow_mut().pop()
     }
 
-    /// A new connection; fails at the upstream's bound.
+    /// Opens a connection. Fails if the maximum number of connections is open.
     pub(crate) async fn open(&self) -> Result<ClientConnection, WaxError> {
-        if self.count.get() >= self.limit {
+        if self.open_count.get() >= self.max_connections {
             let kind = ErrorKind::Overload(Duration::from_millis(100));
-            let text = format!("all {} connections are in use", self.limit);
+            let text = format!("all {} connections are in use", self.max_connections);
             return Err(WaxError::new(
                 kind,
                 Step::Connect,
@@ -62,23 +62,23 @@
             ));
         }
         count(Counter::SidecarConnects);
-        let result = ClientConnection::open(self.address, CONNECT_LIMIT, &self.count).await;
-        self.note_reachable(result.is_ok());
+        let result = ClientConnection::open(self.address, CONNECT_TIMEOUT, &self.open_count).await;
+        self.set_reachable(result.is_ok());
         result
     }
 
-    fn note_reachable(&self, reachable: bool) {
+    fn set_reachable(&self, reachable: bool) {
         if self.reachable.replace(reachable) != reachable {
-            tracing::info!(upstream = %self.address, reachable, "upstream changed");
+            tracing::info!(upstream = %self.address, reachable, "upstream reachability changed");
         }
     }
 
-    /// Keeps a connection whose answer was read to its end.
+    /// Adds a connection that can be reused to the idle ones.
     pub(crate) fn put_back(&self, connection: ClientConnection) {
         self.idle.borrow_mut().push(connection);
     }
 
-    /// Opens a connection where the upstream was last found unreachable.
+    /// Tries to open a connection if the upstream was found unreachable.
     pub(crate) async fn probe(&self) {
         if self.is_reachable() {
             return;
--- a/crates/wax-sidecar/src/process.rs
+++ b/crates/wax-sidecar/src/process.rs
@@ -1,10 +1,10 @@
-//! What lives as long as the sidecar.
+//! The process of a sidecar and the state that its connections and attempts share.
 
 use crate::announce::announce_load;
 use crate::attempt::{AttemptHandle, QueuedAttempt, RunningAttempt};
-use crate::link::keep_link;
+use crate::attempt_table::{AttemptState, AttemptTable, CancelResult};
+use crate::link::maintain_link;
 use crate::pool::UpstreamPool;
-use crate::table::{AttemptState, AttemptTable, CancelChoice};
 use compio::runtime::spawn;
 use compio::time::sleep;
 use futures_channel::mpsc::UnboundedSender;
@@ -22,14 +22,15 @@
     AttemptId, LoadReport, NotRunReason, PeerBody, PeerHello, RequestHead, SettingsAck,
 };
 
-/// How often the drain looks whether it is done.
+/// Interval at which the drain checks for its end.
 const DRAIN_POLL: Duration = Duration::from_millis(10);
-/// A connection that takes none of its last frames for this long is cut.
-const FLUSH_LIMIT: Duration = Duration::from_secs(5);
-/// For how long entries may still send to an upstream that has said that it leaves.
-const LEAVE_NOTICE: Duration = Duration::from_millis(200);
+/// Maximum time to wait for the last frames to be written to the entries before the process ends.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(5);
+/// Minimum duration of the drain. Entries may still send requests until they have received the
+/// announcement; these requests are refused as not run, so that the entries can retry elsewhere.
+const MIN_DRAIN_TIME: Duration = Duration::from_millis(200);
 
-/// The sidecar daemon.
+/// A sidecar: its options and the state of its upstream.
 pub struct SidecarProcess {
     shared: Rc<SidecarShared>,
 }
@@ -39,19 +40,22 @@
     options: SidecarSettings,
     clock: ProcessClock,
     gate: RefCell<SlotGate<AttemptKey>>,
-    table: RefCell<AttemptTable>,
+    attempt_table: RefCell<AttemptTable>,
     pool: UpstreamPool,
     settings: SettingsHolder,
     links: RefCell<BTreeMap<u64, UnboundedSender<PeerBody>>>,
+    /// Number of the next connection to an entry.
     next_link: Cell<u64>,
+    /// Addresses of all entries that this sidecar connects to.
     entries: RefCell<BTreeSet<SocketAddr>>,
     leaving: Cell<bool>,
     stopping: ShutdownSignal,
+    /// Number of connections with frames that may not have been written.
     open_links: Cell<usize>,
 }
 
 impl SidecarProcess {
-    /// Prepares the process; nothing is connected yet.
+    /// Creates the process without opening a connection.
     pub fn new(daemon: &DaemonSettings, options: SidecarSettings, clock: ProcessClock) -> Self {
         let hello = PeerHello {
             protocol: PeerHello::PROTOCOL,
@@ -68,7 +72,7 @@
             options,
             clock,
             gate: RefCell::new(gate),
-            table: RefCell::default(),
+            attempt_table: RefCell::default(),
             pool,
             settings: SettingsHolder::default(),
             links: RefCell::default(),
@@ -83,11 +87,11 @@
         }
     }
 
-    /// Serves until `shutdown`, then drains.
+    /// Serves until `shutdown`, then drains: finishes the attempts in progress and refuses new ones.
     pub async fn run(self, shutdown: ShutdownSignal) {
         let shared = self.shared;
         for address in shared.options.entries.clone() {
-            shared.learn_entry(address);
+            shared.add_entry(address);
         }
         spawn(announce_load(shared.clone())).detach();
         shutdown.wait().await;
@@ -96,7 +100,7 @@
 }
 
 impl SidecarShared {
-    pub(crate) fn hello(&self) -> PeerHello {
+    pub(crate) fn own_hello(&self) -> PeerHello {
         self.hello.clone()
     }
 
@@ -116,7 +120,7 @@
         self.options.upstream.to_string()
     }
 
-    pub(crate) fn answer_limit(&self) -> Duration {
+    pub(crate) fn answer_timeout(&self) -> Duration {
         Duration::from_millis(self.options.answer_ms.into())
     }
 
@@ -124,32 +128,33 @@
         self.stopping.is_raised()
     }
 
-    /// Waits until the drain is done and connections are to be closed.
-    pub(crate) async fn wait_stopping(&self) {
+    /// Waits until the drain has ended and the connections are to be closed.
+    pub(crate) async fn wait_for_stop(&self) {
         self.stopping.wait().await;
     }
 
-    /// Counts the connections whose last frames are not flushed.
+    /// Adds `change` to the number of connections with frames that may not have been written.
     pub(crate) fn change_open_links(&self, change: isize) {
         let open = self.open_links.get().saturating_add_signed(change);
         self.open_links.set(open);
     }
 
-    /// Connects to an entry unless it is connected already.
-    pub(crate) fn learn_entry(self: &Rc<Self>, address: SocketAddr) {
+    /// Starts a connection to an entry unless the address is already known.
+    pub(crate) fn add_entry(self: &Rc<Self>, address: SocketAddr) {
         if self.entries.borrow_mut().insert(address) {
-            spawn(keep_link(self.clone(), address)).detach();
+            spawn(maintain_link(self.clone(), address)).detach();
         }
     }
 
-    /// Forgets an entry that cannot be reached, unless the settings name it.
-    pub(crate) fn forget_entry(&self, address: SocketAddr) -> bool {
+    /// Removes an unreachable entry unless the settings name it. Returns whether it was removed.
+    pub(crate) fn remove_entry(&self, address: SocketAddr) -> bool {
         if self.options.entries.contains(&address) {
             return false;
         }
         self.entries.borrow_mut().remove(&address)
     }
 
+    /// Registers a connection to an entry, and sends the settings version and the load on it.
     pub(crate) fn add_link(&self, outbox: UnboundedSender<PeerBody>) -> u64 {
         let link = self.next_link.get();
         self.next_link.set(link + 1);
@@ -162,21 +167,21 @@
         link
     }
 
-    /// Forgets a connection: what it queued is dropped, what it runs is no longer wanted.
+    /// Removes a connection and cancels the attempts that arrived on it.
     pub(crate) fn remove_link(self: &Rc<Self>, link: u64) {
         self.links.borrow_mut().remove(&link);
-        let keys = self.table.borrow().keys_of_link(link);
+        let keys = self.attempt_table.borrow().keys_of_link(link);
         for key in keys {
             self.cancel(key);
         }
     }
 
-    /// Sends the present load to every entry.
+    /// Sends the current load to all connected entries.
     pub(crate) fn announce(&self) {
         self.send_all(&PeerBody::Load(self.load_report()));
     }
 
-    /// Tells every entry the version in force.
+    /// Sends the settings version in force to all connected entries.
     pub(crate) fn acknowledge_settings(&self) {
         let version = self.settings.version().0;
         self.send_all(&PeerBody::SettingsAck(SettingsAck { version }));
@@ -200,11 +205,11 @@
     }
 
     pub(crate) fn running_attempt(&self, id: Option<AttemptId>) -> Option<AttemptHandle> {
-        self.table.borrow().running(id?.into()).cloned()
+        self.attempt_table.borrow().running(id?.into()).cloned()
     }
 
-    /// Decides about a request at the moment of its arrival: run, queue or refuse.
-    pub(crate) fn take_request(
+    /// Runs, queues or refuses a request that has arrived.
+    pub(crate) fn receive_request(
         self: &Rc<Self>,
         key: AttemptKey,
         head: RequestHead,
@@ -212,12 +217,12 @@
         link: u64,
     ) {
         let now = self.clock.now();
-        if self.table.borrow().contains(key) {
-            // A key is never used again, so this is the same request a second time.
+        if self.attempt_table.borrow().contains(key) {
+            // Keys are never reused, so this is a duplicate of the same request.
             return;
         }
         let attempt = QueuedAttempt::new(key, head, now, outbox.clone(), link);
-        if self.table.borrow_mut().take_tombstone(key) {
+        if self.attempt_table.borrow_mut().take_tombstone(key) {
             return attempt.refuse(NotRunReason::Cancelled, Duration::ZERO);
         }
         if self.leaving.get() {
@@ -228,7 +233,7 @@
             GateChoice::Run => self.start(key, attempt.into_running()),
             GateChoice::Queue => {
                 let state = AttemptState::Queued(attempt);
-                self.table.borrow_mut().insert(key, state);
+                self.attempt_table.borrow_mut().insert(key, state);
             }
             GateChoice::Full(after) => attempt.refuse(NotRunReason::QueueFull, after),
             GateChoice::CannotMeetDeadline(after) => {
@@ -239,49 +244,49 @@
 
     fn start(self: &Rc<Self>, key: AttemptKey, attempt: RunningAttempt) {
         let state = AttemptState::Running(attempt.handle());
-        self.table.borrow_mut().insert(key, state);
+        self.attempt_table.borrow_mut().insert(key, state);
         spawn(attempt.run(self.clone())).detach();
     }
 
-    /// Gives an attempt up.
+    /// Cancels an attempt.
     pub(crate) fn cancel(&self, key: AttemptKey) {
-        let choice = self.table.borrow_mut().cancel(key);
+        let choice = self.attempt_table.borrow_mut().cancel(key);
         match choice {
-            CancelChoice::NotRun => {
+            CancelResult::WasQueued => {
                 count(Counter::SidecarCancelled);
                 self.gate.borrow_mut().remove(key);
-                if let Some(attempt) = self.table.borrow_mut().take_queued(key) {
+                if let Some(attempt) = self.attempt_table.borrow_mut().take_queued(key) {
                     attempt.refuse(NotRunReason::Cancelled, Duration::ZERO);
                 }
             }
-            CancelChoice::Running => {
-                if let Some(handle) = self.table.borrow().running(key) {
+            CancelResult::Running => {
+                if let Some(handle) = self.attempt_table.borrow().running(key) {
                     handle.abandon();
                 }
             }
-            CancelChoice::Tombstone => count(Counter::SidecarCancelled),
+            CancelResult::Tombstone => count(Counter::SidecarCancelled),
         }
     }
 
-    /// Gives the slot of an attempt back and starts what waits.
+    /// Releases the slot of an attempt and starts queued attempts.
     ///
-    /// `spent` is `None` where the upstream was not reached.
-    pub(crate) fn finish_attempt(self: &Rc<Self>, key: AttemptKey, spent: Option<Duration>) {
-        self.table.borrow_mut().remove(key);
-        match spent {
-            Some(spent) => self.gate.borrow_mut().release(spent),
+    /// `service_time` is `None` if nothing was sent to the upstream.
+    pub(crate) fn finish_attempt(self: &Rc<Self>, key: AttemptKey, service_time: Option<Duration>) {
+        self.attempt_table.borrow_mut().remove(key);
+        match service_time {
+            Some(service_time) => self.gate.borrow_mut().release(service_time),
             None => self.gate.borrow_mut().release_unused(),
         }
-        self.start_waiting();
+        self.start_queued();
     }
 
-    fn start_waiting(self: &Rc<Self>) {
+    fn start_queued(self: &Rc<Self>) {
         loop {
             let choice = self.gate.borrow_mut().dequeue(self.clock.now());
             match choice {
                 DequeueChoice::Idle => return,
                 DequeueChoice::Run(key) => {
-                    let attempt = self.table.borrow_mut().take_queued(key);
+                    let attempt = self.attempt_table.borrow_mut().take_queued(key);
                     match attempt {
                         Some(attempt) => self.start(key, attempt.into_running()),
                         None => self.gate.borrow_mut().release_unused(),
@@ -289,7 +294,7 @@
                 }
                 DequeueChoice::Drop(key) => {
                     let wait = self.gate.borrow().expected_wait();
-                    if let Some(attempt) = self.table.borrow_mut().take_queued(key) {
+                    if let Some(attempt) = self.attempt_table.borrow_mut().take_queued(key) {
                         attempt.refuse(NotRunReason::CannotMeetDeadline, wait);
                     }
                 }
@@ -297,32 +302,33 @@
         }
     }
 
-    /// Keeps a connection once hyper says that it can be used again.
-    pub(crate) async fn keep_connection(&self, mut connection: ClientConnection) {
+    /// Returns a connection to the pool once it can be reused.
+    pub(crate) async fn return_connection(&self, mut connection: ClientConnection) {
         if connection.ready().await {
             self.pool.put_back(connection);
         }
     }
 
-    /// Announces that the upstream leaves, finishes what is in progress, closes the connections.
+    /// Announces the shutdown, waits for the attempts in progress for at most `drain_ms`, and closes
+    /// the connections.
     async fn drain(&self) {
         let start = self.clock.now();
-        let limit = Duration::from_millis(self.options.drain_ms.into());
+        let max_drain_time = Duration::from_millis(self.options.drain_ms.into());
         self.leaving.set(true);
         self.announce();
-        tracing::info!(attempts = self.table.borrow().len(), "leaving");
+        tracing::info!(attempts = self.attempt_table.borrow().len(), "leaving");
         loop {
             sleep(DRAIN_POLL).await;
-            let spent = self.clock.now().since(start);
-            let idle = self.table.borrow().len() == 0;
-            if (idle && spent >= LEAVE_NOTICE) || spent >= limit {
+            let elapsed = self.clock.now().since(start);
+            let idle = self.attempt_table.borrow().len() == 0;
+            if (idle && elapsed >= MIN_DRAIN_TIME) || elapsed >= max_drain_time {
                 break;
             }
         }
-        let unfinished = self.table.borrow().len();
+        let unfinished = self.attempt_table.borrow().len();
         self.stopping.raise();
-        let closing = self.clock.now();
-        while self.open_links.get() > 0 && self.clock.now().since(closing) < FLUSH_LIMIT {
+        let closing_at = self.clock.now();
+        while self.open_links.get() > 0 && self.clock.now().since(closing_at) < FLUSH_TIMEOUT {
             sleep(DRAIN_POLL).await;
         }
         tracing::info!(unfinished, unflushed = self.open_links.get(), "drained");
