--- a/crates/wax-cli/src/client.rs
+++ b/crates/wax-cli/src/client.rs
@@ -8,7 +8,7 @@
 use wax_types::{ErrorKind, Step, WaxError};
 
 /// Longest time for one call; a change may wait to be in force.
-const CALL_LIMIT: Duration = Duration::from_secs(60);
+const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// One entry.
 pub(crate) struct OperatorClient {
@@ -79,7 +79,7 @@
             let status = response.status();
             Ok::<_, cyper::Error>((status, response.bytes().await?))
         };
-        let (status, bytes) = match compio::time::timeout(CALL_LIMIT, call).await {
+        let (status, bytes) = match compio::time::timeout(CALL_TIMEOUT, call).await {
             Err(_) => return Err(self.error(ErrorKind::Timeout, "no answer in time")),
             Ok(Err(error)) => {
                 let kind = ErrorKind::Unavailable(Duration::from_secs(1));
@@ -92,11 +92,11 @@
         if status.is_success() {
             return Ok(bytes.to_vec());
         }
-        Err(self.refusal(status, &bytes))
+        Err(self.response_error(status, &bytes))
     }
 
     /// The error that an entry sent.
-    fn refusal(&self, status: http::StatusCode, bytes: &[u8]) -> WaxError {
+    fn response_error(&self, status: http::StatusCode, bytes: &[u8]) -> WaxError {
         let body: Value = serde_json::from_slice(bytes).unwrap_or_default();
         let text = |key: &str| body.get(key).and_then(Value::as_str).unwrap_or_default();
         let kind = match status.as_u16() {
--- a/crates/wax-cli/src/commands/bound.rs
+++ b/crates/wax-cli/src/commands/bound.rs
@@ -1,73 +1,81 @@
 //! `waxwing bound FILE...`: what no scheduler could exceed, for a trace or a day's log lines.
 
-use super::logs::read_day;
-use super::replay::bad_trace;
+use super::logs::read_logs;
+use super::replay::trace_error;
 use crate::context::CommandContext;
 use crate::failure::CommandFailure;
 use crate::output::{json_text, table_text};
 use std::collections::BTreeMap;
 use wax_logs::JobHistory;
-use wax_replay::{BoundJob, BoundSlot, DayBound, bound_day, bound_trace, parse_trace};
+use wax_replay::{BoundJob, BoundSlot, WorkBound, bound_trace, compute_bound, parse_trace};
 
 /// Length of a slot of a day's lines, seconds.
-const SLOT: f64 = 1.0;
+const SLOT_S: f64 = 1.0;
 
 /// What a queue could have reached, and what it did.
 struct QueueBound {
-    bound: DayBound,
+    bound: WorkBound,
     in_time: f64,
 }
 
 pub(crate) fn run(context: &mut CommandContext) -> Result<String, CommandFailure> {
     let cores: Option<f64> = context.args.opt_value_from_str("--cores")?;
     let seed: Option<u64> = context.args.opt_value_from_str("--seed")?;
-    let mut files = vec![context.word("FILE")?];
+    let mut files = vec![context.next_arg("FILE")?];
     while let Some(file) = context.args.opt_free_from_str()? {
         files.push(file);
     }
     context.finish()?;
     match cores {
-        Some(cores) if cores.is_finite() && cores > 0.0 => of_lines(context, &files, cores),
+        Some(cores) if cores.is_finite() && cores > 0.0 => bound_of_logs(context, &files, cores),
         Some(_) => Err(CommandFailure::Usage(
             "--cores takes a number above 0".to_owned(),
         )),
-        None if files.len() == 1 => of_trace(context, &files[0], seed.unwrap_or(1)),
+        None if files.len() == 1 => bound_of_trace(context, &files[0], seed.unwrap_or(1)),
         None => Err(CommandFailure::Usage(
             "one trace, or log files with --cores".to_owned(),
         )),
     }
 }
 
-fn of_trace(context: &CommandContext, file: &str, seed: u64) -> Result<String, CommandFailure> {
-    let text = std::fs::read_to_string(file).map_err(|error| bad_trace(file, error))?;
-    let lines = parse_trace(&text).map_err(|error| bad_trace(file, error))?;
-    let bound = bound_trace(&lines, seed).map_err(|error| bad_trace(file, error))?;
+fn bound_of_trace(
+    context: &CommandContext,
+    file: &str,
+    seed: u64,
+) -> Result<String, CommandFailure> {
+    let text = std::fs::read_to_string(file).map_err(|error| trace_error(file, error))?;
+    let lines = parse_trace(&text).map_err(|error| trace_error(file, error))?;
+    let bound = bound_trace(&lines, seed).map_err(|error| trace_error(file, error))?;
     if context.json {
         return Ok(json_text(&serde_json::to_value(bound).unwrap_or_default()));
     }
     Ok(format!(
         "{} jobs; run time asked for {:.1} s, possible by the end {:.1} s ({:.1}%)\n",
         bound.jobs,
-        bound.worth_asked,
-        bound.worth_possible,
+        bound.requested_value,
+        bound.possible_value,
         100.0 * bound.share()
     ))
 }
 
 /// Jobs that do not last; each by its declared work and objective, and worth its work.
-fn of_lines(
+fn bound_of_logs(
     context: &CommandContext,
     files: &[String],
     cores: f64,
 ) -> Result<String, CommandFailure> {
-    let day = read_day(files)?;
-    let finite: Vec<&JobHistory> = day
+    let history = read_logs(files)?;
+    let finite: Vec<&JobHistory> = history
         .jobs
         .values()
-        .filter(|job| !job.lasts && !job.is_cancelled())
+        .filter(|job| !job.long_running && !job.is_cancelled())
         .collect();
-    let last = finite.iter().map(|job| last_sign(job));
-    let slots = slots(day.began, last.fold(day.began, f64::max), cores);
+    let last = finite.iter().map(|job| last_activity(job));
+    let slots = slots(
+        history.started_at,
+        last.fold(history.started_at, f64::max),
+        cores,
+    );
     let mut queues: BTreeMap<&str, Vec<&JobHistory>> = BTreeMap::new();
     for job in &finite {
         queues.entry(&job.queue).or_default().push(job);
@@ -107,35 +115,35 @@
     let bounded: Vec<BoundJob> = jobs
         .iter()
         .map(|job| BoundJob {
-            arrives: job.asked,
-            due: job.asked + job.objective,
-            work: job.work,
-            worth: job.work,
+            arrival_s: job.requested_at,
+            deadline_s: job.requested_at + job.objective_s,
+            work_core_s: job.work_core_s,
+            value: job.work_core_s,
         })
         .collect();
     let reached = jobs.iter().filter(|job| job.is_in_time());
     QueueBound {
-        bound: bound_day(&bounded, slots),
-        in_time: reached.map(|job| job.work).sum(),
+        bound: compute_bound(&bounded, slots),
+        in_time: reached.map(|job| job.work_core_s).sum(),
     }
 }
 
 /// When a job was last heard of: no line tells of work that was done after the last of all.
-fn last_sign(job: &JobHistory) -> f64 {
+fn last_activity(job: &JobHistory) -> f64 {
     let runs = job.runs.iter().map(|run| {
         let ended = run.end.as_ref().map(|(at, _)| *at);
-        ended.unwrap_or(run.ordered)
+        ended.unwrap_or(run.ordered_at)
     });
     let ended = job.end.as_ref().map(|(at, _)| *at);
-    runs.chain(ended).fold(job.asked, f64::max)
+    runs.chain(ended).fold(job.requested_at, f64::max)
 }
 
 /// The same cores all day long, from the first line to the last sign of a job.
-fn slots(began: f64, last: f64, cores: f64) -> Vec<BoundSlot> {
-    let count = ((last - began) / SLOT).ceil() as usize;
+fn slots(started_at: f64, last: f64, cores: f64) -> Vec<BoundSlot> {
+    let count = ((last - started_at) / SLOT_S).ceil() as usize;
     let slot = |number: usize| BoundSlot {
-        from: began + number as f64 * SLOT,
-        to: (began + (number + 1) as f64 * SLOT).min(last),
+        start_s: started_at + number as f64 * SLOT_S,
+        end_s: (started_at + (number + 1) as f64 * SLOT_S).min(last),
         cores,
     };
     (0..count).map(slot).collect()
@@ -143,14 +151,14 @@
 
 fn cells(queue: &str, row: &QueueBound) -> Vec<String> {
     let bound = &row.bound;
-    let share = |part: f64| format!("{:.2}", part / bound.asked.max(f64::EPSILON));
+    let share = |part: f64| format!("{:.2}", part / bound.requested_core_s.max(f64::EPSILON));
     vec![
         queue.to_owned(),
         bound.jobs.to_string(),
-        format!("{:.0}", bound.asked),
-        format!("{:.0}", bound.possible),
+        format!("{:.0}", bound.requested_core_s),
+        format!("{:.0}", bound.possible_core_s),
         format!("{:.0}", row.in_time),
-        share(bound.possible),
+        share(bound.possible_core_s),
         share(row.in_time),
     ]
 }
--- a/crates/wax-cli/src/commands/check.rs
+++ b/crates/wax-cli/src/commands/check.rs
@@ -9,7 +9,7 @@
 
 pub(crate) fn run(context: &mut CommandContext) -> Result<String, CommandFailure> {
     let all = context.args.contains("--policy");
-    let file = context.word("FILE")?;
+    let file = context.next_arg("FILE")?;
     context.finish()?;
     let settings = DaemonSettings::read(Path::new(&file))?;
     let head = format!(
--- a/crates/wax-cli/src/commands/domain.rs
+++ b/crates/wax-cli/src/commands/domain.rs
@@ -5,7 +5,7 @@
 use crate::output::json_text;
 
 pub(crate) async fn run(context: &mut CommandContext) -> Result<String, CommandFailure> {
-    let command = context.word("drain or undrain")?;
+    let command = context.next_arg("drain or undrain")?;
     let drains = match command.as_str() {
         "drain" => true,
         "undrain" => false,
@@ -14,7 +14,7 @@
             return Err(CommandFailure::Usage(text));
         }
     };
-    let name = context.word("NAME")?;
+    let name = context.next_arg("NAME")?;
     context.finish()?;
     let path = format!("/v1/domains/{name}/drain");
     let answer = match drains {
--- a/crates/wax-cli/src/commands/explain.rs
+++ b/crates/wax-cli/src/commands/explain.rs
@@ -1,21 +1,21 @@
 //! `waxwing explain job ID`: why each task stands where it stands.
 
-use super::peers::ask_all;
+use super::peers::query_all;
 use crate::context::CommandContext;
 use crate::failure::CommandFailure;
 use crate::output::{field, items, json_text, plain, table_text};
 use serde_json::Value;
 
 pub(crate) async fn run(context: &mut CommandContext) -> Result<String, CommandFailure> {
-    let what = context.word("job")?;
+    let what = context.next_arg("job")?;
     if what != "job" {
         return Err(CommandFailure::Usage(format!("cannot explain {what}")));
     }
-    let job = context.word("ID")?;
+    let job = context.next_arg("ID")?;
     context.finish()?;
     let view = context.client.get(&format!("/v1/jobs/{job}")).await?;
     let mut reasons = Vec::new();
-    for answer in ask_all(context, &format!("/v1/explain?job={job}")).await? {
+    for answer in query_all(context, &format!("/v1/explain?job={job}")).await? {
         reasons.extend(answer.body.as_array().cloned().unwrap_or_default());
     }
     if context.json {
@@ -25,10 +25,10 @@
         .iter()
         .map(|task| {
             let index = field(task, "index");
-            let owned = reasons
+            let reported = reasons
                 .iter()
                 .find(|reason| field(reason, "index") == index);
-            let reason = match owned {
+            let reason = match reported {
                 Some(reason) => field(reason, "reason"),
                 None => ended_reason(task),
             };
--- a/crates/wax-cli/src/commands/job/cancel.rs
+++ b/crates/wax-cli/src/commands/job/cancel.rs
@@ -5,7 +5,7 @@
 use crate::output::json_text;
 
 pub(crate) async fn run(context: &mut CommandContext) -> Result<String, CommandFailure> {
-    let job = context.word("ID")?;
+    let job = context.next_arg("ID")?;
     context.finish()?;
     let answer = context.client.delete(&format!("/v1/jobs/{job}")).await?;
     if context.json {
--- a/crates/wax-cli/src/commands/job/mod.rs
+++ b/crates/wax-cli/src/commands/job/mod.rs
@@ -8,7 +8,7 @@
 use crate::failure::CommandFailure;
 
 pub(crate) async fn run(context: &mut CommandContext) -> Result<String, CommandFailure> {
-    let command = context.word("show, cancel or result")?;
+    let command = context.next_arg("show, cancel or result")?;
     match command.as_str() {
         "show" => show::run(context).await,
         "cancel" => cancel::run(context).await,
--- a/crates/wax-cli/src/commands/job/result.rs
+++ b/crates/wax-cli/src/commands/job/result.rs
@@ -4,7 +4,7 @@
 use crate::failure::CommandFailure;
 
 pub(crate) async fn run(context: &mut CommandContext) -> Result<String, CommandFailure> {
-    let job = context.word("ID")?;
+    let job = context.next_arg("ID")?;
     let index: Option<u32> = context.args.opt_free_from_str()?;
     context.finish()?;
     let path = format!("/v1/jobs/{job}/tasks/{}/result", index.unwrap_or(0));
--- a/crates/wax-cli/src/commands/job/show.rs
+++ b/crates/wax-cli/src/commands/job/show.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 
 pub(crate) async fn run(context: &mut CommandContext) -> Result<String, CommandFailure> {
-    let job = context.word("ID")?;
+    let job = context.next_arg("ID")?;
     context.finish()?;
     let view = context.client.get(&format!("/v1/jobs/{job}")).await?;
     if context.json {
--- a/crates/wax-cli/src/commands/logs.rs
+++ b/crates/wax-cli/src/commands/logs.rs
@@ -5,45 +5,46 @@
 use crate::output::{json_text, table_text};
 use std::fmt::Write;
 use wax_logs::{
-    DayHistory, DayReport, QueueRow, WindowRow, job_story, parse_lines, plot_day, report_day,
+    LogReport, PoolHistory, QueueRow, WindowRow, build_report, job_timeline, parse_lines,
+    plot_history,
 };
 use wax_types::{ErrorKind, Step, WaxError};
 
 /// Windows of the report, seconds, if the caller names none.
-const DEFAULT_WINDOW: f64 = 2.0;
+const DEFAULT_WINDOW_S: f64 = 2.0;
 
 pub(crate) fn run(context: &mut CommandContext) -> Result<String, CommandFailure> {
-    let verb = context.word("report")?;
-    if verb != "report" {
-        return Err(CommandFailure::Usage(format!("no command logs {verb}")));
+    let command = context.next_arg("report")?;
+    if command != "report" {
+        return Err(CommandFailure::Usage(format!("no command logs {command}")));
     }
     let window: Option<f64> = context.args.opt_value_from_str("--window")?;
     let job: Option<String> = context.args.opt_value_from_str("--job")?;
     let plot: Option<String> = context.args.opt_value_from_str("--plot")?;
     let csv = context.args.contains("--csv");
-    let mut files = vec![context.word("FILE")?];
+    let mut files = vec![context.next_arg("FILE")?];
     while let Some(file) = context.args.opt_free_from_str()? {
         files.push(file);
     }
     context.finish()?;
-    let window = window.unwrap_or(DEFAULT_WINDOW);
+    let window = window.unwrap_or(DEFAULT_WINDOW_S);
     if !window.is_finite() || window < 0.1 {
         let text = "--window takes seconds, 0.1 or more".to_owned();
         return Err(CommandFailure::Usage(text));
     }
-    let day = read_day(&files)?;
+    let history = read_logs(&files)?;
     if let Some(job) = job {
-        let known = day.jobs.get(job.as_str());
-        return known
-            .map(job_story)
-            .ok_or_else(|| bad_file(&files[0], format!("no line tells of job {job}")).into());
+        let known = history.jobs.get(job.as_str());
+        return known.map(job_timeline).ok_or_else(|| {
+            log_file_error(&files[0], format!("no line tells of job {job}")).into()
+        });
     }
     if let Some(file) = plot {
-        let text = plot_day(&day).map_err(|error| bad_file(&files[0], error))?;
-        std::fs::write(&file, text).map_err(|error| bad_file(&file, error))?;
+        let text = plot_history(&history).map_err(|error| log_file_error(&files[0], error))?;
+        std::fs::write(&file, text).map_err(|error| log_file_error(&file, error))?;
         return Ok(format!("{file}: written\n"));
     }
-    let report = report_day(&day, window);
+    let report = build_report(&history, window);
     Ok(match (context.json, csv) {
         (true, _) => json_text(&serde_json::to_value(&report).unwrap_or_default()),
         (false, true) => csv_text(&report),
@@ -51,21 +52,21 @@
     })
 }
 
-pub(super) fn read_day(files: &[String]) -> Result<DayHistory, CommandFailure> {
+pub(super) fn read_logs(files: &[String]) -> Result<PoolHistory, CommandFailure> {
     let mut lines = Vec::new();
     for file in files {
-        let text = std::fs::read_to_string(file).map_err(|error| bad_file(file, error))?;
-        lines.extend(parse_lines(&text).map_err(|error| bad_file(file, error))?);
+        let text = std::fs::read_to_string(file).map_err(|error| log_file_error(file, error))?;
+        lines.extend(parse_lines(&text).map_err(|error| log_file_error(file, error))?);
     }
-    Ok(DayHistory::new(lines))
+    Ok(PoolHistory::new(lines))
 }
 
-fn bad_file(file: &str, error: impl std::fmt::Display) -> WaxError {
+fn log_file_error(file: &str, error: impl std::fmt::Display) -> WaxError {
     WaxError::new(ErrorKind::Invalid, Step::ReadSettings, file, error)
         .with_help("give log files of fronts and agents, as JSON lines (`logs: {json: true}`)")
 }
 
-fn report_text(report: &DayReport) -> String {
+fn report_text(report: &LogReport) -> String {
     let mut text = table_text(
         &[
             "QUEUE",
@@ -164,7 +165,7 @@
     ]
 }
 
-fn csv_text(report: &DayReport) -> String {
+fn csv_text(report: &LogReport) -> String {
     let mut text =
         "from_s,accepted,refused,in_time,starts,running,stalled,slowed,takeovers,waits\n"
             .to_owned();
--- a/crates/wax-cli/src/commands/mod.rs
+++ b/crates/wax-cli/src/commands/mod.rs
@@ -64,7 +64,7 @@
         return Ok(format!("waxwing {}\n", env!("CARGO_PKG_VERSION")));
     }
     let mut context = CommandContext::new(args)?;
-    let command = context.word("a command")?;
+    let command = context.next_arg("a command")?;
     match command.as_str() {
         "bound" => bound::run(&mut context),
         "check" => check::run(&mut context),
--- a/crates/wax-cli/src/commands/peers.rs
+++ b/crates/wax-cli/src/commands/peers.rs
@@ -17,7 +17,7 @@
 /// # Errors
 ///
 /// The entry of the command line does not answer.
-pub(super) async fn ask_all(
+pub(super) async fn query_all(
     context: &CommandContext,
     path: &str,
 ) -> Result<Vec<EntryAnswer>, WaxError> {
--- a/crates/wax-cli/src/commands/replay.rs
+++ b/crates/wax-cli/src/commands/replay.rs
@@ -13,18 +13,18 @@
     let policy: Option<ReplayPolicy> = context.args.opt_value_from_fn("--policy", str::parse)?;
     let seed: Option<u64> = context.args.opt_value_from_str("--seed")?;
     let compare: Option<u64> = context.args.opt_value_from_str("--compare")?;
-    let file = context.word("TRACE")?;
+    let file = context.next_arg("TRACE")?;
     context.finish()?;
-    let text = std::fs::read_to_string(&file).map_err(|error| bad_trace(&file, error))?;
-    let lines = parse_trace(&text).map_err(|error| bad_trace(&file, error))?;
+    let text = std::fs::read_to_string(&file).map_err(|error| trace_error(&file, error))?;
+    let lines = parse_trace(&text).map_err(|error| trace_error(&file, error))?;
     if let Some(seeds) = compare {
         let report = compare_policies(&lines, seeds.clamp(1, 1_000))
-            .map_err(|error| bad_trace(&file, error))?;
+            .map_err(|error| trace_error(&file, error))?;
         return Ok(comparison_text(context, &report));
     }
     let policy = policy.unwrap_or(ReplayPolicy::WEIGHED);
     let report =
-        replay(&lines, policy, seed.unwrap_or(1)).map_err(|error| bad_trace(&file, error))?;
+        replay(&lines, policy, seed.unwrap_or(1)).map_err(|error| trace_error(&file, error))?;
     if context.json {
         return Ok(json_text(
             &serde_json::to_value(&report).unwrap_or_default(),
@@ -33,7 +33,7 @@
     Ok(report_text(&report))
 }
 
-pub(super) fn bad_trace(file: &str, error: impl std::fmt::Display) -> CommandFailure {
+pub(super) fn trace_error(file: &str, error: impl std::fmt::Display) -> CommandFailure {
     let error = WaxError::new(ErrorKind::Invalid, Step::ReadSettings, file, error)
         .with_help("docs/REPLAY.md describes the lines of a trace");
     CommandFailure::Failed(error)
@@ -133,7 +133,7 @@
     let text = |spread: &RatioSpread| {
         format!(
             "{:.2} [{:.2}, {:.2}]",
-            spread.median, spread.least, spread.most
+            spread.median, spread.min, spread.max
         )
     };
     vec![
--- a/crates/wax-cli/src/commands/settings/apply.rs
+++ b/crates/wax-cli/src/commands/settings/apply.rs
@@ -11,7 +11,7 @@
     let dry_run = context.args.contains("--dry-run");
     let wait: Option<f64> = context.args.opt_value_from_str("--wait")?;
     let expected: Option<u64> = context.args.opt_value_from_str("--expected")?;
-    let folder = context.word("DIR")?;
+    let folder = context.next_arg("DIR")?;
     context.finish()?;
     let tree = read_folder(Path::new(&folder))?;
     let body = json!({
--- a/crates/wax-cli/src/commands/settings/explain.rs
+++ b/crates/wax-cli/src/commands/settings/explain.rs
@@ -5,7 +5,7 @@
 use crate::output::{field, items, json_text, table_text};
 
 pub(crate) async fn run(context: &mut CommandContext) -> Result<String, CommandFailure> {
-    let path = context.word("PATH")?;
+    let path = context.next_arg("PATH")?;
     context.finish()?;
     let answer = context
         .client
--- a/crates/wax-cli/src/commands/settings/export.rs
+++ b/crates/wax-cli/src/commands/settings/export.rs
@@ -8,7 +8,7 @@
 use wax_types::{ErrorKind, Step, WaxError};
 
 pub(crate) async fn run(context: &mut CommandContext) -> Result<String, CommandFailure> {
-    let folder = context.word("DIR")?;
+    let folder = context.next_arg("DIR")?;
     context.finish()?;
     let answer = context.client.get("/v1/settings").await?;
     let tree: SettingsTree = serde_json::from_value(answer)
--- a/crates/wax-cli/src/commands/settings/mod.rs
+++ b/crates/wax-cli/src/commands/settings/mod.rs
@@ -17,7 +17,7 @@
 const AUTHOR_VARIABLE: &str = "WAXWING_AUTHOR";
 
 pub(crate) async fn run(context: &mut CommandContext) -> Result<String, CommandFailure> {
-    let command = context.word("get, explain, set, apply, export or log")?;
+    let command = context.next_arg("get, explain, set, apply, export or log")?;
     match command.as_str() {
         "get" => get::run(context).await,
         "explain" => explain::run(context).await,
@@ -58,7 +58,7 @@
             field(force, "processes"),
             missing.join(", ")
         );
-        return Err(CommandFailure::NotEverywhere(text));
+        return Err(CommandFailure::NotInForce(text));
     }
     if context.json {
         return Ok(json_text(answer));
--- a/crates/wax-cli/src/commands/settings/set.rs
+++ b/crates/wax-cli/src/commands/settings/set.rs
@@ -8,8 +8,8 @@
 pub(crate) async fn run(context: &mut CommandContext) -> Result<String, CommandFailure> {
     let wait: Option<f64> = context.args.opt_value_from_str("--wait")?;
     let expected: Option<u64> = context.args.opt_value_from_str("--expected")?;
-    let path = context.word("PATH")?;
-    let key = context.word("KEY")?;
+    let path = context.next_arg("PATH")?;
+    let key = context.next_arg("KEY")?;
     let value: String = context.args.free_from_str()?;
     context.finish()?;
     let value = match value.as_str() {
--- a/crates/wax-cli/src/commands/status.rs
+++ b/crates/wax-cli/src/commands/status.rs
@@ -1,6 +1,6 @@
 //! `waxwing status`: the system as one entry sees it.
 
-use super::peers::ask_all;
+use super::peers::query_all;
 use crate::context::CommandContext;
 use crate::failure::CommandFailure;
 use crate::output::{field, items, json_text, table_text};
@@ -8,7 +8,7 @@
 
 pub(crate) async fn run(context: &mut CommandContext) -> Result<String, CommandFailure> {
     context.finish()?;
-    let mut answers = ask_all(context, "/v1/status").await?;
+    let mut answers = query_all(context, "/v1/status").await?;
     let mut shards: Vec<Value> = answers
         .iter()
         .flat_map(|answer| owned_by(&answer.body, &answer.entry))
--- a/crates/wax-cli/src/commands/submit.rs
+++ b/crates/wax-cli/src/commands/submit.rs
@@ -9,16 +9,16 @@
     let tasks: Option<u32> = context.args.opt_value_from_str("--tasks")?;
     let input: Option<String> = context.args.opt_value_from_str("--input")?;
     let key: Option<String> = context.args.opt_value_from_str("--key")?;
-    let team = context.word("TEAM")?;
-    let service = context.word("SERVICE")?;
-    let kind = context.word("KIND")?;
+    let team = context.next_arg("TEAM")?;
+    let service = context.next_arg("SERVICE")?;
+    let kind = context.next_arg("KIND")?;
     context.finish()?;
     let input: Value = match input {
         Some(text) => serde_json::from_str(&text)
             .map_err(|error| CommandFailure::Usage(format!("--input is not JSON: {error}")))?,
         None => Value::Null,
     };
-    let key = key.unwrap_or_else(draw_key);
+    let key = key.unwrap_or_else(generate_key);
     let body = json!({
         "service": service,
         "kind": kind,
@@ -37,6 +37,6 @@
 }
 
 /// A key of its own for a submission that names none.
-fn draw_key() -> String {
+fn generate_key() -> String {
     wax_types::JobId::generate().to_string()
 }
--- a/crates/wax-cli/src/context.rs
+++ b/crates/wax-cli/src/context.rs
@@ -27,11 +27,11 @@
     }
 
     /// Takes the next word of the command line.
-    pub(crate) fn word(&mut self, name: &str) -> Result<String, CommandFailure> {
-        let word: Option<String> = self.args.opt_free_from_str()?;
-        match word {
-            Some(word) if !word.starts_with('-') => Ok(word),
-            Some(word) => Err(CommandFailure::Usage(format!("unexpected option {word}"))),
+    pub(crate) fn next_arg(&mut self, name: &str) -> Result<String, CommandFailure> {
+        let arg: Option<String> = self.args.opt_free_from_str()?;
+        match arg {
+            Some(arg) if !arg.starts_with('-') => Ok(arg),
+            Some(arg) => Err(CommandFailure::Usage(format!("unexpected option {arg}"))),
             None => Err(CommandFailure::Usage(format!("{name} is missing"))),
         }
     }
--- a/crates/wax-cli/src/failure.rs
+++ b/crates/wax-cli/src/failure.rs
@@ -11,7 +11,7 @@
     /// {0}
     Failed(WaxError),
     /// {0}
-    NotEverywhere(String),
+    NotInForce(String),
 }
 
 impl CommandFailure {
@@ -20,7 +20,7 @@
     pub(crate) fn exit_code(&self) -> ExitCode {
         let code = match self {
             Self::Usage(_) => 2,
-            Self::NotEverywhere(_) => 3,
+            Self::NotInForce(_) => 3,
             Self::Failed(error) => match error.kind {
                 ErrorKind::Invalid => 2,
                 ErrorKind::Unavailable(_) | ErrorKind::Timeout => 4,
--- a/crates/wax-cli/tests/help.rs
+++ b/crates/wax-cli/tests/help.rs
@@ -2,7 +2,7 @@
 
 use std::process::Command;
 
-fn waxwing(args: &[&str]) -> (Option<i32>, String) {
+fn run_waxwing(args: &[&str]) -> (Option<i32>, String) {
     let output = Command::new(env!("CARGO_BIN_EXE_waxwing"))
         .args(args)
         .output()
@@ -12,12 +12,12 @@
     (output.status.code(), text)
 }
 
-macro_rules! exits {
+macro_rules! exit_code_tests {
     ($($name:ident: $args:expr => $code:expr, $text:expr;)*) => {
         $(
             #[test]
             fn $name() {
-                let (code, text) = waxwing(&$args);
+                let (code, text) = run_waxwing(&$args);
                 assert_eq!(code, Some($code), "{text}");
                 assert!(text.contains($text), "{text}");
             }
@@ -25,30 +25,30 @@
     };
 }
 
-exits! {
-    help_is_given: ["--help"] => 0, "Usage: waxwing";
-    help_is_given_for_a_command: ["settings", "--help"] => 0, "settings apply DIR";
-    a_version_is_given: ["--version"] => 0, "waxwing 0.";
-    a_missing_command_is_named: [] => 2, "a command is missing";
-    an_unknown_command_is_named: ["fly"] => 2, "no command fly";
-    a_missing_argument_is_named: ["job", "show"] => 2, "ID is missing";
-    a_missing_domain_is_named: ["domain", "drain"] => 2, "NAME is missing";
-    an_unknown_domain_command_is_named: ["domain", "flood"] => 2, "no command domain flood";
-    a_bound_needs_cores_for_lines: ["bound", "one", "two"] => 2, "log files with --cores";
-    a_bound_of_no_cores_is_refused: ["bound", "one", "--cores", "0"] => 2, "--cores takes a number above 0";
-    a_missing_file_is_named: ["check", "no/such.yaml"] => 2, "no/such.yaml";
-    an_unreachable_entry_is_named: ["--entry", "127.0.0.1:1", "status"] => 4, "--entry";
-    a_missing_folder_is_named: ["settings", "apply", "no/such"] => 2, "organisation.yaml";
+exit_code_tests! {
+    help_is_printed: ["--help"] => 0, "Usage: waxwing";
+    help_is_printed_for_a_command: ["settings", "--help"] => 0, "settings apply DIR";
+    version_is_printed: ["--version"] => 0, "waxwing 0.";
+    missing_command_is_reported: [] => 2, "a command is missing";
+    unknown_command_is_reported: ["fly"] => 2, "no command fly";
+    missing_argument_is_reported: ["job", "show"] => 2, "ID is missing";
+    missing_domain_is_reported: ["domain", "drain"] => 2, "NAME is missing";
+    unknown_domain_command_is_reported: ["domain", "flood"] => 2, "no command domain flood";
+    bound_of_log_files_requires_cores: ["bound", "one", "two"] => 2, "log files with --cores";
+    bound_with_zero_cores_is_rejected: ["bound", "one", "--cores", "0"] => 2, "--cores takes a number above 0";
+    missing_file_is_reported: ["check", "no/such.yaml"] => 2, "no/such.yaml";
+    unreachable_entry_is_reported: ["--entry", "127.0.0.1:1", "status"] => 4, "--entry";
+    missing_folder_is_reported: ["settings", "apply", "no/such"] => 2, "organisation.yaml";
 }
 
 #[test]
-fn the_example_files_are_correct() {
+fn example_settings_files_are_valid() {
     let root = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples");
     for file in [
         "riveneige/daemons/entry.yaml",
         "mares-patentes/daemons/sidecar.yaml",
     ] {
-        let (code, text) = waxwing(&["check", &format!("{root}/{file}")]);
+        let (code, text) = run_waxwing(&["check", &format!("{root}/{file}")]);
         assert_eq!(code, Some(0), "{text}");
     }
 }
--- a/crates/wax-logs/src/event.rs
+++ b/crates/wax-logs/src/event.rs
@@ -22,7 +22,8 @@
         /// The time within which it should end, milliseconds.
         objective_ms: u64,
         /// Whether it has a step that lasts.
-        lasts: bool,
+        #[serde(rename = "lasts")]
+        long_running: bool,
     },
     /// A front has refused a job, or does not know whether it is stored.
     #[serde(rename = "job not accepted")]
--- a/crates/wax-logs/src/history.rs
+++ b/crates/wax-logs/src/history.rs
@@ -14,9 +14,9 @@
     /// The worker.
     pub worker: Box<str>,
     /// When it was ordered.
-    pub ordered: f64,
+    pub ordered_at: f64,
     /// How long the task had waited then, seconds.
-    pub waited: f64,
+    pub waited_s: f64,
     /// The pace that was expected, 0 to 1.
     pub pace: f64,
     /// Whether it went on from a checkpoint.
@@ -29,7 +29,7 @@
 
 impl RunHistory {
     /// When it ended with its result.
-    pub fn done(&self) -> Option<f64> {
+    pub fn done_at(&self) -> Option<f64> {
         let (at, how) = self.end.as_ref()?;
         (**how == *"Done").then_some(*at)
     }
@@ -37,9 +37,9 @@
 
 /// A reason for which a step has waited.
 #[derive(Debug, Clone, PartialEq)]
-pub struct StepPause {
+pub struct StepWait {
     /// When it was told.
-    pub at: f64,
+    pub reported_at: f64,
     /// The step.
     pub step: Box<str>,
     /// Why.
@@ -54,35 +54,36 @@
     /// Its queue.
     pub queue: Box<str>,
     /// When its caller asked.
-    pub asked: f64,
+    pub requested_at: f64,
     /// When it was accepted.
-    pub accepted: f64,
+    pub accepted_at: f64,
     /// All its tasks.
     pub tasks: u32,
     /// Its work by the caller's guess, core seconds.
-    pub work: f64,
+    pub work_core_s: f64,
     /// The time within which it should end, seconds.
-    pub objective: f64,
+    pub objective_s: f64,
     /// Whether it lasts until it is cancelled.
-    pub lasts: bool,
+    pub long_running: bool,
     /// Its starts, in order.
     pub runs: Vec<RunHistory>,
     /// Reasons for which its steps waited.
-    pub pauses: Vec<StepPause>,
+    pub waits: Vec<StepWait>,
     /// When and how it ended.
     pub end: Option<(f64, Box<str>)>,
 }
 
 impl JobHistory {
     /// From its caller's request to its end, if it was completed.
-    pub fn age(&self) -> Option<f64> {
+    pub fn response_time_s(&self) -> Option<f64> {
         let (at, outcome) = self.end.as_ref()?;
-        (**outcome == *"Completed").then_some(at - self.asked)
+        (**outcome == *"Completed").then_some(at - self.requested_at)
     }
 
     /// Whether it was completed within its objective.
     pub fn is_in_time(&self) -> bool {
-        self.age().is_some_and(|age| age <= self.objective)
+        self.response_time_s()
+            .is_some_and(|age| age <= self.objective_s)
     }
 
     /// Whether its caller took it back.
@@ -95,36 +96,36 @@
 
 /// All jobs of the lines that were read.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct DayHistory {
+pub struct PoolHistory {
     /// The jobs, by name.
     pub jobs: BTreeMap<Box<str>, JobHistory>,
     /// Requests for jobs that were not accepted: when, and the queue.
-    pub refused: Vec<(f64, Box<str>)>,
+    pub not_accepted: Vec<(f64, Box<str>)>,
     /// Changes of pace: when, the worker, the image, percent.
-    pub paces: Vec<(f64, Box<str>, Box<str>, u32)>,
+    pub pace_changes: Vec<(f64, Box<str>, Box<str>, u32)>,
     /// When terms of owners began.
     pub takeovers: Vec<f64>,
     /// When fronts found that the store did not answer.
-    pub store_lost: Vec<f64>,
+    pub store_losses: Vec<f64>,
     /// When the first line was written; 0 without a line.
-    pub began: f64,
+    pub started_at: f64,
 }
 
-impl DayHistory {
+impl PoolHistory {
     /// Puts lines together, whatever files they came from.
     pub fn new(mut lines: Vec<LogLine>) -> Self {
-        lines.sort_by(|one, other| one.at.total_cmp(&other.at));
-        let mut day = Self {
-            began: lines.first().map_or(0.0, |line| line.at),
+        lines.sort_by(|one, other| one.timestamp_s.total_cmp(&other.timestamp_s));
+        let mut history = Self {
+            started_at: lines.first().map_or(0.0, |line| line.timestamp_s),
             ..Default::default()
         };
         for line in lines {
-            day.take(line.at, line.event);
+            history.add_event(line.timestamp_s, line.event);
         }
-        day
+        history
     }
 
-    fn take(&mut self, at: f64, event: LogEvent) {
+    fn add_event(&mut self, at: f64, event: LogEvent) {
         match event {
             LogEvent::Accepted {
                 job,
@@ -133,25 +134,25 @@
                 tasks,
                 work_ms,
                 objective_ms,
-                lasts,
+                long_running,
             } => {
                 let history = JobHistory {
                     job: job.clone(),
                     queue,
-                    asked: at - took_ms as f64 / 1e3,
-                    accepted: at,
+                    requested_at: at - took_ms as f64 / 1e3,
+                    accepted_at: at,
                     tasks,
-                    work: work_ms as f64 / 1e3,
-                    objective: objective_ms as f64 / 1e3,
-                    lasts,
+                    work_core_s: work_ms as f64 / 1e3,
+                    objective_s: objective_ms as f64 / 1e3,
+                    long_running,
                     runs: Vec::new(),
-                    pauses: Vec::new(),
+                    waits: Vec::new(),
                     end: None,
                 };
                 self.jobs.entry(job).or_insert(history);
             }
-            LogEvent::NotAccepted { queue, .. } => self.refused.push((at, queue)),
-            LogEvent::Start { .. } => self.take_start(at, event),
+            LogEvent::NotAccepted { queue, .. } => self.not_accepted.push((at, queue)),
+            LogEvent::Start { .. } => self.add_start(at, event),
             LogEvent::Stop { task, run, why } => {
                 if let Some(known) = self.run_mut(&task, run) {
                     known.stop = Some(why);
@@ -164,8 +165,8 @@
             }
             LogEvent::Wait { task, reason, .. } => {
                 if let Some(job) = self.jobs.get_mut(job_of(&task)) {
-                    job.pauses.push(StepPause {
-                        at,
+                    job.waits.push(StepWait {
+                        reported_at: at,
                         step: step_of(&task).into(),
                         reason,
                     });
@@ -176,7 +177,7 @@
                 image,
                 percent,
                 ..
-            } => self.paces.push((at, worker, image, percent)),
+            } => self.pace_changes.push((at, worker, image, percent)),
             LogEvent::JobEnd { job, outcome } => {
                 if let Some(known) = self.jobs.get_mut(&job) {
                     // A later owner may write the same end again.
@@ -184,12 +185,12 @@
                 }
             }
             LogEvent::Takeover { .. } => self.takeovers.push(at),
-            LogEvent::StoreLost => self.store_lost.push(at),
+            LogEvent::StoreLost => self.store_losses.push(at),
             LogEvent::Other => {}
         }
     }
 
-    fn take_start(&mut self, at: f64, event: LogEvent) {
+    fn add_start(&mut self, at: f64, event: LogEvent) {
         let LogEvent::Start {
             task,
             run,
@@ -206,8 +207,8 @@
                 task,
                 run,
                 worker,
-                ordered: at,
-                waited: waited_ms as f64 / 1e3,
+                ordered_at: at,
+                waited_s: waited_ms as f64 / 1e3,
                 pace,
                 resumes,
                 stop: None,
--- a/crates/wax-logs/src/lib.rs
+++ b/crates/wax-logs/src/lib.rs
@@ -10,9 +10,9 @@
 mod plot;
 mod report;
 
-pub use cause::{LateCause, LateShare, late_shares};
+pub use cause::{DelayCause, DelayShare, attribute_delay};
 pub use event::LogEvent;
-pub use history::{DayHistory, JobHistory, RunHistory, StepPause};
+pub use history::{JobHistory, PoolHistory, RunHistory, StepWait};
 pub use line::{LineError, LogLine, parse_lines};
-pub use plot::plot_day;
-pub use report::{DayReport, QueueRow, WindowRow, job_story, report_day};
+pub use plot::plot_history;
+pub use report::{LogReport, QueueRow, WindowRow, build_report, job_timeline};
--- a/crates/wax-logs/src/line.rs
+++ b/crates/wax-logs/src/line.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct LogLine {
     /// When it was written, by its process's clock, seconds since 1970.
-    pub at: f64,
+    pub timestamp_s: f64,
     /// What it tells.
     pub event: LogEvent,
 }
@@ -67,11 +67,11 @@
         return Ok(None);
     }
     let time = humantime::parse_rfc3339(&raw.timestamp).map_err(|error| fail(error.to_string()))?;
-    let since = time
+    let since_epoch = time
         .duration_since(UNIX_EPOCH)
         .map_err(|error| fail(error.to_string()))?;
     Ok(Some(LogLine {
-        at: since.as_secs_f64(),
+        timestamp_s: since_epoch.as_secs_f64(),
         event: raw.event,
     }))
 }
--- a/crates/wax-logs/src/plot.rs
+++ b/crates/wax-logs/src/plot.rs
@@ -3,19 +3,19 @@
 //! A panel for each scale: on one axis thousands of runs would flatten all else. Vertical lines mark takeovers
 //! and the moments at which a front lost the store.
 
-use crate::history::DayHistory;
-use crate::report::{WindowRow, is_under_way, report_day};
+use crate::history::PoolHistory;
+use crate::report::{WindowRow, build_report, is_running_at};
 use plotters::prelude::*;
 use std::error::Error;
 
 /// The picture's size, pixels.
-const SIZE: (u32, u32) = (1_000, 760);
+const SIZE_PX: (u32, u32) = (1_000, 760);
 /// Points of a line.
-const WINDOWS: f64 = 200.0;
+const POINTS_PER_LINE: f64 = 200.0;
 /// A takeover.
-const TAKEOVER: RGBColor = RGBColor(0, 140, 0);
+const TAKEOVER_COLOR: RGBColor = RGBColor(0, 140, 0);
 /// A front that lost the store.
-const STORE_LOST: RGBColor = RGBColor(170, 170, 170);
+const STORE_LOSS_COLOR: RGBColor = RGBColor(170, 170, 170);
 
 /// One line of a panel.
 struct PlotLine {
@@ -30,16 +30,16 @@
 }
 
 impl PlotPanel {
-    fn most(&self) -> f64 {
+    fn max_value(&self) -> f64 {
         let points = self.lines.iter().flat_map(|line| &line.points);
         points.map(|(_, value)| *value).fold(1.0, f64::max)
     }
 }
 
 /// Moments that are marked in every panel.
-struct PlotMarks {
+struct EventMarks {
     takeovers: Vec<f64>,
-    store_lost: Vec<f64>,
+    store_losses: Vec<f64>,
 }
 
 /// Draws a day as SVG.
@@ -47,56 +47,56 @@
 /// # Errors
 ///
 /// The lines tell of no job, or the drawing fails.
-pub fn plot_day(day: &DayHistory) -> Result<String, Box<dyn Error>> {
-    let last = day
+pub fn plot_history(history: &PoolHistory) -> Result<String, Box<dyn Error>> {
+    let last = history
         .jobs
         .values()
-        .map(|job| job.end.as_ref().map_or(job.accepted, |(at, _)| *at))
+        .map(|job| job.end.as_ref().map_or(job.accepted_at, |(at, _)| *at))
         .reduce(f64::max)
         .ok_or("the lines tell of no job")?;
-    let span = (last - day.began).max(1.0);
-    let rows = report_day(day, span / WINDOWS).windows;
-    let marks = plot_marks(day, span);
+    let span = (last - history.started_at).max(1.0);
+    let rows = build_report(history, span / POINTS_PER_LINE).windows;
+    let marks = event_marks(history, span);
     let mut text = String::new();
     draw(
         &mut text,
-        &plot_title(day),
-        &plot_panels(day, &rows, span),
+        &plot_title(history),
+        &plot_panels(history, &rows, span),
         &marks,
         span,
     )?;
     Ok(text)
 }
 
-fn plot_title(day: &DayHistory) -> String {
-    let in_time = day.jobs.values().filter(|job| job.is_in_time()).count();
+fn plot_title(history: &PoolHistory) -> String {
+    let in_time = history.jobs.values().filter(|job| job.is_in_time()).count();
     format!(
         "{} jobs accepted, {in_time} in time, {} requests not accepted, {} takeovers",
-        day.jobs.len(),
-        day.refused.len(),
-        day.takeovers.len()
+        history.jobs.len(),
+        history.not_accepted.len(),
+        history.takeovers.len()
     )
 }
 
-fn plot_marks(day: &DayHistory, span: f64) -> PlotMarks {
-    let within = |moments: &[f64]| {
-        let times = moments.iter().map(|at| at - day.began);
+fn event_marks(history: &PoolHistory, span: f64) -> EventMarks {
+    let within = |times: &[f64]| {
+        let times = times.iter().map(|at| at - history.started_at);
         times.filter(|at| (0.0..=span).contains(at)).collect()
     };
-    PlotMarks {
-        takeovers: within(&day.takeovers),
-        store_lost: within(&day.store_lost),
+    EventMarks {
+        takeovers: within(&history.takeovers),
+        store_losses: within(&history.store_losses),
     }
 }
 
-fn plot_panels(day: &DayHistory, rows: &[WindowRow], span: f64) -> [PlotPanel; 3] {
+fn plot_panels(history: &PoolHistory, rows: &[WindowRow], span: f64) -> [PlotPanel; 3] {
     let line = |name, color, value: &dyn Fn(&WindowRow) -> f64| PlotLine {
         name,
         color,
         points: rows.iter().map(|row| (row.from, value(row))).collect(),
     };
-    let times = (0..=WINDOWS as u32).map(|step| f64::from(step) / WINDOWS * span);
-    let open = times.map(|from| (from, open_jobs(day, day.began + from)));
+    let times = (0..=POINTS_PER_LINE as u32).map(|step| f64::from(step) / POINTS_PER_LINE * span);
+    let open = times.map(|from| (from, open_jobs(history, history.started_at + from)));
     let open = PlotLine {
         name: "jobs open",
         color: BLACK,
@@ -116,23 +116,23 @@
 }
 
 /// Jobs that do not last, were accepted and have not ended; those without a run under way wait.
-fn open_jobs(day: &DayHistory, at: f64) -> f64 {
+fn open_jobs(history: &PoolHistory, at: f64) -> f64 {
     let is_open = |job: &&crate::history::JobHistory| {
         let ended = job.end.as_ref().is_some_and(|(end, _)| *end <= at);
-        let runs = job.runs.iter().any(|run| is_under_way(run, at));
-        !job.lasts && job.accepted <= at && (!ended || runs)
+        let runs = job.runs.iter().any(|run| is_running_at(run, at));
+        !job.long_running && job.accepted_at <= at && (!ended || runs)
     };
-    day.jobs.values().filter(is_open).count() as f64
+    history.jobs.values().filter(is_open).count() as f64
 }
 
 fn draw(
     text: &mut String,
     title: &str,
     panels: &[PlotPanel],
-    marks: &PlotMarks,
+    marks: &EventMarks,
     span: f64,
 ) -> Result<(), Box<dyn Error>> {
-    let root = SVGBackend::with_string(text, SIZE).into_drawing_area();
+    let root = SVGBackend::with_string(text, SIZE_PX).into_drawing_area();
     root.fill(&WHITE)?;
     let body = root.titled(title, ("sans-serif", 18))?;
     for (area, panel) in body.split_evenly((panels.len(), 1)).iter().zip(panels) {
@@ -147,27 +147,31 @@
 fn draw_panel(
     area: &PlotArea<'_>,
     panel: &PlotPanel,
-    marks: &PlotMarks,
+    marks: &EventMarks,
     span: f64,
 ) -> Result<(), Box<dyn Error>> {
-    let most = panel.most();
+    let max_value = panel.max_value();
     let mut chart = ChartBuilder::on(area)
         .margin(6)
         .x_label_area_size(32)
         .y_label_area_size(50)
-        .build_cartesian_2d(0.0..span, 0.0..most)?;
+        .build_cartesian_2d(0.0..span, 0.0..max_value)?;
     chart
         .configure_mesh()
         .x_desc("seconds from the first line")
         .draw()?;
     let kinds = [
-        ("a front lost the store", STORE_LOST, &marks.store_lost),
-        ("takeover", TAKEOVER, &marks.takeovers),
+        (
+            "a front lost the store",
+            STORE_LOSS_COLOR,
+            &marks.store_losses,
+        ),
+        ("takeover", TAKEOVER_COLOR, &marks.takeovers),
     ];
-    for (name, color, moments) in kinds {
-        let lines = moments
+    for (name, color, times) in kinds {
+        let lines = times
             .iter()
-            .map(|at| PathElement::new(vec![(*at, 0.0), (*at, most)], color));
+            .map(|at| PathElement::new(vec![(*at, 0.0), (*at, max_value)], color));
         chart
             .draw_series(lines)?
             .label(name)
--- a/crates/wax-logs/src/report.rs
+++ b/crates/wax-logs/src/report.rs
@@ -1,7 +1,7 @@
 //! Figures of a day by queue and by window of time, and the story of one job.
 
-use crate::cause::late_shares;
-use crate::history::{DayHistory, JobHistory, RunHistory};
+use crate::cause::attribute_delay;
+use crate::history::{JobHistory, PoolHistory, RunHistory};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -62,7 +62,7 @@
 
 /// The figures of a day.
 #[derive(Debug, Clone, PartialEq, Default, Serialize)]
-pub struct DayReport {
+pub struct LogReport {
     /// By queue.
     pub queues: Vec<QueueRow>,
     /// By window.
@@ -70,35 +70,35 @@
 }
 
 /// An image that is slowed below this counts as slowed, percent.
-const SLOW_PERCENT: u32 = 33;
+const SLOWED_BELOW_PERCENT: u32 = 33;
 
 /// Sums a day up, in windows of `window` seconds.
-pub fn report_day(day: &DayHistory, window: f64) -> DayReport {
-    let queues: BTreeSet<&str> = day.jobs.values().map(|job| &*job.queue).collect();
-    DayReport {
+pub fn build_report(history: &PoolHistory, window: f64) -> LogReport {
+    let queues: BTreeSet<&str> = history.jobs.values().map(|job| &*job.queue).collect();
+    LogReport {
         queues: queues
             .into_iter()
-            .map(|queue| queue_row(day, queue))
+            .map(|queue| queue_row(history, queue))
             .collect(),
-        windows: window_rows(day, window),
+        windows: window_rows(history, window),
     }
 }
 
-fn queue_row(day: &DayHistory, queue: &str) -> QueueRow {
+fn queue_row(history: &PoolHistory, queue: &str) -> QueueRow {
     let mut row = QueueRow {
         queue: queue.into(),
-        not_accepted: count(day.refused.iter().filter(|(_, of)| **of == *queue)),
+        not_accepted: count(history.not_accepted.iter().filter(|(_, of)| **of == *queue)),
         ..Default::default()
     };
     let (mut starts, mut spreads, mut slowest) = (Vec::new(), Vec::new(), Vec::new());
-    for job in day.jobs.values().filter(|job| *job.queue == *queue) {
+    for job in history.jobs.values().filter(|job| *job.queue == *queue) {
         count_job(&mut row, job);
-        let first = job.runs.iter().map(|run| run.ordered).reduce(f64::min);
-        starts.extend(first.map(|first| first - job.asked));
+        let first = job.runs.iter().map(|run| run.ordered_at).reduce(f64::min);
+        starts.extend(first.map(|first| first - job.requested_at));
         row.stalled += count(job.runs.iter().filter(|run| is_stalled(run)));
         for runs in steps(job).values() {
             spreads.push(start_spread(runs));
-            slowest.extend(slowest_share(runs));
+            slowest.extend(slowest_ratio(runs));
         }
     }
     row.first_start = [quantile(&mut starts, 0.5), quantile(&mut starts, 0.95)];
@@ -109,68 +109,68 @@
 
 fn count_job(row: &mut QueueRow, job: &JobHistory) {
     row.accepted += 1;
-    match (&job.end, job.age()) {
-        (_, Some(age)) if age <= job.objective => row.in_time += 1,
+    match (&job.end, job.response_time_s()) {
+        (_, Some(age)) if age <= job.objective_s => row.in_time += 1,
         (_, Some(_)) => row.late += 1,
         (Some(_), None) => row.gone += 1,
         (None, None) => row.open += 1,
     }
-    if job.lasts || job.is_in_time() || job.is_cancelled() {
+    if job.long_running || job.is_in_time() || job.is_cancelled() {
         return;
     }
-    if let Some(share) = late_shares(job).first() {
-        *row.causes.entry(share.cause.to_string()).or_insert(0.0) += job.work;
+    if let Some(share) = attribute_delay(job).first() {
+        *row.causes.entry(share.cause.to_string()).or_insert(0.0) += job.work_core_s;
     }
 }
 
-fn window_rows(day: &DayHistory, window: f64) -> Vec<WindowRow> {
+fn window_rows(history: &PoolHistory, window: f64) -> Vec<WindowRow> {
     let mut rows: BTreeMap<u64, WindowRow> = BTreeMap::new();
-    let number = |at: f64| ((at - day.began).max(0.0) / window) as u64;
+    let number = |at: f64| ((at - history.started_at).max(0.0) / window) as u64;
     let mut row = |at: f64, change: &mut dyn FnMut(&mut WindowRow)| {
         let number = number(at);
         let row = rows.entry(number).or_default();
         row.from = number as f64 * window;
         change(row);
     };
-    for job in day.jobs.values() {
-        row(job.accepted, &mut |row| {
+    for job in history.jobs.values() {
+        row(job.accepted_at, &mut |row| {
             row.accepted += 1;
             row.in_time += u32::from(job.is_in_time());
         });
         for run in &job.runs {
-            row(run.ordered, &mut |row| row.starts += 1);
+            row(run.ordered_at, &mut |row| row.starts += 1);
             if let (Some((at, _)), true) = (&run.end, is_stalled(run)) {
                 row(*at, &mut |row| row.stalled += 1);
             }
         }
-        for pause in &job.pauses {
-            row(pause.at, &mut |row| {
-                *row.waits.entry(pause.reason.to_string()).or_insert(0) += 1;
+        for wait in &job.waits {
+            row(wait.reported_at, &mut |row| {
+                *row.waits.entry(wait.reason.to_string()).or_insert(0) += 1;
             });
         }
     }
-    for (at, _) in &day.refused {
+    for (at, _) in &history.not_accepted {
         row(*at, &mut |row| row.not_accepted += 1);
     }
-    for (at, .., percent) in &day.paces {
+    for (at, .., percent) in &history.pace_changes {
         row(*at, &mut |row| {
-            row.slowed += u32::from(*percent < SLOW_PERCENT)
+            row.slowed += u32::from(*percent < SLOWED_BELOW_PERCENT)
         });
     }
-    for at in &day.takeovers {
+    for at in &history.takeovers {
         row(*at, &mut |row| row.takeovers += 1);
     }
-    let runs: Vec<&RunHistory> = day.jobs.values().flat_map(|job| &job.runs).collect();
+    let runs: Vec<&RunHistory> = history.jobs.values().flat_map(|job| &job.runs).collect();
     for row in rows.values_mut() {
-        let end = day.began + row.from + window;
-        row.running = count(runs.iter().filter(|run| is_under_way(run, end)));
+        let end = history.started_at + row.from + window;
+        row.running = count(runs.iter().filter(|run| is_running_at(run, end)));
     }
     rows.into_values().collect()
 }
 
 /// Whether a run is under way at a time, as far as its end was heard.
-pub(crate) fn is_under_way(run: &RunHistory, at: f64) -> bool {
-    run.ordered <= at && run.end.as_ref().is_none_or(|(end, _)| *end > at)
+pub(crate) fn is_running_at(run: &RunHistory, at: f64) -> bool {
+    run.ordered_at <= at && run.end.as_ref().is_none_or(|(end, _)| *end > at)
 }
 
 fn is_stalled(run: &RunHistory) -> bool {
@@ -190,22 +190,22 @@
 fn start_spread(runs: &[&RunHistory]) -> f64 {
     let mut firsts: BTreeMap<&str, f64> = BTreeMap::new();
     for run in runs {
-        let first = firsts.entry(&run.task).or_insert(run.ordered);
-        *first = first.min(run.ordered);
+        let first = firsts.entry(&run.task).or_insert(run.ordered_at);
+        *first = first.min(run.ordered_at);
     }
-    let least = firsts.values().copied().fold(f64::INFINITY, f64::min);
-    let most = firsts.values().copied().fold(f64::NEG_INFINITY, f64::max);
-    most - least
+    let first = firsts.values().copied().fold(f64::INFINITY, f64::min);
+    let last = firsts.values().copied().fold(f64::NEG_INFINITY, f64::max);
+    last - first
 }
 
-fn slowest_share(runs: &[&RunHistory]) -> Option<f64> {
-    let mut spans: Vec<f64> = runs
+fn slowest_ratio(runs: &[&RunHistory]) -> Option<f64> {
+    let mut run_times: Vec<f64> = runs
         .iter()
-        .filter_map(|run| Some(run.done()? - run.ordered))
+        .filter_map(|run| Some(run.done_at()? - run.ordered_at))
         .collect();
-    let most = spans.iter().copied().reduce(f64::max)?;
-    let median = quantile(&mut spans, 0.5);
-    (median > 0.0).then(|| most / median)
+    let longest = run_times.iter().copied().reduce(f64::max)?;
+    let median = quantile(&mut run_times, 0.5);
+    (median > 0.0).then(|| longest / median)
 }
 
 fn count<T>(items: impl Iterator<Item = T>) -> u32 {
@@ -221,21 +221,21 @@
 }
 
 /// The life of one job in order, over all processes; times are seconds from its request.
-pub fn job_story(job: &JobHistory) -> String {
+pub fn job_timeline(job: &JobHistory) -> String {
     let mut events: Vec<(f64, String)> = vec![(
-        job.accepted,
+        job.accepted_at,
         format!(
             "accepted into {}: {} tasks, {:.1} core s, to end within {:.1} s",
-            job.queue, job.tasks, job.work, job.objective
+            job.queue, job.tasks, job.work_core_s, job.objective_s
         ),
     )];
     for run in &job.runs {
         let resumes = if run.resumes { ", resumes" } else { "" };
         events.push((
-            run.ordered,
+            run.ordered_at,
             format!(
                 "{} run {} starts on {} after {:.2} s, pace {:.2} expected{resumes}",
-                run.task, run.run, run.worker, run.waited, run.pace
+                run.task, run.run, run.worker, run.waited_s, run.pace
             ),
         ));
         if let Some((at, how)) = &run.end {
@@ -244,8 +244,11 @@
             events.push((*at, format!("{} run {} ends {how}{why}", run.task, run.run)));
         }
     }
-    for pause in &job.pauses {
-        events.push((pause.at, format!("{} waits: {}", pause.step, pause.reason)));
+    for wait in &job.waits {
+        events.push((
+            wait.reported_at,
+            format!("{} waits: {}", wait.step, wait.reason),
+        ));
     }
     if let Some((at, outcome)) = &job.end {
         events.push((*at, format!("shown as {outcome}")));
@@ -254,10 +257,10 @@
     let mut text = format!("job {}\n", job.job);
     for (at, what) in events {
         // Writing to a string cannot fail.
-        let _ = writeln!(text, "{:>9.3}  {what}", at - job.asked);
+        let _ = writeln!(text, "{:>9.3}  {what}", at - job.requested_at);
     }
-    let late = !job.lasts && !job.is_in_time() && !job.is_cancelled();
-    for share in late_shares(job).iter().filter(|_| late) {
+    let late = !job.long_running && !job.is_in_time() && !job.is_cancelled();
+    for share in attribute_delay(job).iter().filter(|_| late) {
         let _ = writeln!(text, "{:>7.2} s  {}", share.seconds, share.cause);
     }
     text
--- a/crates/wax-logs/tests/reports.rs
+++ b/crates/wax-logs/tests/reports.rs
@@ -1,19 +1,21 @@
 //! What a report says of lines, in whatever order and files they come.
 
 use std::fmt::Write;
-use wax_logs::{DayHistory, LateCause, job_story, late_shares, parse_lines, plot_day, report_day};
+use wax_logs::{
+    DelayCause, PoolHistory, attribute_delay, build_report, job_timeline, parse_lines, plot_history,
+};
 
 /// A line as a process writes it, `at` milliseconds after noon.
-fn line(at: u32, fields: &str) -> String {
-    let (seconds, millis) = (at / 1_000, at % 1_000);
+fn line(at_ms: u32, fields: &str) -> String {
+    let (seconds, millis) = (at_ms / 1_000, at_ms % 1_000);
     format!(
         "  0.1 edge-1 {{\"timestamp\":\"2026-05-13T12:00:{seconds:02}.{millis:03}000Z\",\"level\":\"INFO\",{fields},\"target\":\"t\"}}\n"
     )
 }
 
-fn accepted(at: u32, job: &str, objective_ms: u32) -> String {
+fn accepted(at_ms: u32, job: &str, objective_ms: u32) -> String {
     line(
-        at,
+        at_ms,
         &format!(
             "\"message\":\"job accepted\",\"job\":\"{job}\",\"queue\":\"q\",\"took_ms\":10,\"steps\":2,\"tasks\":2,\
              \"work_ms\":5000,\"objective_ms\":{objective_ms},\"priority\":2,\"lasts\":false,\"fills\":true"
@@ -21,9 +23,9 @@
     )
 }
 
-fn start(at: u32, task: &str, run: u32, waited_ms: u32) -> String {
+fn start(at_ms: u32, task: &str, run: u32, waited_ms: u32) -> String {
     line(
-        at,
+        at_ms,
         &format!(
             "\"message\":\"start ordered\",\"task\":\"{task}\",\"run\":{run},\"worker\":\"w\",\"resumes\":false,\
              \"waited_ms\":{waited_ms},\"pace\":1.0"
@@ -31,34 +33,34 @@
     )
 }
 
-fn end(at: u32, task: &str, run: u32, how: &str) -> String {
+fn end(at_ms: u32, task: &str, run: u32, how: &str) -> String {
     line(
-        at,
+        at_ms,
         &format!("\"message\":\"run ended\",\"task\":\"{task}\",\"run\":{run},\"how\":\"{how}\""),
     )
 }
 
-fn stop(at: u32, task: &str, run: u32) -> String {
+fn stop(at_ms: u32, task: &str, run: u32) -> String {
     line(
-        at,
+        at_ms,
         &format!(
             "\"message\":\"stop ordered\",\"task\":\"{task}\",\"run\":{run},\"why\":\"stalled\""
         ),
     )
 }
 
-fn waits(at: u32, task: &str, reason: &str) -> String {
+fn waits(at_ms: u32, task: &str, reason: &str) -> String {
     line(
-        at,
+        at_ms,
         &format!(
             "\"message\":\"step waits\",\"task\":\"{task}\",\"waiting\":1,\"waited_ms\":2,\"reason\":\"{reason}\""
         ),
     )
 }
 
-fn job_end(at: u32, job: &str) -> String {
+fn job_end(at_ms: u32, job: &str) -> String {
     line(
-        at,
+        at_ms,
         &format!(
             "\"message\":\"job ended\",\"job\":\"{job}\",\"outcome\":\"Completed\",\"age_ms\":1"
         ),
@@ -66,7 +68,7 @@
 }
 
 /// A job of two steps: the first is moved once, the second waits for three seconds.
-fn late_job() -> Vec<String> {
+fn late_job_lines() -> Vec<String> {
     vec![
         accepted(1_010, "a", 4_000),
         start(1_100, "a.0.0.0", 1, 2),
@@ -81,23 +83,23 @@
     ]
 }
 
-fn day(lines: &[String]) -> DayHistory {
-    DayHistory::new(parse_lines(&lines.concat()).expect("the lines are whole"))
+fn history(lines: &[String]) -> PoolHistory {
+    PoolHistory::new(parse_lines(&lines.concat()).expect("the lines are whole"))
 }
 
 #[test]
-fn a_late_job_is_put_down_to_what_took_most_of_its_path() {
-    let day = day(&late_job());
-    let shares = late_shares(&day.jobs["a"]);
-    assert_eq!(shares[0].cause, LateCause::Wait("interference".into()));
+fn delay_is_attributed_to_the_largest_share_of_the_critical_path() {
+    let history = history(&late_job_lines());
+    let shares = attribute_delay(&history.jobs["a"]);
+    assert_eq!(shares[0].cause, DelayCause::Wait("interference".into()));
     assert!((shares[0].seconds - 2.99).abs() < 0.01, "{shares:?}");
-    assert_eq!(shares[1].cause, LateCause::Stalled);
+    assert_eq!(shares[1].cause, DelayCause::Stalled);
     assert!((shares[1].seconds - 1.9).abs() < 0.01, "{shares:?}");
 }
 
 /// A sibling that comes back begins the step's wait anew; the task has waited all the same.
 #[test]
-fn a_wait_that_is_counted_anew_is_not_taken_for_a_missing_owner() {
+fn restarted_wait_is_not_attributed_to_a_missing_owner() {
     let lines = [
         accepted(1_010, "a", 4_000),
         waits(1_020, "a.0.0.1", "spare"),
@@ -110,21 +112,21 @@
         end(9_000, "a.0.0.1", 1, "Done"),
         job_end(9_010, "a"),
     ];
-    let shares = late_shares(&day(&lines).jobs["a"]);
-    assert_eq!(shares[0].cause, LateCause::Wait("spare".into()));
+    let shares = attribute_delay(&history(&lines).jobs["a"]);
+    assert_eq!(shares[0].cause, DelayCause::Wait("spare".into()));
     assert!((shares[0].seconds - 5.48).abs() < 0.01, "{shares:?}");
 }
 
 #[test]
-fn the_order_of_lines_and_files_does_not_matter() {
-    let lines = late_job();
-    let backwards: Vec<String> = lines.iter().rev().cloned().collect();
-    assert_eq!(day(&lines), day(&backwards));
+fn history_does_not_depend_on_line_order() {
+    let lines = late_job_lines();
+    let reversed: Vec<String> = lines.iter().rev().cloned().collect();
+    assert_eq!(history(&lines), history(&reversed));
 }
 
 #[test]
-fn a_day_is_summed_up_by_queue_and_window() {
-    let mut lines = late_job();
+fn report_aggregates_by_queue_and_window() {
+    let mut lines = late_job_lines();
     lines.push(accepted(1_510, "b", 4_000));
     lines.push(start(1_600, "b.0.0.0", 1, 2));
     lines.push(end(2_600, "b.0.0.0", 1, "Done"));
@@ -133,7 +135,7 @@
         3_000,
         "\"message\":\"job not accepted\",\"job\":\"c\",\"queue\":\"q\",\"took_ms\":9",
     ));
-    let report = report_day(&day(&lines), 2.0);
+    let report = build_report(&history(&lines), 2.0);
     let queue = &report.queues[0];
     assert_eq!((queue.accepted, queue.not_accepted), (2, 1));
     assert_eq!((queue.in_time, queue.late, queue.stalled), (1, 1, 1));
@@ -146,47 +148,50 @@
 }
 
 #[test]
-fn the_story_of_a_job_has_its_moments_in_order() {
-    let story = job_story(&day(&late_job()).jobs["a"]);
-    let moments = [
+fn job_timeline_is_in_chronological_order() {
+    let timeline = job_timeline(&history(&late_job_lines()).jobs["a"]);
+    let events = [
         "accepted",
         "ends Stopped (stalled)",
         "run 2 starts",
         "waits: interference",
         "shown as Completed",
     ];
-    let places: Vec<usize> = moments
+    let positions: Vec<usize> = events
         .iter()
-        .map(|moment| {
-            story
-                .find(moment)
-                .unwrap_or_else(|| panic!("{moment}: {story}"))
+        .map(|event| {
+            timeline
+                .find(event)
+                .unwrap_or_else(|| panic!("{event}: {timeline}"))
         })
         .collect();
-    assert!(places.is_sorted(), "{story}");
+    assert!(positions.is_sorted(), "{timeline}");
 }
 
 #[test]
-fn a_picture_names_its_lines() {
-    let mut lines = late_job();
+fn plot_labels_its_lines() {
+    let mut lines = late_job_lines();
     lines.push(line(
         2_000,
         "\"message\":\"took over the shard\",\"epoch\":2",
     ));
     lines.push(line(2_100, "\"message\":\"the store does not answer\""));
-    let text = plot_day(&day(&lines)).expect("there is a job");
+    let text = plot_history(&history(&lines)).expect("there is a job");
     assert!(text.starts_with("<svg") && text.contains("runs under way"));
     assert!(text.contains("1 jobs accepted") && text.contains("1 takeovers"));
     // One mark in each of the three panels, beside the legend's.
     let marks = |color: &str| text.matches(color).count();
-    assert_eq!(marks("#AAAAAA"), 6, "moments at which the store was lost");
+    assert_eq!(marks("#AAAAAA"), 6, "marks where a front lost the store");
     let panels = text.matches("seconds from the first line").count();
     assert_eq!(panels, 3, "a panel for each scale");
-    assert!(plot_day(&DayHistory::default()).is_err(), "nothing to draw");
+    assert!(
+        plot_history(&PoolHistory::default()).is_err(),
+        "nothing to draw"
+    );
 }
 
 #[test]
-fn a_broken_line_is_named_by_its_number() {
+fn unreadable_line_is_reported_with_its_number() {
     let mut text = String::new();
     let _ = writeln!(text, "text of another program");
     let _ = writeln!(
--- a/crates/wax-replay/src/batch.rs
+++ b/crates/wax-replay/src/batch.rs
@@ -6,7 +6,7 @@
 
 use crate::engine::ReplayRun;
 use crate::events::ReplayEvent;
-use crate::report::{BatchReport, LatencyRecord, UrgentReport};
+use crate::report::{BatchReport, LatencyHistogram, UrgentReport};
 use crate::world::ReplayWorld;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -18,7 +18,7 @@
 use wax_types::{JobId, ResourceVector, TaskId, TimePoint};
 
 /// Between two looks of the owner at its queue.
-pub(crate) const LOOK_PERIOD: Duration = Duration::from_millis(25);
+pub(crate) const SCHEDULING_PERIOD: Duration = Duration::from_millis(25);
 /// From a decision to the start at the worker: a commit and a call.
 const START_DELAY: Duration = Duration::from_millis(15);
 /// A stop with a checkpoint.
@@ -26,20 +26,20 @@
 /// A run that is not stopped writes a checkpoint this often.
 const CHECKPOINT_PERIOD: Duration = Duration::from_secs(60);
 /// Leases of a lost worker lapse after this time.
-pub(crate) const LAPSE: Duration = Duration::from_secs(12);
+pub(crate) const LEASE_EXPIRY: Duration = Duration::from_secs(12);
 /// Tasks of the queue that are looked at once.
-const QUEUE_LOOK: usize = 256;
+const MAX_TASKS_PER_ROUND: usize = 256;
 /// Each eviction that a task has suffered keeps it safe for this long.
-const EVICTED_SPAN: Duration = Duration::from_secs(30);
+const EVICTION_PROTECTION: Duration = Duration::from_secs(30);
 /// Failed runs in a row after which a worker is quarantined.
 const FAILURES_TO_QUARANTINE: u32 = 5;
-const QUARANTINE_SPAN: Duration = Duration::from_secs(30);
+const QUARANTINE_DURATION: Duration = Duration::from_secs(30);
 /// A failed run is noticed after this time.
-const FAIL_DELAY: Duration = Duration::from_millis(200);
+const FAILURE_DETECTION_DELAY: Duration = Duration::from_millis(200);
 
 /// Where a task stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum TaskStand {
+enum TaskState {
     Waiting,
     Running(usize),
     Done,
@@ -52,12 +52,12 @@
     kind: usize,
     work: Duration,
     submitted: TimePoint,
-    stand: TaskStand,
+    state: TaskState,
     /// Work done and kept.
     saved: Duration,
     /// Work done since then.
-    fresh: Duration,
-    since: TimePoint,
+    unsaved: Duration,
+    progress_at: TimePoint,
     speed: f64,
     /// Share of its size that it may use.
     throttle: f64,
@@ -73,11 +73,11 @@
 /// Late usage on its way to the owner.
 #[derive(Debug, Clone)]
 struct UsageBatch {
-    reports: Vec<UsageNote>,
+    samples: Vec<UsageSample>,
 }
 
 #[derive(Debug, Clone)]
-struct UsageNote {
+struct UsageSample {
     worker: usize,
     task: Option<TaskId>,
     kind: wax_policy::KindKey,
@@ -92,7 +92,7 @@
 struct WorkerRecord {
     failures: u32,
     quarantined_until: TimePoint,
-    relief: MitigationState,
+    mitigation: MitigationState,
 }
 
 /// The state of all tasks.
@@ -106,14 +106,14 @@
     pairs: PairTable,
     sizes: SizeTable,
     usage: Vec<Option<UsageBatch>>,
-    urgent_start: LatencyRecord,
+    urgent_start: LatencyHistogram,
     urgent_tasks: u64,
     placements: u64,
     rows: u64,
     commits: u64,
     evictions: u64,
     lost: Duration,
-    worst_over: u64,
+    max_overallocation_milli: u64,
     next_job: u128,
 }
 
@@ -157,14 +157,14 @@
             pairs: PairTable::default(),
             sizes: SizeTable::default(),
             usage: Vec::new(),
-            urgent_start: LatencyRecord::new(),
+            urgent_start: LatencyHistogram::new(),
             urgent_tasks: 0,
             placements: 0,
             rows: 0,
             commits: 0,
             evictions: 0,
             lost: Duration::ZERO,
-            worst_over: 0,
+            max_overallocation_milli: 0,
             next_job: 1,
         }
     }
@@ -177,8 +177,8 @@
         self.commits as f64 / (self.placements.max(1)) as f64
     }
 
-    pub(crate) fn worst_over(&self) -> u64 {
-        self.worst_over
+    pub(crate) fn max_overallocation_milli(&self) -> u64 {
+        self.max_overallocation_milli
     }
 
     fn worker_of(&self, key: WorkerKey) -> usize {
@@ -191,7 +191,7 @@
 
 impl ReplayRun {
     /// How much longer a kind takes on a worker now, beside all others there.
-    pub(crate) fn excess_of(
+    pub(crate) fn excess_on_worker(
         &self,
         worker: usize,
         kind: wax_policy::KindKey,
@@ -203,7 +203,7 @@
         let neighbours = slot
             .tasks()
             .iter()
-            .filter(|task| Some(task.task) != own && (own.is_some() || task.job_is_batch()))
+            .filter(|task| Some(task.task) != own && (own.is_some() || task.is_batch()))
             .map(|task| {
                 let record = self.batch.tasks.get(&task.task);
                 (task.kind, record.map_or(1.0, |record| record.throttle))
@@ -212,23 +212,23 @@
         self.world.excess(kind, neighbours, loaded)
     }
 
-    pub(crate) fn job_arrives(&mut self, now: TimePoint, job: usize) {
-        let truth = self.world.jobs[job];
+    pub(crate) fn handle_job_arrival(&mut self, now: TimePoint, job: usize) {
+        let actual = self.world.jobs[job];
         let id = JobId(self.batch.next_job);
         self.batch.next_job += 1;
-        let urgent = self.world.kinds[truth.kind].urgent;
-        for index in 0..truth.tasks {
+        let urgent = self.world.kinds[actual.kind].urgent;
+        for index in 0..actual.tasks {
             let task = TaskId { job: id, index };
             self.batch.tasks.insert(
                 task,
                 TaskRecord {
-                    kind: truth.kind,
-                    work: truth.work,
+                    kind: actual.kind,
+                    work: actual.work,
                     submitted: now,
-                    stand: TaskStand::Waiting,
+                    state: TaskState::Waiting,
                     saved: Duration::ZERO,
-                    fresh: Duration::ZERO,
-                    since: now,
+                    unsaved: Duration::ZERO,
+                    progress_at: now,
                     speed: 0.0,
                     throttle: 1.0,
                     reserved: ResourceVector::ZERO,
@@ -251,8 +251,8 @@
     fn enqueue(&mut self, now: TimePoint, task: TaskId) {
         let record = &self.batch.tasks[&task];
         let urgent = self.world.kinds[record.kind].urgent;
-        let left = record.work.saturating_sub(record.saved);
-        let ends = self.world.options.day.ends_today(now, left);
+        let remaining = record.work.saturating_sub(record.saved);
+        let ends = self.world.options.day.ends_today(now, remaining);
         let weighed = self.world.policy.learns();
         let order = (!urgent, weighed && !ends, record.submitted, task);
         self.batch.queue.insert(order);
@@ -264,26 +264,26 @@
             .retain(|(_, _, _, waiting)| *waiting != task);
     }
 
-    pub(crate) fn owner_looks(&mut self, now: TimePoint) {
+    pub(crate) fn schedule_queue(&mut self, now: TimePoint) {
         if self.world.store_down {
             return;
         }
         for (worker, key) in self.batch.keys.clone().into_iter().enumerate() {
-            let truth = &self.world.workers[worker];
-            let open = !truth.down && self.batch.records[worker].quarantined_until <= now;
+            let actual = &self.world.workers[worker];
+            let open = !actual.down && self.batch.records[worker].quarantined_until <= now;
             self.batch.table.set_open(key, open);
         }
         let waiting: Vec<TaskId> = self
             .batch
             .queue
             .iter()
-            .take(QUEUE_LOOK)
+            .take(MAX_TASKS_PER_ROUND)
             .map(|(_, _, _, task)| *task)
             .collect();
         let mut placed = 0;
         let mut touched = BTreeSet::new();
         for task in waiting {
-            if let Some(worker) = self.place(now, task) {
+            if let Some(worker) = self.place_task(now, task) {
                 placed += 1;
                 touched.insert(worker);
             }
@@ -295,13 +295,13 @@
         }
     }
 
-    fn place(&mut self, now: TimePoint, task: TaskId) -> Option<usize> {
+    fn place_task(&mut self, now: TimePoint, task: TaskId) -> Option<usize> {
         let record = &self.batch.tasks[&task];
         let kind = &self.world.kinds[record.kind];
         let learns = self.world.policy.learns();
         let size = if learns {
             let learned = self.batch.sizes.corrected_size(kind.key, kind.declared);
-            let fits = |worker: &crate::world::WorkerTruth| learned.fits_in(worker.capacity);
+            let fits = |worker: &crate::world::ReplayWorker| learned.fits_in(worker.capacity);
             if self.world.workers.iter().any(fits) {
                 learned
             } else {
@@ -310,7 +310,7 @@
         } else {
             kind.declared
         };
-        let left = record.work.saturating_sub(record.saved);
+        let remaining = record.work.saturating_sub(record.saved);
         let demand = TaskDemand {
             kind: kind.key,
             size,
@@ -335,13 +335,13 @@
         match choice {
             PlacementChoice::Place(key) => {
                 let worker = self.batch.worker_of(key);
-                self.start(now, task, worker, demand, left);
+                self.start_run(now, task, worker, demand, remaining);
                 Some(worker)
             }
             PlacementChoice::Evict(key, victims) => {
                 let worker = self.batch.worker_of(key);
                 for victim in victims {
-                    self.stop(now, victim);
+                    self.begin_stop(now, victim);
                 }
                 let _ = worker;
                 None
@@ -353,11 +353,11 @@
 
 /// Tells batch tasks from resident upstreams.
 trait BatchTask {
-    fn job_is_batch(&self) -> bool;
+    fn is_batch(&self) -> bool;
 }
 
 impl BatchTask for RunningTask {
-    fn job_is_batch(&self) -> bool {
+    fn is_batch(&self) -> bool {
         self.task.job != JobId(0)
     }
 }
--- a/crates/wax-replay/src/batch/report.rs
+++ b/crates/wax-replay/src/batch/report.rs
@@ -6,31 +6,31 @@
     pub(crate) fn batch_report(&mut self, now: TimePoint) -> BatchReport {
         let running: Vec<TaskId> = self.batch.running.values().flatten().copied().collect();
         for task in running {
-            self.settle(now, task);
+            self.record_progress(now, task);
         }
         let records = self.batch.tasks.values();
         let batch: Vec<&TaskRecord> = records
             .filter(|record| !self.world.kinds[record.kind].urgent)
             .collect();
-        let count = |stand: TaskStand| {
-            let matching = batch.iter().filter(|record| record.stand == stand);
+        let count = |state: TaskState| {
+            let matching = batch.iter().filter(|record| record.state == state);
             matching.count() as u64
         };
         let millis = |span: Duration| span.as_millis() as u64;
         BatchReport {
             tasks: batch.len() as u64,
-            done: count(TaskStand::Done),
-            failed: count(TaskStand::Failed),
-            cancelled: count(TaskStand::Cancelled),
+            done: count(TaskState::Done),
+            failed: count(TaskState::Failed),
+            cancelled: count(TaskState::Cancelled),
             work_done_ms: batch
                 .iter()
-                .filter(|record| record.stand == TaskStand::Done)
+                .filter(|record| record.state == TaskState::Done)
                 .map(|record| millis(record.work))
                 .sum(),
             work_open_ms: batch
                 .iter()
-                .filter(|record| record.stand != TaskStand::Done)
-                .map(|record| millis(record.saved + record.fresh))
+                .filter(|record| record.state != TaskState::Done)
+                .map(|record| millis(record.saved + record.unsaved))
                 .sum(),
             evictions: self.batch.evictions,
             lost_work_ms: millis(self.batch.lost),
--- a/crates/wax-replay/src/batch/runs.rs
+++ b/crates/wax-replay/src/batch/runs.rs
@@ -3,21 +3,21 @@
 use super::*;
 
 impl ReplayRun {
-    pub(super) fn start(
+    pub(super) fn start_run(
         &mut self,
         now: TimePoint,
         task: TaskId,
         worker: usize,
         demand: TaskDemand,
-        left: Duration,
+        remaining: Duration,
     ) {
         self.dequeue(task);
         let due_today = !self.world.options.day.is_around_the_clock()
-            && self.world.options.day.ends_today(now, left)
-            && !self.world.options.day.ends_today(now, left * 2);
+            && self.world.options.day.ends_today(now, remaining)
+            && !self.world.options.day.ends_today(now, remaining * 2);
         let record = self.batch.tasks.get_mut(&task).expect("the task is known");
         let started = now + START_DELAY;
-        let safe = EVICTED_SPAN * record.evictions.min(10);
+        let protection = EVICTION_PROTECTION * record.evictions.min(10);
         let running = RunningTask {
             task,
             kind: demand.kind,
@@ -25,13 +25,13 @@
             urgent: demand.urgent,
             evictable: !demand.urgent,
             saved_at: started,
-            protected_until: started + safe,
+            protected_until: started + protection,
             due_today,
         };
-        record.stand = TaskStand::Running(worker);
+        record.state = TaskState::Running(worker);
         record.reserved = demand.size;
-        record.since = started;
-        record.fresh = Duration::ZERO;
+        record.progress_at = started;
+        record.unsaved = Duration::ZERO;
         record.throttle = 1.0;
         record.stopping = false;
         record.next_checkpoint = started + CHECKPOINT_PERIOD;
@@ -41,11 +41,11 @@
         let key = self.batch.keys[worker];
         self.batch.table.reserve(key, running);
         self.batch.running.entry(worker).or_default().insert(task);
-        self.note_over(worker);
-        self.respeed(now, worker);
+        self.record_overallocation(worker);
+        self.replan_run_ends(now, worker);
     }
 
-    pub(super) fn note_over(&mut self, worker: usize) {
+    pub(super) fn record_overallocation(&mut self, worker: usize) {
         let Some(slot) = self.batch.table.get(self.batch.keys[worker]) else {
             return;
         };
@@ -55,11 +55,11 @@
             .map(|task| u64::from(task.size.cpu_milli))
             .sum();
         let over = reserved.saturating_sub(slot.capacity().cpu_milli.into());
-        self.batch.worst_over = self.batch.worst_over.max(over);
+        self.batch.max_overallocation_milli = self.batch.max_overallocation_milli.max(over);
     }
 
     /// Counts the work done so far and plans the ends anew: the set of tasks has changed.
-    pub(super) fn respeed(&mut self, now: TimePoint, worker: usize) {
+    pub(super) fn replan_run_ends(&mut self, now: TimePoint, worker: usize) {
         let tasks: Vec<TaskId> = self
             .batch
             .running
@@ -70,22 +70,22 @@
             .collect();
         let failing = self.world.workers[worker].fails;
         for task in tasks {
-            self.settle(now, task);
+            self.record_progress(now, task);
             let record = &self.batch.tasks[&task];
             let kind = &self.world.kinds[record.kind];
             let enough =
                 f64::from(record.reserved.cpu_milli) / f64::from(kind.true_cpu_milli.max(1));
-            let excess = self.excess_of(worker, kind.key, Some(task));
+            let excess = self.excess_on_worker(worker, kind.key, Some(task));
             let speed = enough.min(1.0) * record.throttle / (1.0 + excess);
             let record = self.batch.tasks.get_mut(&task).expect("the task is known");
             record.speed = speed;
             record.generation += 1;
-            let left = record.work.saturating_sub(record.saved + record.fresh);
-            let begin = now.max(record.since);
+            let remaining = record.work.saturating_sub(record.saved + record.unsaved);
+            let begin = now.max(record.progress_at);
             let end = if failing {
-                begin + FAIL_DELAY
+                begin + FAILURE_DETECTION_DELAY
             } else {
-                begin + left.div_f64(speed.max(1e-6))
+                begin + remaining.div_f64(speed.max(1e-6))
             };
             let event = ReplayEvent::RunEnds(task, record.generation);
             self.world.queue.push(end, event);
@@ -93,79 +93,79 @@
     }
 
     /// Counts the work that a task did since it was last counted.
-    pub(super) fn settle(&mut self, now: TimePoint, task: TaskId) {
+    pub(super) fn record_progress(&mut self, now: TimePoint, task: TaskId) {
         let record = self.batch.tasks.get_mut(&task).expect("the task is known");
-        if now > record.since {
-            record.fresh += now.since(record.since).mul_f64(record.speed);
-            record.since = now;
+        if now > record.progress_at {
+            record.unsaved += now.since(record.progress_at).mul_f64(record.speed);
+            record.progress_at = now;
         }
         if now >= record.next_checkpoint {
-            record.saved += record.fresh;
-            record.fresh = Duration::ZERO;
+            record.saved += record.unsaved;
+            record.unsaved = Duration::ZERO;
             record.next_checkpoint = now + CHECKPOINT_PERIOD;
         }
     }
 
-    pub(crate) fn run_ends(&mut self, now: TimePoint, task: TaskId, generation: u64) {
+    pub(crate) fn handle_run_end(&mut self, now: TimePoint, task: TaskId, generation: u64) {
         let record = &self.batch.tasks[&task];
-        let TaskStand::Running(worker) = record.stand else {
+        let TaskState::Running(worker) = record.state else {
             return;
         };
         if record.generation != generation || self.world.workers[worker].down {
             return;
         }
-        self.settle(now, task);
+        self.record_progress(now, task);
         let failing = self.world.workers[worker].fails;
         let attempts = self.world.kinds[self.batch.tasks[&task].kind].attempts;
         let record = self.batch.tasks.get_mut(&task).expect("the task is known");
         if failing {
             record.failures += 1;
             record.failed_on.insert(worker);
-            record.stand = if record.failures >= attempts {
-                TaskStand::Failed
+            record.state = if record.failures >= attempts {
+                TaskState::Failed
             } else {
-                TaskStand::Waiting
+                TaskState::Waiting
             };
-            let waits = record.stand == TaskStand::Waiting;
-            self.leave(now, task, worker);
-            self.note_failure(now, worker);
+            let waits = record.state == TaskState::Waiting;
+            self.remove_run(now, task, worker);
+            self.record_failure(now, worker);
             if waits {
                 self.enqueue(now, task);
             }
         } else {
-            record.stand = TaskStand::Done;
+            record.state = TaskState::Done;
             self.batch.records[worker].failures = 0;
-            self.leave(now, task, worker);
+            self.remove_run(now, task, worker);
         }
         self.batch.rows += 2;
         self.batch.commits += 1;
     }
 
-    pub(super) fn note_failure(&mut self, now: TimePoint, worker: usize) {
+    pub(super) fn record_failure(&mut self, now: TimePoint, worker: usize) {
         let record = &mut self.batch.records[worker];
         record.failures += 1;
         if record.failures >= FAILURES_TO_QUARANTINE {
-            record.quarantined_until = now + QUARANTINE_SPAN;
+            record.quarantined_until = now + QUARANTINE_DURATION;
             record.failures = FAILURES_TO_QUARANTINE - 1;
         }
     }
 
     /// A run has left its worker.
-    pub(super) fn leave(&mut self, now: TimePoint, task: TaskId, worker: usize) {
+    pub(super) fn remove_run(&mut self, now: TimePoint, task: TaskId, worker: usize) {
         let key = self.batch.keys[worker];
         self.batch.table.release(key, task);
         if let Some(tasks) = self.batch.running.get_mut(&worker) {
             tasks.remove(&task);
         }
-        self.respeed(now, worker);
+        self.replan_run_ends(now, worker);
     }
 
     /// Begins to stop a run, with a checkpoint.
-    pub(super) fn stop(&mut self, now: TimePoint, task: TaskId) {
+    pub(super) fn begin_stop(&mut self, now: TimePoint, task: TaskId) {
         let Some(record) = self.batch.tasks.get_mut(&task) else {
             return;
         };
-        if record.stopping || !matches!(record.stand, TaskStand::Running(_)) {
+        if record.stopping || !matches!(record.state, TaskState::Running(_)) {
             return;
         }
         record.stopping = true;
@@ -173,67 +173,67 @@
         self.world.queue.push(now + STOP_DELAY, event);
     }
 
-    pub(crate) fn stop_done(&mut self, now: TimePoint, task: TaskId, evictions: u64) {
+    pub(crate) fn finish_stop(&mut self, now: TimePoint, task: TaskId, evictions: u64) {
         let record = &self.batch.tasks[&task];
-        let TaskStand::Running(worker) = record.stand else {
+        let TaskState::Running(worker) = record.state else {
             return;
         };
         if u64::from(record.evictions) != evictions || !record.stopping {
             return;
         }
-        self.settle(now, task);
+        self.record_progress(now, task);
         let record = self.batch.tasks.get_mut(&task).expect("the task is known");
         // What the run did while its checkpoint was written is done again.
-        let repeated = STOP_DELAY.mul_f64(record.speed).min(record.fresh);
-        record.saved += record.fresh.saturating_sub(repeated);
-        record.fresh = Duration::ZERO;
-        record.stand = TaskStand::Waiting;
+        let repeated = STOP_DELAY.mul_f64(record.speed).min(record.unsaved);
+        record.saved += record.unsaved.saturating_sub(repeated);
+        record.unsaved = Duration::ZERO;
+        record.state = TaskState::Waiting;
         record.evictions += 1;
         record.generation += 1;
         self.batch.evictions += 1;
         self.batch.lost += repeated;
         self.batch.rows += 2;
         self.batch.commits += 1;
-        self.leave(now, task, worker);
+        self.remove_run(now, task, worker);
         self.enqueue(now, task);
     }
 
-    pub(crate) fn cancel_wave(&mut self, now: TimePoint, cancel: usize) {
-        let truth = self.world.cancels[cancel];
+    pub(crate) fn cancel_jobs(&mut self, now: TimePoint, cancel: usize) {
+        let actual = self.world.cancels[cancel];
         let open: Vec<TaskId> = self
             .batch
             .tasks
             .iter()
-            .filter(|(_, record)| record.kind == truth.kind)
+            .filter(|(_, record)| record.kind == actual.kind)
             .filter(|(_, record)| {
-                matches!(record.stand, TaskStand::Waiting | TaskStand::Running(_))
+                matches!(record.state, TaskState::Waiting | TaskState::Running(_))
             })
             .map(|(task, _)| *task)
             .collect();
         for task in open {
-            if self.world.rng.u32(0..100) >= truth.percent {
+            if self.world.rng.u32(0..100) >= actual.percent {
                 continue;
             }
             let record = self.batch.tasks.get_mut(&task).expect("the task is known");
-            let stand = record.stand;
-            record.stand = TaskStand::Cancelled;
+            let state = record.state;
+            record.state = TaskState::Cancelled;
             record.generation += 1;
             self.dequeue(task);
-            if let TaskStand::Running(worker) = stand {
-                self.leave(now, task, worker);
+            if let TaskState::Running(worker) = state {
+                self.remove_run(now, task, worker);
             }
         }
     }
 
     /// A worker is gone: its tasks wait again once their leases have lapsed.
-    pub(crate) fn lose_worker(&mut self, now: TimePoint, worker: usize) {
+    pub(crate) fn requeue_lost_tasks(&mut self, now: TimePoint, worker: usize) {
         let tasks = self.batch.running.remove(&worker).unwrap_or_default();
         for task in tasks {
-            self.settle(now, task);
+            self.record_progress(now, task);
             let record = self.batch.tasks.get_mut(&task).expect("the task is known");
-            self.batch.lost += record.fresh;
-            record.fresh = Duration::ZERO;
-            record.stand = TaskStand::Waiting;
+            self.batch.lost += record.unsaved;
+            record.unsaved = Duration::ZERO;
+            record.state = TaskState::Waiting;
             record.generation += 1;
             record.stopping = false;
             let key = self.batch.keys[worker];
--- a/crates/wax-replay/src/batch/usage.rs
+++ b/crates/wax-replay/src/batch/usage.rs
@@ -4,7 +4,7 @@
 
 impl ReplayRun {
     pub(crate) fn measure_usage(&mut self, now: TimePoint) {
-        let mut reports = Vec::new();
+        let mut samples = Vec::new();
         for worker in 0..self.world.workers.len() {
             if self.world.workers[worker].down {
                 continue;
@@ -16,10 +16,10 @@
             for running in slot.tasks() {
                 let record = self.batch.tasks.get(&running.task);
                 let own = record.map(|_| running.task);
-                let excess = self.excess_of(worker, running.kind, own);
+                let excess = self.excess_on_worker(worker, running.kind, own);
                 let kind = record.map(|record| &self.world.kinds[record.kind]);
                 let others = slot.tasks().iter().filter(|task| task.task != running.task);
-                reports.push(UsageNote {
+                samples.push(UsageSample {
                     worker,
                     task: own,
                     kind: running.kind,
@@ -32,37 +32,38 @@
             }
         }
         let index = self.batch.usage.len();
-        self.batch.usage.push(Some(UsageBatch { reports }));
+        self.batch.usage.push(Some(UsageBatch { samples }));
         let arrival = now + self.world.options.usage_lag;
         self.world
             .queue
             .push(arrival, ReplayEvent::UsageArrives(index));
     }
 
-    pub(crate) fn usage_arrives(&mut self, now: TimePoint, index: usize) {
+    pub(crate) fn apply_usage(&mut self, now: TimePoint, index: usize) {
         let Some(batch) = self.batch.usage[index].take() else {
             return;
         };
         if !self.world.policy.learns() {
             return;
         }
-        for note in &batch.reports {
+        for sample in &batch.samples {
             let batch = &mut self.batch;
             batch
                 .pairs
-                .learn(note.kind, &note.neighbours, note.band, note.excess);
-            if note.task.is_some() {
-                let used = ResourceVector::new(note.used_cpu_milli, note.declared.memory_mib, 0);
-                batch.sizes.learn(note.kind, note.declared, used);
+                .learn(sample.kind, &sample.neighbours, sample.band, sample.excess);
+            if sample.task.is_some() {
+                let used =
+                    ResourceVector::new(sample.used_cpu_milli, sample.declared.memory_mib, 0);
+                batch.sizes.learn(sample.kind, sample.declared, used);
             }
         }
         for worker in 0..self.world.workers.len() {
-            self.relieve(now, worker, &batch.reports);
+            self.mitigate(now, worker, &batch.samples);
         }
     }
 
     /// Throttles, restores or evicts one neighbour of a slowed latency-critical task.
-    pub(super) fn relieve(&mut self, now: TimePoint, worker: usize, reports: &[UsageNote]) {
+    pub(super) fn mitigate(&mut self, now: TimePoint, worker: usize, samples: &[UsageSample]) {
         let Some(slot) = self.batch.table.get(self.batch.keys[worker]) else {
             return;
         };
@@ -71,18 +72,18 @@
             .iter()
             .filter(|task| task.urgent)
             .filter_map(|task| {
-                let note = reports
+                let sample = samples
                     .iter()
-                    .filter(|note| note.worker == worker && note.kind == task.kind)
+                    .filter(|sample| sample.worker == worker && sample.kind == task.kind)
                     .max_by(|a, b| a.excess.total_cmp(&b.excess))?;
-                Some((*task, note.excess))
+                Some((*task, sample.excess))
             })
             .max_by(|(_, a), (_, b)| a.total_cmp(b));
         let Some((victim, excess)) = worst else {
             return;
         };
         let weights = self.world.options.weights;
-        let relief = &mut self.batch.records[worker].relief;
+        let mitigation = &mut self.batch.records[worker].mitigation;
         let view = MitigationView {
             worker: slot,
             affected: &victim,
@@ -90,14 +91,14 @@
             pairs: &self.batch.pairs,
             weights,
         };
-        let choice = relief.decide(now, view);
+        let choice = mitigation.decide(now, view);
         match choice {
             MitigationChoice::Keep => {}
             MitigationChoice::Throttle(task) => {
                 self.set_throttle(now, worker, task, f64::from(THROTTLED_PERCENT) / 100.0);
             }
             MitigationChoice::Restore(task) => self.set_throttle(now, worker, task, 1.0),
-            MitigationChoice::Evict(task) => self.stop(now, task),
+            MitigationChoice::Evict(task) => self.begin_stop(now, task),
         }
     }
 
@@ -105,14 +106,14 @@
         if !self.batch.tasks.contains_key(&task) {
             return;
         }
-        self.settle(now, task);
+        self.record_progress(now, task);
         if let Some(record) = self.batch.tasks.get_mut(&task) {
             record.throttle = share;
         }
-        self.respeed(now, worker);
+        self.replan_run_ends(now, worker);
     }
 
-    pub(crate) fn respeed_worker(&mut self, now: TimePoint, worker: usize) {
-        self.respeed(now, worker);
+    pub(crate) fn replan_worker(&mut self, now: TimePoint, worker: usize) {
+        self.replan_run_ends(now, worker);
     }
 }
--- a/crates/wax-replay/src/compare.rs
+++ b/crates/wax-replay/src/compare.rs
@@ -9,11 +9,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct RatioSpread {
     /// The least.
-    pub least: f64,
+    #[serde(rename = "least")]
+    pub min: f64,
     /// The median.
     pub median: f64,
     /// The greatest.
-    pub most: f64,
+    #[serde(rename = "most")]
+    pub max: f64,
 }
 
 /// Ours divided by one baseline; below 1 is better, but for the batch work.
@@ -68,7 +70,7 @@
     }
     let ratios = baselines
         .iter()
-        .map(|reports| ratios_of(reports[0].policy.clone(), &ours, &figures_of(reports)))
+        .map(|reports| ratios_of(reports[0].policy.clone(), &ours, &figures_of_all(reports)))
         .collect();
     let best: Vec<FigureSet> = (0..ours.len())
         .map(|seed| best_of(baselines.iter().map(|reports| figures(&reports[seed]))))
@@ -109,7 +111,7 @@
     }
 }
 
-fn figures_of(reports: &[ReplayReport]) -> Vec<FigureSet> {
+fn figures_of_all(reports: &[ReplayReport]) -> Vec<FigureSet> {
     reports.iter().map(figures).collect()
 }
 
@@ -156,8 +158,8 @@
 fn spread_of(mut ratios: Vec<f64>) -> RatioSpread {
     ratios.sort_by(f64::total_cmp);
     RatioSpread {
-        least: ratios[0],
+        min: ratios[0],
         median: ratios[ratios.len() / 2],
-        most: ratios[ratios.len() - 1],
+        max: ratios[ratios.len() - 1],
     }
 }
--- a/crates/wax-replay/src/engine.rs
+++ b/crates/wax-replay/src/engine.rs
@@ -1,11 +1,11 @@
 //! Runs a trace from its start to its end.
 
-use crate::batch::{BatchState, LAPSE, LOOK_PERIOD};
+use crate::batch::{BatchState, LEASE_EXPIRY, SCHEDULING_PERIOD};
 use crate::events::ReplayEvent;
 use crate::quick::QuickState;
 use crate::report::ReplayReport;
 use crate::trace::{ReplayPolicy, TraceError, TraceLine};
-use crate::world::{FaultTruth, ReplayWorld, TRACE_START};
+use crate::world::{ReplayFault, ReplayWorld, TRACE_START};
 use std::time::Duration;
 use wax_types::TimePoint;
 
@@ -46,7 +46,7 @@
         };
         let queue = &mut run.world.queue;
         queue.push(TRACE_START, ReplayEvent::LoadsReported);
-        queue.push(TRACE_START, ReplayEvent::OwnerLooks);
+        queue.push(TRACE_START, ReplayEvent::SchedulingDue);
         queue.push(TRACE_START + USAGE_PERIOD, ReplayEvent::UsageMeasured);
         run
     }
@@ -56,32 +56,32 @@
             if now > self.world.options.until {
                 break;
             }
-            self.take(now, event);
+            self.handle_event(now, event);
         }
     }
 
-    fn take(&mut self, now: TimePoint, event: ReplayEvent) {
+    fn handle_event(&mut self, now: TimePoint, event: ReplayEvent) {
         match event {
-            ReplayEvent::QuickArrives(request) => self.quick_arrives(now, request),
-            ReplayEvent::AttemptArrives(attempt) => self.attempt_arrives(now, attempt),
-            ReplayEvent::AttemptEnds(attempt) => self.attempt_ends(now, attempt),
-            ReplayEvent::AnswerArrives(attempt) => self.answer_arrives(now, attempt),
-            ReplayEvent::HedgeDue(request) => self.hedge_due(now, request),
-            ReplayEvent::DeadlinePasses(request) => self.deadline_passes(now, request),
-            ReplayEvent::JobArrives(job) => self.job_arrives(now, job),
-            ReplayEvent::RunEnds(task, generation) => self.run_ends(now, task, generation),
-            ReplayEvent::StopDone(task, evictions) => self.stop_done(now, task, evictions),
-            ReplayEvent::UsageArrives(index) => self.usage_arrives(now, index),
-            ReplayEvent::FaultChanges(fault, begins) => self.change_fault(now, fault, begins),
-            ReplayEvent::LeasesLapse(worker) => self.lose_worker(now, worker),
-            ReplayEvent::Cancelled(cancel) => self.cancel_wave(now, cancel),
+            ReplayEvent::QuickArrives(request) => self.handle_quick_arrival(now, request),
+            ReplayEvent::AttemptArrives(attempt) => self.handle_attempt_arrival(now, attempt),
+            ReplayEvent::AttemptEnds(attempt) => self.handle_attempt_end(now, attempt),
+            ReplayEvent::AnswerArrives(attempt) => self.handle_answer(now, attempt),
+            ReplayEvent::HedgeDue(request) => self.handle_hedge(now, request),
+            ReplayEvent::DeadlinePasses(request) => self.handle_deadline(now, request),
+            ReplayEvent::JobArrives(job) => self.handle_job_arrival(now, job),
+            ReplayEvent::RunEnds(task, generation) => self.handle_run_end(now, task, generation),
+            ReplayEvent::StopDone(task, evictions) => self.finish_stop(now, task, evictions),
+            ReplayEvent::UsageArrives(index) => self.apply_usage(now, index),
+            ReplayEvent::FaultChanges(fault, active) => self.set_fault(now, fault, active),
+            ReplayEvent::LeasesExpire(worker) => self.requeue_lost_tasks(now, worker),
+            ReplayEvent::Cancelled(cancel) => self.cancel_jobs(now, cancel),
             ReplayEvent::LoadsReported => {
                 self.report_loads(now);
                 self.world.queue.push(now + LOAD_PERIOD, event);
             }
-            ReplayEvent::OwnerLooks => {
-                self.owner_looks(now);
-                self.world.queue.push(now + LOOK_PERIOD, event);
+            ReplayEvent::SchedulingDue => {
+                self.schedule_queue(now);
+                self.world.queue.push(now + SCHEDULING_PERIOD, event);
             }
             ReplayEvent::UsageMeasured => {
                 self.measure_usage(now);
@@ -90,24 +90,24 @@
         }
     }
 
-    fn change_fault(&mut self, now: TimePoint, fault: usize, begins: bool) {
+    fn set_fault(&mut self, now: TimePoint, fault: usize, active: bool) {
         match self.world.faults[fault] {
-            FaultTruth::WorkerFails(worker) => {
-                self.world.workers[worker].fails = begins;
-                self.respeed_worker(now, worker);
+            ReplayFault::WorkerFails(worker) => {
+                self.world.workers[worker].fails = active;
+                self.replan_worker(now, worker);
             }
-            FaultTruth::WorkerDown(worker) => {
-                self.world.workers[worker].down = begins;
-                if begins {
-                    let lapsed = now + LAPSE;
-                    let event = ReplayEvent::LeasesLapse(worker);
-                    self.world.queue.push(lapsed, event);
+            ReplayFault::WorkerDown(worker) => {
+                self.world.workers[worker].down = active;
+                if active {
+                    let expired_at = now + LEASE_EXPIRY;
+                    let event = ReplayEvent::LeasesExpire(worker);
+                    self.world.queue.push(expired_at, event);
                 }
             }
-            FaultTruth::UpstreamSlow(upstream, factor) => {
-                self.world.upstreams[upstream].slow = if begins { factor } else { 1.0 };
+            ReplayFault::UpstreamSlow(upstream, factor) => {
+                self.world.upstreams[upstream].slow_factor = if active { factor } else { 1.0 };
             }
-            FaultTruth::StoreDown => self.world.store_down = begins,
+            ReplayFault::StoreDown => self.world.store_down = active,
         }
     }
 
@@ -121,7 +121,7 @@
             urgent: self.urgent_report(),
             rows_per_placement: self.batch.rows_per_placement(),
             commits_per_placement: self.batch.commits_per_placement(),
-            worst_over_milli: self.batch.worst_over(),
+            worst_over_milli: self.batch.max_overallocation_milli(),
         }
     }
 }
--- a/crates/wax-replay/src/events.rs
+++ b/crates/wax-replay/src/events.rs
@@ -24,7 +24,7 @@
     /// A job arrives.
     JobArrives(usize),
     /// The owner looks at its queue.
-    OwnerLooks,
+    SchedulingDue,
     /// A run ends, if nothing has changed its speed since.
     RunEnds(TaskId, u64),
     /// Workers measure usage.
@@ -36,7 +36,7 @@
     /// A fault begins or ends.
     FaultChanges(usize, bool),
     /// The leases at a lost worker have lapsed.
-    LeasesLapse(usize),
+    LeasesExpire(usize),
     /// Jobs are cancelled.
     Cancelled(usize),
 }
--- a/crates/wax-replay/src/lib.rs
+++ b/crates/wax-replay/src/lib.rs
@@ -14,7 +14,7 @@
 mod trace_bound;
 mod world;
 
-pub use bound::{BoundJob, BoundSlot, DayBound, bound_day};
+pub use bound::{BoundJob, BoundSlot, WorkBound, compute_bound};
 pub use compare::{ComparisonReport, PolicyRatios, RatioSpread, compare_policies};
 pub use engine::replay;
 pub use report::{BatchReport, QuickReport, ReplayReport, UrgentReport};
--- a/crates/wax-replay/src/quick.rs
+++ b/crates/wax-replay/src/quick.rs
@@ -2,7 +2,7 @@
 
 use crate::engine::ReplayRun;
 use crate::events::ReplayEvent;
-use crate::report::{LatencyRecord, QuickReport};
+use crate::report::{LatencyHistogram, QuickReport};
 use crate::world::ReplayWorld;
 use std::time::Duration;
 use wax_policy::{
@@ -21,7 +21,7 @@
 
 /// How an attempt ended at its sidecar.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum AttemptFate {
+enum AttemptOutcome {
     Open,
     Answered,
     Refused,
@@ -35,7 +35,7 @@
     upstream: usize,
     sent: TimePoint,
     started: TimePoint,
-    fate: AttemptFate,
+    outcome: AttemptOutcome,
     /// The entry no longer waits for it.
     closed: bool,
 }
@@ -44,7 +44,7 @@
 struct RequestState {
     arrived: TimePoint,
     deadline: TimePoint,
-    live: Vec<usize>,
+    open_attempts: Vec<usize>,
     tried: Vec<UpstreamKey>,
     ended: bool,
 }
@@ -58,7 +58,7 @@
     attempts: Vec<AttemptState>,
     retries: RetryBudget,
     hedges: RetryBudget,
-    latency: LatencyRecord,
+    latency: LatencyHistogram,
     answered: u64,
     misses: u64,
     refused: u64,
@@ -69,13 +69,13 @@
     pub(crate) fn new(world: &ReplayWorld, now: TimePoint) -> Self {
         let mut routes = RouteTable::default();
         // The entry stands in the failure domain of the first worker.
-        let home = world.workers.first().map(|worker| worker.domain.clone());
+        let entry_domain = world.workers.first().map(|worker| worker.domain.clone());
         let keys = world
             .upstreams
             .iter()
             .map(|upstream| {
                 let domain = &world.workers[upstream.worker].domain;
-                let local = Some(domain) == home.as_ref();
+                let local = Some(domain) == entry_domain.as_ref();
                 let view = UpstreamView::new(&upstream.service, local, upstream.slots, now);
                 routes.add(view)
             })
@@ -85,7 +85,7 @@
             .iter()
             .map(|upstream| SlotGate::new(upstream.slots as usize, QUEUE_LIMIT))
             .collect();
-        let requests = world.quicks.iter().map(|_| RequestState::default());
+        let requests = world.requests.iter().map(|_| RequestState::default());
         Self {
             routes,
             keys,
@@ -94,7 +94,7 @@
             attempts: Vec::new(),
             retries: RetryBudget::default(),
             hedges: RetryBudget::default(),
-            latency: LatencyRecord::new(),
+            latency: LatencyHistogram::new(),
             answered: 0,
             misses: 0,
             refused: 0,
@@ -124,18 +124,18 @@
 }
 
 impl ReplayRun {
-    fn hop(&self, upstream: usize) -> Duration {
-        let home = &self.world.workers[0].domain;
+    fn hop_latency(&self, upstream: usize) -> Duration {
+        let entry_domain = &self.world.workers[0].domain;
         let worker = self.world.upstreams[upstream].worker;
-        if self.world.workers[worker].domain == *home {
+        if self.world.workers[worker].domain == *entry_domain {
             LOCAL_HOP
         } else {
             self.world.options.domain_hop
         }
     }
 
-    pub(crate) fn quick_arrives(&mut self, now: TimePoint, request: usize) {
-        let deadline = now + self.world.quicks[request].allowed;
+    pub(crate) fn handle_quick_arrival(&mut self, now: TimePoint, request: usize) {
+        let deadline = now + self.world.requests[request].timeout;
         let state = &mut self.quick.requests[request];
         state.arrived = now;
         state.deadline = deadline;
@@ -144,7 +144,7 @@
         let event = ReplayEvent::DeadlinePasses(request);
         self.world.queue.push(deadline, event);
         if !self.send_attempt(now, request) {
-            self.refuse(now, request);
+            self.refuse_request(now, request);
         }
     }
 
@@ -154,7 +154,7 @@
         let state = &quick.requests[request];
         let choice = quick.routes.choose(
             now,
-            &self.world.quicks[request].service,
+            &self.world.requests[request].service,
             state.deadline,
             &state.tried,
             self.world.policy.route,
@@ -171,15 +171,15 @@
             upstream,
             sent: now,
             started: now,
-            fate: AttemptFate::Open,
+            outcome: AttemptOutcome::Open,
             closed: false,
         });
         let state = &mut quick.requests[request];
-        state.live.push(attempt);
+        state.open_attempts.push(attempt);
         state.tried.push(key);
         let first = state.tried.len() == 1;
         let hedge_at = quick.routes.hedge_time(now, key, state.deadline);
-        let arrival = now + self.hop(upstream);
+        let arrival = now + self.hop_latency(upstream);
         let queue = &mut self.world.queue;
         queue.push(arrival, ReplayEvent::AttemptArrives(attempt));
         let hedges = first && self.world.policy.route == RoutePolicy::Weighed;
@@ -189,9 +189,9 @@
         true
     }
 
-    pub(crate) fn hedge_due(&mut self, now: TimePoint, request: usize) {
+    pub(crate) fn handle_hedge(&mut self, now: TimePoint, request: usize) {
         let state = &self.quick.requests[request];
-        if state.ended || state.tried.len() != 1 || state.live.is_empty() {
+        if state.ended || state.tried.len() != 1 || state.open_attempts.is_empty() {
             return;
         }
         if self.quick.hedges.try_spend() && self.send_attempt(now, request) {
@@ -199,7 +199,7 @@
         }
     }
 
-    pub(crate) fn attempt_arrives(&mut self, now: TimePoint, attempt: usize) {
+    pub(crate) fn handle_attempt_arrival(&mut self, now: TimePoint, attempt: usize) {
         let state = &self.quick.attempts[attempt];
         let (upstream, request) = (state.upstream, state.request);
         let worker = self.world.upstreams[upstream].worker;
@@ -207,14 +207,14 @@
             return;
         }
         if self.world.workers[worker].down {
-            return self.answer(now, attempt, AttemptFate::Unreachable);
+            return self.send_answer(now, attempt, AttemptOutcome::Unreachable);
         }
         let deadline = self.quick.requests[request].deadline;
         match self.quick.gates[upstream].admit(now, deadline, attempt) {
             GateChoice::Run => self.start_attempt(now, attempt),
             GateChoice::Queue => {}
             GateChoice::Full(_) | GateChoice::CannotMeetDeadline(_) => {
-                self.answer(now, attempt, AttemptFate::Refused);
+                self.send_answer(now, attempt, AttemptOutcome::Refused);
             }
         }
     }
@@ -224,8 +224,10 @@
         state.started = now;
         let (upstream, request) = (state.upstream, state.request);
         let slowdown = self.service_slowdown(upstream);
-        let hiccup = self.world.draw_hiccup();
-        let work = self.world.quicks[request].work.mul_f64(slowdown * hiccup);
+        let pause_factor = self.world.draw_pause_factor();
+        let work = self.world.requests[request]
+            .work
+            .mul_f64(slowdown * pause_factor);
         self.world
             .queue
             .push(now + work, ReplayEvent::AttemptEnds(attempt));
@@ -233,12 +235,12 @@
 
     /// How much longer a request takes at an upstream now than alone.
     fn service_slowdown(&self, upstream: usize) -> f64 {
-        let truth = &self.world.upstreams[upstream];
-        let excess = self.excess_of(truth.worker, truth.kind, None);
-        truth.slow * (1.0 + excess)
+        let actual = &self.world.upstreams[upstream];
+        let excess = self.excess_on_worker(actual.worker, actual.kind, None);
+        actual.slow_factor * (1.0 + excess)
     }
 
-    pub(crate) fn attempt_ends(&mut self, now: TimePoint, attempt: usize) {
+    pub(crate) fn handle_attempt_end(&mut self, now: TimePoint, attempt: usize) {
         let state = &self.quick.attempts[attempt];
         let upstream = state.upstream;
         let spent = now.since(state.started);
@@ -247,15 +249,17 @@
             // It died with its worker; the entry learns of it by its deadline or its hedge.
             return;
         }
-        self.answer(now, attempt, AttemptFate::Answered);
-        self.start_waiting(now, upstream);
+        self.send_answer(now, attempt, AttemptOutcome::Answered);
+        self.start_queued(now, upstream);
     }
 
-    fn start_waiting(&mut self, now: TimePoint, upstream: usize) {
+    fn start_queued(&mut self, now: TimePoint, upstream: usize) {
         loop {
             match self.quick.gates[upstream].dequeue(now) {
                 DequeueChoice::Idle => return,
-                DequeueChoice::Drop(attempt) => self.answer(now, attempt, AttemptFate::Refused),
+                DequeueChoice::Drop(attempt) => {
+                    self.send_answer(now, attempt, AttemptOutcome::Refused)
+                }
                 DequeueChoice::Run(attempt) if self.quick.attempts[attempt].closed => {
                     self.quick.gates[upstream].release_unused();
                 }
@@ -264,53 +268,53 @@
         }
     }
 
-    fn answer(&mut self, now: TimePoint, attempt: usize, fate: AttemptFate) {
-        self.quick.attempts[attempt].fate = fate;
-        let arrival = now + self.hop(self.quick.attempts[attempt].upstream);
+    fn send_answer(&mut self, now: TimePoint, attempt: usize, outcome: AttemptOutcome) {
+        self.quick.attempts[attempt].outcome = outcome;
+        let arrival = now + self.hop_latency(self.quick.attempts[attempt].upstream);
         let event = ReplayEvent::AnswerArrives(attempt);
         self.world.queue.push(arrival, event);
     }
 
-    pub(crate) fn answer_arrives(&mut self, now: TimePoint, attempt: usize) {
+    pub(crate) fn handle_answer(&mut self, now: TimePoint, attempt: usize) {
         let state = &mut self.quick.attempts[attempt];
         if state.closed {
             return;
         }
         state.closed = true;
-        let (request, sent, fate) = (state.request, state.sent, state.fate);
+        let (request, sent, outcome) = (state.request, state.sent, state.outcome);
         let key = self.quick.keys[state.upstream];
-        let end = match fate {
-            AttemptFate::Answered => AttemptEnd::Answered(now.since(sent)),
-            AttemptFate::Unreachable => AttemptEnd::Failed,
-            AttemptFate::Refused | AttemptFate::Open => AttemptEnd::Refused,
+        let end = match outcome {
+            AttemptOutcome::Answered => AttemptEnd::Answered(now.since(sent)),
+            AttemptOutcome::Unreachable => AttemptEnd::Failed,
+            AttemptOutcome::Refused | AttemptOutcome::Open => AttemptEnd::Refused,
         };
         self.quick.routes.end_attempt(now, key, end);
         let state = &mut self.quick.requests[request];
-        state.live.retain(|live| *live != attempt);
+        state.open_attempts.retain(|open| *open != attempt);
         if state.ended {
             return;
         }
-        if fate == AttemptFate::Answered {
+        if outcome == AttemptOutcome::Answered {
             state.ended = true;
             let latency = now.since(state.arrived);
             self.quick.latency.add(latency);
             self.quick.answered += 1;
-            return self.abandon(now, request);
+            return self.abandon_attempts(now, request);
         }
-        let alone = state.live.is_empty();
+        let alone = state.open_attempts.is_empty();
         let others = state.tried.len() < self.quick.keys.len();
         if !alone {
             return;
         }
         if !(others && self.quick.retries.try_spend() && self.send_attempt(now, request)) {
-            self.refuse(now, request);
+            self.refuse_request(now, request);
         }
     }
 
     /// Gives up the attempts that a request still has under way.
-    fn abandon(&mut self, now: TimePoint, request: usize) {
-        let live = std::mem::take(&mut self.quick.requests[request].live);
-        for attempt in live {
+    fn abandon_attempts(&mut self, now: TimePoint, request: usize) {
+        let open_attempts = std::mem::take(&mut self.quick.requests[request].open_attempts);
+        for attempt in open_attempts {
             let state = &mut self.quick.attempts[attempt];
             state.closed = true;
             let (key, upstream) = (self.quick.keys[state.upstream], state.upstream);
@@ -321,36 +325,36 @@
         }
     }
 
-    fn refuse(&mut self, now: TimePoint, request: usize) {
+    fn refuse_request(&mut self, now: TimePoint, request: usize) {
         self.quick.refused += 1;
-        self.miss(now, request);
+        self.record_miss(now, request);
     }
 
     /// A request without an answer counts as its whole deadline.
-    fn miss(&mut self, now: TimePoint, request: usize) {
+    fn record_miss(&mut self, now: TimePoint, request: usize) {
         let state = &mut self.quick.requests[request];
         state.ended = true;
-        let allowed = self.world.quicks[request].allowed;
-        self.quick.latency.add(allowed);
+        let timeout = self.world.requests[request].timeout;
+        self.quick.latency.add(timeout);
         self.quick.misses += 1;
-        self.abandon(now, request);
+        self.abandon_attempts(now, request);
     }
 
-    pub(crate) fn deadline_passes(&mut self, now: TimePoint, request: usize) {
+    pub(crate) fn handle_deadline(&mut self, now: TimePoint, request: usize) {
         if self.quick.requests[request].ended {
             return;
         }
-        for attempt in self.quick.requests[request].live.clone() {
+        for attempt in self.quick.requests[request].open_attempts.clone() {
             let key = self.quick.keys[self.quick.attempts[attempt].upstream];
             self.quick.attempts[attempt].closed = true;
             self.quick.routes.end_attempt(now, key, AttemptEnd::Failed);
         }
-        self.quick.requests[request].live.clear();
-        self.miss(now, request);
+        self.quick.requests[request].open_attempts.clear();
+        self.record_miss(now, request);
     }
 
     pub(crate) fn report_loads(&mut self, now: TimePoint) {
-        for (upstream, truth) in self.world.upstreams.iter().enumerate() {
+        for (upstream, actual) in self.world.upstreams.iter().enumerate() {
             let gate = &self.quick.gates[upstream];
             let load = UpstreamLoad {
                 slots_used: gate.slots_used() as u32,
@@ -360,7 +364,7 @@
                 up: true,
             };
             // A sidecar that is down says nothing.
-            if !self.world.workers[truth.worker].down {
+            if !self.world.workers[actual.worker].down {
                 let key = self.quick.keys[upstream];
                 self.quick.routes.update_load(now, key, load);
             }
--- a/crates/wax-replay/src/report.rs
+++ b/crates/wax-replay/src/report.rs
@@ -82,11 +82,11 @@
 
 /// Collects latencies.
 #[derive(Debug)]
-pub(crate) struct LatencyRecord {
+pub(crate) struct LatencyHistogram {
     histogram: Histogram<u64>,
 }
 
-impl LatencyRecord {
+impl LatencyHistogram {
     pub(crate) fn new() -> Self {
         Self {
             histogram: Histogram::new(3).expect("three digits are allowed"),
--- a/crates/wax-replay/src/trace_bound.rs
+++ b/crates/wax-replay/src/trace_bound.rs
@@ -1,11 +1,11 @@
 //! The bound of a recorded trace: its tasks, with the work that they truly have, until it ends.
 
-use crate::bound::{BoundJob, BoundSlot, DayBound, bound_day};
+use crate::bound::{BoundJob, BoundSlot, WorkBound, compute_bound};
 use crate::trace::{ReplayPolicy, TraceError, TraceLine};
 use crate::world::{ReplayWorld, TRACE_START};
 
 /// Length of a slot, seconds: outages of workers are rounded in their favour by less than this.
-const SLOT: f64 = 1.0;
+const SLOT_S: f64 = 1.0;
 
 /// The run time of tasks that can end by the end of the trace, whatever the policy; worth is run time
 /// alone with enough processors, seconds, as a replay counts work done.
@@ -13,7 +13,7 @@
 /// # Errors
 ///
 /// A line names something that no line before it declares.
-pub fn bound_trace(lines: &[TraceLine], seed: u64) -> Result<DayBound, TraceError> {
+pub fn bound_trace(lines: &[TraceLine], seed: u64) -> Result<WorkBound, TraceError> {
     let world = ReplayWorld::build(lines, ReplayPolicy::WEIGHED, seed)?;
     let until = world.options.until.since(TRACE_START).as_secs_f64();
     let jobs: Vec<BoundJob> = world
@@ -22,38 +22,38 @@
         .map(|job| {
             let kind = &world.kinds[job.kind];
             let cores = f64::from(kind.true_cpu_milli.min(kind.declared.cpu_milli)) / 1e3;
-            let worth = f64::from(job.tasks) * job.work.as_secs_f64();
+            let value = f64::from(job.tasks) * job.work.as_secs_f64();
             BoundJob {
-                arrives: job.arrives.since(TRACE_START).as_secs_f64(),
-                due: until,
-                work: worth * cores,
-                worth,
+                arrival_s: job.arrives.since(TRACE_START).as_secs_f64(),
+                deadline_s: until,
+                work_core_s: value * cores,
+                value,
             }
         })
         .collect();
-    Ok(bound_day(&jobs, &slots(lines, until)))
+    Ok(compute_bound(&jobs, &slots(lines, until)))
 }
 
 /// The processors of all workers that are up; what upstreams reserve counts as free.
 fn slots(lines: &[TraceLine], until: f64) -> Vec<BoundSlot> {
-    let count = (until / SLOT).ceil() as usize;
+    let count = (until / SLOT_S).ceil() as usize;
     let slot = |number: usize| {
-        let from = number as f64 * SLOT;
-        let to = (from + SLOT).min(until);
+        let from = number as f64 * SLOT_S;
+        let to = (from + SLOT_S).min(until);
         let all: f64 = lines
             .iter()
-            .map(|line| cores_of(line, lines, from, to))
+            .map(|line| available_cores(line, lines, from, to))
             .sum();
         BoundSlot {
-            from,
-            to,
+            start_s: from,
+            end_s: to,
             cores: all,
         }
     };
     (0..count).map(slot).collect()
 }
 
-fn cores_of(line: &TraceLine, lines: &[TraceLine], from: f64, to: f64) -> f64 {
+fn available_cores(line: &TraceLine, lines: &[TraceLine], from: f64, to: f64) -> f64 {
     let TraceLine::Worker {
         name, cpu_milli, ..
     } = line
--- a/crates/wax-replay/src/world.rs
+++ b/crates/wax-replay/src/world.rs
@@ -24,7 +24,7 @@
 
 /// A worker.
 #[derive(Debug, Clone)]
-pub(crate) struct WorkerTruth {
+pub(crate) struct ReplayWorker {
     pub(crate) name: Box<str>,
     pub(crate) domain: Box<str>,
     pub(crate) capacity: ResourceVector,
@@ -34,19 +34,19 @@
 
 /// An upstream.
 #[derive(Debug, Clone)]
-pub(crate) struct UpstreamTruth {
+pub(crate) struct ReplayUpstream {
     pub(crate) name: Box<str>,
     pub(crate) worker: usize,
     pub(crate) service: Box<str>,
     pub(crate) kind: KindKey,
     pub(crate) slots: u32,
     pub(crate) size: ResourceVector,
-    pub(crate) slow: f64,
+    pub(crate) slow_factor: f64,
 }
 
 /// A kind of task.
 #[derive(Debug, Clone)]
-pub(crate) struct KindTruth {
+pub(crate) struct ReplayKind {
     pub(crate) name: Box<str>,
     pub(crate) key: KindKey,
     pub(crate) urgent: bool,
@@ -57,7 +57,7 @@
 
 /// A job.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct JobTruth {
+pub(crate) struct ReplayJob {
     pub(crate) arrives: TimePoint,
     pub(crate) kind: usize,
     pub(crate) tasks: u32,
@@ -66,15 +66,15 @@
 
 /// A quick request.
 #[derive(Debug, Clone)]
-pub(crate) struct QuickTruth {
+pub(crate) struct ReplayRequest {
     pub(crate) service: Box<str>,
     pub(crate) work: Duration,
-    pub(crate) allowed: Duration,
+    pub(crate) timeout: Duration,
 }
 
 /// A fault with a begin and an end.
 #[derive(Debug, Clone, Copy)]
-pub(crate) enum FaultTruth {
+pub(crate) enum ReplayFault {
     WorkerFails(usize),
     WorkerDown(usize),
     UpstreamSlow(usize, f64),
@@ -83,7 +83,7 @@
 
 /// Jobs that are cancelled together.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct CancelTruth {
+pub(crate) struct ReplayCancel {
     pub(crate) kind: usize,
     pub(crate) percent: u32,
 }
@@ -93,22 +93,22 @@
 pub(crate) struct ReplayWorld {
     pub(crate) options: ReplayOptions,
     pub(crate) policy: ReplayPolicy,
-    pub(crate) workers: Vec<WorkerTruth>,
-    pub(crate) upstreams: Vec<UpstreamTruth>,
-    pub(crate) kinds: Vec<KindTruth>,
+    pub(crate) workers: Vec<ReplayWorker>,
+    pub(crate) upstreams: Vec<ReplayUpstream>,
+    pub(crate) kinds: Vec<ReplayKind>,
     pub(crate) kind_keys: KindTable,
     pairs: HashMap<(KindKey, KindKey), (f64, f64)>,
-    pub(crate) jobs: Vec<JobTruth>,
-    pub(crate) quicks: Vec<QuickTruth>,
-    pub(crate) faults: Vec<FaultTruth>,
-    pub(crate) cancels: Vec<CancelTruth>,
+    pub(crate) jobs: Vec<ReplayJob>,
+    pub(crate) requests: Vec<ReplayRequest>,
+    pub(crate) faults: Vec<ReplayFault>,
+    pub(crate) cancels: Vec<ReplayCancel>,
     pub(crate) store_down: bool,
     pub(crate) rng: Rng,
     pub(crate) queue: EventQueue,
 }
 
 /// The time of the trace's clock.
-pub(crate) fn at(millis: u64) -> TimePoint {
+pub(crate) fn trace_time(millis: u64) -> TimePoint {
     TRACE_START + Duration::from_millis(millis)
 }
 
@@ -125,7 +125,7 @@
                 weights: CustomerWeights::default(),
                 day: WorkDay::default(),
                 domain_hop: Duration::from_micros(500),
-                until: at(60_000),
+                until: trace_time(60_000),
             },
             policy,
             workers: Vec::new(),
@@ -134,7 +134,7 @@
             kind_keys: KindTable::default(),
             pairs: HashMap::new(),
             jobs: Vec::new(),
-            quicks: Vec::new(),
+            requests: Vec::new(),
             faults: Vec::new(),
             cancels: Vec::new(),
             store_down: false,
@@ -142,7 +142,7 @@
             queue: EventQueue::default(),
         };
         for (index, line) in lines.iter().enumerate() {
-            world.take(line).map_err(|label| TraceError {
+            world.add_line(line).map_err(|label| TraceError {
                 line: index + 1,
                 label: label.into(),
             })?;
@@ -150,15 +150,15 @@
         Ok(world)
     }
 
-    fn take(&mut self, line: &TraceLine) -> Result<(), String> {
+    fn add_line(&mut self, line: &TraceLine) -> Result<(), String> {
         match line {
-            TraceLine::Options { .. } => self.take_options(line),
+            TraceLine::Options { .. } => self.set_options(line),
             TraceLine::Worker {
                 name,
                 domain,
                 cpu_milli,
                 memory_mib,
-            } => self.workers.push(WorkerTruth {
+            } => self.workers.push(ReplayWorker {
                 name: name.clone(),
                 domain: domain.clone(),
                 capacity: ResourceVector::new(*cpu_milli, *memory_mib, 0),
@@ -173,14 +173,14 @@
                 cpu_milli,
                 memory_mib,
             } => {
-                let upstream = UpstreamTruth {
+                let upstream = ReplayUpstream {
                     name: name.clone(),
-                    worker: self.worker(worker)?,
+                    worker: self.worker_index(worker)?,
                     service: service.clone(),
                     kind: self.kind_keys.key(service),
                     slots: *slots,
                     size: ResourceVector::new(*cpu_milli, *memory_mib, 0),
-                    slow: 1.0,
+                    slow_factor: 1.0,
                 };
                 self.upstreams.push(upstream);
             }
@@ -193,7 +193,7 @@
                 attempts,
                 ..
             } => {
-                let kind = KindTruth {
+                let kind = ReplayKind {
                     name: name.clone(),
                     key: self.kind_keys.key(name),
                     urgent: *class == TaskClass::LatencyCritical,
@@ -212,12 +212,12 @@
                 let pair = (self.kind_keys.key(victim), self.kind_keys.key(neighbour));
                 self.pairs.insert(pair, (*light, *loaded));
             }
-            other => return self.take_arrivals(other),
+            other => return self.add_arrivals(other),
         }
         Ok(())
     }
 
-    fn take_options(&mut self, line: &TraceLine) {
+    fn set_options(&mut self, line: &TraceLine) {
         let TraceLine::Options {
             usage_lag_ms,
             weight_tail,
@@ -244,18 +244,23 @@
                 end: minutes(day_end_min),
             },
             domain_hop: Duration::from_micros(*domain_us),
-            until: at(*until_ms),
+            until: trace_time(*until_ms),
         };
     }
 
-    fn take_arrivals(&mut self, line: &TraceLine) -> Result<(), String> {
+    fn add_arrivals(&mut self, line: &TraceLine) -> Result<(), String> {
         match line {
             TraceLine::Job {
                 at_ms,
                 kind,
                 tasks,
                 work_ms,
-            } => self.add_job(at(*at_ms), kind, *tasks, Duration::from_millis(*work_ms))?,
+            } => self.add_job(
+                trace_time(*at_ms),
+                kind,
+                *tasks,
+                Duration::from_millis(*work_ms),
+            )?,
             TraceLine::JobStream {
                 from_ms,
                 to_ms,
@@ -269,8 +274,8 @@
                 while millis < *to_ms as f64 {
                     let share = 0.5 + self.rng.f64();
                     let work = Duration::from_micros((*work_ms as f64 * 1_000.0 * share) as u64);
-                    self.add_job(at(millis as u64), kind, *tasks, work)?;
-                    millis += self.exponential(mean);
+                    self.add_job(trace_time(millis as u64), kind, *tasks, work)?;
+                    millis += self.draw_exponential(mean);
                 }
             }
             TraceLine::Quick {
@@ -280,7 +285,7 @@
                 deadline_ms,
             } => {
                 let work = Duration::from_micros(*service_us);
-                self.add_quick(at(*at_ms), service, work, *deadline_ms);
+                self.add_quick(trace_time(*at_ms), service, work, *deadline_ms);
             }
             TraceLine::QuickStream {
                 from_ms,
@@ -293,18 +298,18 @@
                 let mean = 1_000_000.0 / rate.max(1e-9);
                 let mut micros = (*from_ms * 1_000) as f64;
                 while micros < (*to_ms * 1_000) as f64 {
-                    let work = self.draw_service(*service_us as f64);
+                    let work = self.draw_service_time(*service_us as f64);
                     let arrival = TRACE_START + Duration::from_micros(micros as u64);
                     self.add_quick(arrival, service, work, *deadline_ms);
-                    micros += self.exponential(mean);
+                    micros += self.draw_exponential(mean);
                 }
             }
-            other => return self.take_fault(other),
+            other => return self.add_fault(other),
         }
         Ok(())
     }
 
-    fn take_fault(&mut self, line: &TraceLine) -> Result<(), String> {
+    fn add_fault(&mut self, line: &TraceLine) -> Result<(), String> {
         let (from, until, fault) = match line {
             TraceLine::WorkerFails {
                 at_ms,
@@ -313,7 +318,7 @@
             } => (
                 at_ms,
                 until_ms,
-                FaultTruth::WorkerFails(self.worker(worker)?),
+                ReplayFault::WorkerFails(self.worker_index(worker)?),
             ),
             TraceLine::WorkerDown {
                 at_ms,
@@ -322,7 +327,7 @@
             } => (
                 at_ms,
                 until_ms,
-                FaultTruth::WorkerDown(self.worker(worker)?),
+                ReplayFault::WorkerDown(self.worker_index(worker)?),
             ),
             TraceLine::UpstreamSlow {
                 at_ms,
@@ -335,21 +340,21 @@
                     .iter()
                     .position(|known| known.name == *upstream)
                     .ok_or_else(|| format!("no upstream {upstream}"))?;
-                (at_ms, until_ms, FaultTruth::UpstreamSlow(index, *factor))
+                (at_ms, until_ms, ReplayFault::UpstreamSlow(index, *factor))
             }
-            TraceLine::StoreDown { at_ms, until_ms } => (at_ms, until_ms, FaultTruth::StoreDown),
+            TraceLine::StoreDown { at_ms, until_ms } => (at_ms, until_ms, ReplayFault::StoreDown),
             TraceLine::CancelWave {
                 at_ms,
                 kind,
                 percent,
             } => {
-                let cancel = CancelTruth {
-                    kind: self.kind(kind)?,
+                let cancel = ReplayCancel {
+                    kind: self.kind_index(kind)?,
                     percent: *percent,
                 };
                 let event = ReplayEvent::Cancelled(self.cancels.len());
                 self.cancels.push(cancel);
-                self.queue.push(at(*at_ms), event);
+                self.queue.push(trace_time(*at_ms), event);
                 return Ok(());
             }
             _ => return Ok(()),
@@ -357,18 +362,18 @@
         let index = self.faults.len();
         self.faults.push(fault);
         self.queue
-            .push(at(*from), ReplayEvent::FaultChanges(index, true));
+            .push(trace_time(*from), ReplayEvent::FaultChanges(index, true));
         self.queue
-            .push(at(*until), ReplayEvent::FaultChanges(index, false));
+            .push(trace_time(*until), ReplayEvent::FaultChanges(index, false));
         Ok(())
     }
 
-    fn worker(&self, name: &str) -> Result<usize, String> {
+    fn worker_index(&self, name: &str) -> Result<usize, String> {
         let found = self.workers.iter().position(|worker| *worker.name == *name);
         found.ok_or_else(|| format!("no worker {name}"))
     }
 
-    fn kind(&self, name: &str) -> Result<usize, String> {
+    fn kind_index(&self, name: &str) -> Result<usize, String> {
         let found = self.kinds.iter().position(|kind| *kind.name == *name);
         found.ok_or_else(|| format!("no kind {name}"))
     }
@@ -380,9 +385,9 @@
         tasks: u32,
         work: Duration,
     ) -> Result<(), String> {
-        let kind = self.kind(kind)?;
+        let kind = self.kind_index(kind)?;
         let event = ReplayEvent::JobArrives(self.jobs.len());
-        self.jobs.push(JobTruth {
+        self.jobs.push(ReplayJob {
             arrives: at,
             kind,
             tasks,
@@ -393,28 +398,28 @@
     }
 
     fn add_quick(&mut self, at: TimePoint, service: &str, work: Duration, deadline_ms: u64) {
-        let event = ReplayEvent::QuickArrives(self.quicks.len());
-        self.quicks.push(QuickTruth {
+        let event = ReplayEvent::QuickArrives(self.requests.len());
+        self.requests.push(ReplayRequest {
             service: service.into(),
             work,
-            allowed: Duration::from_millis(deadline_ms),
+            timeout: Duration::from_millis(deadline_ms),
         });
         self.queue.push(at, event);
     }
 
     /// By `libm`, so that a seed gives the same times on every machine.
-    fn exponential(&mut self, mean: f64) -> f64 {
+    fn draw_exponential(&mut self, mean: f64) -> f64 {
         -mean * libm::log(1.0 - self.rng.f64())
     }
 
     /// Between 0.6 and 1.4 of the mean.
-    fn draw_service(&mut self, mean: f64) -> Duration {
+    fn draw_service_time(&mut self, mean: f64) -> Duration {
         let factor = 0.6 + 0.8 * self.rng.f64();
         Duration::from_micros((mean * factor) as u64)
     }
 
     /// One attempt in a hundred meets a pause of its upstream and takes several times as long.
-    pub(crate) fn draw_hiccup(&mut self) -> f64 {
+    pub(crate) fn draw_pause_factor(&mut self) -> f64 {
         if self.rng.u32(0..100) == 0 {
             2.0 + 4.0 * self.rng.f64()
         } else {
@@ -432,8 +437,8 @@
         neighbours
             .map(|(neighbour, speed)| {
                 let pair = self.pairs.get(&(victim, neighbour));
-                let harm = pair.map_or(0.0, |(light, full)| if loaded { *full } else { *light });
-                harm * speed
+                let excess = pair.map_or(0.0, |(light, full)| if loaded { *full } else { *light });
+                excess * speed
             })
             .sum()
     }
--- a/crates/wax-replay/tests/traces.rs
+++ b/crates/wax-replay/tests/traces.rs
@@ -6,7 +6,7 @@
 /// The seed of the stated outcomes.
 const SEED: u64 = 1;
 
-fn read(name: &str) -> String {
+fn read_trace(name: &str) -> String {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/traces");
     std::fs::read_to_string(folder.join(format!("{name}.jsonl"))).expect("the trace is committed")
 }
@@ -16,7 +16,7 @@
         $(
             #[test]
             fn $name() {
-                let lines = parse_trace(&read($file)).expect("the trace is correct");
+                let lines = parse_trace(&read_trace($file)).expect("the trace is correct");
                 let report = replay(&lines, ReplayPolicy::WEIGHED, SEED).expect("it runs");
                 assert_eq!(report.worst_over_milli, 0, "a worker was given more than it has");
                 assert_eq!(report.batch.failed, 0, "no task of these traces may be given up");
@@ -48,15 +48,15 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_verdict() {
-    let lines = parse_trace(&read("riveneige-mixed")).expect("correct");
+fn same_seed_gives_the_same_report() {
+    let lines = parse_trace(&read_trace("riveneige-mixed")).expect("correct");
     let first = replay(&lines, ReplayPolicy::WEIGHED, 7).expect("it runs");
     let second = replay(&lines, ReplayPolicy::WEIGHED, 7).expect("it runs");
     assert_eq!(first, second);
 }
 
 #[test]
-fn a_bad_line_is_named() {
+fn invalid_lines_are_reported() {
     let error = parse_trace("{\"event\":\"worker\"}\n").expect_err("fields are missing");
     assert_eq!(error.line, 1);
     let lines =
