--- a/crates/wax-cli/src/client.rs
+++ b/crates/wax-cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls an entry's interface for operators.
+//! HTTP client for an entry's operator interface.
 
 use cyper::Client;
 use http::Method;
@@ -7,10 +7,11 @@
 use std::time::Duration;
 use wax_types::{ErrorKind, Step, WaxError};
 
-/// Longest time for one call; a change may wait to be in force.
+/// Timeout of one call, which includes the time that a change of the settings may take to come into
+/// force.
 const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// One entry.
+/// Client of one entry.
 pub(crate) struct OperatorClient {
     client: Client,
     base: String,
@@ -80,7 +81,9 @@
             Ok::<_, cyper::Error>((status, response.bytes().await?))
         };
         let (status, bytes) = match compio::time::timeout(CALL_TIMEOUT, call).await {
-            Err(_) => return Err(self.error(ErrorKind::Timeout, "no answer in time")),
+            Err(_) => {
+                return Err(self.error(ErrorKind::Timeout, "no answer within the call timeout"));
+            }
             Ok(Err(error)) => {
                 let kind = ErrorKind::Unavailable(Duration::from_secs(1));
                 return Err(self
@@ -95,7 +98,7 @@
         Err(self.response_error(status, &bytes))
     }
 
-    /// The error that an entry sent.
+    /// Converts an error response of an entry.
     fn response_error(&self, status: http::StatusCode, bytes: &[u8]) -> WaxError {
         let body: Value = serde_json::from_slice(bytes).unwrap_or_default();
         let text = |key: &str| body.get(key).and_then(Value::as_str).unwrap_or_default();
--- a/crates/wax-cli/src/commands/bound.rs
+++ b/crates/wax-cli/src/commands/bound.rs
@@ -1,4 +1,5 @@
-//! `waxwing bound FILE...`: what no scheduler could exceed, for a trace or a day's log lines.
+//! `waxwing bound FILE...`: computes an upper bound of the work that any scheduler could complete,
+//! for a trace or for log lines.
 
 use super::logs::read_logs;
 use super::replay::trace_error;
@@ -9,10 +10,11 @@
 use wax_logs::JobHistory;
 use wax_replay::{BoundJob, BoundSlot, WorkBound, bound_trace, compute_bound, parse_trace};
 
-/// Length of a slot of a day's lines, seconds.
+/// Length of a slot when log lines are evaluated, seconds.
 const SLOT_S: f64 = 1.0;
 
-/// What a queue could have reached, and what it did.
+/// Upper bound of the work of a queue's jobs that can be completed in time, and the work that was,
+/// core seconds.
 struct QueueBound {
     bound: WorkBound,
     in_time: f64,
@@ -33,7 +35,7 @@
         )),
         None if files.len() == 1 => bound_of_trace(context, &files[0], seed.unwrap_or(1)),
         None => Err(CommandFailure::Usage(
-            "one trace, or log files with --cores".to_owned(),
+            "give one trace, or log files with --cores".to_owned(),
         )),
     }
 }
@@ -50,7 +52,7 @@
         return Ok(json_text(&serde_json::to_value(bound).unwrap_or_default()));
     }
     Ok(format!(
-        "{} jobs; run time asked for {:.1} s, possible by the end {:.1} s ({:.1}%)\n",
+        "{} jobs; requested run time {:.1} s, possible by the end of the trace {:.1} s ({:.1}%)\n",
         bound.jobs,
         bound.requested_value,
         bound.possible_value,
@@ -58,7 +60,8 @@
     ))
 }
 
-/// Jobs that do not last; each by its declared work and objective, and worth its work.
+/// Bounds the jobs of log files by their declared work and objective. The value of a job is its
+/// work. Jobs with a long-running step and cancelled jobs are left out.
 fn bound_of_logs(
     context: &CommandContext,
     files: &[String],
@@ -106,7 +109,7 @@
         "SHARE REACHED",
     ];
     Ok(format!(
-        "declared work done within objectives, on {cores} cores; a queue's own row has all cores to itself\n{}",
+        "declared work completed within objectives on {cores} cores; the row of a queue assumes that no other queue uses the cores\n{}",
         table_text(&heading, &cells)
     ))
 }
@@ -128,7 +131,8 @@
     }
 }
 
-/// When a job was last heard of: no line tells of work that was done after the last of all.
+/// Returns the time of the last log line about a job. No line records work done after the latest of
+/// these times.
 fn last_activity(job: &JobHistory) -> f64 {
     let runs = job.runs.iter().map(|run| {
         let ended = run.end.as_ref().map(|(at, _)| *at);
@@ -138,7 +142,8 @@
     runs.chain(ended).fold(job.requested_at, f64::max)
 }
 
-/// The same cores all day long, from the first line to the last sign of a job.
+/// Divides the time from the first line to the last activity of a job into slots with the same
+/// number of cores.
 fn slots(started_at: f64, last: f64, cores: f64) -> Vec<BoundSlot> {
     let count = ((last - started_at) / SLOT_S).ceil() as usize;
     let slot = |number: usize| BoundSlot {
--- a/crates/wax-cli/src/commands/check.rs
+++ b/crates/wax-cli/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `waxwing check [--policy] FILE`: checks a daemon's settings file and starts nothing.
+//! `waxwing check [--policy] FILE`: validates a daemon's settings file without starting the daemon.
 
 use crate::context::CommandContext;
 use crate::failure::CommandFailure;
@@ -22,7 +22,7 @@
     })
 }
 
-/// Every limit and weight in force, with what it may be.
+/// Formats every limit and weight in force, with its bounds.
 fn policy_text(settings: &DaemonSettings) -> String {
     let rows: Vec<Vec<String>> = settings
         .policy
--- a/crates/wax-cli/src/commands/domain.rs
+++ b/crates/wax-cli/src/commands/domain.rs
@@ -25,7 +25,7 @@
         return Ok(json_text(&answer));
     }
     Ok(match drains {
-        true => format!("{name}: drained; nothing new is placed there, what runs there goes on\n"),
-        false => format!("{name}: takes work again\n"),
+        true => format!("{name}: drained; no new tasks are placed there, running tasks continue\n"),
+        false => format!("{name}: no longer drained\n"),
     })
 }
--- a/crates/wax-cli/src/commands/explain.rs
+++ b/crates/wax-cli/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `waxwing explain job ID`: why each task stands where it stands.
+//! `waxwing explain job ID`: shows why each task of a job is in its current state.
 
 use super::peers::query_all;
 use crate::context::CommandContext;
@@ -38,10 +38,10 @@
     Ok(table_text(&["TASK", "REASON"], &rows))
 }
 
-/// The reason for a task that no owner holds any more.
+/// Returns the reason for a task that no owner reports.
 fn ended_reason(task: &Value) -> String {
     match &task["state"] {
-        Value::Null => "its shard has no owner at the moment".to_owned(),
+        Value::Null => "its shard currently has no owner".to_owned(),
         Value::Object(state) => state
             .iter()
             .map(|(name, value)| format!("{name}: {}", plain(value)))
--- a/crates/wax-cli/src/commands/job/cancel.rs
+++ b/crates/wax-cli/src/commands/job/cancel.rs
@@ -1,4 +1,4 @@
-//! `waxwing job cancel ID`.
+//! `waxwing job cancel ID`: cancels a job.
 
 use crate::context::CommandContext;
 use crate::failure::CommandFailure;
--- a/crates/wax-cli/src/commands/job/mod.rs
+++ b/crates/wax-cli/src/commands/job/mod.rs
@@ -1,4 +1,4 @@
-//! `waxwing job ...`: looks at jobs and cancels them.
+//! `waxwing job ...`: shows jobs, prints results and cancels jobs.
 
 mod cancel;
 mod result;
--- a/crates/wax-cli/src/commands/job/show.rs
+++ b/crates/wax-cli/src/commands/job/show.rs
@@ -1,4 +1,4 @@
-//! `waxwing job show ID`: a job and how each task stands.
+//! `waxwing job show ID`: shows a job and the state of each task.
 
 use crate::context::CommandContext;
 use crate::failure::CommandFailure;
--- a/crates/wax-cli/src/commands/logs.rs
+++ b/crates/wax-cli/src/commands/logs.rs
@@ -1,4 +1,5 @@
-//! `waxwing logs report FILE...`: what the pool's log lines tell of a day.
+//! `waxwing logs report FILE...`: reports jobs, waits and causes of delay from the pool's log
+//! lines.
 
 use crate::context::CommandContext;
 use crate::failure::CommandFailure;
@@ -10,7 +11,7 @@
 };
 use wax_types::{ErrorKind, Step, WaxError};
 
-/// Windows of the report, seconds, if the caller names none.
+/// Length of a window of the report, seconds, unless `--window` sets another.
 const DEFAULT_WINDOW_S: f64 = 2.0;
 
 pub(crate) fn run(context: &mut CommandContext) -> Result<String, CommandFailure> {
@@ -36,7 +37,11 @@
     if let Some(job) = job {
         let known = history.jobs.get(job.as_str());
         return known.map(job_timeline).ok_or_else(|| {
-            log_file_error(&files[0], format!("no line tells of job {job}")).into()
+            log_file_error(
+                &files[0],
+                format!("the log lines contain no accepted job {job}"),
+            )
+            .into()
         });
     }
     if let Some(file) = plot {
@@ -125,7 +130,7 @@
     ]
 }
 
-/// Causes of late work, the greatest first.
+/// Lists the causes of late work of a queue, the largest first.
 fn causes_text(row: &QueueRow) -> String {
     let all: f64 = row.causes.values().sum();
     let mut causes: Vec<(&String, &f64)> = row.causes.iter().collect();
--- a/crates/wax-cli/src/commands/mod.rs
+++ b/crates/wax-cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! One file for each command, in a folder for each family.
+//! The commands of `waxwing`: one module for each, in a folder for each group.
 
 mod bound;
 mod check;
@@ -21,29 +21,29 @@
 Usage: waxwing [--entry ADDR] [--json] COMMAND [ARGUMENTS]
 
   check [--policy] FILE      checks a daemon's settings file; shows the limits and weights in force
-  status                     members, shards, settings in force, the store's health
+  status                     shows members, shards, settings in force, state of the store
   submit TEAM SERVICE KIND   submits a job and prints its id
          [--tasks N] [--input JSON] [--key KEY]
   job show ID                shows a job and its tasks
   job cancel ID              cancels a job
   job result ID [INDEX]      prints the result of a task
   explain job ID             why each task of a job waits, runs or was given up
-  domain drain NAME          nothing new is placed in a failure domain; what runs there goes on
-  domain undrain NAME        takes that back
-  settings get               prints the tree in force
+  domain drain NAME          places no new tasks in a failure domain; running tasks continue
+  domain undrain NAME        ends the drain of a failure domain
+  settings get               prints the settings tree in force
   settings explain PATH      prints each value in force and where it comes from
   settings set PATH KEY VALUE [--expected VERSION] [--wait SECONDS]
   settings apply DIR [--dry-run] [--wait SECONDS] [--expected VERSION]
-  settings export DIR        writes the tree in force as files for `apply`
-  settings log               the newest changes
+  settings export DIR        writes the settings tree in force as files for `apply`
+  settings log               lists the latest changes
   usage [--team TEAM] [--from DAY] [--to DAY] [--csv]
-  logs report FILE...        jobs, waits and causes of lateness by the pool's log lines
+  logs report FILE...        reports jobs, waits and causes of delay from the pool's log lines
          [--window SECONDS] [--job ID] [--csv] [--plot FILE.svg]
   replay TRACE [--policy NAME] [--seed N]
-                             a recorded trace through the decisions of the daemons
-  replay TRACE --compare N   ours against every baseline, over N seeds
-  bound TRACE [--seed N]     what no scheduler could exceed on a recorded trace
-  bound FILE... --cores N    the same for a day of the pool's log lines, where N cores are free of what serves
+                             replays a recorded trace through the decision code of the daemons
+  replay TRACE --compare N   compares the weighed policy with every baseline over N seeds
+  bound TRACE [--seed N]     upper bound for any scheduler on a recorded trace
+  bound FILE... --cores N    the same for the pool's log lines, with N cores not used by serving tasks
 
   --entry ADDR   operators' address of an entry (or WAXWING_ENTRY; default 127.0.0.1:7002)
   --json         prints the answer as JSON
@@ -54,7 +54,7 @@
 4 no entry could be reached or the store is down.
 ";
 
-/// Runs the command of the command line; gives what it prints.
+/// Runs the command that the command line names and returns its output.
 pub(crate) async fn run() -> Result<String, CommandFailure> {
     let mut args = Arguments::from_env();
     if args.contains(["-h", "--help"]) {
--- a/crates/wax-cli/src/commands/peers.rs
+++ b/crates/wax-cli/src/commands/peers.rs
@@ -1,4 +1,4 @@
-//! Finds the other entries, for what only the owner of a shard knows.
+//! Queries all entries, since only the owner of a shard knows some facts about it.
 
 use crate::client::OperatorClient;
 use crate::context::CommandContext;
@@ -6,17 +6,16 @@
 use serde_json::Value;
 use wax_types::WaxError;
 
-/// One entry's answer.
 pub(super) struct EntryAnswer {
     pub(super) entry: String,
     pub(super) body: Value,
 }
 
-/// Asks every entry for the same path; the others that do not answer are left out.
+/// Sends the same request to every entry. Other entries that do not answer are left out.
 ///
 /// # Errors
 ///
-/// The entry of the command line does not answer.
+/// The entry that the command line names does not answer.
 pub(super) async fn query_all(
     context: &CommandContext,
     path: &str,
--- a/crates/wax-cli/src/commands/replay.rs
+++ b/crates/wax-cli/src/commands/replay.rs
@@ -1,4 +1,4 @@
-//! `waxwing replay TRACE`: a recorded trace through the decision code of the daemons.
+//! `waxwing replay TRACE`: replays a recorded trace through the decision code of the daemons.
 
 use crate::context::CommandContext;
 use crate::failure::CommandFailure;
@@ -121,7 +121,7 @@
         "WORK DONE",
     ];
     format!(
-        "ours divided by each baseline, median [least, most] of {} seeds\n{}\
+        "weighed policy divided by each baseline, median [min, max] over {} seeds\n{}\
          worst over-allocation: {} milli\n",
         report.seeds,
         table_text(&heading, &rows),
--- a/crates/wax-cli/src/commands/settings/apply.rs
+++ b/crates/wax-cli/src/commands/settings/apply.rs
@@ -1,4 +1,4 @@
-//! `waxwing settings apply DIR`: commits a folder of files as one version of the tree.
+//! `waxwing settings apply DIR`: commits a folder of files as one version of the settings tree.
 
 use super::files::read_folder;
 use super::{author, change_text};
--- a/crates/wax-cli/src/commands/settings/explain.rs
+++ b/crates/wax-cli/src/commands/settings/explain.rs
@@ -1,4 +1,4 @@
-//! `waxwing settings explain PATH`: each value in force and the level that it comes from.
+//! `waxwing settings explain PATH`: shows each value in force and the level that sets it.
 
 use crate::context::CommandContext;
 use crate::failure::CommandFailure;
--- a/crates/wax-cli/src/commands/settings/export.rs
+++ b/crates/wax-cli/src/commands/settings/export.rs
@@ -1,4 +1,4 @@
-//! `waxwing settings export DIR`: writes the tree in force as files.
+//! `waxwing settings export DIR`: writes the settings tree in force as files.
 
 use super::files::write_folder;
 use crate::context::CommandContext;
--- a/crates/wax-cli/src/commands/settings/files.rs
+++ b/crates/wax-cli/src/commands/settings/files.rs
@@ -1,4 +1,5 @@
-//! The tree as a folder of YAML files: `organisation.yaml`, and `teams/TEAM.yaml` for each team.
+//! Reads and writes the settings tree as a folder of YAML files: `organisation.yaml`, and
+//! `teams/TEAM.yaml` for each team.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -9,7 +10,7 @@
 const ORGANISATION_FILE: &str = "organisation.yaml";
 const TEAMS_FOLDER: &str = "teams";
 
-/// One team's file.
+/// Contents of a team's file.
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct TeamFile {
@@ -19,7 +20,7 @@
     services: BTreeMap<String, ServiceSection>,
 }
 
-/// One service in a team's file.
+/// Section of a service in a team's file.
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ServiceSection {
@@ -31,7 +32,7 @@
     watches: BTreeMap<String, NodeSettings>,
 }
 
-/// Reads and checks a folder.
+/// Reads a folder and validates the tree.
 pub(super) fn read_folder(folder: &Path) -> Result<SettingsTree, WaxError> {
     let mut tree = SettingsTree::default();
     let file = SettingsFile::read(&folder.join(ORGANISATION_FILE))?;
@@ -55,7 +56,7 @@
     let unreadable = |error| {
         let place = folder.display().to_string();
         WaxError::new(ErrorKind::Invalid, Step::ReadSettings, place, error)
-            .with_help("keep one YAML file for each team there")
+            .with_help("the folder must exist and hold one YAML file for each team")
     };
     let mut files = Vec::new();
     for entry in std::fs::read_dir(folder).map_err(unreadable)? {
@@ -90,7 +91,7 @@
     Ok(())
 }
 
-/// Writes a tree as files that [`read_folder`] reads back the same.
+/// Writes a tree as files from which [`read_folder`] reads the same tree.
 pub(super) fn write_folder(folder: &Path, tree: &SettingsTree) -> Result<(), WaxError> {
     let mut teams: BTreeMap<String, TeamFile> = BTreeMap::new();
     let mut organisation = NodeSettings::default();
--- a/crates/wax-cli/src/commands/settings/get.rs
+++ b/crates/wax-cli/src/commands/settings/get.rs
@@ -1,4 +1,4 @@
-//! `waxwing settings get`: the tree in force.
+//! `waxwing settings get`: prints the settings tree in force.
 
 use crate::context::CommandContext;
 use crate::failure::CommandFailure;
--- a/crates/wax-cli/src/commands/settings/log.rs
+++ b/crates/wax-cli/src/commands/settings/log.rs
@@ -1,4 +1,4 @@
-//! `waxwing settings log`: the newest changes, newest first.
+//! `waxwing settings log`: lists the latest changes, newest first.
 
 use crate::context::CommandContext;
 use crate::failure::CommandFailure;
--- a/crates/wax-cli/src/commands/settings/mod.rs
+++ b/crates/wax-cli/src/commands/settings/mod.rs
@@ -13,7 +13,7 @@
 use crate::output::{field, items, json_text, table_text};
 use serde_json::Value;
 
-/// Who is recorded as the author of a change.
+/// Environment variable with the author that is recorded for a change; the default is `USER`.
 const AUTHOR_VARIABLE: &str = "WAXWING_AUTHOR";
 
 pub(crate) async fn run(context: &mut CommandContext) -> Result<String, CommandFailure> {
@@ -37,7 +37,8 @@
         .unwrap_or_else(|_| "operator".to_owned())
 }
 
-/// Prints the answer to a change; fails where it is not in force everywhere after a wait.
+/// Formats the answer to a change. Fails if the command waited and the change is not in force in
+/// all processes.
 fn change_text(
     context: &CommandContext,
     answer: &Value,
--- a/crates/wax-cli/src/commands/status.rs
+++ b/crates/wax-cli/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `waxwing status`: the system as one entry sees it.
+//! `waxwing status`: shows members, settings in force, shards and the state of the store.
 
 use super::peers::query_all;
 use crate::context::CommandContext;
@@ -22,7 +22,7 @@
     Ok(status_text(&status))
 }
 
-/// The shards of one entry's answer, with the owner's name.
+/// Returns the shards in an entry's answer, with the entry as their owner.
 fn owned_by(status: &Value, owner: &str) -> Vec<Value> {
     let mut shards = items(status, "shards").to_vec();
     for shard in &mut shards {
--- a/crates/wax-cli/src/commands/submit.rs
+++ b/crates/wax-cli/src/commands/submit.rs
@@ -36,7 +36,7 @@
     Ok(format!("{}\n", field(&answer, "job")))
 }
 
-/// A key of its own for a submission that names none.
+/// Generates an idempotency key for a submission without `--key`.
 fn generate_key() -> String {
     wax_types::JobId::generate().to_string()
 }
--- a/crates/wax-cli/src/commands/usage.rs
+++ b/crates/wax-cli/src/commands/usage.rs
@@ -1,4 +1,4 @@
-//! `waxwing usage`: what each team used, from the ledger.
+//! `waxwing usage`: shows the resources that each team used, from the ledger.
 
 use crate::context::CommandContext;
 use crate::failure::CommandFailure;
--- a/crates/wax-cli/src/context.rs
+++ b/crates/wax-cli/src/context.rs
@@ -1,14 +1,14 @@
-//! What every command needs: its arguments, the form of output, the entry to ask.
+//! Command line arguments, options and the client that all commands share.
 
 use crate::client::OperatorClient;
 use crate::failure::CommandFailure;
 use pico_args::Arguments;
 
-/// Environment variable for the operators' address of an entry.
+/// Environment variable with the operators' address of an entry.
 const ADDRESS_VARIABLE: &str = "WAXWING_ENTRY";
 const DEFAULT_ADDRESS: &str = "127.0.0.1:7002";
 
-/// Arguments and common options.
+/// Remaining arguments and the options that all commands share.
 pub(crate) struct CommandContext {
     pub(crate) args: Arguments,
     pub(crate) json: bool,
@@ -26,7 +26,7 @@
         Ok(Self { args, json, client })
     }
 
-    /// Takes the next word of the command line.
+    /// Takes the next positional argument. `name` is its name in the error if it is missing.
     pub(crate) fn next_arg(&mut self, name: &str) -> Result<String, CommandFailure> {
         let arg: Option<String> = self.args.opt_free_from_str()?;
         match arg {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Refuses what no command has taken.
+    /// Fails if an argument is left that the command has not taken.
     pub(crate) fn finish(&mut self) -> Result<(), CommandFailure> {
         let args = std::mem::replace(&mut self.args, Arguments::from_vec(Vec::new()));
         match args.finish().first() {
--- a/crates/wax-cli/src/failure.rs
+++ b/crates/wax-cli/src/failure.rs
@@ -1,9 +1,9 @@
-//! Why a command failed, and its exit code.
+//! Errors of commands and their exit codes.
 
 use std::process::ExitCode;
 use wax_types::{ErrorKind, WaxError};
 
-/// A failed command.
+/// Why a command failed.
 #[derive(Debug, displaydoc::Display)]
 pub(crate) enum CommandFailure {
     /// {0}; see `waxwing --help`
@@ -15,8 +15,8 @@
 }
 
 impl CommandFailure {
-    /// 1 for a refusal, 2 for bad arguments or input, 3 for a change not yet in force everywhere,
-    /// 4 where the system cannot be reached.
+    /// Returns 1 if the request was refused, 2 for invalid arguments or input, 3 if a change is not
+    /// yet in force in all processes, and 4 if the system cannot be reached.
     pub(crate) fn exit_code(&self) -> ExitCode {
         let code = match self {
             Self::Usage(_) => 2,
--- a/crates/wax-cli/src/main.rs
+++ b/crates/wax-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `waxwing`: the operators' tool.
+//! `waxwing`: the command line tool for operators.
 
 mod client;
 mod commands;
--- a/crates/wax-cli/src/output.rs
+++ b/crates/wax-cli/src/output.rs
@@ -1,16 +1,16 @@
-//! Prints answers: as JSON for scripts, as text for people.
+//! Formats answers: as JSON for scripts and as text for people.
 
 use serde_json::Value;
 use std::fmt::Write;
 
-/// An answer as indented JSON.
+/// Formats a value as indented JSON.
 pub(crate) fn json_text(value: &Value) -> String {
     let mut text = serde_json::to_string_pretty(value).unwrap_or_default();
     text.push('\n');
     text
 }
 
-/// Rows of equal width, with a heading.
+/// Formats rows as a table with aligned columns and a heading.
 pub(crate) fn table_text(heading: &[&str], rows: &[Vec<String>]) -> String {
     let mut widths: Vec<usize> = heading.iter().map(|cell| cell.chars().count()).collect();
     for row in rows {
@@ -32,7 +32,7 @@
     text
 }
 
-/// A value without the quotes of JSON text.
+/// Formats a value; strings are not quoted and null is `-`.
 pub(crate) fn plain(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
@@ -41,12 +41,12 @@
     }
 }
 
-/// A field of an object as text.
+/// Returns a field of an object as text; `-` if it is missing.
 pub(crate) fn field(value: &Value, key: &str) -> String {
     plain(value.get(key).unwrap_or(&Value::Null))
 }
 
-/// The elements of a list field.
+/// Returns the elements of a list field; an empty slice if it is missing.
 pub(crate) fn items<'a>(value: &'a Value, key: &str) -> &'a [Value] {
     value
         .get(key)
--- a/crates/wax-cli/tests/help.rs
+++ b/crates/wax-cli/tests/help.rs
@@ -1,4 +1,4 @@
-//! The tool's help and its errors.
+//! Help texts, error messages and exit codes of `waxwing`.
 
 use std::process::Command;
 
@@ -6,7 +6,7 @@
     let output = Command::new(env!("CARGO_BIN_EXE_waxwing"))
         .args(args)
         .output()
-        .expect("the tool runs");
+        .expect("waxwing can be started");
     let mut text = String::from_utf8_lossy(&output.stdout).into_owned();
     text.push_str(&String::from_utf8_lossy(&output.stderr));
     (output.status.code(), text)
--- a/crates/wax-logs/src/cause.rs
+++ b/crates/wax-logs/src/cause.rs
@@ -1,31 +1,33 @@
-//! Why a job was late: where the time went along its critical path.
+//! Attributes the delay of a late job to causes along its critical path.
 //!
-//! The path is walked back from the task that ended last: its last run, the runs before it that came
-//! to nothing, its wait, then the task whose end let its step begin.
+//! The path is walked backwards from the task that ended last: its last run, its earlier runs
+//! without a result, its wait, and then the task whose end allowed its step to start.
 
 use crate::event::step_of;
 use crate::history::{JobHistory, RunHistory, StepWait};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Where time went.
+/// Why time was spent along the critical path.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DelayCause {
-    /// Its last run took longer than half of the objective allows.
+    /// Time by which the runs with a result along the path exceeded, in total, half of the
+    /// objective.
     SlowRun,
-    /// Runs that were stopped, as they made no progress.
+    /// Time spent on runs that were ordered to stop, usually because they made no progress.
     Stalled,
-    /// Runs that failed.
+    /// Time spent on runs that failed.
     Failed,
-    /// Runs that were lost with a worker or an agent.
+    /// Time spent on runs that were lost with their worker or agent.
     Lost,
-    /// Tasks waited, for this reason as last told; `unknown` if none was.
+    /// Time in which tasks waited. Holds the last reason that was reported; `unknown` if none was.
     Wait(Box<str>),
-    /// Nobody took note: from the acceptance, or an end, to the beginning of the wait.
+    /// Time between the acceptance, or the end of the previous task, and the start of the wait: no
+    /// owner was handling the job.
     NoOwner,
-    /// From the request to the acceptance.
+    /// Time between the caller's request and the acceptance.
     Accepting,
-    /// A task had not ended when the lines did.
+    /// A task had not ended by the last log line.
     Unfinished,
 }
 
@@ -44,23 +46,24 @@
     }
 }
 
-/// One cause and its time along the critical path.
+/// A cause and the time that it accounts for along the critical path.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DelayShare {
-    /// The cause.
+    /// Why the time was spent.
     pub cause: DelayCause,
-    /// Seconds.
+    /// Time along the path, seconds.
     pub seconds: f64,
 }
 
-/// Ends that are this close to a beginning may have let it begin, seconds.
+/// Tolerance when the timestamps of an end and of the start that it allowed are compared, seconds.
 const TIME_TOLERANCE_S: f64 = 0.05;
-/// A task that never ended counts as this long at least, seconds: it outweighs what was before.
+/// Time that is attributed to a task that has not ended, seconds. Large enough to outweigh the
+/// causes before it.
 const UNFINISHED_TASK_S: f64 = 20.0;
-/// Longer paths are not walked to their beginning.
+/// Limit on the tasks of a path that are followed; a longer path is not followed to its start.
 const MAX_PATH_STEPS: usize = 64;
 
-/// Where a job's time went, the greatest share first.
+/// Returns the causes of a job's delay, the largest share first.
 pub fn attribute_delay(job: &JobHistory) -> Vec<DelayShare> {
     let mut shares = BTreeMap::new();
     let mut add = |cause: DelayCause, seconds: f64| {
@@ -92,8 +95,8 @@
         let counted_from = first.ordered_at - first.waited_s;
         let previous = predecessor(&tasks, counted_from, &first.task);
         let previous_end = previous.map_or(job.accepted_at, |(_, end)| end);
-        // The wait of a step is counted anew once a sibling has come back: what was told before
-        // that shows that the step waited already.
+        // The wait of a step is counted from scratch when a sibling task is requeued. An earlier
+        // report shows that the step was waiting before that.
         let reported = first_wait_report(job, first, previous_end);
         let wait_start = reported.map_or(counted_from, |reported| reported.min(counted_from));
         add(
@@ -129,7 +132,7 @@
     runs.iter().find_map(|run| run.done_at())
 }
 
-/// The task that ended last, or one that has not ended.
+/// Returns a task that has not ended or, if all have, the task that ended last.
 fn last_task<'a>(tasks: &TaskRuns<'a>) -> Option<&'a str> {
     let end = |runs: &[&RunHistory]| task_done_at(runs).unwrap_or(f64::INFINITY);
     let last = tasks
@@ -138,7 +141,7 @@
     last.map(|(task, _)| *task)
 }
 
-/// The task of another step whose end was the last before a step opened.
+/// Returns the task of another step whose end was the last one before a step started to wait.
 fn predecessor<'a>(tasks: &TaskRuns<'a>, wait_start: f64, task: &str) -> Option<(&'a str, f64)> {
     let ends = tasks.iter().filter_map(|(other, runs)| {
         let end = task_done_at(runs)?;
@@ -148,7 +151,7 @@
     ends.max_by(|one, other| one.1.total_cmp(&other.1))
 }
 
-/// Why a run came to nothing.
+/// Returns why a run had no result.
 fn failed_run_cause(run: &RunHistory) -> DelayCause {
     match (&run.stop, run.end.as_ref().map(|(_, how)| &**how)) {
         (Some(_), _) => DelayCause::Stalled,
@@ -157,7 +160,8 @@
     }
 }
 
-/// What was told of a task's step from `earlier` to the task's first start, in order.
+/// Reports that the step of a task is waiting, in order, from `previous_end` to the first start of
+/// the task.
 fn wait_reports<'a>(
     job: &'a JobHistory,
     first: &'a RunHistory,
@@ -169,14 +173,14 @@
     waits.filter(move |wait| *wait.step == *step && span.contains(&wait.reported_at))
 }
 
-/// Since when a task's step is known to have waited.
+/// Returns the time of the first report that a task's step is waiting.
 fn first_wait_report(job: &JobHistory, first: &RunHistory, previous_end: f64) -> Option<f64> {
     wait_reports(job, first, previous_end)
         .next()
         .map(|wait| wait.reported_at)
 }
 
-/// The reason that was told last while a task waited for its first start.
+/// Returns the reason that was reported last before the first start of a task.
 fn wait_cause(job: &JobHistory, first: &RunHistory, previous_end: f64) -> DelayCause {
     let last = wait_reports(job, first, previous_end).next_back();
     DelayCause::Wait(last.map_or_else(|| "unknown".into(), |wait| wait.reason.clone()))
--- a/crates/wax-logs/src/event.rs
+++ b/crates/wax-logs/src/event.rs
@@ -1,128 +1,129 @@
-//! The kinds of line that a report reads, as fronts, owners and agents write them.
+//! The kinds of log line that a report reads, as written by fronts, owners and agents.
 
 use serde::Deserialize;
 
-/// What a line tells; lines of other kinds are [`LogEvent::Other`].
+/// Event of one log line, told apart by its message. Lines with another message are
+/// [`LogEvent::Other`].
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(tag = "message")]
 pub enum LogEvent {
     /// A front has stored a job.
     #[serde(rename = "job accepted")]
     Accepted {
-        /// The job.
+        /// Id of the job.
         job: Box<str>,
-        /// Its queue.
+        /// Queue of the job.
         queue: Box<str>,
-        /// From the request to the answer, milliseconds.
+        /// Time from the request to the answer, milliseconds.
         took_ms: u64,
-        /// All its tasks.
+        /// Number of tasks of all steps.
         tasks: u32,
-        /// Its work by the caller's guess, core milliseconds.
+        /// Total work as estimated by the caller, core milliseconds.
         work_ms: u64,
-        /// The time within which it should end, milliseconds.
+        /// Time from the request within which the job should end, milliseconds.
         objective_ms: u64,
-        /// Whether it has a step that lasts.
+        /// Whether the job has a long-running step.
         #[serde(rename = "lasts")]
         long_running: bool,
     },
-    /// A front has refused a job, or does not know whether it is stored.
+    /// A front has refused a job, or does not know whether the job is stored.
     #[serde(rename = "job not accepted")]
     NotAccepted {
-        /// The job.
+        /// Id of the job.
         job: Box<str>,
-        /// Its queue.
+        /// Queue of the job.
         queue: Box<str>,
     },
-    /// The owner has ordered a start.
+    /// The owner has ordered the start of a run.
     #[serde(rename = "start ordered")]
     Start {
-        /// The task.
+        /// Name of the task.
         task: Box<str>,
-        /// The number of the start.
+        /// Number of the task's start.
         run: u64,
-        /// The worker.
+        /// Name of the worker.
         worker: Box<str>,
-        /// Whether it goes on from a checkpoint.
+        /// Whether the run continues from a checkpoint.
         resumes: bool,
-        /// How long the step's tasks had waited, milliseconds.
+        /// How long the tasks of the step had waited, milliseconds.
         waited_ms: u64,
-        /// The pace that was expected, 0 to 1.
+        /// Expected pace of the run, 0 to 1.
         pace: f64,
     },
-    /// The owner has ordered a stop.
+    /// The owner has ordered a run to stop.
     #[serde(rename = "stop ordered")]
     Stop {
-        /// The task.
+        /// Name of the task.
         task: Box<str>,
-        /// The number of the start.
+        /// Number of the task's start.
         run: u64,
-        /// Why.
+        /// Reason for the stop.
         why: Box<str>,
     },
-    /// The owner has heard of an end.
+    /// The owner has received the end of a run.
     #[serde(rename = "run ended")]
     End {
-        /// The task.
+        /// Name of the task.
         task: Box<str>,
-        /// The number of the start.
+        /// Number of the task's start.
         run: u64,
-        /// How.
+        /// How the run ended, such as `Done` or `Failed`.
         how: Box<str>,
     },
-    /// A step waits for a new reason.
+    /// The reason for which a step waits has changed.
     #[serde(rename = "step waits")]
     Wait {
-        /// The first task that waits.
+        /// Name of the first waiting task.
         task: Box<str>,
-        /// How many wait.
+        /// Number of waiting tasks.
         waiting: u32,
-        /// For how long by now, milliseconds.
+        /// How long they have waited, milliseconds.
         waited_ms: u64,
-        /// Why.
+        /// Reason for the wait.
         reason: Box<str>,
     },
-    /// An agent has changed the pace of an image by much.
+    /// An agent has changed the pace of an image considerably.
     #[serde(rename = "pace changed")]
     Pace {
-        /// The worker.
+        /// Name of the worker.
         worker: Box<str>,
-        /// The image.
+        /// Name of the image.
         image: Box<str>,
-        /// Its pace from now on.
+        /// New pace of the image, percent.
         percent: u32,
-        /// The serving task for which it is slowed.
+        /// Serving task for which the image is slowed down.
         protects: Option<Box<str>>,
-        /// That task's tail as a share of its target.
+        /// Tail latency of that task as a share of its target.
         tail: Option<f64>,
     },
-    /// A job is shown as ended.
+    /// The owner has reported a job as ended.
     #[serde(rename = "job ended")]
     JobEnd {
-        /// The job.
+        /// Id of the job.
         job: Box<str>,
-        /// How.
+        /// Outcome of the job, such as `Completed` or `Cancelled`.
         outcome: Box<str>,
     },
-    /// An owner's term has begun.
+    /// A process has become the owner of the shard.
     #[serde(rename = "took over the shard")]
     Takeover {
-        /// The term.
+        /// Epoch of the owner's term.
         epoch: u64,
     },
-    /// A front does not reach the store.
+    /// A front cannot reach the store.
     #[serde(rename = "the store does not answer")]
     StoreLost,
-    /// Anything else.
+    /// Any other line; reports ignore it.
     #[serde(other)]
     Other,
 }
 
-/// The job of a task's name.
+/// Returns the job that a task's name starts with.
 pub(crate) fn job_of(task: &str) -> &str {
     task.split('.').next().unwrap_or(task)
 }
 
-/// The step of a task's name, with its job.
+/// Returns a task's name without the task's index: the job and the step.
 pub(crate) fn step_of(task: &str) -> &str {
     task.rsplit_once('.').map_or(task, |(step, _)| step)
 }
--- a/crates/wax-logs/src/history.rs
+++ b/crates/wax-logs/src/history.rs
@@ -1,92 +1,92 @@
-//! The lives of jobs, put together from the lines of all processes.
+//! Reconstructs the history of jobs from the log lines of all processes.
 
 use crate::event::{LogEvent, job_of, step_of};
 use crate::line::LogLine;
 use std::collections::BTreeMap;
 
-/// One start of a task and what became of it. Times are seconds since 1970.
+/// One run of a task and how it ended. Times are seconds since 1970.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RunHistory {
-    /// The task.
+    /// Name of the task.
     pub task: Box<str>,
-    /// The number of the start.
+    /// Number of the task's start.
     pub run: u64,
-    /// The worker.
+    /// Name of the worker.
     pub worker: Box<str>,
-    /// When it was ordered.
+    /// When the owner ordered the start.
     pub ordered_at: f64,
-    /// How long the task had waited then, seconds.
+    /// How long the task had waited by then, seconds.
     pub waited_s: f64,
-    /// The pace that was expected, 0 to 1.
+    /// Expected pace, 0 to 1.
     pub pace: f64,
-    /// Whether it went on from a checkpoint.
+    /// Whether the run continued from a checkpoint.
     pub resumes: bool,
-    /// Why it was stopped, if it was.
+    /// Reason for which the run was ordered to stop; `None` if it was not.
     pub stop: Option<Box<str>>,
-    /// When and how it ended, as far as an owner heard.
+    /// When and how the run ended; `None` if no owner has received its end.
     pub end: Option<(f64, Box<str>)>,
 }
 
 impl RunHistory {
-    /// When it ended with its result.
+    /// Returns when the run ended, if it ended with a result.
     pub fn done_at(&self) -> Option<f64> {
         let (at, how) = self.end.as_ref()?;
         (**how == *"Done").then_some(*at)
     }
 }
 
-/// A reason for which a step has waited.
+/// A report that a step waits, with the reason.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StepWait {
-    /// When it was told.
+    /// When the wait was reported, seconds since 1970.
     pub reported_at: f64,
-    /// The step.
+    /// Name of the step, including the job.
     pub step: Box<str>,
-    /// Why.
+    /// Reason for the wait.
     pub reason: Box<str>,
 }
 
-/// One job. Times are seconds since 1970.
+/// History of one job. Times are seconds since 1970.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobHistory {
-    /// Its name.
+    /// Id of the job.
     pub job: Box<str>,
-    /// Its queue.
+    /// Queue of the job.
     pub queue: Box<str>,
-    /// When its caller asked.
+    /// When the caller sent the request.
     pub requested_at: f64,
-    /// When it was accepted.
+    /// When the job was accepted.
     pub accepted_at: f64,
-    /// All its tasks.
+    /// Number of tasks of all steps.
     pub tasks: u32,
-    /// Its work by the caller's guess, core seconds.
+    /// Total work as estimated by the caller, core seconds.
     pub work_core_s: f64,
-    /// The time within which it should end, seconds.
+    /// Time from the request within which the job should end, seconds.
     pub objective_s: f64,
-    /// Whether it lasts until it is cancelled.
+    /// Whether the job has a long-running step, which ends only when the job is cancelled.
     pub long_running: bool,
-    /// Its starts, in order.
+    /// Runs of the job's tasks, by the time of their start orders.
     pub runs: Vec<RunHistory>,
-    /// Reasons for which its steps waited.
+    /// Reports that steps of the job wait, by time.
     pub waits: Vec<StepWait>,
-    /// When and how it ended.
+    /// When the job was first reported as ended, and its outcome.
     pub end: Option<(f64, Box<str>)>,
 }
 
 impl JobHistory {
-    /// From its caller's request to its end, if it was completed.
+    /// Returns the time from the request to the end, seconds, if the job was completed.
     pub fn response_time_s(&self) -> Option<f64> {
         let (at, outcome) = self.end.as_ref()?;
         (**outcome == *"Completed").then_some(at - self.requested_at)
     }
 
-    /// Whether it was completed within its objective.
+    /// Returns whether the job was completed within its objective.
     pub fn is_in_time(&self) -> bool {
         self.response_time_s()
             .is_some_and(|age| age <= self.objective_s)
     }
 
-    /// Whether its caller took it back.
+    /// Returns whether the caller cancelled the job.
     pub fn is_cancelled(&self) -> bool {
         self.end
             .as_ref()
@@ -94,25 +94,26 @@
     }
 }
 
-/// All jobs of the lines that were read.
+/// History of the jobs and of the pool, from all log lines that were read. Times are seconds since
+/// 1970.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct PoolHistory {
-    /// The jobs, by name.
+    /// Jobs by id.
     pub jobs: BTreeMap<Box<str>, JobHistory>,
-    /// Requests for jobs that were not accepted: when, and the queue.
+    /// Requests for jobs that were not accepted: time and queue.
     pub not_accepted: Vec<(f64, Box<str>)>,
-    /// Changes of pace: when, the worker, the image, percent.
+    /// Changes of an image's pace on a worker: time, worker, image, new pace in percent.
     pub pace_changes: Vec<(f64, Box<str>, Box<str>, u32)>,
-    /// When terms of owners began.
+    /// When processes took over the shard.
     pub takeovers: Vec<f64>,
     /// When fronts found that the store did not answer.
     pub store_losses: Vec<f64>,
-    /// When the first line was written; 0 without a line.
+    /// Time of the first line; 0 without lines.
     pub started_at: f64,
 }
 
 impl PoolHistory {
-    /// Puts lines together, whatever files they came from.
+    /// Builds the history from lines in any order, which may come from several files.
     pub fn new(mut lines: Vec<LogLine>) -> Self {
         lines.sort_by(|one, other| one.timestamp_s.total_cmp(&other.timestamp_s));
         let mut history = Self {
@@ -180,7 +181,7 @@
             } => self.pace_changes.push((at, worker, image, percent)),
             LogEvent::JobEnd { job, outcome } => {
                 if let Some(known) = self.jobs.get_mut(&job) {
-                    // A later owner may write the same end again.
+                    // A later owner may log the same end again.
                     known.end.get_or_insert((at, outcome));
                 }
             }
--- a/crates/wax-logs/src/lib.rs
+++ b/crates/wax-logs/src/lib.rs
@@ -1,7 +1,8 @@
-//! What the processes' log lines tell of a day: the life of each job, and why it was late.
+//! Reconstructs the history of jobs from the log lines of a pool, and attributes the delay of late
+//! jobs to causes.
 //!
-//! It reads what the pool's fronts and agents write as JSON, a line each, in any order of files; a
-//! line may stand behind a prefix, as log collectors write them. Nothing here asks a process.
+//! Reads the JSON lines that fronts and agents write, from files in any order. A line may have a
+//! prefix, such as log collectors add. The crate sends no requests to processes.
 
 mod cause;
 mod event;
--- a/crates/wax-logs/src/line.rs
+++ b/crates/wax-logs/src/line.rs
@@ -1,25 +1,25 @@
-//! One line of a log: when, and what.
+//! Parses log lines into timestamps and events.
 
 use crate::event::LogEvent;
 use serde::Deserialize;
 use std::fmt;
 use std::time::UNIX_EPOCH;
 
-/// One line that tells of a decision.
+/// One log line with an event that reports use.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LogLine {
-    /// When it was written, by its process's clock, seconds since 1970.
+    /// When the line was written by the clock of its process, seconds since 1970.
     pub timestamp_s: f64,
-    /// What it tells.
+    /// Event that the line records.
     pub event: LogEvent,
 }
 
-/// A line that looks like an event and cannot be read.
+/// A log line that looks like an event but cannot be parsed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LineError {
-    /// The line's number in its file, from 1.
+    /// Number of the line in its file, from 1.
     pub number: usize,
-    /// What is wrong with it.
+    /// Description of the error.
     pub label: Box<str>,
 }
 
@@ -38,11 +38,12 @@
     event: LogEvent,
 }
 
-/// Reads the lines of a file; lines without an object are passed over.
+/// Parses the lines of a file. Lines that contain no JSON object and events that reports do not use
+/// are skipped.
 ///
 /// # Errors
 ///
-/// An object of a known kind lacks a field, or its time cannot be read.
+/// An object of a known kind lacks a field, or its timestamp is invalid.
 pub fn parse_lines(text: &str) -> Result<Vec<LogLine>, LineError> {
     let mut lines = Vec::new();
     for (index, line) in text.lines().enumerate() {
--- a/crates/wax-logs/src/plot.rs
+++ b/crates/wax-logs/src/plot.rs
@@ -1,30 +1,26 @@
-//! A day as a picture: open jobs, runs under way, what waits and what is slowed, over time.
+//! Plots a pool's history over time: open jobs, runs in progress, waiting steps and slowed images.
 //!
-//! A panel for each scale: on one axis thousands of runs would flatten all else. Vertical lines mark takeovers
-//! and the moments at which a front lost the store.
+//! Each scale has a panel of its own: on a common axis, thousands of runs would flatten the other
+//! lines. Vertical lines mark takeovers and the times at which a front lost the store.
 
 use crate::history::PoolHistory;
 use crate::report::{WindowRow, build_report, is_running_at};
 use plotters::prelude::*;
 use std::error::Error;
 
-/// The picture's size, pixels.
 const SIZE_PX: (u32, u32) = (1_000, 760);
-/// Points of a line.
+/// Number of intervals into which the time axis is divided.
 const POINTS_PER_LINE: f64 = 200.0;
-/// A takeover.
 const TAKEOVER_COLOR: RGBColor = RGBColor(0, 140, 0);
-/// A front that lost the store.
 const STORE_LOSS_COLOR: RGBColor = RGBColor(170, 170, 170);
 
-/// One line of a panel.
 struct PlotLine {
     name: &'static str,
     color: RGBColor,
     points: Vec<(f64, f64)>,
 }
 
-/// Lines of one scale.
+/// Lines that share a scale.
 struct PlotPanel {
     lines: Vec<PlotLine>,
 }
@@ -36,24 +32,24 @@
     }
 }
 
-/// Moments that are marked in every panel.
+/// Times, in seconds from the first line, that are marked in every panel.
 struct EventMarks {
     takeovers: Vec<f64>,
     store_losses: Vec<f64>,
 }
 
-/// Draws a day as SVG.
+/// Draws a pool's history as an SVG image.
 ///
 /// # Errors
 ///
-/// The lines tell of no job, or the drawing fails.
+/// The history has no job, or the drawing fails.
 pub fn plot_history(history: &PoolHistory) -> Result<String, Box<dyn Error>> {
     let last = history
         .jobs
         .values()
         .map(|job| job.end.as_ref().map_or(job.accepted_at, |(at, _)| *at))
         .reduce(f64::max)
-        .ok_or("the lines tell of no job")?;
+        .ok_or("the log lines contain no accepted job")?;
     let span = (last - history.started_at).max(1.0);
     let rows = build_report(history, span / POINTS_PER_LINE).windows;
     let marks = event_marks(history, span);
@@ -115,7 +111,8 @@
     ]
 }
 
-/// Jobs that do not last, were accepted and have not ended; those without a run under way wait.
+/// Counts the accepted jobs at a time that have not ended or still have a run in progress. Jobs
+/// with a long-running step are left out. An open job without a run in progress is waiting.
 fn open_jobs(history: &PoolHistory, at: f64) -> f64 {
     let is_open = |job: &&crate::history::JobHistory| {
         let ended = job.end.as_ref().is_some_and(|(end, _)| *end <= at);
--- a/crates/wax-logs/src/report.rs
+++ b/crates/wax-logs/src/report.rs
@@ -1,4 +1,4 @@
-//! Figures of a day by queue and by window of time, and the story of one job.
+//! Aggregates a pool's history by queue and by window of time, and prints the timeline of one job.
 
 use crate::cause::attribute_delay;
 use crate::history::{JobHistory, PoolHistory, RunHistory};
@@ -6,73 +6,74 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
-/// Jobs of one queue.
+/// Figures of the jobs of one queue.
 #[derive(Debug, Clone, PartialEq, Default, Serialize)]
 pub struct QueueRow {
-    /// The queue.
+    /// Name of the queue.
     pub queue: Box<str>,
-    /// Jobs that were accepted.
+    /// Number of jobs that were accepted.
     pub accepted: u32,
-    /// Requests that were not accepted.
+    /// Number of requests that were not accepted.
     pub not_accepted: u32,
-    /// Completed within the objective.
+    /// Number of jobs that were completed within the objective.
     pub in_time: u32,
-    /// Completed later.
+    /// Number of jobs that were completed after the objective.
     pub late: u32,
-    /// Failed, or cancelled by their callers.
+    /// Number of jobs that failed or were cancelled by their callers.
     pub gone: u32,
-    /// Not ended; jobs that last are meant not to.
+    /// Number of jobs that have not ended; jobs with a long-running step are expected not to.
     pub open: u32,
-    /// From the request to the first start, seconds: half of the jobs, 95 of 100.
+    /// Time from the request to the first start, seconds: median and 95th percentile over the jobs.
     pub first_start: [f64; 2],
-    /// Between the first and the last first start in a step, seconds: half of the steps, 90 of 100.
+    /// Time between the first starts of the first and the last task of a step, seconds: median and
+    /// 90th percentile over the steps.
     pub spread: [f64; 2],
-    /// The slowest run of a step over its median run: 90 of 100 steps.
+    /// Run time of the slowest run of a step divided by the median run time: 90th percentile over
+    /// the steps.
     pub slowest: f64,
-    /// Runs that were stopped as they made no progress.
+    /// Number of runs that were stopped because they made no progress.
     pub stalled: u32,
-    /// Work of late jobs by the greatest cause along their critical path, core seconds.
+    /// Work of late jobs by the cause with the largest share of their delay, core seconds.
     pub causes: BTreeMap<String, f64>,
 }
 
-/// What happened in one window of time.
+/// Figures of one window of time.
 #[derive(Debug, Clone, PartialEq, Default, Serialize)]
 pub struct WindowRow {
-    /// Its beginning, seconds from the first line.
+    /// Start of the window, seconds from the first line.
     pub from: f64,
-    /// Jobs that were accepted in it.
+    /// Number of jobs that were accepted in the window.
     pub accepted: u32,
-    /// Requests that were not accepted.
+    /// Number of requests that were not accepted.
     pub not_accepted: u32,
-    /// Of the jobs accepted in it: completed within the objective.
+    /// Number of jobs accepted in the window that were completed within the objective.
     pub in_time: u32,
-    /// Starts.
+    /// Number of start orders.
     pub starts: u32,
-    /// Runs under way at its end.
+    /// Number of runs in progress at the end of the window.
     pub running: u32,
-    /// Runs stopped as they made no progress.
+    /// Number of runs that ended after they were stopped because they made no progress.
     pub stalled: u32,
-    /// Steps that began to wait, by reason.
+    /// Number of reports that a step waits, by reason.
     pub waits: BTreeMap<String, u32>,
-    /// Images that were slowed below a third on a worker.
+    /// Number of times that an image was slowed to less than 33 % of its pace on a worker.
     pub slowed: u32,
-    /// Terms of owners that began.
+    /// Number of takeovers of the shard.
     pub takeovers: u32,
 }
 
-/// The figures of a day.
+/// Figures of a pool's history.
 #[derive(Debug, Clone, PartialEq, Default, Serialize)]
 pub struct LogReport {
-    /// By queue.
+    /// One row for each queue, by name.
     pub queues: Vec<QueueRow>,
-    /// By window.
+    /// One row for each window in which something happened, by time.
     pub windows: Vec<WindowRow>,
 }
 
-/// An image that is slowed below this counts as slowed, percent.
 const SLOWED_BELOW_PERCENT: u32 = 33;
 
-/// Sums a day up, in windows of `window` seconds.
+/// Aggregates a history in windows of `window` seconds.
 pub fn build_report(history: &PoolHistory, window: f64) -> LogReport {
     let queues: BTreeSet<&str> = history.jobs.values().map(|job| &*job.queue).collect();
     LogReport {
@@ -168,7 +169,8 @@
     rows.into_values().collect()
 }
 
-/// Whether a run is under way at a time, as far as its end was heard.
+/// Returns whether a run was in progress at a time. A run without a reported end counts as in
+/// progress.
 pub(crate) fn is_running_at(run: &RunHistory, at: f64) -> bool {
     run.ordered_at <= at && run.end.as_ref().is_none_or(|(end, _)| *end > at)
 }
@@ -186,7 +188,7 @@
     steps
 }
 
-/// Between the first starts of a step's first and last task, seconds.
+/// Returns the time between the first starts of a step's first and last task, seconds.
 fn start_spread(runs: &[&RunHistory]) -> f64 {
     let mut firsts: BTreeMap<&str, f64> = BTreeMap::new();
     for run in runs {
@@ -212,7 +214,7 @@
     items.count() as u32
 }
 
-/// The value below which a share of the values lies; 0 without a value.
+/// Returns the quantile `share` (0 to 1) of the values; 0 without values.
 fn quantile(values: &mut [f64], share: f64) -> f64 {
     values.sort_by(f64::total_cmp);
     let last = values.len().saturating_sub(1);
@@ -220,7 +222,7 @@
     values.get(index).copied().unwrap_or(0.0)
 }
 
-/// The life of one job in order, over all processes; times are seconds from its request.
+/// Prints the events of one job, from all processes, in order. Times are seconds from the request.
 pub fn job_timeline(job: &JobHistory) -> String {
     let mut events: Vec<(f64, String)> = vec![(
         job.accepted_at,
--- a/crates/wax-logs/tests/reports.rs
+++ b/crates/wax-logs/tests/reports.rs
@@ -1,11 +1,11 @@
-//! What a report says of lines, in whatever order and files they come.
+//! Reports, timelines and plots that are built from log lines.
 
 use std::fmt::Write;
 use wax_logs::{
     DelayCause, PoolHistory, attribute_delay, build_report, job_timeline, parse_lines, plot_history,
 };
 
-/// A line as a process writes it, `at` milliseconds after noon.
+/// Formats a log line as a process writes it, `at_ms` milliseconds after noon.
 fn line(at_ms: u32, fields: &str) -> String {
     let (seconds, millis) = (at_ms / 1_000, at_ms % 1_000);
     format!(
@@ -67,7 +67,8 @@
     )
 }
 
-/// A job of two steps: the first is moved once, the second waits for three seconds.
+/// Lines of a job of two steps: the task of the first stalls once and is restarted, the task of the
+/// second waits for three seconds.
 fn late_job_lines() -> Vec<String> {
     vec![
         accepted(1_010, "a", 4_000),
@@ -84,7 +85,7 @@
 }
 
 fn history(lines: &[String]) -> PoolHistory {
-    PoolHistory::new(parse_lines(&lines.concat()).expect("the lines are whole"))
+    PoolHistory::new(parse_lines(&lines.concat()).expect("the lines are valid"))
 }
 
 #[test]
@@ -97,7 +98,9 @@
     assert!((shares[1].seconds - 1.9).abs() < 0.01, "{shares:?}");
 }
 
-/// A sibling that comes back begins the step's wait anew; the task has waited all the same.
+/// A requeued sibling restarts the wait counter of the step, so that the start order of a task that
+/// waited from the beginning shows a wait that is too short. The missing time must not be
+/// attributed to a missing owner.
 #[test]
 fn restarted_wait_is_not_attributed_to_a_missing_owner() {
     let lines = [
@@ -143,7 +146,7 @@
     assert_eq!(report.windows.iter().map(|row| row.starts).sum::<u32>(), 4);
     assert_eq!(
         report.windows[0].running, 1,
-        "the second run of the moved task"
+        "only the second run of the restarted task is in progress"
     );
 }
 
@@ -176,24 +179,24 @@
         "\"message\":\"took over the shard\",\"epoch\":2",
     ));
     lines.push(line(2_100, "\"message\":\"the store does not answer\""));
-    let text = plot_history(&history(&lines)).expect("there is a job");
+    let text = plot_history(&history(&lines)).expect("the history has a job");
     assert!(text.starts_with("<svg") && text.contains("runs under way"));
     assert!(text.contains("1 jobs accepted") && text.contains("1 takeovers"));
-    // One mark in each of the three panels, beside the legend's.
+    // One mark in each of the three panels and one in each legend.
     let marks = |color: &str| text.matches(color).count();
     assert_eq!(marks("#AAAAAA"), 6, "marks where a front lost the store");
     let panels = text.matches("seconds from the first line").count();
-    assert_eq!(panels, 3, "a panel for each scale");
+    assert_eq!(panels, 3, "one panel for each scale");
     assert!(
         plot_history(&PoolHistory::default()).is_err(),
-        "nothing to draw"
+        "an empty history cannot be drawn"
     );
 }
 
 #[test]
 fn unreadable_line_is_reported_with_its_number() {
     let mut text = String::new();
-    let _ = writeln!(text, "text of another program");
+    let _ = writeln!(text, "line of another program");
     let _ = writeln!(
         text,
         "{{\"timestamp\":\"2026-05-13T12:00:00Z\",\"message\":\"run ended\",\"task\":\"a\"}}"
--- a/crates/wax-replay/src/batch.rs
+++ b/crates/wax-replay/src/batch.rs
@@ -1,4 +1,5 @@
-//! Tasks through placement, eviction, relief and recovery.
+//! Batch tasks in a replay: scheduling, placement, eviction, mitigation of interference and
+//! recovery.
 
 mod report;
 mod runs;
@@ -17,27 +18,28 @@
 };
 use wax_types::{JobId, ResourceVector, TaskId, TimePoint};
 
-/// Between two looks of the owner at its queue.
+/// Interval between two scheduling rounds of the owner.
 pub(crate) const SCHEDULING_PERIOD: Duration = Duration::from_millis(25);
-/// From a decision to the start at the worker: a commit and a call.
+/// Time from a placement decision to the start on the worker: one commit and one call.
 const START_DELAY: Duration = Duration::from_millis(15);
-/// A stop with a checkpoint.
+/// Time that a stop with a checkpoint takes.
 const STOP_DELAY: Duration = Duration::from_millis(500);
-/// A run that is not stopped writes a checkpoint this often.
+/// Interval at which a run writes checkpoints unless it is being stopped.
 const CHECKPOINT_PERIOD: Duration = Duration::from_secs(60);
-/// Leases of a lost worker lapse after this time.
+/// Time after the loss of a worker until its leases have expired.
 pub(crate) const LEASE_EXPIRY: Duration = Duration::from_secs(12);
-/// Tasks of the queue that are looked at once.
+/// Limit on the waiting tasks that one scheduling round considers.
 const MAX_TASKS_PER_ROUND: usize = 256;
-/// Each eviction that a task has suffered keeps it safe for this long.
+/// Time for which a restarted task is protected from eviction, for each eviction that it has
+/// suffered.
 const EVICTION_PROTECTION: Duration = Duration::from_secs(30);
-/// Failed runs in a row after which a worker is quarantined.
+/// Number of consecutive failed runs after which a worker is quarantined.
 const FAILURES_TO_QUARANTINE: u32 = 5;
 const QUARANTINE_DURATION: Duration = Duration::from_secs(30);
-/// A failed run is noticed after this time.
+/// Time from the start of a run on a failing worker to the report of its failure.
 const FAILURE_DETECTION_DELAY: Duration = Duration::from_millis(200);
 
-/// Where a task stands.
+/// Life-cycle state of a task. `Running` holds the index of the worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum TaskState {
     Waiting,
@@ -53,13 +55,13 @@
     work: Duration,
     submitted: TimePoint,
     state: TaskState,
-    /// Work done and kept.
+    /// Work that the last checkpoint holds.
     saved: Duration,
-    /// Work done since then.
+    /// Work done since the last checkpoint.
     unsaved: Duration,
     progress_at: TimePoint,
     speed: f64,
-    /// Share of its size that it may use.
+    /// Share of its reservation that the task may use: 1 unless it is throttled.
     throttle: f64,
     reserved: ResourceVector,
     generation: u64,
@@ -70,7 +72,7 @@
     next_checkpoint: TimePoint,
 }
 
-/// Late usage on its way to the owner.
+/// Usage samples that are on their way to the owner.
 #[derive(Debug, Clone)]
 struct UsageBatch {
     samples: Vec<UsageSample>,
@@ -95,7 +97,7 @@
     mitigation: MitigationState,
 }
 
-/// The state of all tasks.
+/// State of the workers' reservations, the queue and all tasks.
 pub(crate) struct BatchState {
     table: WorkerTable,
     keys: Vec<WorkerKey>,
@@ -117,7 +119,8 @@
     next_job: u128,
 }
 
-/// The task of a resident upstream in the worker table.
+/// Returns the id under which a resident upstream is listed in the worker table. Job 0 marks
+/// resident upstreams.
 fn resident_task(upstream: usize) -> TaskId {
     TaskId {
         job: JobId(0),
@@ -190,7 +193,9 @@
 }
 
 impl ReplayRun {
-    /// How much longer a kind takes on a worker now, beside all others there.
+    /// Returns the share by which tasks of a kind currently take longer on a worker because of the
+    /// other tasks there. `own` is the task itself; `None` for an upstream, which only batch tasks
+    /// slow down.
     pub(crate) fn excess_on_worker(
         &self,
         worker: usize,
@@ -247,7 +252,8 @@
         }
     }
 
-    /// Urgent tasks first; then those that can still end before evening; then by submission.
+    /// Adds a task to the queue. Order: urgent tasks, then tasks that can end before the end of the
+    /// working day (only if the policy learns), then the time of submission.
     fn enqueue(&mut self, now: TimePoint, task: TaskId) {
         let record = &self.batch.tasks[&task];
         let urgent = self.world.kinds[record.kind].urgent;
@@ -351,7 +357,7 @@
     }
 }
 
-/// Tells batch tasks from resident upstreams.
+/// Distinguishes batch tasks from resident upstreams.
 trait BatchTask {
     fn is_batch(&self) -> bool;
 }
--- a/crates/wax-replay/src/batch/report.rs
+++ b/crates/wax-replay/src/batch/report.rs
@@ -1,4 +1,4 @@
-//! What a replay reports of batch and urgent tasks.
+//! Reports of the batch tasks and the urgent tasks of a replay.
 
 use super::*;
 
--- a/crates/wax-replay/src/batch/runs.rs
+++ b/crates/wax-replay/src/batch/runs.rs
@@ -1,4 +1,4 @@
-//! The life of a run: start, speed, end, stop, loss.
+//! Life cycle of a run: start, change of speed, end, stop and loss.
 
 use super::*;
 
@@ -58,7 +58,8 @@
         self.batch.max_overallocation_milli = self.batch.max_overallocation_milli.max(over);
     }
 
-    /// Counts the work done so far and plans the ends anew: the set of tasks has changed.
+    /// Records the progress of all tasks on a worker and plans the ends of their runs again. Called
+    /// when the set of tasks, a throttle or a fault has changed their speed.
     pub(super) fn replan_run_ends(&mut self, now: TimePoint, worker: usize) {
         let tasks: Vec<TaskId> = self
             .batch
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Counts the work that a task did since it was last counted.
+    /// Records the work that a task has done since its progress was last recorded.
     pub(super) fn record_progress(&mut self, now: TimePoint, task: TaskId) {
         let record = self.batch.tasks.get_mut(&task).expect("the task is known");
         if now > record.progress_at {
@@ -150,7 +151,7 @@
         }
     }
 
-    /// A run has left its worker.
+    /// Releases the reservation of a run that has left its worker.
     pub(super) fn remove_run(&mut self, now: TimePoint, task: TaskId, worker: usize) {
         let key = self.batch.keys[worker];
         self.batch.table.release(key, task);
@@ -160,7 +161,7 @@
         self.replan_run_ends(now, worker);
     }
 
-    /// Begins to stop a run, with a checkpoint.
+    /// Orders a run to write a checkpoint and stop.
     pub(super) fn begin_stop(&mut self, now: TimePoint, task: TaskId) {
         let Some(record) = self.batch.tasks.get_mut(&task) else {
             return;
@@ -183,7 +184,7 @@
         }
         self.record_progress(now, task);
         let record = self.batch.tasks.get_mut(&task).expect("the task is known");
-        // What the run did while its checkpoint was written is done again.
+        // Work done while the checkpoint was being written is lost and must be repeated.
         let repeated = STOP_DELAY.mul_f64(record.speed).min(record.unsaved);
         record.saved += record.unsaved.saturating_sub(repeated);
         record.unsaved = Duration::ZERO;
@@ -225,7 +226,7 @@
         }
     }
 
-    /// A worker is gone: its tasks wait again once their leases have lapsed.
+    /// Puts the tasks of a lost worker back into the queue once its leases have expired.
     pub(crate) fn requeue_lost_tasks(&mut self, now: TimePoint, worker: usize) {
         let tasks = self.batch.running.remove(&worker).unwrap_or_default();
         for task in tasks {
--- a/crates/wax-replay/src/batch/usage.rs
+++ b/crates/wax-replay/src/batch/usage.rs
@@ -1,4 +1,4 @@
-//! Late usage: what is learned from it, and relief of noisy neighbours.
+//! Delayed usage samples: learning of task sizes and interference, and mitigation of interference.
 
 use super::*;
 
@@ -62,7 +62,8 @@
         }
     }
 
-    /// Throttles, restores or evicts one neighbour of a slowed latency-critical task.
+    /// Throttles, restores or evicts one neighbour of the latency-critical task that is slowed down
+    /// most on a worker.
     pub(super) fn mitigate(&mut self, now: TimePoint, worker: usize, samples: &[UsageSample]) {
         let Some(slot) = self.batch.table.get(self.batch.keys[worker]) else {
             return;
--- a/crates/wax-replay/src/bound.rs
+++ b/crates/wax-replay/src/bound.rs
@@ -1,61 +1,64 @@
-//! What no scheduler could exceed: work of known size, placed freely on the processors that there are.
+//! Upper bound of the work that any scheduler could complete: work of known size, placed freely on
+//! the available processors.
 //!
-//! Taken as free: moving, stopping and going on; knowing what comes; running beside one another; any
-//! number of processors for one job. So a day below the bound may still be out of reach, while one near
-//! it lacks capacity. Work within windows of time is a flow, and flows form a polymatroid: taking jobs by
-//! worth for their work, each as far as it still goes beside those before it, is best.
+//! The bound assumes that preemption, migration and resumption cost nothing, that future jobs are
+//! known, that tasks do not slow each other down, and that a job can use any number of processors
+//! at once. A result below the bound may therefore still be the best achievable; a bound far below
+//! the requested work shows a lack of capacity. Work within windows of time is a network flow, and
+//! flows form a polymatroid, so a greedy algorithm is optimal: jobs are taken in the order of their
+//! value per work, and each is placed as far as it fits beside the jobs before it.
 
 use serde::Serialize;
 use std::collections::VecDeque;
 
-/// Amounts below this are rounding, core seconds.
+/// Amounts below this are rounding errors, core seconds.
 const EPSILON_CORE_S: f64 = 1e-6;
 
-/// A job as far as the bound knows it. Times in seconds.
+/// A job of known arrival, deadline, work and value.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BoundJob {
-    /// When it comes.
+    /// Arrival time, seconds.
     pub arrival_s: f64,
-    /// By when it must be done to count.
+    /// Time by which work must be done to count, seconds.
     pub deadline_s: f64,
-    /// Its work, core seconds.
+    /// Work of the job, core seconds.
     pub work_core_s: f64,
-    /// What it is worth if all of it is done; a part counts as its share.
+    /// Value if all of the work is done in time; a part of the work counts proportionally.
     pub value: f64,
 }
 
-/// Processors over a span of time.
+/// Available processors over an interval of time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BoundSlot {
-    /// Its beginning, seconds.
+    /// Start of the interval, seconds.
     pub start_s: f64,
-    /// Its end.
+    /// End of the interval, seconds.
     pub end_s: f64,
-    /// Cores that there are.
+    /// Number of available cores.
     pub cores: f64,
 }
 
-/// The bound of a day.
+/// Upper bound of the work and value that can be completed in time.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize)]
 pub struct WorkBound {
-    /// Jobs that were looked at.
+    /// Number of jobs; jobs without work are not counted.
     pub jobs: usize,
-    /// Work that was asked for, core seconds.
+    /// Total work of the jobs, core seconds.
     #[serde(rename = "asked")]
     pub requested_core_s: f64,
-    /// Of it, what can be done in time.
+    /// Part of the work that can be done in time, core seconds.
     #[serde(rename = "possible")]
     pub possible_core_s: f64,
-    /// What all jobs are worth.
+    /// Total value of the jobs.
     #[serde(rename = "worth_asked")]
     pub requested_value: f64,
-    /// What of that can be had.
+    /// Part of the value that can be reached.
     #[serde(rename = "worth_possible")]
     pub possible_value: f64,
 }
 
 impl WorkBound {
-    /// The share of the worth that can be had; all of nothing.
+    /// Returns the part of the value that can be reached, 0 to 1; 1 if there is none.
     pub fn share(&self) -> f64 {
         match self.requested_value > 0.0 {
             true => self.possible_value / self.requested_value,
@@ -64,7 +67,8 @@
     }
 }
 
-/// The most that can be had of `jobs` with the processors of `slots`.
+/// Computes the highest value that any scheduler could reach for `jobs` with the processors of
+/// `slots`.
 pub fn compute_bound(jobs: &[BoundJob], slots: &[BoundSlot]) -> WorkBound {
     let mut flow = FlowNetwork::new(jobs, slots);
     let mut order: Vec<usize> = (0..jobs.len())
@@ -84,13 +88,13 @@
     bound
 }
 
-/// Which work is done in which slot.
+/// Assignment of work to slots as a flow from jobs to slots.
 struct FlowNetwork {
-    /// Slots that each job may use, and how much of each at most.
+    /// Slots that each job may use, with the limit on its work in each.
     usable_slots: Vec<Vec<(usize, f64)>>,
-    /// What is left of each slot.
+    /// Unused work capacity of each slot.
     free: Vec<f64>,
-    /// What each slot holds: the job, how much.
+    /// Work in each slot: the job and its amount.
     placements: Vec<Vec<(usize, f64)>>,
 }
 
@@ -115,7 +119,8 @@
         }
     }
 
-    /// Places as much of a job as goes beside what is placed; says how much.
+    /// Places as much work of a job as fits beside the jobs that are placed, and returns the
+    /// amount.
     fn place_job(&mut self, job: usize, work: f64) -> f64 {
         let mut remaining = work;
         while remaining > EPSILON_CORE_S {
@@ -139,8 +144,9 @@
         placement.map_or(0.0, |(_, amount)| *amount)
     }
 
-    /// The shortest way to a slot with room: the job takes a slot, whose holder moves to another, and so
-    /// on. Steps are (job, slot that it takes); with them how much can be pushed along.
+    /// Finds the shortest augmenting path to a slot with free capacity: the job takes a slot, a job
+    /// that occupies it moves to another slot, and so on. Returns the steps from the end of the
+    /// path, as (job, slot that it takes), and the amount that can be moved along the path.
     fn find_augmenting_path(&self, job: usize) -> Option<(Vec<(usize, usize)>, f64)> {
         let mut from: Vec<Option<(usize, Option<usize>)>> = vec![None; self.free.len()];
         let mut seen_jobs = vec![false; self.usable_slots.len()];
@@ -185,7 +191,8 @@
             let Some(before) = displaced_from else {
                 break;
             };
-            // The taker gives up as much of the slot through which it was found.
+            // The occupant moves at most the amount that it holds in the slot from which it is
+            // displaced.
             limit = limit.min(self.placed_amount(occupant, before));
             slot = before;
         }
@@ -193,7 +200,8 @@
     }
 
     fn augment(&mut self, path: &[(usize, usize)], amount: f64) {
-        // From the end with room back to the job itself; each taker leaves the next slot of the path.
+        // The path starts at the slot with free capacity and ends with the new job. Each occupant
+        // takes its slot and leaves the slot of the next step.
         self.free[path[0].1] -= amount;
         for (step, (occupant, slot)) in path.iter().enumerate() {
             self.add(*occupant, *slot, amount);
--- a/crates/wax-replay/src/compare.rs
+++ b/crates/wax-replay/src/compare.rs
@@ -1,54 +1,55 @@
-//! Our policy against the baselines, over many seeds, as ratios with their spread.
+//! Compares the weighed policy with the baselines over many seeds, as ratios with their spread.
 
 use crate::engine::replay;
 use crate::report::ReplayReport;
 use crate::trace::{ReplayPolicy, TraceError, TraceLine};
 use serde::{Deserialize, Serialize};
 
-/// The spread of a ratio over the seeds.
+/// Spread of a ratio over the seeds.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct RatioSpread {
-    /// The least.
+    /// Lowest ratio.
     #[serde(rename = "least")]
     pub min: f64,
-    /// The median.
+    /// Median ratio.
     pub median: f64,
-    /// The greatest.
+    /// Highest ratio.
     #[serde(rename = "most")]
     pub max: f64,
 }
 
-/// Ours divided by one baseline; below 1 is better, but for the batch work.
+/// Figures of the weighed policy divided by those of one baseline. Below 1 is better, except for
+/// `work`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PolicyRatios {
-    /// The baseline.
+    /// Name of the baseline policy, or `best`.
     pub baseline: Box<str>,
-    /// 99.9th percentile of quick requests.
+    /// 99.9th percentile of the latency of quick requests.
     pub p999: RatioSpread,
-    /// 99th percentile.
+    /// 99th percentile of the latency of quick requests.
     pub p99: RatioSpread,
-    /// Requests that missed their deadlines.
+    /// Quick requests that missed their deadlines.
     pub misses: RatioSpread,
-    /// Evictions.
+    /// Number of evictions.
     pub evictions: RatioSpread,
-    /// Work that was lost.
+    /// Batch work that was lost.
     pub lost_work: RatioSpread,
-    /// Batch work done; above 1 is better.
+    /// Batch work that was done; above 1 is better.
     pub work: RatioSpread,
 }
 
-/// The comparison over all seeds.
+/// Comparison over all seeds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ComparisonReport {
-    /// How many seeds.
+    /// Number of seeds.
     pub seeds: u64,
-    /// Ours with each seed.
+    /// Reports of the weighed policy, one for each seed.
     pub ours: Vec<ReplayReport>,
-    /// Against each baseline.
+    /// Ratios to each baseline.
     pub ratios: Vec<PolicyRatios>,
-    /// Against the best baseline in each figure, seed by seed.
+    /// Ratios to the best baseline, chosen for each figure and seed separately.
     pub best: PolicyRatios,
-    /// The worst over-allocation of all runs; must be 0.
+    /// Largest over-allocation in any replay, thousandths of a core; must be 0.
     pub worst_over_milli: u64,
 }
 
@@ -56,7 +57,7 @@
 ///
 /// # Errors
 ///
-/// As for [`replay`].
+/// A line names something that no line before it declares, as for [`replay`].
 pub fn compare_policies(lines: &[TraceLine], seeds: u64) -> Result<ComparisonReport, TraceError> {
     let all = |policy: ReplayPolicy| -> Result<Vec<ReplayReport>, TraceError> {
         (1..=seeds)
@@ -89,7 +90,7 @@
     })
 }
 
-/// The figures that are compared.
+/// The figures of one replay that are compared.
 #[derive(Debug, Clone, Copy)]
 struct FigureSet {
     p999: f64,
@@ -124,7 +125,7 @@
         lost: a.lost.min(b.lost),
         work: a.work.max(b.work),
     })
-    .expect("there are baselines")
+    .expect("BASELINES is not empty")
 }
 
 fn ratios_of(baseline: Box<str>, ours: &[ReplayReport], theirs: &[FigureSet]) -> PolicyRatios {
@@ -146,7 +147,8 @@
     }
 }
 
-/// Two zeros are equal; against a zero, each of ours counts as once more.
+/// Divides two figures. The ratio of two zeros is 1. If only the baseline is zero, the ratio is 1
+/// plus the figure of the weighed policy.
 fn ratio(ours: f64, theirs: f64) -> f64 {
     match (ours, theirs) {
         (0.0, 0.0) => 1.0,
--- a/crates/wax-replay/src/engine.rs
+++ b/crates/wax-replay/src/engine.rs
@@ -1,4 +1,4 @@
-//! Runs a trace from its start to its end.
+//! Event loop of a replay.
 
 use crate::batch::{BatchState, LEASE_EXPIRY, SCHEDULING_PERIOD};
 use crate::events::ReplayEvent;
@@ -9,19 +9,19 @@
 use std::time::Duration;
 use wax_types::TimePoint;
 
-/// Between two announcements of the sidecars' loads.
+/// Interval between two load reports of the sidecars.
 const LOAD_PERIOD: Duration = Duration::from_millis(100);
-/// Between two measurements of usage.
+/// Interval between two measurements of usage.
 const USAGE_PERIOD: Duration = Duration::from_secs(1);
 
-/// One replay under way.
+/// State of a replay in progress.
 pub(crate) struct ReplayRun {
     pub(crate) world: ReplayWorld,
     pub(crate) quick: QuickState,
     pub(crate) batch: BatchState,
 }
 
-/// Replays a trace with a policy; the same trace, policy and seed give the same report.
+/// Replays a trace with a policy. The same trace, policy and seed give the same report.
 ///
 /// # Errors
 ///
--- a/crates/wax-replay/src/events.rs
+++ b/crates/wax-replay/src/events.rs
@@ -1,47 +1,48 @@
-//! The queue of what happens next.
+//! Event queue of a replay.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use wax_types::{TaskId, TimePoint};
 
-/// What happens at a time.
+/// Event at a point of time. Indices refer to the lists in the replay's state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ReplayEvent {
     /// A quick request arrives at its entry.
     QuickArrives(usize),
     /// An attempt arrives at its sidecar.
     AttemptArrives(usize),
-    /// An upstream has worked on an attempt to its end.
+    /// An upstream has completed its work on an attempt.
     AttemptEnds(usize),
-    /// The answer of an attempt, or its refusal, arrives at the entry.
+    /// The answer to an attempt, or its refusal, arrives at the entry.
     AnswerArrives(usize),
-    /// A second attempt may be sent.
+    /// A hedge, the second attempt of a request, may be sent.
     HedgeDue(usize),
-    /// A request's deadline passes.
+    /// The deadline of a request passes.
     DeadlinePasses(usize),
-    /// Every sidecar says its load.
+    /// All sidecars report their loads.
     LoadsReported,
     /// A job arrives.
     JobArrives(usize),
-    /// The owner looks at its queue.
+    /// The owner starts a scheduling round.
     SchedulingDue,
-    /// A run ends, if nothing has changed its speed since.
+    /// A run ends. Ignored if the generation of the task has changed, as its speed was then changed
+    /// and its end planned again.
     RunEnds(TaskId, u64),
-    /// Workers measure usage.
+    /// Workers measure their usage.
     UsageMeasured,
-    /// Late usage arrives at the owner.
+    /// Delayed usage samples arrive at the owner.
     UsageArrives(usize),
-    /// A stopped run has written its checkpoint.
+    /// A run that is being stopped has written its checkpoint.
     StopDone(TaskId, u64),
-    /// A fault begins or ends.
+    /// A fault starts (`true`) or ends (`false`).
     FaultChanges(usize, bool),
-    /// The leases at a lost worker have lapsed.
+    /// The leases on a lost worker have expired.
     LeasesExpire(usize),
-    /// Jobs are cancelled.
+    /// Tasks of a kind are cancelled.
     Cancelled(usize),
 }
 
-/// Events in the order of their times; those of one time in the order of their insertion.
+/// Events by time; events at the same time keep the order of their insertion.
 #[derive(Debug, Default)]
 pub(crate) struct EventQueue {
     heap: BinaryHeap<Reverse<(TimePoint, u64, ReplayEvent)>>,
--- a/crates/wax-replay/src/lib.rs
+++ b/crates/wax-replay/src/lib.rs
@@ -1,7 +1,7 @@
-//! Replays a recorded trace through the decision code that the daemons run.
+//! Replays a recorded trace through the decision code of the daemons.
 //!
-//! This is no simulator of a cluster: workers and upstreams are a few numbers each, so that the
-//! same trace gives the same verdict on a decision every time.
+//! Workers and upstreams are modelled by a few numbers each, not simulated in detail, so that the
+//! same trace always gives the same result for a decision.
 
 mod batch;
 mod bound;
--- a/crates/wax-replay/src/quick.rs
+++ b/crates/wax-replay/src/quick.rs
@@ -1,4 +1,4 @@
-//! Quick requests through routing, the sidecar's gate, retries and hedges.
+//! Quick requests in a replay: routing, admission at the sidecar, retries and hedges.
 
 use crate::engine::ReplayRun;
 use crate::events::ReplayEvent;
@@ -11,12 +11,12 @@
 };
 use wax_types::TimePoint;
 
-/// Retries and hedges in percent of the requests, as the settings' defaults have it.
+/// Budgets of retries and hedges as a percentage of the requests; the defaults of the settings.
 const RETRY_PERCENT: u32 = 10;
 const HEDGE_PERCENT: u32 = 4;
-/// Requests that may wait at a sidecar.
+/// Limit on the requests that wait at a sidecar.
 const QUEUE_LIMIT: usize = 64;
-/// From an entry to a sidecar of its own failure domain.
+/// Latency from an entry to a sidecar in the same failure domain.
 const LOCAL_HOP: Duration = Duration::from_micros(100);
 
 /// How an attempt ended at its sidecar.
@@ -25,7 +25,7 @@
     Open,
     Answered,
     Refused,
-    /// The connection to the sidecar or the upstream is refused.
+    /// The connection is refused because the worker of the sidecar and its upstream is down.
     Unreachable,
 }
 
@@ -36,7 +36,7 @@
     sent: TimePoint,
     started: TimePoint,
     outcome: AttemptOutcome,
-    /// The entry no longer waits for it.
+    /// Whether the entry has stopped waiting for the attempt.
     closed: bool,
 }
 
@@ -49,7 +49,7 @@
     ended: bool,
 }
 
-/// The state of all quick requests.
+/// State of all quick requests.
 pub(crate) struct QuickState {
     routes: RouteTable,
     pub(crate) keys: Vec<UpstreamKey>,
@@ -68,7 +68,7 @@
 impl QuickState {
     pub(crate) fn new(world: &ReplayWorld, now: TimePoint) -> Self {
         let mut routes = RouteTable::default();
-        // The entry stands in the failure domain of the first worker.
+        // The entry is in the failure domain of the first worker.
         let entry_domain = world.workers.first().map(|worker| worker.domain.clone());
         let keys = world
             .upstreams
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Sends one attempt; says whether there was somewhere to send it.
+    /// Sends one attempt. Returns whether an upstream was available.
     fn send_attempt(&mut self, now: TimePoint, request: usize) -> bool {
         let quick = &mut self.quick;
         let state = &quick.requests[request];
@@ -233,7 +233,8 @@
             .push(now + work, ReplayEvent::AttemptEnds(attempt));
     }
 
-    /// How much longer a request takes at an upstream now than alone.
+    /// Returns the factor by which a request currently takes longer at an upstream than without
+    /// faults and interference.
     fn service_slowdown(&self, upstream: usize) -> f64 {
         let actual = &self.world.upstreams[upstream];
         let excess = self.excess_on_worker(actual.worker, actual.kind, None);
@@ -246,7 +247,8 @@
         let spent = now.since(state.started);
         self.quick.gates[upstream].release(spent);
         if self.world.workers[self.world.upstreams[upstream].worker].down {
-            // It died with its worker; the entry learns of it by its deadline or its hedge.
+            // The attempt ended with its worker without an answer. The entry finds out by a hedge
+            // or the deadline.
             return;
         }
         self.send_answer(now, attempt, AttemptOutcome::Answered);
@@ -311,7 +313,7 @@
         }
     }
 
-    /// Gives up the attempts that a request still has under way.
+    /// Closes the attempts of a request that have not ended.
     fn abandon_attempts(&mut self, now: TimePoint, request: usize) {
         let open_attempts = std::mem::take(&mut self.quick.requests[request].open_attempts);
         for attempt in open_attempts {
@@ -330,7 +332,7 @@
         self.record_miss(now, request);
     }
 
-    /// A request without an answer counts as its whole deadline.
+    /// Records a request without an answer. Its latency counts as the whole deadline.
     fn record_miss(&mut self, now: TimePoint, request: usize) {
         let state = &mut self.quick.requests[request];
         state.ended = true;
@@ -363,7 +365,7 @@
                 leaving: false,
                 up: true,
             };
-            // A sidecar that is down says nothing.
+            // A sidecar on a worker that is down sends no report.
             if !self.world.workers[actual.worker].down {
                 let key = self.quick.keys[upstream];
                 self.quick.routes.update_load(now, key, load);
--- a/crates/wax-replay/src/report.rs
+++ b/crates/wax-replay/src/report.rs
@@ -1,86 +1,89 @@
-//! What a replay measures.
+//! Figures that a replay measures.
 
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Quick requests.
+/// Figures of the quick requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct QuickReport {
-    /// How many came.
+    /// Number of requests.
     pub requests: u64,
-    /// Answered within their deadlines.
+    /// Number of requests answered within their deadlines.
     pub answered: u64,
-    /// Not answered within their deadlines, refusals among them.
+    /// Number of requests not answered within their deadlines, including refused ones.
     pub misses: u64,
-    /// Refused at once.
+    /// Number of requests that failed before their deadlines because no further attempt could be
+    /// sent.
     pub refused: u64,
-    /// Second attempts sent before the first was answered.
+    /// Number of hedges: second attempts sent before the first was answered.
     pub hedges: u64,
-    /// Latency; a miss counts as its deadline. Microseconds.
+    /// Median latency, microseconds. A miss counts as its whole deadline.
     pub p50_us: u64,
-    /// 99th percentile.
+    /// 99th percentile of the latency, microseconds.
     pub p99_us: u64,
-    /// 99.9th percentile.
+    /// 99.9th percentile of the latency, microseconds.
     pub p999_us: u64,
 }
 
-/// Batch tasks.
+/// Figures of the batch tasks that are not urgent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BatchReport {
-    /// Tasks that came.
+    /// Number of tasks.
     pub tasks: u64,
-    /// Ended with a result.
+    /// Number of tasks that ended with a result.
     pub done: u64,
-    /// Given up after failing too often.
+    /// Number of tasks that were given up after the allowed number of failed runs.
     pub failed: u64,
-    /// Cancelled before they ended.
+    /// Number of tasks that were cancelled before they ended.
     pub cancelled: u64,
-    /// Work of the tasks that ended, milliseconds alone with enough processors.
+    /// Work of the tasks that ended with a result, as their run time alone with enough processors,
+    /// milliseconds.
     pub work_done_ms: u64,
-    /// Work done of tasks not ended, without what was lost.
+    /// Work done of the other tasks, without lost work, milliseconds.
     pub work_open_ms: u64,
-    /// Evictions.
+    /// Number of evictions.
     pub evictions: u64,
     /// Work that was done and lost, milliseconds.
     pub lost_work_ms: u64,
 }
 
-/// Urgent tasks.
+/// Figures of the urgent tasks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct UrgentReport {
-    /// Tasks that came.
+    /// Number of tasks.
     pub tasks: u64,
-    /// Started.
+    /// Number of starts.
     pub started: u64,
-    /// From submission to start, milliseconds.
+    /// Median time from submission to start, milliseconds.
     pub p50_ms: u64,
-    /// The longest.
+    /// Longest time from submission to start, milliseconds.
     pub max_ms: u64,
 }
 
-/// The verdict on one replay.
+/// Result of one replay.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ReplayReport {
-    /// The policy.
+    /// Name of the policy.
     pub policy: Box<str>,
-    /// The seed of what the trace leaves to chance.
+    /// Seed of the random choices that the trace leaves open.
     pub seed: u64,
-    /// Quick requests.
+    /// Figures of the quick requests.
     pub quick: QuickReport,
-    /// Batch tasks.
+    /// Figures of the batch tasks that are not urgent.
     pub batch: BatchReport,
-    /// Urgent tasks.
+    /// Figures of the urgent tasks.
     pub urgent: UrgentReport,
-    /// Rows written for each task that was placed.
+    /// Rows written to the store, divided by the number of placements.
     pub rows_per_placement: f64,
-    /// Commits for each task that was placed.
+    /// Commits to the store, divided by the number of placements.
     pub commits_per_placement: f64,
-    /// By how much a worker's reservations ever exceeded it, thousandths of a core.
+    /// Largest amount by which the reservations on a worker exceeded its processors, thousandths of
+    /// a core.
     pub worst_over_milli: u64,
 }
 
-/// Collects latencies.
+/// Histogram of latencies.
 #[derive(Debug)]
 pub(crate) struct LatencyHistogram {
     histogram: Histogram<u64>,
@@ -89,12 +92,12 @@
 impl LatencyHistogram {
     pub(crate) fn new() -> Self {
         Self {
-            histogram: Histogram::new(3).expect("three digits are allowed"),
+            histogram: Histogram::new(3).expect("3 significant digits are valid"),
         }
     }
 
     pub(crate) fn add(&mut self, latency: Duration) {
-        // The histogram grows by itself and takes any value.
+        // The histogram resizes itself and accepts any value.
         let _ = self.histogram.record(latency.as_micros().max(1) as u64);
     }
 
--- a/crates/wax-replay/src/trace.rs
+++ b/crates/wax-replay/src/trace.rs
@@ -1,190 +1,195 @@
-//! The lines of a trace; `docs/REPLAY.md` describes each.
+//! Lines of a trace, which `docs/REPLAY.md` describes, and the policies that a trace can be
+//! replayed with.
 
 use serde::{Deserialize, Serialize};
 use std::str::FromStr;
 use wax_policy::{PlacementPolicy, RoutePolicy};
 use wax_settings::TaskClass;
 
-/// One line, a JSON object with the field `event`.
+/// One line of a trace: a JSON object whose field `event` names the kind. Times are milliseconds
+/// from the start of the trace.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case", deny_unknown_fields)]
 pub enum TraceLine {
-    /// What holds for the whole trace.
+    /// Options of the whole trace.
     Options {
-        /// Usage is reported this much later.
+        /// Delay until usage is reported to the owner.
         #[serde(default = "default_lag")]
         usage_lag_ms: u64,
-        /// What tail latency counts.
+        /// Weight of tail latency among the customer's objectives.
         #[serde(default = "default_weight")]
         weight_tail: u32,
-        /// What batch throughput counts.
+        /// Weight of batch throughput.
         #[serde(default = "default_weight")]
         weight_throughput: u32,
-        /// What evictions count.
+        /// Weight of evictions.
         #[serde(default = "default_weight")]
         weight_eviction: u32,
         /// Start of the working day, minutes after the start of the trace's day.
         #[serde(default)]
         day_start_min: u32,
-        /// End of the working day.
+        /// End of the working day, minutes after the start of the trace's day.
         #[serde(default = "default_day_end")]
         day_end_min: u32,
         /// One-way latency between failure domains, microseconds.
         #[serde(default = "default_hop")]
         domain_us: u64,
-        /// When the trace ends.
+        /// End of the trace.
         until_ms: u64,
     },
     /// A worker.
     Worker {
-        /// Its name.
+        /// Name of the worker.
         name: Box<str>,
-        /// Its failure domain.
+        /// Failure domain of the worker.
         domain: Box<str>,
-        /// Thousandths of a core.
+        /// Processors, thousandths of a core.
         cpu_milli: u32,
-        /// Mebibytes.
+        /// Memory, mebibytes.
         memory_mib: u32,
     },
     /// An upstream that runs on a worker.
     Upstream {
-        /// Its name.
+        /// Name of the upstream.
         name: Box<str>,
-        /// Its worker.
+        /// Name of its worker.
         worker: Box<str>,
-        /// Its service, which is also its kind.
+        /// Service of the upstream; also its kind in pairs of interference.
         service: Box<str>,
-        /// Requests that it runs at once.
+        /// Number of requests that it processes concurrently.
         slots: u32,
-        /// Reserved for it, thousandths of a core.
+        /// Reserved processors, thousandths of a core.
         cpu_milli: u32,
-        /// Reserved for it, mebibytes.
+        /// Reserved memory, mebibytes.
         memory_mib: u32,
     },
     /// A kind of task.
     Kind {
-        /// Its name.
+        /// Name of the kind.
         name: Box<str>,
-        /// The team that is charged.
+        /// Team that is charged.
         team: Box<str>,
-        /// Its urgency.
+        /// Class of the tasks; latency-critical tasks are urgent.
         class: TaskClass,
-        /// Declared, thousandths of a core.
+        /// Declared processors of a task, thousandths of a core.
         cpu_milli: u32,
-        /// Declared, mebibytes.
+        /// Declared memory of a task, mebibytes.
         memory_mib: u32,
-        /// What a task would use if nothing held it; as declared if it is not said.
+        /// Processors that a task uses if nothing limits it, thousandths of a core; the default is
+        /// the declared amount.
         true_cpu_milli: Option<u32>,
-        /// Runs that may fail.
+        /// Number of failed runs after which a task is given up.
         #[serde(default = "default_attempts")]
         attempts: u32,
     },
-    /// What one neighbour does to a victim: 0.5 makes it take half as long again.
+    /// Interference that one neighbour causes: 0.5 makes the victim take 1.5 times as long.
     Pair {
-        /// The kind or service that is slowed down.
+        /// Kind or service that is slowed down.
         victim: Box<str>,
-        /// The kind that does it.
+        /// Kind that causes the interference.
         neighbour: Box<str>,
-        /// On a worker with less than 60% of its processors reserved.
+        /// Interference on a worker with less than 60% of its processors reserved.
         light: f64,
-        /// On a fuller worker.
+        /// Interference on a worker with more reserved.
         loaded: f64,
     },
     /// A job.
     Job {
-        /// When it is submitted.
+        /// Time of submission.
         at_ms: u64,
-        /// Its kind.
+        /// Kind of its tasks.
         kind: Box<str>,
-        /// How many tasks.
+        /// Number of tasks.
         tasks: u32,
-        /// The work of each, as its run time alone with enough processors.
+        /// Work of each task, as its run time alone with enough processors.
         work_ms: u64,
     },
-    /// Many jobs at random times.
+    /// A stream of jobs at random times.
     JobStream {
-        /// First arrival.
+        /// Time of the first arrival.
         from_ms: u64,
-        /// Last arrival.
+        /// Time after which no job arrives.
         to_ms: u64,
-        /// Their kind.
+        /// Kind of the tasks.
         kind: Box<str>,
-        /// Mean number a minute.
+        /// Mean number of jobs per minute.
         per_minute: f64,
-        /// Tasks of each.
+        /// Number of tasks of each job.
         tasks: u32,
-        /// Mean work of each task; drawn between half and one and a half of it.
+        /// Mean work of each task; the work of a job's tasks is drawn between 0.5 and 1.5 times the
+        /// mean.
         work_ms: u64,
     },
     /// A quick request.
     Quick {
-        /// When it arrives at its entry.
+        /// Time of arrival at the entry.
         at_ms: u64,
-        /// Its service.
+        /// Service that is called.
         service: Box<str>,
-        /// Its time at an upstream alone, microseconds.
+        /// Service time at an upstream without interference, microseconds.
         service_us: u64,
-        /// Its deadline.
+        /// Time from the arrival to the deadline.
         deadline_ms: u64,
     },
-    /// Many quick requests at random times.
+    /// A stream of quick requests at random times.
     QuickStream {
-        /// First arrival.
+        /// Time of the first arrival.
         from_ms: u64,
-        /// Last arrival.
+        /// Time after which no request arrives.
         to_ms: u64,
-        /// Their service.
+        /// Service that is called.
         service: Box<str>,
-        /// Mean number a second.
+        /// Mean number of requests per second.
         rate: f64,
-        /// Mean time at an upstream alone, microseconds; drawn between 0.6 and 1.4 of it.
+        /// Mean service time at an upstream without interference, microseconds; each is drawn
+        /// between 0.6 and 1.4 times the mean.
         service_us: u64,
-        /// Their deadline.
+        /// Time from the arrival to the deadline.
         deadline_ms: u64,
     },
-    /// A worker fails every task.
+    /// A fault: every task on a worker fails.
     WorkerFails {
-        /// From when.
+        /// Start of the fault.
         at_ms: u64,
-        /// Until when.
+        /// End of the fault.
         until_ms: u64,
-        /// Which.
+        /// Name of the worker.
         worker: Box<str>,
     },
-    /// A worker is gone with its tasks and its upstreams.
+    /// A fault: a worker is down, with its tasks and upstreams.
     WorkerDown {
-        /// From when.
+        /// Start of the fault.
         at_ms: u64,
-        /// Until when.
+        /// End of the fault.
         until_ms: u64,
-        /// Which.
+        /// Name of the worker.
         worker: Box<str>,
     },
-    /// An upstream is slower.
+    /// A fault: an upstream is slow.
     UpstreamSlow {
-        /// From when.
+        /// Start of the fault.
         at_ms: u64,
-        /// Until when.
+        /// End of the fault.
         until_ms: u64,
-        /// Which.
+        /// Name of the upstream.
         upstream: Box<str>,
-        /// By how much its times grow.
+        /// Factor by which its service times are multiplied.
         factor: f64,
     },
-    /// The store answers nothing: no task is placed or ended in the table.
+    /// A fault: the store does not answer, so that no task is placed.
     StoreDown {
-        /// From when.
+        /// Start of the fault.
         at_ms: u64,
-        /// Until when.
+        /// End of the fault.
         until_ms: u64,
     },
-    /// Jobs of a kind are cancelled.
+    /// Tasks of a kind are cancelled.
     CancelWave {
-        /// When.
+        /// Time of the cancellation.
         at_ms: u64,
-        /// Of which kind.
+        /// Kind of the tasks.
         kind: Box<str>,
-        /// How many of those that are not ended, in percent.
+        /// Probability that a task that has not ended is cancelled, percent.
         percent: u32,
     },
 }
@@ -208,9 +213,9 @@
 /// A line that cannot be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TraceError {
-    /// Its number, from 1.
+    /// Number of the line, from 1.
     pub line: usize,
-    /// What is wrong.
+    /// Description of the error.
     pub label: Box<str>,
 }
 
@@ -222,11 +227,11 @@
 
 impl std::error::Error for TraceError {}
 
-/// Reads a trace; empty lines and lines that start with `#` are passed over.
+/// Parses a trace. Empty lines and lines that start with `#` are skipped.
 ///
 /// # Errors
 ///
-/// The first line that cannot be read.
+/// A line cannot be parsed; the error names the first one.
 pub fn parse_trace(text: &str) -> Result<Vec<TraceLine>, TraceError> {
     text.lines()
         .enumerate()
@@ -240,26 +245,26 @@
         .collect()
 }
 
-/// The policies that a replay runs with.
+/// Routing and placement policies of a replay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReplayPolicy {
-    /// Its name.
+    /// Name on the command line and in reports.
     pub name: &'static str,
-    /// For quick requests.
+    /// Policy that routes quick requests.
     pub route: RoutePolicy,
-    /// For tasks.
+    /// Policy that places tasks.
     pub place: PlacementPolicy,
 }
 
 impl ReplayPolicy {
-    /// Ours.
+    /// The policy of the daemons, which is compared with the baselines.
     pub const WEIGHED: Self = Self {
         name: "weighed",
         route: RoutePolicy::Weighed,
         place: PlacementPolicy::Weighed,
     };
 
-    /// The baselines.
+    /// Simple policies that the weighed policy is compared with.
     pub const BASELINES: [Self; 4] = [
         Self {
             name: "random",
@@ -283,7 +288,8 @@
         },
     ];
 
-    /// Whether what is learned and the relief of noisy neighbours are in use.
+    /// Returns whether the policy learns task sizes and interference from usage and mitigates
+    /// interference.
     pub fn learns(&self) -> bool {
         self.place == PlacementPolicy::Weighed
     }
--- a/crates/wax-replay/src/trace_bound.rs
+++ b/crates/wax-replay/src/trace_bound.rs
@@ -1,14 +1,17 @@
-//! The bound of a recorded trace: its tasks, with the work that they truly have, until it ends.
+//! Upper bound of the work that any scheduler could complete on a recorded trace, by the actual
+//! work of its tasks.
 
 use crate::bound::{BoundJob, BoundSlot, WorkBound, compute_bound};
 use crate::trace::{ReplayPolicy, TraceError, TraceLine};
 use crate::world::{ReplayWorld, TRACE_START};
 
-/// Length of a slot, seconds: outages of workers are rounded in their favour by less than this.
+/// Length of a slot, seconds. A worker counts as down only in slots that its outage covers whole,
+/// so that an outage is shortened by less than one slot at each end.
 const SLOT_S: f64 = 1.0;
 
-/// The run time of tasks that can end by the end of the trace, whatever the policy; worth is run time
-/// alone with enough processors, seconds, as a replay counts work done.
+/// Bounds the run time of the tasks that can end by the end of the trace with any policy. The value
+/// of a job is the run time of its tasks alone with enough processors, in seconds, which is how a
+/// replay counts work done.
 ///
 /// # Errors
 ///
@@ -34,7 +37,8 @@
     Ok(compute_bound(&jobs, &slots(lines, until)))
 }
 
-/// The processors of all workers that are up; what upstreams reserve counts as free.
+/// Returns slots with the processors of all workers that are up. Processors that upstreams reserve
+/// count as available.
 fn slots(lines: &[TraceLine], until: f64) -> Vec<BoundSlot> {
     let count = (until / SLOT_S).ceil() as usize;
     let slot = |number: usize| {
--- a/crates/wax-replay/src/world.rs
+++ b/crates/wax-replay/src/world.rs
@@ -1,4 +1,5 @@
-//! What is true in a replay, which the decisions only learn late or never.
+//! Ground truth of a replay: the actual work, interference and faults, which the policies learn
+//! late or never.
 
 use crate::events::{EventQueue, ReplayEvent};
 use crate::trace::{ReplayPolicy, TraceError, TraceLine};
@@ -9,10 +10,10 @@
 use wax_settings::TaskClass;
 use wax_types::{ResourceVector, TimePoint};
 
-/// Start of every trace: a day after zero, so that subtraction has room.
+/// Start of every trace: one day after zero, so that earlier points of time can be represented.
 pub(crate) const TRACE_START: TimePoint = TimePoint::from_millis(86_400_000);
 
-/// What holds for the whole trace.
+/// Options of the whole trace.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ReplayOptions {
     pub(crate) usage_lag: Duration,
@@ -22,7 +23,7 @@
     pub(crate) until: TimePoint,
 }
 
-/// A worker.
+/// A worker and its current faults.
 #[derive(Debug, Clone)]
 pub(crate) struct ReplayWorker {
     pub(crate) name: Box<str>,
@@ -32,7 +33,7 @@
     pub(crate) down: bool,
 }
 
-/// An upstream.
+/// An upstream and its current slowdown.
 #[derive(Debug, Clone)]
 pub(crate) struct ReplayUpstream {
     pub(crate) name: Box<str>,
@@ -44,7 +45,7 @@
     pub(crate) slow_factor: f64,
 }
 
-/// A kind of task.
+/// A kind of task with its actual use of processors.
 #[derive(Debug, Clone)]
 pub(crate) struct ReplayKind {
     pub(crate) name: Box<str>,
@@ -55,7 +56,6 @@
     pub(crate) attempts: u32,
 }
 
-/// A job.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ReplayJob {
     pub(crate) arrives: TimePoint,
@@ -64,7 +64,7 @@
     pub(crate) work: Duration,
 }
 
-/// A quick request.
+/// A quick request with its actual service time and the time from its arrival to its deadline.
 #[derive(Debug, Clone)]
 pub(crate) struct ReplayRequest {
     pub(crate) service: Box<str>,
@@ -72,7 +72,7 @@
     pub(crate) timeout: Duration,
 }
 
-/// A fault with a begin and an end.
+/// A fault that starts and ends at given times. Workers and upstreams are named by index.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum ReplayFault {
     WorkerFails(usize),
@@ -81,14 +81,14 @@
     StoreDown,
 }
 
-/// Jobs that are cancelled together.
+/// Cancels each task of a kind that has not ended with a probability of `percent`.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ReplayCancel {
     pub(crate) kind: usize,
     pub(crate) percent: u32,
 }
 
-/// All of it.
+/// Ground truth of a replay, and the events that are due.
 #[derive(Debug)]
 pub(crate) struct ReplayWorld {
     pub(crate) options: ReplayOptions,
@@ -107,13 +107,13 @@
     pub(crate) queue: EventQueue,
 }
 
-/// The time of the trace's clock.
+/// Returns the point of time `millis` after the start of the trace.
 pub(crate) fn trace_time(millis: u64) -> TimePoint {
     TRACE_START + Duration::from_millis(millis)
 }
 
 impl ReplayWorld {
-    /// Reads a trace and draws what it leaves to chance.
+    /// Builds the ground truth from a trace and draws the random arrivals and work of its streams.
     pub(crate) fn build(
         lines: &[TraceLine],
         policy: ReplayPolicy,
@@ -339,7 +339,7 @@
                     .upstreams
                     .iter()
                     .position(|known| known.name == *upstream)
-                    .ok_or_else(|| format!("no upstream {upstream}"))?;
+                    .ok_or_else(|| format!("no upstream {upstream} is declared"))?;
                 (at_ms, until_ms, ReplayFault::UpstreamSlow(index, *factor))
             }
             TraceLine::StoreDown { at_ms, until_ms } => (at_ms, until_ms, ReplayFault::StoreDown),
@@ -370,12 +370,12 @@
 
     fn worker_index(&self, name: &str) -> Result<usize, String> {
         let found = self.workers.iter().position(|worker| *worker.name == *name);
-        found.ok_or_else(|| format!("no worker {name}"))
+        found.ok_or_else(|| format!("no worker {name} is declared"))
     }
 
     fn kind_index(&self, name: &str) -> Result<usize, String> {
         let found = self.kinds.iter().position(|kind| *kind.name == *name);
-        found.ok_or_else(|| format!("no kind {name}"))
+        found.ok_or_else(|| format!("no kind {name} is declared"))
     }
 
     fn add_job(
@@ -407,18 +407,20 @@
         self.queue.push(at, event);
     }
 
-    /// By `libm`, so that a seed gives the same times on every machine.
+    /// Draws from an exponential distribution. Uses `libm` so that a seed gives the same times on
+    /// every platform.
     fn draw_exponential(&mut self, mean: f64) -> f64 {
         -mean * libm::log(1.0 - self.rng.f64())
     }
 
-    /// Between 0.6 and 1.4 of the mean.
+    /// Draws a service time between 0.6 and 1.4 times the mean.
     fn draw_service_time(&mut self, mean: f64) -> Duration {
         let factor = 0.6 + 0.8 * self.rng.f64();
         Duration::from_micros((mean * factor) as u64)
     }
 
-    /// One attempt in a hundred meets a pause of its upstream and takes several times as long.
+    /// Draws the factor by which a pause of the upstream prolongs an attempt. One attempt in 100
+    /// meets a pause and takes 2 to 6 times as long.
     pub(crate) fn draw_pause_factor(&mut self) -> f64 {
         if self.rng.u32(0..100) == 0 {
             2.0 + 4.0 * self.rng.f64()
@@ -427,7 +429,8 @@
         }
     }
 
-    /// How much longer a victim takes beside these neighbours, each with its share of full speed.
+    /// Returns the share by which a victim takes longer because of its neighbours. `speed` is the
+    /// share of full speed at which a neighbour runs.
     pub(crate) fn excess(
         &self,
         victim: KindKey,
--- a/crates/wax-replay/tests/bound.rs
+++ b/crates/wax-replay/tests/bound.rs
@@ -1,4 +1,4 @@
-//! The bound: right on small days, and above what any policy reaches on the committed traces.
+//! The bound is exact for small cases, and no policy exceeds it on the example traces.
 
 use std::path::Path;
 use wax_replay::{
@@ -45,7 +45,8 @@
     assert!(is_close(bound.possible_value, 6.0 + 4.0 * 0.5), "{bound:?}");
 }
 
-/// The first job sits where the second must be; it moves to where only it can be.
+/// The first job is placed in the only slot that the second can use, and must move to the other
+/// slot.
 #[test]
 fn placed_job_moves_to_free_a_slot_for_another() {
     let jobs = [job(0.0, 2.0, 1.0, 9.0), job(0.0, 1.0, 1.0, 1.0)];
@@ -73,26 +74,27 @@
     assert_eq!((bound, bound.share()), (WorkBound::default(), 1.0));
 }
 
-/// Every policy, seed and committed trace stays below the bound of that trace and seed.
+/// Replays every example trace with every policy and two seeds. Each result must stay below the
+/// bound of the same trace and seed.
 #[test]
 fn no_policy_exceeds_the_bound_of_a_trace() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/traces");
     let mut replay_count = 0;
-    for entry in std::fs::read_dir(folder).expect("the traces are there") {
-        let path = entry.expect("it can be listed").path();
+    for entry in std::fs::read_dir(folder).expect("the folder of the example traces is readable") {
+        let path = entry.expect("the folder entry is readable").path();
         if path
             .extension()
             .is_none_or(|extension| extension != "jsonl")
         {
             continue;
         }
-        let text = std::fs::read_to_string(&path).expect("it can be read");
-        let lines = parse_trace(&text).expect("it is correct");
+        let text = std::fs::read_to_string(&path).expect("the trace file is readable");
+        let lines = parse_trace(&text).expect("the trace is valid");
         for seed in 1..=2 {
-            let bound = bound_trace(&lines, seed).expect("it runs");
+            let bound = bound_trace(&lines, seed).expect("the trace is valid");
             let policies = std::iter::once(ReplayPolicy::WEIGHED).chain(ReplayPolicy::BASELINES);
             for policy in policies {
-                let report = replay(&lines, policy, seed).expect("it runs");
+                let report = replay(&lines, policy, seed).expect("the replay succeeds");
                 let done = report.batch.work_done_ms as f64 / 1e3;
                 let limit = bound.possible_value * 1.000_1 + 0.1;
                 assert!(done <= limit, "{}: {done} > {bound:?}", path.display());
--- a/crates/wax-replay/tests/traces.rs
+++ b/crates/wax-replay/tests/traces.rs
@@ -1,14 +1,14 @@
-//! The committed traces, each with its stated outcome.
+//! Replays the example traces and compares the reports with their snapshots.
 
 use std::path::Path;
 use wax_replay::{ReplayPolicy, parse_trace, replay};
 
-/// The seed of the stated outcomes.
+/// Seed with which the snapshots were made.
 const SEED: u64 = 1;
 
 fn read_trace(name: &str) -> String {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/traces");
-    std::fs::read_to_string(folder.join(format!("{name}.jsonl"))).expect("the trace is committed")
+    std::fs::read_to_string(folder.join(format!("{name}.jsonl"))).expect("the example trace exists")
 }
 
 macro_rules! traces {
@@ -16,11 +16,11 @@
         $(
             #[test]
             fn $name() {
-                let lines = parse_trace(&read_trace($file)).expect("the trace is correct");
-                let report = replay(&lines, ReplayPolicy::WEIGHED, SEED).expect("it runs");
-                assert_eq!(report.worst_over_milli, 0, "a worker was given more than it has");
-                assert_eq!(report.batch.failed, 0, "no task of these traces may be given up");
-                let text = serde_json::to_string_pretty(&report).expect("plain data");
+                let lines = parse_trace(&read_trace($file)).expect("the trace is valid");
+                let report = replay(&lines, ReplayPolicy::WEIGHED, SEED).expect("the replay succeeds");
+                assert_eq!(report.worst_over_milli, 0, "reservations exceed the capacity of a worker");
+                assert_eq!(report.batch.failed, 0, "no task of the example traces is given up");
+                let text = serde_json::to_string_pretty(&report).expect("the report serializes to JSON");
                 insta::assert_snapshot!($file, text);
             }
         )*
@@ -49,9 +49,9 @@
 
 #[test]
 fn same_seed_gives_the_same_report() {
-    let lines = parse_trace(&read_trace("riveneige-mixed")).expect("correct");
-    let first = replay(&lines, ReplayPolicy::WEIGHED, 7).expect("it runs");
-    let second = replay(&lines, ReplayPolicy::WEIGHED, 7).expect("it runs");
+    let lines = parse_trace(&read_trace("riveneige-mixed")).expect("the trace is valid");
+    let first = replay(&lines, ReplayPolicy::WEIGHED, 7).expect("the replay succeeds");
+    let second = replay(&lines, ReplayPolicy::WEIGHED, 7).expect("the replay succeeds");
     assert_eq!(first, second);
 }
 
@@ -61,10 +61,10 @@
     assert_eq!(error.line, 1);
     let lines =
         parse_trace("{\"event\":\"job\",\"at_ms\":1,\"kind\":\"none\",\"tasks\":1,\"work_ms\":1}");
-    let error = replay(&lines.expect("well formed"), ReplayPolicy::WEIGHED, 1);
+    let error = replay(&lines.expect("the line parses"), ReplayPolicy::WEIGHED, 1);
     assert!(
         error
-            .expect_err("no such kind")
+            .expect_err("the kind is not declared")
             .to_string()
             .contains("no kind none")
     );
