--- a/crates/wax-cli/src/commands/status.rs
+++ b/crates/wax-cli/src/commands/status.rs
@@ -11,7 +11,7 @@
     let mut answers = query_all(context, "/v1/status").await?;
     let mut shards: Vec<Value> = answers
         .iter()
-        .flat_map(|answer| owned_by(&answer.body, &answer.entry))
+        .flat_map(|answer| with_owner(&answer.body, &answer.entry))
         .collect();
     shards.sort_by_key(|shard| shard["shard"].as_u64());
     let mut status = answers.swap_remove(0).body;
@@ -23,7 +23,7 @@
 }
 
 /// Returns the shards in an entry's answer, with the entry as their owner.
-fn owned_by(status: &Value, owner: &str) -> Vec<Value> {
+fn with_owner(status: &Value, owner: &str) -> Vec<Value> {
     let mut shards = items(status, "shards").to_vec();
     for shard in &mut shards {
         shard["owner"] = Value::from(owner);
--- a/crates/wax-logs/src/cause.rs
+++ b/crates/wax-logs/src/cause.rs
@@ -145,15 +145,15 @@
 fn predecessor<'a>(tasks: &TaskRuns<'a>, wait_start: f64, task: &str) -> Option<(&'a str, f64)> {
     let ends = tasks.iter().filter_map(|(other, runs)| {
         let end = task_done_at(runs)?;
-        let counts = step_of(other) != step_of(task) && end <= wait_start + TIME_TOLERANCE_S;
-        counts.then_some((*other, end))
+        let is_candidate = step_of(other) != step_of(task) && end <= wait_start + TIME_TOLERANCE_S;
+        is_candidate.then_some((*other, end))
     });
     ends.max_by(|one, other| one.1.total_cmp(&other.1))
 }
 
 /// Returns why a run had no result.
 fn failed_run_cause(run: &RunHistory) -> DelayCause {
-    match (&run.stop, run.end.as_ref().map(|(_, how)| &**how)) {
+    match (&run.stop_reason, run.end.as_ref().map(|(_, how)| &**how)) {
         (Some(_), _) => DelayCause::Stalled,
         (None, Some("Failed")) => DelayCause::Failed,
         _ => DelayCause::Lost,
@@ -167,10 +167,10 @@
     first: &'a RunHistory,
     previous_end: f64,
 ) -> impl DoubleEndedIterator<Item = &'a StepWait> {
-    let span = previous_end - TIME_TOLERANCE_S..=first.ordered_at;
+    let period = previous_end - TIME_TOLERANCE_S..=first.ordered_at;
     let step = step_of(&first.task);
     let waits = job.waits.iter();
-    waits.filter(move |wait| *wait.step == *step && span.contains(&wait.reported_at))
+    waits.filter(move |wait| *wait.step == *step && period.contains(&wait.reported_at))
 }
 
 /// Returns the time of the first report that a task's step is waiting.
--- a/crates/wax-logs/src/history.rs
+++ b/crates/wax-logs/src/history.rs
@@ -22,7 +22,7 @@
     /// Whether the run continued from a checkpoint.
     pub resumes: bool,
     /// Reason for which the run was ordered to stop; `None` if it was not.
-    pub stop: Option<Box<str>>,
+    pub stop_reason: Option<Box<str>>,
     /// When and how the run ended; `None` if no owner has received its end.
     pub end: Option<(f64, Box<str>)>,
 }
@@ -83,7 +83,7 @@
     /// Returns whether the job was completed within its objective.
     pub fn is_in_time(&self) -> bool {
         self.response_time_s()
-            .is_some_and(|age| age <= self.objective_s)
+            .is_some_and(|response_time| response_time <= self.objective_s)
     }
 
     /// Returns whether the caller cancelled the job.
@@ -156,7 +156,7 @@
             LogEvent::Start { .. } => self.add_start(at, event),
             LogEvent::Stop { task, run, why } => {
                 if let Some(known) = self.run_mut(&task, run) {
-                    known.stop = Some(why);
+                    known.stop_reason = Some(why);
                 }
             }
             LogEvent::End { task, run, how } => {
@@ -212,7 +212,7 @@
                 waited_s: waited_ms as f64 / 1e3,
                 pace,
                 resumes,
-                stop: None,
+                stop_reason: None,
                 end: None,
             });
         }
--- a/crates/wax-logs/src/report.rs
+++ b/crates/wax-logs/src/report.rs
@@ -111,7 +111,7 @@
 fn count_job(row: &mut QueueRow, job: &JobHistory) {
     row.accepted += 1;
     match (&job.end, job.response_time_s()) {
-        (_, Some(age)) if age <= job.objective_s => row.in_time += 1,
+        (_, Some(response_time)) if response_time <= job.objective_s => row.in_time += 1,
         (_, Some(_)) => row.late += 1,
         (Some(_), None) => row.gone += 1,
         (None, None) => row.open += 1,
@@ -176,7 +176,9 @@
 }
 
 fn is_stalled(run: &RunHistory) -> bool {
-    run.stop.as_ref().is_some_and(|why| **why == *"stalled")
+    run.stop_reason
+        .as_ref()
+        .is_some_and(|why| **why == *"stalled")
 }
 
 fn steps(job: &JobHistory) -> BTreeMap<&str, Vec<&RunHistory>> {
@@ -241,7 +243,7 @@
             ),
         ));
         if let Some((at, how)) = &run.end {
-            let why = run.stop.as_ref().map(|why| format!(" ({why})"));
+            let why = run.stop_reason.as_ref().map(|why| format!(" ({why})"));
             let why = why.unwrap_or_default();
             events.push((*at, format!("{} run {} ends {how}{why}", run.task, run.run)));
         }
@@ -257,9 +259,9 @@
     }
     events.sort_by(|one, other| one.0.total_cmp(&other.0));
     let mut text = format!("job {}\n", job.job);
-    for (at, what) in events {
+    for (at, description) in events {
         // Writing to a string cannot fail.
-        let _ = writeln!(text, "{:>9.3}  {what}", at - job.requested_at);
+        let _ = writeln!(text, "{:>9.3}  {description}", at - job.requested_at);
     }
     let late = !job.long_running && !job.is_in_time() && !job.is_cancelled();
     for share in attribute_delay(job).iter().filter(|_| late) {
--- a/crates/wax-replay/src/batch.rs
+++ b/crates/wax-replay/src/batch.rs
@@ -114,7 +114,7 @@
     rows: u64,
     commits: u64,
     evictions: u64,
-    lost: Duration,
+    lost_work: Duration,
     max_overallocation_milli: u64,
     next_job: u128,
 }
@@ -166,7 +166,7 @@
             rows: 0,
             commits: 0,
             evictions: 0,
-            lost: Duration::ZERO,
+            lost_work: Duration::ZERO,
             max_overallocation_milli: 0,
             next_job: 1,
         }
@@ -218,17 +218,17 @@
     }
 
     pub(crate) fn handle_job_arrival(&mut self, now: TimePoint, job: usize) {
-        let actual = self.world.jobs[job];
+        let spec = self.world.jobs[job];
         let id = JobId(self.batch.next_job);
         self.batch.next_job += 1;
-        let urgent = self.world.kinds[actual.kind].urgent;
-        for index in 0..actual.tasks {
+        let urgent = self.world.kinds[spec.kind].urgent;
+        for index in 0..spec.tasks {
             let task = TaskId { job: id, index };
             self.batch.tasks.insert(
                 task,
                 TaskRecord {
-                    kind: actual.kind,
-                    work: actual.work,
+                    kind: spec.kind,
+                    work: spec.work,
                     submitted: now,
                     state: TaskState::Waiting,
                     saved: Duration::ZERO,
@@ -275,8 +275,8 @@
             return;
         }
         for (worker, key) in self.batch.keys.clone().into_iter().enumerate() {
-            let actual = &self.world.workers[worker];
-            let open = !actual.down && self.batch.records[worker].quarantined_until <= now;
+            let state = &self.world.workers[worker];
+            let open = !state.down && self.batch.records[worker].quarantined_until <= now;
             self.batch.table.set_open(key, open);
         }
         let waiting: Vec<TaskId> = self
--- a/crates/wax-replay/src/batch/report.rs
+++ b/crates/wax-replay/src/batch/report.rs
@@ -33,7 +33,7 @@
                 .map(|record| millis(record.saved + record.unsaved))
                 .sum(),
             evictions: self.batch.evictions,
-            lost_work_ms: millis(self.batch.lost),
+            lost_work_ms: millis(self.batch.lost_work),
         }
     }
 
--- a/crates/wax-replay/src/batch/runs.rs
+++ b/crates/wax-replay/src/batch/runs.rs
@@ -192,7 +192,7 @@
         record.evictions += 1;
         record.generation += 1;
         self.batch.evictions += 1;
-        self.batch.lost += repeated;
+        self.batch.lost_work += repeated;
         self.batch.rows += 2;
         self.batch.commits += 1;
         self.remove_run(now, task, worker);
@@ -200,19 +200,19 @@
     }
 
     pub(crate) fn cancel_jobs(&mut self, now: TimePoint, cancel: usize) {
-        let actual = self.world.cancels[cancel];
+        let wave = self.world.cancels[cancel];
         let open: Vec<TaskId> = self
             .batch
             .tasks
             .iter()
-            .filter(|(_, record)| record.kind == actual.kind)
+            .filter(|(_, record)| record.kind == wave.kind)
             .filter(|(_, record)| {
                 matches!(record.state, TaskState::Waiting | TaskState::Running(_))
             })
             .map(|(task, _)| *task)
             .collect();
         for task in open {
-            if self.world.rng.u32(0..100) >= actual.percent {
+            if self.world.rng.u32(0..100) >= wave.percent {
                 continue;
             }
             let record = self.batch.tasks.get_mut(&task).expect("the task is known");
@@ -232,7 +232,7 @@
         for task in tasks {
             self.record_progress(now, task);
             let record = self.batch.tasks.get_mut(&task).expect("the task is known");
-            self.batch.lost += record.unsaved;
+            self.batch.lost_work += record.unsaved;
             record.unsaved = Duration::ZERO;
             record.state = TaskState::Waiting;
             record.generation += 1;
--- a/crates/wax-replay/src/bound.rs
+++ b/crates/wax-replay/src/bound.rs
@@ -148,20 +148,20 @@
     /// that occupies it moves to another slot, and so on. Returns the steps from the end of the
     /// path, as (job, slot that it takes), and the amount that can be moved along the path.
     fn find_augmenting_path(&self, job: usize) -> Option<(Vec<(usize, usize)>, f64)> {
-        let mut from: Vec<Option<(usize, Option<usize>)>> = vec![None; self.free.len()];
+        let mut entered_by: Vec<Option<(usize, Option<usize>)>> = vec![None; self.free.len()];
         let mut seen_jobs = vec![false; self.usable_slots.len()];
         seen_jobs[job] = true;
         let mut queue = VecDeque::from([(job, None)]);
         while let Some((occupant, displaced_from)) = queue.pop_front() {
             for (slot, limit) in &self.usable_slots[occupant] {
-                if from[*slot].is_some()
+                if entered_by[*slot].is_some()
                     || limit - self.placed_amount(occupant, *slot) <= EPSILON_CORE_S
                 {
                     continue;
                 }
-                from[*slot] = Some((occupant, displaced_from));
+                entered_by[*slot] = Some((occupant, displaced_from));
                 if self.free[*slot] > EPSILON_CORE_S {
-                    return Some(self.read_path(&from, *slot));
+                    return Some(self.read_path(&entered_by, *slot));
                 }
                 for (holder, _) in &self.placements[*slot] {
                     if !std::mem::replace(&mut seen_jobs[*holder], true) {
@@ -175,13 +175,13 @@
 
     fn read_path(
         &self,
-        from: &[Option<(usize, Option<usize>)>],
+        entered_by: &[Option<(usize, Option<usize>)>],
         end: usize,
     ) -> (Vec<(usize, usize)>, f64) {
         let mut path = Vec::new();
         let mut limit = self.free[end];
         let mut slot = end;
-        while let Some((occupant, displaced_from)) = from[slot] {
+        while let Some((occupant, displaced_from)) = entered_by[slot] {
             let capacity = self.usable_slots[occupant]
                 .iter()
                 .find(|(open, _)| *open == slot);
--- a/crates/wax-replay/src/compare.rs
+++ b/crates/wax-replay/src/compare.rs
@@ -97,7 +97,7 @@
     p99: f64,
     misses: f64,
     evictions: f64,
-    lost: f64,
+    lost_work: f64,
     work: f64,
 }
 
@@ -107,7 +107,7 @@
         p99: report.quick.p99_us as f64,
         misses: report.quick.misses as f64,
         evictions: report.batch.evictions as f64,
-        lost: report.batch.lost_work_ms as f64,
+        lost_work: report.batch.lost_work_ms as f64,
         work: (report.batch.work_done_ms + report.batch.work_open_ms) as f64,
     }
 }
@@ -122,7 +122,7 @@
         p99: a.p99.min(b.p99),
         misses: a.misses.min(b.misses),
         evictions: a.evictions.min(b.evictions),
-        lost: a.lost.min(b.lost),
+        lost_work: a.lost_work.min(b.lost_work),
         work: a.work.max(b.work),
     })
     .expect("BASELINES is not empty")
@@ -142,7 +142,7 @@
         p99: spread(|set| set.p99),
         misses: spread(|set| set.misses),
         evictions: spread(|set| set.evictions),
-        lost_work: spread(|set| set.lost),
+        lost_work: spread(|set| set.lost_work),
         work: spread(|set| set.work),
     }
 }
--- a/crates/wax-replay/src/quick.rs
+++ b/crates/wax-replay/src/quick.rs
@@ -15,9 +15,9 @@
 const RETRY_PERCENT: u32 = 10;
 const HEDGE_PERCENT: u32 = 4;
 /// Limit on the requests that wait at a sidecar.
-const QUEUE_LIMIT: usize = 64;
+const MAX_QUEUED_REQUESTS: usize = 64;
 /// Latency from an entry to a sidecar in the same failure domain.
-const LOCAL_HOP: Duration = Duration::from_micros(100);
+const LOCAL_LATENCY: Duration = Duration::from_micros(100);
 
 /// How an attempt ended at its sidecar.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -83,7 +83,7 @@
         let gates = world
             .upstreams
             .iter()
-            .map(|upstream| SlotGate::new(upstream.slots as usize, QUEUE_LIMIT))
+            .map(|upstream| SlotGate::new(upstream.slots as usize, MAX_QUEUED_REQUESTS))
             .collect();
         let requests = world.requests.iter().map(|_| RequestState::default());
         Self {
@@ -124,13 +124,13 @@
 }
 
 impl ReplayRun {
-    fn hop_latency(&self, upstream: usize) -> Duration {
+    fn entry_latency(&self, upstream: usize) -> Duration {
         let entry_domain = &self.world.workers[0].domain;
         let worker = self.world.upstreams[upstream].worker;
         if self.world.workers[worker].domain == *entry_domain {
-            LOCAL_HOP
+            LOCAL_LATENCY
         } else {
-            self.world.options.domain_hop
+            self.world.options.domain_latency
         }
     }
 
@@ -179,7 +179,7 @@
         state.tried.push(key);
         let first = state.tried.len() == 1;
         let hedge_at = quick.routes.hedge_time(now, key, state.deadline);
-        let arrival = now + self.hop_latency(upstream);
+        let arrival = now + self.entry_latency(upstream);
         let queue = &mut self.world.queue;
         queue.push(arrival, ReplayEvent::AttemptArrives(attempt));
         let hedges = first && self.world.policy.route == RoutePolicy::Weighed;
@@ -236,9 +236,9 @@
     /// Returns the factor by which a request currently takes longer at an upstream than without
     /// faults and interference.
     fn service_slowdown(&self, upstream: usize) -> f64 {
-        let actual = &self.world.upstreams[upstream];
-        let excess = self.excess_on_worker(actual.worker, actual.kind, None);
-        actual.slow_factor * (1.0 + excess)
+        let state = &self.world.upstreams[upstream];
+        let excess = self.excess_on_worker(state.worker, state.kind, None);
+        state.slow_factor * (1.0 + excess)
     }
 
     pub(crate) fn handle_attempt_end(&mut self, now: TimePoint, attempt: usize) {
@@ -272,7 +272,7 @@
 
     fn send_answer(&mut self, now: TimePoint, attempt: usize, outcome: AttemptOutcome) {
         self.quick.attempts[attempt].outcome = outcome;
-        let arrival = now + self.hop_latency(self.quick.attempts[attempt].upstream);
+        let arrival = now + self.entry_latency(self.quick.attempts[attempt].upstream);
         let event = ReplayEvent::AnswerArrives(attempt);
         self.world.queue.push(arrival, event);
     }
@@ -356,7 +356,7 @@
     }
 
     pub(crate) fn report_loads(&mut self, now: TimePoint) {
-        for (upstream, actual) in self.world.upstreams.iter().enumerate() {
+        for (upstream, state) in self.world.upstreams.iter().enumerate() {
             let gate = &self.quick.gates[upstream];
             let load = UpstreamLoad {
                 slots_used: gate.slots_used() as u32,
@@ -366,7 +366,7 @@
                 up: true,
             };
             // A sidecar on a worker that is down sends no report.
-            if !self.world.workers[actual.worker].down {
+            if !self.world.workers[state.worker].down {
                 let key = self.quick.keys[upstream];
                 self.quick.routes.update_load(now, key, load);
             }
--- a/crates/wax-replay/src/world.rs
+++ b/crates/wax-replay/src/world.rs
@@ -19,7 +19,7 @@
     pub(crate) usage_lag: Duration,
     pub(crate) weights: CustomerWeights,
     pub(crate) day: WorkDay,
-    pub(crate) domain_hop: Duration,
+    pub(crate) domain_latency: Duration,
     pub(crate) until: TimePoint,
 }
 
@@ -124,7 +124,7 @@
                 usage_lag: Duration::from_secs(2),
                 weights: CustomerWeights::default(),
                 day: WorkDay::default(),
-                domain_hop: Duration::from_micros(500),
+                domain_latency: Duration::from_micros(500),
                 until: trace_time(60_000),
             },
             policy,
@@ -243,7 +243,7 @@
                 start: minutes(day_start_min),
                 end: minutes(day_end_min),
             },
-            domain_hop: Duration::from_micros(*domain_us),
+            domain_latency: Duration::from_micros(*domain_us),
             until: trace_time(*until_ms),
         };
     }
