--- a/crates/wax-logs/src/cause.rs
+++ b/crates/wax-logs/src/cause.rs
@@ -27,7 +27,7 @@
     NoOwner,
     /// Time between the caller's request and the acceptance.
     Accepting,
-    /// A task had not ended by the last log line.
+    /// A task on the path had no result by the last log line. Counts as a fixed time.
     Unfinished,
 }
 
@@ -57,7 +57,7 @@
 
 /// Tolerance when the timestamps of an end and of the start that it allowed are compared, seconds.
 const TIME_TOLERANCE_S: f64 = 0.05;
-/// Time that is attributed to a task that has not ended, seconds. Large enough to outweigh the
+/// Time that is attributed to a task without a result, seconds. Large enough to outweigh the
 /// causes before it.
 const UNFINISHED_TASK_S: f64 = 20.0;
 /// Limit on the tasks of a path that are followed; a longer path is not followed to its start.
@@ -132,7 +132,7 @@
     runs.iter().find_map(|run| run.done_at())
 }
 
-/// Returns a task that has not ended or, if all have, the task that ended last.
+/// Returns a task without a result or, if all have one, the task that ended last.
 fn last_task<'a>(tasks: &TaskRuns<'a>) -> Option<&'a str> {
     let end = |runs: &[&RunHistory]| task_done_at(runs).unwrap_or(f64::INFINITY);
     let last = tasks
--- a/crates/wax-replay/src/batch.rs
+++ b/crates/wax-replay/src/batch.rs
@@ -59,11 +59,14 @@
     saved: Duration,
     /// Work done since the last checkpoint.
     unsaved: Duration,
+    /// Time up to which the progress is recorded.
     progress_at: TimePoint,
+    /// Progress per time, relative to a run alone with enough processors.
     speed: f64,
     /// Share of its reservation that the task may use: 1 unless it is throttled.
     throttle: f64,
     reserved: ResourceVector,
+    /// Incremented whenever the planned end of the run becomes invalid.
     generation: u64,
     stopping: bool,
     evictions: u32,
@@ -81,10 +84,13 @@
 #[derive(Debug, Clone)]
 struct UsageSample {
     worker: usize,
+    /// `None` for a resident upstream.
     task: Option<TaskId>,
     kind: wax_policy::KindKey,
     declared: ResourceVector,
+    /// Processors that the task would use without a limit.
     used_cpu_milli: u32,
+    /// Share by which the task takes longer because of its neighbours.
     excess: f64,
     neighbours: Vec<wax_policy::KindKey>,
     band: LoadBand,
@@ -103,10 +109,13 @@
     keys: Vec<WorkerKey>,
     records: Vec<WorkerRecord>,
     tasks: BTreeMap<TaskId, TaskRecord>,
+    /// Waiting tasks, in the order that `enqueue` gives them.
     queue: BTreeSet<(bool, bool, TimePoint, TaskId)>,
+    /// Tasks that run on a worker, by the index of the worker.
     running: HashMap<usize, BTreeSet<TaskId>>,
     pairs: PairTable,
     sizes: SizeTable,
+    /// Usage samples by number of the measurement; `None` once they have arrived.
     usage: Vec<Option<UsageBatch>>,
     urgent_start: LatencyHistogram,
     urgent_tasks: u64,
--- a/crates/wax-replay/src/bound.rs
+++ b/crates/wax-replay/src/bound.rs
@@ -3,10 +3,10 @@
 //!
 //! The bound assumes that preemption, migration and resumption cost nothing, that future jobs are
 //! known, that tasks do not slow each other down, and that a job can use any number of processors
-//! at once. A result below the bound may therefore still be the best achievable; a bound far below
-//! the requested work shows a lack of capacity. Work within windows of time is a network flow, and
-//! flows form a polymatroid, so a greedy algorithm is optimal: jobs are taken in the order of their
-//! value per work, and each is placed as far as it fits beside the jobs before it.
+//! at once. A result below the bound may therefore still be the best achievable, and a result close
+//! to the bound can only be improved by more capacity. Work within windows of time is a network
+//! flow, and flows form a polymatroid, so a greedy algorithm is optimal: jobs are taken in the order
+//! of their value per work, and each is placed as far as it fits beside the jobs before it.
 
 use serde::Serialize;
 use std::collections::VecDeque;
@@ -147,6 +147,9 @@
     /// Finds the shortest augmenting path to a slot with free capacity: the job takes a slot, a job
     /// that occupies it moves to another slot, and so on. Returns the steps from the end of the
     /// path, as (job, slot that it takes), and the amount that can be moved along the path.
+    ///
+    /// `entered_by` holds for each slot that the search has reached the job that takes it, and the
+    /// slot from which that job is displaced; `None` for the new job.
     fn find_augmenting_path(&self, job: usize) -> Option<(Vec<(usize, usize)>, f64)> {
         let mut entered_by: Vec<Option<(usize, Option<usize>)>> = vec![None; self.free.len()];
         let mut seen_jobs = vec![false; self.usable_slots.len()];
--- a/crates/wax-replay/src/world.rs
+++ b/crates/wax-replay/src/world.rs
@@ -29,6 +29,7 @@
     pub(crate) name: Box<str>,
     pub(crate) domain: Box<str>,
     pub(crate) capacity: ResourceVector,
+    /// Whether every task that runs on the worker fails.
     pub(crate) fails: bool,
     pub(crate) down: bool,
 }
@@ -97,6 +98,7 @@
     pub(crate) upstreams: Vec<ReplayUpstream>,
     pub(crate) kinds: Vec<ReplayKind>,
     pub(crate) kind_keys: KindTable,
+    /// Interference by victim and neighbour: on a lightly and on a heavily loaded worker.
     pairs: HashMap<(KindKey, KindKey), (f64, f64)>,
     pub(crate) jobs: Vec<ReplayJob>,
     pub(crate) requests: Vec<ReplayRequest>,
