--- a/crates/wax-cli/src/client.rs
+++ b/crates/wax-cli/src/client.rs
@@ -81,9 +81,7 @@
             Ok::<_, cyper::Error>((status, response.bytes().await?))
         };
         let (status, bytes) = match compio::time::timeout(CALL_TIMEOUT, call).await {
-            Err(_) => {
-                return Err(self.error(ErrorKind::Timeout, "no answer within the call timeout"));
-            }
+            Err(_) => return Err(self.error(ErrorKind::Timeout, "call timed out")),
             Ok(Err(error)) => {
                 let kind = ErrorKind::Unavailable(Duration::from_secs(1));
                 return Err(self
