--- a/crates/wax-cli/src/client.rs
+++ b/crates/wax-cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls an entry's interface for operators.
+//! HTTP client for an entry's operator interface.
 
 use cyper::Client;
 use http::Method;
@@ -7,10 +7,11 @@
 use std::time::Duration;
 use wax_types::{ErrorKind, Step, WaxError};
 
-/// Longest time for one call; a change may wait to be in force.
-const CALL_LIMIT: Duration = Duration::from_secs(60);
+/// Timeout of one call, which includes the time that a change of the settings may take to come into
+/// force.
+const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// One entry.
+/// Client of one entry.
 pub(crate) struct OperatorClient {
     client: Client,
     base: String,
@@ -79,8 +80,8 @@
             let status = response.status();
             Ok::<_, cyper::Error>((status, response.bytes().await?))
         };
-        let (status, bytes) = match compio::time::timeout(CALL_LIMIT, call).await {
-            Err(_) => return Err(self.error(ErrorKind::Timeout, "no answer in time")),
+        let (status, bytes) = match compio::time::timeout(CALL_TIMEOUT, call).await {
+            Err(_) => return Err(self.error(ErrorKind::Timeout, "call timed out")),
             Ok(Err(error)) => {
                 let kind = ErrorKind::Unavailable(Duration::from_secs(1));
                 return Err(self
@@ -92,11 +93,11 @@
         if status.is_success() {
             return Ok(bytes.to_vec());
         }
-        Err(self.refusal(status, &bytes))
+        Err(self.response_error(status, &bytes))
     }
 
-    /// The error that an entry sent.
-    fn refusal(&self, status: http::StatusCode, bytes: &[u8]) -> WaxError {
+    /// Converts an error response of an entry.
+    fn response_error(&self, status: http::StatusCode, bytes: &[u8]) -> WaxError {
         let body: Value = serde_json::from_slice(bytes).unwrap_or_default();
         let text = |key: &str| body.get(key).and_then(Value::as_str).unwrap_or_default();
         let kind = match status.as_u16() {
--- a/crates/wax-cli/src/commands/job/show.rs
+++ b/crates/wax-cli/src/commands/job/show.rs
@@ -1,4 +1,4 @@
-//! `waxwing job show ID`: a job and how each task stands.
+//! `waxwing job show ID`: shows a job and the state of each task.
 
 use crate::context::CommandContext;
 use crate::failure::CommandFailure;
@@ -6,7 +6,7 @@
 use serde_json::Value;
 
 pub(crate) async fn run(context: &mut CommandContext) -> Result<String, CommandFailure> {
-    let job = context.word("ID")?;
+    let job = context.next_arg("ID")?;
     context.finish()?;
     let view = context.client.get(&format!("/v1/jobs/{job}")).await?;
     if context.json {
--- a/crates/wax-cli/src/commands/settings/explain.rs
+++ b/crates/wax-cli/src/commands/settings/explain.rs
@@ -1,11 +1,11 @@
-//! `waxwing settings explain PATH`: each value in force and the level that it comes from.
+//! `waxwing settings explain PATH`: shows each value in force and the level that sets it.
 
 use crate::context::CommandContext;
 use crate::failure::CommandFailure;
 use crate::output::{field, items, json_text, table_text};
 
 pub(crate) async fn run(context: &mut CommandContext) -> Result<String, CommandFailure> {
-    let path = context.word("PATH")?;
+    let path = context.next_arg("PATH")?;
     context.finish()?;
     let answer = context
         .client
--- a/crates/wax-cli/src/commands/settings/export.rs
+++ b/crates/wax-cli/src/commands/settings/export.rs
@@ -1,4 +1,4 @@
-//! `waxwing settings export DIR`: writes the tree in force as files.
+//! `waxwing settings export DIR`: writes the settings tree in force as files.
 
 use super::files::write_folder;
 use crate::context::CommandContext;
@@ -8,7 +8,7 @@
 use wax_types::{ErrorKind, Step, WaxError};
 
 pub(crate) async fn run(context: &mut CommandContext) -> Result<String, CommandFailure> {
-    let folder = context.word("DIR")?;
+    let folder = context.next_arg("DIR")?;
     context.finish()?;
     let answer = context.client.get("/v1/settings").await?;
     let tree: SettingsTree = serde_json::from_value(answer)
--- a/crates/wax-cli/src/commands/status.rs
+++ b/crates/wax-cli/src/commands/status.rs
@@ -1,6 +1,6 @@
-//! `waxwing status`: the system as one entry sees it.
+//! `waxwing status`: shows members, settings in force, shards and the state of the store.
 
-use super::peers::ask_all;
+use super::peers::query_all;
 use crate::context::CommandContext;
 use crate::failure::CommandFailure;
 use crate::output::{field, items, json_text, table_text};
@@ -8,10 +8,10 @@
 
 pub(crate) async fn run(context: &mut CommandContext) -> Result<String, CommandFailure> {
     context.finish()?;
-    let mut answers = ask_all(context, "/v1/status").await?;
+    let mut answers = query_all(context, "/v1/status").await?;
     let mut shards: Vec<Value> = answers
         .iter()
-        .flat_map(|answer| owned_by(&answer.body, &answer.entry))
+        .flat_map(|answer| with_owner(&answer.body, &answer.entry))
         .collect();
     shards.sort_by_key(|shard| shard["shard"].as_u64());
     let mut status = answers.swap_remove(0).body;
@@ -22,8 +22,8 @@
     Ok(status_text(&status))
 }
 
-/// The shards of one entry's answer, with the owner's name.
-fn owned_by(status: &Value, owner: &str) -> Vec<Value> {
+/// Returns the shards in an entry's answer, with the entry as their owner.
+fn with_owner(status: &Value, owner: &str) -> Vec<Value> {
     let mut shards = items(status, "shards").to_vec();
     for shard in &mut shards {
         shard["owner"] = Value::from(owner);
--- a/crates/wax-logs/src/history.rs
+++ b/crates/wax-logs/src/history.rs
@@ -1,91 +1,92 @@
-//! The lives of jobs, put together from the lines of all processes.
+//! Reconstructs the history of jobs from the log lines of all processes.
 
 use crate::event::{LogEvent, job_of, step_of};
 use crate::line::LogLine;
 use std::collections::BTreeMap;
 
-/// One start of a task and what became of it. Times are seconds since 1970.
+/// One run of a task and how it ended. Times are seconds since 1970.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RunHistory {
-    /// The task.
+    /// Name of the task.
     pub task: Box<str>,
-    /// The number of the start.
+    /// Number of the task's start.
     pub run: u64,
-    /// The worker.
+    /// Name of the worker.
     pub worker: Box<str>,
-    /// When it was ordered.
-    pub ordered: f64,
-    /// How long the task had waited then, seconds.
-    pub waited: f64,
-    /// The pace that was expected, 0 to 1.
+    /// When the owner ordered the start.
+    pub ordered_at: f64,
+    /// How long the task had waited by then, seconds.
+    pub waited_s: f64,
+    /// Expected pace, 0 to 1.
     pub pace: f64,
-    /// Whether it went on from a checkpoint.
+    /// Whether the run continued from a checkpoint.
     pub resumes: bool,
-    /// Why it was stopped, if it was.
-    pub stop: Option<Box<str>>,
-    /// When and how it ended, as far as an owner heard.
+    /// Reason for which the run was ordered to stop; `None` if it was not.
+    pub stop_reason: Option<Box<str>>,
+    /// When and how the run ended; `None` if no owner has received its end.
     pub end: Option<(f64, Box<str>)>,
 }
 
 impl RunHistory {
-    /// When it ended with its result.
-    pub fn done(&self) -> Option<f64> {
+    /// Returns when the run ended, if it ended with a result.
+    pub fn done_at(&self) -> Option<f64> {
         let (at, how) = self.end.as_ref()?;
         (**how == *"Done").then_some(*at)
     }
 }
 
-/// A reason for which a step has waited.
+/// A report that a step waits, with the reason.
 #[derive(Debug, Clone, PartialEq)]
-pub struct StepPause {
-    /// When it was told.
-    pub at: f64,
-    /// The step.
+pub struct StepWait {
+    /// When the wait was reported, seconds since 1970.
+    pub reported_at: f64,
+    /// Name of the step, including the job.
     pub step: Box<str>,
-    /// Why.
+    /// Reason for the wait.
     pub reason: Box<str>,
 }
 
-/// One job. Times are seconds since 1970.
+/// History of one job. Times are seconds since 1970.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobHistory {
-    /// Its name.
+    /// Id of the job.
     pub job: Box<str>,
-    /// Its queue.
+    /// Queue of the job.
     pub queue: Box<str>,
-    /// When its caller asked.
-    pub asked: f64,
-    /// When it was accepted.
-    pub accepted: f64,
-    /// All its tasks.
+    /// When the caller sent the request.
+    pub requested_at: f64,
+    /// When the job was accepted.
+    pub accepted_at: f64,
+    /// Number of tasks of all steps.
     pub tasks: u32,
-    /// Its work by the caller's guess, core seconds.
-    pub work: f64,
-    /// The time within which it should end, seconds.
-    pub objective: f64,
-    /// Whether it lasts until it is cancelled.
-    pub lasts: bool,
-    /// Its starts, in order.
+    /// Total work as estimated by the caller, core seconds.
+    pub work_core_s: f64,
+    /// Time from the request within which the job should end, seconds.
+    pub objective_s: f64,
+    /// Whether the job has a long-running step, which ends only when the job is cancelled.
+    pub long_running: bool,
+    /// Runs of the job's tasks, by the time of their start orders.
     pub runs: Vec<RunHistory>,
-    /// Reasons for which its steps waited.
-    pub pauses: Vec<StepPause>,
-    /// When and how it ended.
+    /// Reports that steps of the job wait, by time.
+    pub waits: Vec<StepWait>,
+    /// When the job was first reported as ended, and its outcome.
     pub end: Option<(f64, Box<str>)>,
 }
 
 impl JobHistory {
-    /// From its caller's request to its end, if it was completed.
-    pub fn age(&self) -> Option<f64> {
+    /// Returns the time from the request to the end, seconds, if the job was completed.
+    pub fn response_time_s(&self) -> Option<f64> {
         let (at, outcome) = self.end.as_ref()?;
-        (**outcome == *"Completed").then_some(at - self.asked)
+        (**outcome == *"Completed").then_some(at - self.requested_at)
     }
 
-    /// Whether it was completed within its objective.
+    /// Returns whether the job was completed within its objective.
     pub fn is_in_time(&self) -> bool {
-        self.age().is_some_and(|age| age <= self.objective)
+        self.response_time_s()
+            .is_some_and(|response_time| response_time <= self.objective_s)
     }
 
-    /// Whether its caller took it back.
+    /// Returns whether the caller cancelled the job.
     pub fn is_cancelled(&self) -> bool {
         self.end
             .as_ref()
@@ -93,38 +94,39 @@
     }
 }
 
-/// All jobs of the lines that were read.
+/// History of the jobs and of the pool, from all log lines that were read. Times are seconds since
+/// 1970.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct DayHistory {
-    /// The jobs, by name.
+pub struct PoolHistory {
+    /// Jobs by id.
     pub jobs: BTreeMap<Box<str>, JobHistory>,
-    /// Requests for jobs that were not accepted: when, and the queue.
-    pub refused: Vec<(f64, Box<str>)>,
-    /// Changes of pace: when, the worker, the image, percent.
-    pub paces: Vec<(f64, Box<str>, Box<str>, u32)>,
-    /// When terms of owners began.
+    /// Requests for jobs that were not accepted: time and queue.
+    pub not_accepted: Vec<(f64, Box<str>)>,
+    /// Changes of an image's pace on a worker: time, worker, image, new pace in percent.
+    pub pace_changes: Vec<(f64, Box<str>, Box<str>, u32)>,
+    /// When processes took over the shard.
     pub takeovers: Vec<f64>,
     /// When fronts found that the store did not answer.
-    pub store_lost: Vec<f64>,
-    /// When the first line was written; 0 without a line.
-    pub began: f64,
+    pub store_losses: Vec<f64>,
+    /// Time of the first line; 0 without lines.
+    pub started_at: f64,
 }
 
-impl DayHistory {
-    /// Puts lines together, whatever files they came from.
+impl PoolHistory {
+    /// Builds the history from lines in any order, which may come from several files.
     pub fn new(mut lines: Vec<LogLine>) -> Self {
-        lines.sort_by(|one, other| one.at.total_cmp(&other.at));
-        let mut day = Self {
-            began: lines.first().map_or(0.0, |line| line.at),
+        lines.sort_by(|one, other| one.timestamp_s.total_cmp(&other.timestamp_s));
+        let mut history = Self {
+            started_at: lines.first().map_or(0.0, |line| line.timestamp_s),
             ..Default::default()
         };
         for line in lines {
-            day.take(line.at, line.event);
+            history.add_event(line.timestamp_s, line.event);
         }
-        day
+        history
     }
 
-    fn take(&mut self, at: f64, event: LogEvent) {
+    fn add_event(&mut self, at: f64, event: LogEvent) {
         match event {
             LogEvent::Accepted {
                 job,
@@ -133,28 +135,28 @@
                 tasks,
                 work_ms,
                 objective_ms,
-                lasts,
+                long_running,
             } => {
                 let history = JobHistory {
                     job: job.clone(),
                     queue,
-                    asked: at - took_ms as f64 / 1e3,
-                    accepted: at,
+                    requested_at: at - took_ms as f64 / 1e3,
+                    accepted_at: at,
                     tasks,
-                    work: work_ms as f64 / 1e3,
-                    objective: objective_ms as f64 / 1e3,
-                    lasts,
+                    work_core_s: work_ms as f64 / 1e3,
+                    objective_s: objective_ms as f64 / 1e3,
+                    long_running,
                     runs: Vec::new(),
-                    pauses: Vec::new(),
+                    waits: Vec::new(),
                     end: None,
                 };
                 self.jobs.entry(job).or_insert(history);
             }
-            LogEvent::NotAccepted { queue, .. } => self.refused.push((at, queue)),
-            LogEvent::Start { .. } => self.take_start(at, event),
+            LogEvent::NotAccepted { queue, .. } => self.not_accepted.push((at, queue)),
+            LogEvent::Start { .. } => self.add_start(at, event),
             LogEvent::Stop { task, run, why } => {
                 if let Some(known) = self.run_mut(&task, run) {
-                    known.stop = Some(why);
+                    known.stop_reason = Some(why);
                 }
             }
             LogEvent::End { task, run, how } => {
@@ -164,8 +166,8 @@
             }
             LogEvent::Wait { task, reason, .. } => {
                 if let Some(job) = self.jobs.get_mut(job_of(&task)) {
-                    job.pauses.push(StepPause {
-                        at,
+                    job.waits.push(StepWait {
+                        reported_at: at,
                         step: step_of(&task).into(),
                         reason,
                     });
@@ -176,20 +178,20 @@
                 image,
                 percent,
                 ..
-            } => self.paces.push((at, worker, image, percent)),
+            } => self.pace_changes.push((at, worker, image, percent)),
             LogEvent::JobEnd { job, outcome } => {
                 if let Some(known) = self.jobs.get_mut(&job) {
-                    // A later owner may write the same end again.
+                    // A later owner may log the same end again.
                     known.end.get_or_insert((at, outcome));
                 }
             }
             LogEvent::Takeover { .. } => self.takeovers.push(at),
-            LogEvent::StoreLost => self.store_lost.push(at),
+            LogEvent::StoreLost => self.store_losses.push(at),
             LogEvent::Other => {}
         }
     }
 
-    fn take_start(&mut self, at: f64, event: LogEvent) {
+    fn add_start(&mut self, at: f64, event: LogEvent) {
         let LogEvent::Start {
             task,
             run,
@@ -206,11 +208,11 @@
                 task,
                 run,
                 worker,
-                ordered: at,
-                waited: waited_ms as f64 / 1e3,
+                ordered_at: at,
+                waited_s: waited_ms as f64 / 1e3,
                 pace,
                 resumes,
-                stop: None,
+                stop_reason: None,
                 end: None,
             });
         }
--- a/crates/wax-replay/src/batch.rs
+++ b/crates/wax-replay/src/batch.rs
@@ -1,4 +1,5 @@
-//! Tasks through placement, eviction, relief and recovery.
+//! Batch tasks in a replay: scheduling, placement, eviction, mitigation of interference and
+//! recovery.
 
 mod report;
 mod runs;
@@ -6,7 +7,7 @@
 
 use crate::engine::ReplayRun;
 use crate::events::ReplayEvent;
-use crate::report::{BatchReport, LatencyRecord, UrgentReport};
+use crate::report::{BatchReport, LatencyHistogram, UrgentReport};
 use crate::world::ReplayWorld;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -17,29 +18,30 @@
 };
 use wax_types::{JobId, ResourceVector, TaskId, TimePoint};
 
-/// Between two looks of the owner at its queue.
-pub(crate) const LOOK_PERIOD: Duration = Duration::from_millis(25);
-/// From a decision to the start at the worker: a commit and a call.
+/// Interval between two scheduling rounds of the owner.
+pub(crate) const SCHEDULING_PERIOD: Duration = Duration::from_millis(25);
+/// Time from a placement decision to the start on the worker: one commit and one call.
 const START_DELAY: Duration = Duration::from_millis(15);
-/// A stop with a checkpoint.
+/// Time that a stop with a checkpoint takes.
 const STOP_DELAY: Duration = Duration::from_millis(500);
-/// A run that is not stopped writes a checkpoint this often.
+/// Interval at which a run writes checkpoints unless it is being stopped.
 const CHECKPOINT_PERIOD: Duration = Duration::from_secs(60);
-/// Leases of a lost worker lapse after this time.
-pub(crate) const LAPSE: Duration = Duration::from_secs(12);
-/// Tasks of the queue that are looked at once.
-const QUEUE_LOOK: usize = 256;
-/// Each eviction that a task has suffered keeps it safe for this long.
-const EVICTED_SPAN: Duration = Duration::from_secs(30);
-/// Failed runs in a row after which a worker is quarantined.
+/// Time after the loss of a worker until its leases have expired.
+pub(crate) const LEASE_EXPIRY: Duration = Duration::from_secs(12);
+/// Limit on the waiting tasks that one scheduling round considers.
+const MAX_TASKS_PER_ROUND: usize = 256;
+/// Time for which a restarted task is protected from eviction, for each eviction that it has
+/// suffered.
+const EVICTION_PROTECTION: Duration = Duration::from_secs(30);
+/// Number of consecutive failed runs after which a worker is quarantined.
 const FAILURES_TO_QUARANTINE: u32 = 5;
-const QUARANTINE_SPAN: Duration = Duration::from_secs(30);
-/// A failed run is noticed after this time.
-const FAIL_DELAY: Duration = Duration::from_millis(200);
+const QUARANTINE_DURATION: Duration = Duration::from_secs(30);
+/// Time from the start of a run on a failing worker to the report of its failure.
+const FAILURE_DETECTION_DELAY: Duration = Duration::from_millis(200);
 
-/// Where a task stands.
+/// Life-cycle state of a task. `Running` holds the index of the worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum TaskStand {
+enum TaskState {
     Waiting,
     Running(usize),
     Done,
@@ -52,16 +54,19 @@
     kind: usize,
     work: Duration,
     submitted: TimePoint,
-    stand: TaskStand,
-    /// Work done and kept.
+    state: TaskState,
+    /// Work that the last checkpoint holds.
     saved: Duration,
-    /// Work done since then.
-    fresh: Duration,
-    since: TimePoint,
+    /// Work done since the last checkpoint.
+    unsaved: Duration,
+    /// Time up to which the progress is recorded.
+    progress_at: TimePoint,
+    /// Progress per time, relative to a run alone with enough processors.
     speed: f64,
-    /// Share of its size that it may use.
+    /// Share of its reservation that the task may use: 1 unless it is throttled.
     throttle: f64,
     reserved: ResourceVector,
+    /// Incremented whenever the planned end of the run becomes invalid.
     generation: u64,
     stopping: bool,
     evictions: u32,
@@ -70,19 +75,22 @@
     next_checkpoint: TimePoint,
 }
 
-/// Late usage on its way to the owner.
+/// Usage samples that are on their way to the owner.
 #[derive(Debug, Clone)]
 struct UsageBatch {
-    reports: Vec<UsageNote>,
+    samples: Vec<UsageSample>,
 }
 
 #[derive(Debug, Clone)]
-struct UsageNote {
+struct UsageSample {
     worker: usize,
+    /// `None` for a resident upstream.
     task: Option<TaskId>,
     kind: wax_policy::KindKey,
     declared: ResourceVector,
+    /// Processors that the task would use without a limit.
     used_cpu_milli: u32,
+    /// Share by which the task takes longer because of its neighbours.
     excess: f64,
     neighbours: Vec<wax_policy::KindKey>,
     band: LoadBand,
@@ -92,32 +100,36 @@
 struct WorkerRecord {
     failures: u32,
     quarantined_until: TimePoint,
-    relief: MitigationState,
+    mitigation: MitigationState,
 }
 
-/// The state of all tasks.
+/// State of the workers' reservations, the queue and all tasks.
 pub(crate) struct BatchState {
     table: WorkerTable,
     keys: Vec<WorkerKey>,
     records: Vec<WorkerRecord>,
     tasks: BTreeMap<TaskId, TaskRecord>,
+    /// Waiting tasks, in the order that `enqueue` gives them.
     queue: BTreeSet<(bool, bool, TimePoint, TaskId)>,
+    /// Tasks that run on a worker, by the index of the worker.
     running: HashMap<usize, BTreeSet<TaskId>>,
     pairs: PairTable,
     sizes: SizeTable,
+    /// Usage samples by number of the measurement; `None` once they have arrived.
     usage: Vec<Option<UsageBatch>>,
-    urgent_start: LatencyRecord,
+    urgent_start: LatencyHistogram,
     urgent_tasks: u64,
     placements: u64,
     rows: u64,
     commits: u64,
     evictions: u64,
-    lost: Duration,
-    worst_over: u64,
+    lost_work: Duration,
+    max_overallocation_milli: u64,
     next_job: u128,
 }
 
-/// The task of a resident upstream in the worker table.
+/// Returns the id under which a resident upstream is listed in the worker table. Job 0 marks
+/// resident upstreams.
 fn resident_task(upstream: usize) -> TaskId {
     TaskId {
         job: JobId(0),
@@ -157,14 +169,14 @@
             pairs: PairTable::default(),
             sizes: SizeTable::default(),
             usage: Vec::new(),
-            urgent_start: LatencyRecord::new(),
+            urgent_start: LatencyHistogram::new(),
             urgent_tasks: 0,
             placements: 0,
             rows: 0,
             commits: 0,
             evictions: 0,
-            lost: Duration::ZERO,
-            worst_over: 0,
+            lost_work: Duration::ZERO,
+            max_overallocation_milli: 0,
             next_job: 1,
         }
     }
@@ -177,8 +189,8 @@
         self.commits as f64 / (self.placements.max(1)) as f64
     }
 
-    pub(crate) fn worst_over(&self) -> u64 {
-        self.worst_over
+    pub(crate) fn max_overallocation_milli(&self) -> u64 {
+        self.max_overallocation_milli
     }
 
     fn worker_of(&self, key: WorkerKey) -> usize {
@@ -190,8 +202,10 @@
 }
 
 impl ReplayRun {
-    /// How much longer a kind takes on a worker now, beside all others there.
-    pub(crate) fn excess_of(
+    /// Returns the share by which tasks of a kind currently take longer on a worker because of the
+    /// other tasks there. `own` is the task itself; `None` for an upstream, which only batch tasks
+    /// slow down.
+    pub(crate) fn excess_on_worker(
         &self,
         worker: usize,
         kind: wax_policy::KindKey,
@@ -203,7 +217,7 @@
         let neighbours = slot
             .tasks()
             .iter()
-            .filter(|task| Some(task.task) != own && (own.is_some() || task.job_is_batch()))
+            .filter(|task| Some(task.task) != own && (own.is_some() || task.is_batch()))
             .map(|task| {
                 let record = self.batch.tasks.get(&task.task);
                 (task.kind, record.map_or(1.0, |record| record.throttle))
@@ -212,23 +226,23 @@
         self.world.excess(kind, neighbours, loaded)
     }
 
-    pub(crate) fn job_arrives(&mut self, now: TimePoint, job: usize) {
-        let truth = self.world.jobs[job];
+    pub(crate) fn handle_job_arrival(&mut self, now: TimePoint, job: usize) {
+        let spec = self.world.jobs[job];
         let id = JobId(self.batch.next_job);
         self.batch.next_job += 1;
-        let urgent = self.world.kinds[truth.kind].urgent;
-        for index in 0..truth.tasks {
+        let urgent = self.world.kinds[spec.kind].urgent;
+        for index in 0..spec.tasks {
             let task = TaskId { job: id, index };
             self.batch.tasks.insert(
                 task,
                 TaskRecord {
-                    kind: truth.kind,
-                    work: truth.work,
+                    kind: spec.kind,
+                    work: spec.work,
                     submitted: now,
-                    stand: TaskStand::Waiting,
+                    state: TaskState::Waiting,
                     saved: Duration::ZERO,
-                    fresh: Duration::ZERO,
-                    since: now,
+                    unsaved: Duration::ZERO,
+                    progress_at: now,
                     speed: 0.0,
                     throttle: 1.0,
                     reserved: ResourceVector::ZERO,
@@ -247,12 +261,13 @@
         }
     }
 
-    /// Urgent tasks first; then those that can still end before evening; then by submission.
+    /// Adds a task to the queue. Order: urgent tasks, then tasks that can end before the end of the
+    /// working day (only if the policy learns), then the time of submission.
     fn enqueue(&mut self, now: TimePoint, task: TaskId) {
         let record = &self.batch.tasks[&task];
         let urgent = self.world.kinds[record.kind].urgent;
-        let left = record.work.saturating_sub(record.saved);
-        let ends = self.world.options.day.ends_today(now, left);
+        let remaining = record.work.saturating_sub(record.saved);
+        let ends = self.world.options.day.ends_today(now, remaining);
         let weighed = self.world.policy.learns();
         let order = (!urgent, weighed && !ends, record.submitted, task);
         self.batch.queue.insert(order);
@@ -264,26 +279,26 @@
             .retain(|(_, _, _, waiting)| *waiting != task);
     }
 
-    pub(crate) fn owner_looks(&mut self, now: TimePoint) {
+    pub(crate) fn schedule_queue(&mut self, now: TimePoint) {
         if self.world.store_down {
             return;
         }
         for (worker, key) in self.batch.keys.clone().into_iter().enumerate() {
-            let truth = &self.world.workers[worker];
-            let open = !truth.down && self.batch.records[worker].quarantined_until <= now;
+            let state = &self.world.workers[worker];
+            let open = !state.down && self.batch.records[worker].quarantined_until <= now;
             self.batch.table.set_open(key, open);
         }
         let waiting: Vec<TaskId> = self
             .batch
             .queue
             .iter()
-            .take(QUEUE_LOOK)
+            .take(MAX_TASKS_PER_ROUND)
             .map(|(_, _, _, task)| *task)
             .collect();
         let mut placed = 0;
         let mut touched = BTreeSet::new();
         for task in waiting {
-            if let Some(worker) = self.place(now, task) {
+            if let Some(worker) = self.place_task(now, task) {
                 placed += 1;
                 touched.insert(worker);
             }
@@ -295,13 +310,13 @@
         }
     }
 
-    fn place(&mut self, now: TimePoint, task: TaskId) -> Option<usize> {
+    fn place_task(&mut self, now: TimePoint, task: TaskId) -> Option<usize> {
         let record = &self.batch.tasks[&task];
         let kind = &self.world.kinds[record.kind];
         let learns = self.world.policy.learns();
         let size = if learns {
             let learned = self.batch.sizes.corrected_size(kind.key, kind.declared);
-            let fits = |worker: &crate::world::WorkerTruth| learned.fits_in(worker.capacity);
+            let fits = |worker: &crate::world::ReplayWorker| learned.fits_in(worker.capacity);
             if self.world.workers.iter().any(fits) {
                 learned
             } else {
@@ -310,7 +325,7 @@
         } else {
             kind.declared
         };
-        let left = record.work.saturating_sub(record.saved);
+        let remaining = record.work.saturating_sub(record.saved);
         let demand = TaskDemand {
             kind: kind.key,
             size,
@@ -335,13 +350,13 @@
         match choice {
             PlacementChoice::Place(key) => {
                 let worker = self.batch.worker_of(key);
-                self.start(now, task, worker, demand, left);
+                self.start_run(now, task, worker, demand, remaining);
                 Some(worker)
             }
             PlacementChoice::Evict(key, victims) => {
                 let worker = self.batch.worker_of(key);
                 for victim in victims {
-                    self.stop(now, victim);
+                    self.begin_stop(now, victim);
                 }
                 let _ = worker;
                 None
@@ -351,13 +366,13 @@
     }
 }
 
-/// Tells batch tasks from resident upstreams.
+/// Distinguishes batch tasks from resident upstreams.
 trait BatchTask {
-    fn job_is_batch(&self) -> bool;
+    fn is_batch(&self) -> bool;
 }
 
 impl BatchTask for RunningTask {
-    fn job_is_batch(&self) -> bool {
+    fn is_batch(&self) -> bool {
         self.task.job != JobId(0)
     }
 }
--- a/crates/wax-replay/src/bound.rs
+++ b/crates/wax-replay/src/bound.rs
@@ -1,155 +1,172 @@
-//! What no scheduler could exceed: work of known size, placed freely on the processors that there are.
+//! Upper bound of the work that any scheduler could complete: work of known size, placed freely on
+//! the available processors.
 //!
-//! Taken as free: moving, stopping and going on; knowing what comes; running beside one another; any
-//! number of processors for one job. So a day below the bound may still be out of reach, while one near
-//! it lacks capacity. Work within windows of time is a flow, and flows form a polymatroid: taking jobs by
-//! worth for their work, each as far as it still goes beside those before it, is best.
+//! The bound assumes that preemption, migration and resumption cost nothing, that future jobs are
+//! known, that tasks do not slow each other down, and that a job can use any number of processors
+//! at once. A result below the bound may therefore still be the best achievable, and a result close
+//! to the bound can only be improved by more capacity. Work within windows of time is a network
+//! flow, and flows form a polymatroid, so a greedy algorithm is optimal: jobs are taken in the order
+//! of their value per work, and each is placed as far as it fits beside the jobs before it.
 
 use serde::Serialize;
 use std::collections::VecDeque;
 
-/// Amounts below this are rounding, core seconds.
-const LEAST: f64 = 1e-6;
+/// Amounts below this are rounding errors, core seconds.
+const EPSILON_CORE_S: f64 = 1e-6;
 
-/// A job as far as the bound knows it. Times in seconds.
+/// A job of known arrival, deadline, work and value.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BoundJob {
-    /// When it comes.
-    pub arrives: f64,
-    /// By when it must be done to count.
-    pub due: f64,
-    /// Its work, core seconds.
-    pub work: f64,
-    /// What it is worth if all of it is done; a part counts as its share.
-    pub worth: f64,
+    /// Arrival time, seconds.
+    pub arrival_s: f64,
+    /// Time by which work must be done to count, seconds.
+    pub deadline_s: f64,
+    /// Work of the job, core seconds.
+    pub work_core_s: f64,
+    /// Value if all of the work is done in time; a part of the work counts proportionally.
+    pub value: f64,
 }
 
-/// Processors over a span of time.
+/// Available processors over an interval of time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BoundSlot {
-    /// Its beginning, seconds.
-    pub from: f64,
-    /// Its end.
-    pub to: f64,
-    /// Cores that there are.
+    /// Start of the interval, seconds.
+    pub start_s: f64,
+    /// End of the interval, seconds.
+    pub end_s: f64,
+    /// Number of available cores.
     pub cores: f64,
 }
 
-/// The bound of a day.
+/// Upper bound of the work and value that can be completed in time.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize)]
-pub struct DayBound {
-    /// Jobs that were looked at.
+pub struct WorkBound {
+    /// Number of jobs; jobs without work are not counted.
     pub jobs: usize,
-    /// Work that was asked for, core seconds.
-    pub asked: f64,
-    /// Of it, what can be done in time.
-    pub possible: f64,
-    /// What all jobs are worth.
-    pub worth_asked: f64,
-    /// What of that can be had.
-    pub worth_possible: f64,
+    /// Total work of the jobs, core seconds.
+    #[serde(rename = "asked")]
+    pub requested_core_s: f64,
+    /// Part of the work that can be done in time, core seconds.
+    #[serde(rename = "possible")]
+    pub possible_core_s: f64,
+    /// Total value of the jobs.
+    #[serde(rename = "worth_asked")]
+    pub requested_value: f64,
+    /// Part of the value that can be reached.
+    #[serde(rename = "worth_possible")]
+    pub possible_value: f64,
 }
 
-impl DayBound {
-    /// The share of the worth that can be had; all of nothing.
+impl WorkBound {
+    /// Returns the part of the value that can be reached, 0 to 1; 1 if there is none.
     pub fn share(&self) -> f64 {
-        match self.worth_asked > 0.0 {
-            true => self.worth_possible / self.worth_asked,
+        match self.requested_value > 0.0 {
+            true => self.possible_value / self.requested_value,
             false => 1.0,
         }
     }
 }
 
-/// The most that can be had of `jobs` with the processors of `slots`.
-pub fn bound_day(jobs: &[BoundJob], slots: &[BoundSlot]) -> DayBound {
-    let mut flow = WorkFlow::new(jobs, slots);
+/// Computes the highest value that any scheduler could reach for `jobs` with the processors of
+/// `slots`.
+pub fn compute_bound(jobs: &[BoundJob], slots: &[BoundSlot]) -> WorkBound {
+    let mut flow = FlowNetwork::new(jobs, slots);
     let mut order: Vec<usize> = (0..jobs.len())
-        .filter(|job| jobs[*job].work > LEAST)
+        .filter(|job| jobs[*job].work_core_s > EPSILON_CORE_S)
         .collect();
-    let density = |job: &usize| jobs[*job].worth / jobs[*job].work;
+    let density = |job: &usize| jobs[*job].value / jobs[*job].work_core_s;
     order.sort_by(|one, other| density(other).total_cmp(&density(one)));
-    let mut bound = DayBound::default();
+    let mut bound = WorkBound::default();
     for job in order {
-        let done = flow.place(job, jobs[job].work);
+        let done = flow.place_job(job, jobs[job].work_core_s);
         bound.jobs += 1;
-        bound.asked += jobs[job].work;
-        bound.possible += done;
-        bound.worth_asked += jobs[job].worth;
-        bound.worth_possible += jobs[job].worth * done / jobs[job].work;
+        bound.requested_core_s += jobs[job].work_core_s;
+        bound.possible_core_s += done;
+        bound.requested_value += jobs[job].value;
+        bound.possible_value += jobs[job].value * done / jobs[job].work_core_s;
     }
     bound
 }
 
-/// Which work is done in which slot.
-struct WorkFlow {
-    /// Slots that each job may use, and how much of each at most.
-    windows: Vec<Vec<(usize, f64)>>,
-    /// What is left of each slot.
-    left: Vec<f64>,
-    /// What each slot holds: the job, how much.
-    held: Vec<Vec<(usize, f64)>>,
+/// Assignment of work to slots as a flow from jobs to slots.
+struct FlowNetwork {
+    /// Slots that each job may use, with the limit on its work in each.
+    usable_slots: Vec<Vec<(usize, f64)>>,
+    /// Unused work capacity of each slot.
+    free: Vec<f64>,
+    /// Work in each slot: the job and its amount.
+    placements: Vec<Vec<(usize, f64)>>,
 }
 
-impl WorkFlow {
+impl FlowNetwork {
     fn new(jobs: &[BoundJob], slots: &[BoundSlot]) -> Self {
         let overlap = |job: &BoundJob, slot: &BoundSlot| {
-            let seconds = job.due.min(slot.to) - job.arrives.max(slot.from);
+            let seconds = job.deadline_s.min(slot.end_s) - job.arrival_s.max(slot.start_s);
             seconds.max(0.0) * slot.cores
         };
-        let window = |job: &BoundJob| {
+        let usable = |job: &BoundJob| {
             let all = slots.iter().enumerate();
             let open = all.map(|(number, slot)| (number, overlap(job, slot)));
-            open.filter(|(_, most)| *most > LEAST).collect()
+            open.filter(|(_, limit)| *limit > EPSILON_CORE_S).collect()
         };
         Self {
-            windows: jobs.iter().map(window).collect(),
-            left: slots
+            usable_slots: jobs.iter().map(usable).collect(),
+            free: slots
                 .iter()
-                .map(|slot| (slot.to - slot.from) * slot.cores)
+                .map(|slot| (slot.end_s - slot.start_s) * slot.cores)
                 .collect(),
-            held: vec![Vec::new(); slots.len()],
+            placements: vec![Vec::new(); slots.len()],
         }
     }
 
-    /// Places as much of a job as goes beside what is placed; says how much.
-    fn place(&mut self, job: usize, work: f64) -> f64 {
-        let mut open = work;
-        while open > LEAST {
-            let Some((path, most)) = self.find_path(job) else {
+    /// Places as much work of a job as fits beside the jobs that are placed, and returns the
+    /// amount.
+    fn place_job(&mut self, job: usize, work: f64) -> f64 {
+        let mut remaining = work;
+        while remaining > EPSILON_CORE_S {
+            let Some((path, limit)) = self.find_augmenting_path(job) else {
                 break;
             };
-            let amount = open.min(most);
-            if amount <= LEAST {
+            let amount = remaining.min(limit);
+            if amount <= EPSILON_CORE_S {
                 break;
             }
-            self.push(&path, amount);
-            open -= amount;
+            self.augment(&path, amount);
+            remaining -= amount;
         }
-        work - open
+        work - remaining
     }
 
-    fn placed(&self, job: usize, slot: usize) -> f64 {
-        let held = self.held[slot].iter().find(|(holder, _)| *holder == job);
-        held.map_or(0.0, |(_, amount)| *amount)
+    fn placed_amount(&self, job: usize, slot: usize) -> f64 {
+        let placement = self.placements[slot]
+            .iter()
+            .find(|(holder, _)| *holder == job);
+        placement.map_or(0.0, |(_, amount)| *amount)
     }
 
-    /// The shortest way to a slot with room: the job takes a slot, whose holder moves to another, and so
-    /// on. Steps are (job, slot that it takes); with them how much can be pushed along.
-    fn find_path(&self, job: usize) -> Option<(Vec<(usize, usize)>, f64)> {
-        let mut from: Vec<Option<(usize, Option<usize>)>> = vec![None; self.left.len()];
-        let mut seen_jobs = vec![false; self.windows.len()];
+    /// Finds the shortest augmenting path to a slot with free capacity: the job takes a slot, a job
+    /// that occupies it moves to another slot, and so on. Returns the steps from the end of the
+    /// path, as (job, slot that it takes), and the amount that can be moved along the path.
+    ///
+    /// `entered_by` holds for each slot that the search has reached the job that takes it, and the
+    /// slot from which that job is displaced; `None` for the new job.
+    fn find_augmenting_path(&self, job: usize) -> Option<(Vec<(usize, usize)>, f64)> {
+        let mut entered_by: Vec<Option<(usize, Option<usize>)>> = vec![None; self.free.len()];
+        let mut seen_jobs = vec![false; self.usable_slots.len()];
         seen_jobs[job] = true;
         let mut queue = VecDeque::from([(job, None)]);
-        while let Some((taker, through)) = queue.pop_front() {
-            for (slot, most) in &self.windows[taker] {
-                if from[*slot].is_some() || most - self.placed(taker, *slot) <= LEAST {
+        while let Some((occupant, displaced_from)) = queue.pop_front() {
+            for (slot, limit) in &self.usable_slots[occupant] {
+                if entered_by[*slot].is_some()
+                    || limit - self.placed_amount(occupant, *slot) <= EPSILON_CORE_S
+                {
                     continue;
                 }
-                from[*slot] = Some((taker, through));
-                if self.left[*slot] > LEAST {
-                    return Some(self.read_path(&from, *slot));
+                entered_by[*slot] = Some((occupant, displaced_from));
+                if self.free[*slot] > EPSILON_CORE_S {
+                    return Some(self.read_path(&entered_by, *slot));
                 }
-                for (holder, _) in &self.held[*slot] {
+                for (holder, _) in &self.placements[*slot] {
                     if !std::mem::replace(&mut seen_jobs[*holder], true) {
                         queue.push_back((*holder, Some(*slot)));
                     }
@@ -161,44 +178,48 @@
 
     fn read_path(
         &self,
-        from: &[Option<(usize, Option<usize>)>],
+        entered_by: &[Option<(usize, Option<usize>)>],
         end: usize,
     ) -> (Vec<(usize, usize)>, f64) {
         let mut path = Vec::new();
-        let mut most = self.left[end];
+        let mut limit = self.free[end];
         let mut slot = end;
-        while let Some((taker, through)) = from[slot] {
-            let window = self.windows[taker].iter().find(|(open, _)| *open == slot);
-            let room = window.map_or(0.0, |(_, room)| *room);
-            most = most.min(room - self.placed(taker, slot));
-            path.push((taker, slot));
-            let Some(before) = through else {
+        while let Some((occupant, displaced_from)) = entered_by[slot] {
+            let capacity = self.usable_slots[occupant]
+                .iter()
+                .find(|(open, _)| *open == slot);
+            let capacity = capacity.map_or(0.0, |(_, amount)| *amount);
+            limit = limit.min(capacity - self.placed_amount(occupant, slot));
+            path.push((occupant, slot));
+            let Some(before) = displaced_from else {
                 break;
             };
-            // The taker gives up as much of the slot through which it was found.
-            most = most.min(self.placed(taker, before));
+            // The occupant moves at most the amount that it holds in the slot from which it is
+            // displaced.
+            limit = limit.min(self.placed_amount(occupant, before));
             slot = before;
         }
-        (path, most)
+        (path, limit)
     }
 
-    fn push(&mut self, path: &[(usize, usize)], amount: f64) {
-        // From the end with room back to the job itself; each taker leaves the next slot of the path.
-        self.left[path[0].1] -= amount;
-        for (step, (taker, slot)) in path.iter().enumerate() {
-            self.add(*taker, *slot, amount);
+    fn augment(&mut self, path: &[(usize, usize)], amount: f64) {
+        // The path starts at the slot with free capacity and ends with the new job. Each occupant
+        // takes its slot and leaves the slot of the next step.
+        self.free[path[0].1] -= amount;
+        for (step, (occupant, slot)) in path.iter().enumerate() {
+            self.add(*occupant, *slot, amount);
             if let Some((_, before)) = path.get(step + 1) {
-                self.add(*taker, *before, -amount);
+                self.add(*occupant, *before, -amount);
             }
         }
     }
 
     fn add(&mut self, job: usize, slot: usize, amount: f64) {
-        let held = &mut self.held[slot];
-        match held.iter_mut().find(|(holder, _)| *holder == job) {
+        let placements = &mut self.placements[slot];
+        match placements.iter_mut().find(|(holder, _)| *holder == job) {
             Some((_, known)) => *known += amount,
-            None => held.push((job, amount)),
+            None => placements.push((job, amount)),
         }
-        held.retain(|(_, amount)| *amount > LEAST);
+        placements.retain(|(_, amount)| *amount > EPSILON_CORE_S);
     }
 }
