--- a/crates/wax-agent/src/driver.rs
+++ b/crates/wax-agent/src/driver.rs
@@ -20,7 +20,7 @@
 /// Timeout for a hold, including its wait.
 pub(crate) const HOLD_TIMEOUT: Duration = Duration::from_millis(800);
 /// Pause after a hold that failed, or that was answered early without updates.
-const HOLD_RETRY_PAUSE: Duration = Duration::from_millis(60);
+const HOLD_RETRY_DELAY: Duration = Duration::from_millis(60);
 /// Period of checks for a worker and an owner, if no event wakes the driver sooner.
 const IDLE_POLL_PERIOD: Duration = Duration::from_millis(500);
 
@@ -56,7 +56,7 @@
         }
         match hold_once(&state, &boot).await {
             HoldOutcome::Answered => {}
-            HoldOutcome::Idle | HoldOutcome::Failed => sleep(HOLD_RETRY_PAUSE).await,
+            HoldOutcome::Idle | HoldOutcome::Failed => sleep(HOLD_RETRY_DELAY).await,
             HoldOutcome::OtherBoot => end_boot(&state, &boot, "another boot answers"),
             HoldOutcome::Restarted => handle_restart(&state, &boot),
         }
@@ -185,13 +185,13 @@
         for crash in state.crashes.borrow().recent(now) {
             state.send(PoolBody::BootCrashed(crash.clone()));
         }
-        let up = WorkerSnapshot {
+        let snapshot = WorkerSnapshot {
             worker: (&boot.reported_view()).into(),
             runs: boot.table.reports().iter().map(Into::into).collect(),
             ends: reply.ended.iter().map(Into::into).collect(),
             known_pairs: boot.pace.known_pairs() as u32,
         };
-        state.send(PoolBody::WorkerSnapshot(up));
+        state.send(PoolBody::WorkerSnapshot(snapshot));
         return true;
     }
     for report in updates.progressed {
--- a/crates/wax-agent/src/orders.rs
+++ b/crates/wax-agent/src/orders.rs
@@ -17,7 +17,7 @@
 /// Timeout for a stop or a change of pace.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause between two attempts to send a stop.
-const STOP_RETRY_PAUSE: Duration = Duration::from_millis(100);
+const STOP_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 impl From<&PlacementFrame> for PlacementInfo {
     fn from(frame: &PlacementFrame) -> Self {
@@ -83,9 +83,9 @@
 
     async fn send_start(self: Rc<Self>, boot: BootId, request: StartRequest) {
         let run_id = request.run_id;
-        let sent = self.now();
+        let sent_at = self.now();
         let answer = self.worker.start(&boot, &request, START_TIMEOUT).await;
-        note_latency(Latency::StartRun, self.now().since(sent));
+        note_latency(Latency::StartRun, self.now().since(sent_at));
         if answer.is_ok() {
             self.note_order_answer(&boot);
         }
@@ -198,7 +198,7 @@
                     tracing::warn!(%error, task = %run_id.task, run = run_id.run, "stop was not answered");
                 }
             }
-            sleep(STOP_RETRY_PAUSE).await;
+            sleep(STOP_RETRY_DELAY).await;
         }
     }
 
@@ -260,7 +260,7 @@
             %worker,
             image = %change.image,
             percent = change.percent,
-            protects = cause.map(|cause| tracing::field::display(cause.run.task)),
+            protects = cause.map(|cause| tracing::field::display(cause.run_id.task)),
             tail = cause.map(|cause| rounded(cause.tail_ratio)),
             own = cause.map(|cause| rounded(cause.baseline_load)),
             room = cause.map(|cause| rounded(cause.headroom)),
--- a/crates/wax-agent/src/owner_link.rs
+++ b/crates/wax-agent/src/owner_link.rs
@@ -30,7 +30,7 @@
 /// How long a link that this process closes may take to send the queued messages.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 /// Pause between two attempts of the search, with up to as much again as random jitter.
-const SEARCH_PAUSE: Duration = Duration::from_millis(120);
+const SEARCH_RETRY_DELAY: Duration = Duration::from_millis(120);
 
 /// Source for the owner's address.
 pub trait OwnerDirectory {
@@ -39,7 +39,7 @@
 }
 
 /// Keeps a link to the owner for the lifetime of the process.
-pub(crate) async fn keep_owner_link(
+pub(crate) async fn maintain_owner_link(
     state: Rc<AgentState>,
     seeds: Vec<SocketAddr>,
     directory: impl OwnerDirectory,
@@ -148,7 +148,7 @@
 }
 
 async fn pause_search() {
-    sleep(SEARCH_PAUSE + SEARCH_PAUSE.mul_f64(fastrand::f64())).await;
+    sleep(SEARCH_RETRY_DELAY + SEARCH_RETRY_DELAY.mul_f64(fastrand::f64())).await;
 }
 
 struct OpenLink {
@@ -255,12 +255,15 @@
     last_received: Rc<Cell<TimePoint>>,
 ) {
     while state.now().since(last_received.get()) < link_timeout(&state) {
-        let ping = LinkHeartbeat {
+        let heartbeat = LinkHeartbeat {
             sent_us: state.now().0,
             ..Default::default()
         };
         state.send_pending_updates();
-        if outbox.unbounded_send(PoolBody::Heartbeat(ping)).is_err() {
+        if outbox
+            .unbounded_send(PoolBody::Heartbeat(heartbeat))
+            .is_err()
+        {
             return;
         }
         sleep(state.heartbeat_period.get()).await;
--- a/crates/wax-agent/src/pace.rs
+++ b/crates/wax-agent/src/pace.rs
@@ -129,7 +129,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PaceCause {
     /// Id of the serving run.
-    pub run: RunId,
+    pub run_id: RunId,
     /// Tail latency divided by its target, in the last sample.
     pub tail_ratio: f64,
     /// Load without interference.
@@ -432,7 +432,7 @@
                 left = (left - interference).max(0.0);
                 if let Some(lowest) = shares.get_mut(image).filter(|(lowest, _)| share < *lowest) {
                     let cause = PaceCause {
-                        run: run.run_id,
+                        run_id: run.run_id,
                         tail_ratio: load.tail_ratio,
                         baseline_load: load.baseline_load,
                         headroom,
--- a/crates/wax-agent/src/process.rs
+++ b/crates/wax-agent/src/process.rs
@@ -3,7 +3,7 @@
 use crate::check_ins::CheckInHandler;
 use crate::driver::drive_worker;
 use crate::lease::LeaseRules;
-use crate::owner_link::{OwnerDirectory, keep_owner_link};
+use crate::owner_link::{OwnerDirectory, maintain_owner_link};
 use crate::state::AgentState;
 use compio::runtime::spawn;
 use event_listener::Event;
@@ -47,7 +47,7 @@
     });
     let server = HttpServer::new(listener, handler, shutdown.clone());
     spawn(drive_worker(state.clone())).detach();
-    spawn(keep_owner_link(state, pool.peer_seeds(), directory)).detach();
+    spawn(maintain_owner_link(state, pool.peer_seeds(), directory)).detach();
     tracing::info!(name = %settings.name, %check_ins, %worker, "agent started");
     server.run().await;
     tracing::info!(name = %settings.name, "agent stopped");
--- a/crates/wax-agent/src/run_table.rs
+++ b/crates/wax-agent/src/run_table.rs
@@ -216,11 +216,13 @@
 
     /// Returns all runs as lost, with the time that each is known to have run: from its start to
     /// `answered`, when the worker answered last.
-    pub fn lost_runs(&self, answered: TimePoint) -> Vec<LostRun> {
+    pub fn lost_runs(&self, answered_at: TimePoint) -> Vec<LostRun> {
         let entries = self.entries.iter();
         let lost = entries.map(|(run_id, entry)| LostRun {
             run_id: *run_id,
-            min_run_time: entry.start_sent_at.map(|sent| answered.since(sent)),
+            min_run_time: entry
+                .start_sent_at
+                .map(|sent_at| answered_at.since(sent_at)),
         });
         lost.collect()
     }
--- a/crates/wax-agent/src/state.rs
+++ b/crates/wax-agent/src/state.rs
@@ -217,10 +217,10 @@
 
     /// Takes over the drained failure domains from the owner's answer to a heartbeat sent at
     /// `asked`.
-    pub(crate) fn apply_drains(&self, frame: DrainFrame, asked: TimePoint) {
+    pub(crate) fn apply_drains(&self, frame: DrainFrame, sent_at: TimePoint) {
         let mut view = self.drains.borrow_mut();
         let age_ms = frame.age_ms;
-        if frame.apply_to(&mut view, asked) {
+        if frame.apply_to(&mut view, sent_at) {
             tracing::info!(version = view.version(), domains = ?view.domains(), age_ms, "drained failure domains");
         }
     }
--- a/crates/wax-agent/tests/guards.rs
+++ b/crates/wax-agent/tests/guards.rs
@@ -310,8 +310,8 @@
                     remove_never_started(&mut actual, &updates.never_started);
                 }
             }
-            let given: u32 = actual.values().sum();
-            prop_assert!(given <= 1_000, "reserved {given} of 1000");
+            let reserved: u32 = actual.values().sum();
+            prop_assert!(reserved <= 1_000, "reserved {reserved} of 1000");
         }
     }
 }
--- a/crates/wax-front/src/owner_link.rs
+++ b/crates/wax-front/src/owner_link.rs
@@ -27,10 +27,10 @@
 /// Maximum number of ended boots in one message, which bounds its size to some kilobytes.
 const MAX_BOOTS_PER_MESSAGE: usize = 256;
 /// Pause between two attempts to link, with up to as much again as random jitter.
-const RETRY_PAUSE: Duration = Duration::from_millis(150);
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// Keeps a link to the owner for the lifetime of the process.
-pub(crate) async fn keep_owner_link(state: Rc<FrontState>, seeds: Vec<SocketAddr>) {
+pub(crate) async fn maintain_owner_link(state: Rc<FrontState>, seeds: Vec<SocketAddr>) {
     let mut hint = None;
     let mut round = 0_usize;
     loop {
@@ -44,10 +44,10 @@
             }
             _ => {}
         }
-        let pause = RETRY_PAUSE + RETRY_PAUSE.mul_f64(fastrand::f64());
+        let delay = RETRY_DELAY + RETRY_DELAY.mul_f64(fastrand::f64());
         let started_at = state.shared.now();
-        sleep(pause).await;
-        state.shared.record_timer(pause, started_at);
+        sleep(delay).await;
+        state.shared.record_timer(delay, started_at);
     }
 }
 
@@ -149,7 +149,7 @@
 async fn run_link(state: &Rc<FrontState>, epoch: u64, reader: PoolReader, writer: PoolWriter) {
     let (outbox, inbox) = unbounded();
     *state.outbox.borrow_mut() = Some(outbox.clone());
-    state.shared.owner_heard_at.set(state.shared.now());
+    state.shared.owner_contact_at.set(state.shared.now());
     send_ended_boots(state, &outbox);
     let writing = spawn(write_link(writer, inbox));
     let heartbeats = spawn(send_heartbeats(state.clone(), outbox));
@@ -227,13 +227,16 @@
 async fn send_heartbeats(state: Rc<FrontState>, outbox: UnboundedSender<PoolBody>) {
     loop {
         let now = state.shared.now();
-        let ping = LinkHeartbeat {
+        let heartbeat = LinkHeartbeat {
             sent_us: now.0,
             config_version: state.shared.config_version(),
             fitness: state.shared.fitness().0,
             store_lost: state.store_lost_since.get().is_some(),
         };
-        if outbox.unbounded_send(PoolBody::Heartbeat(ping)).is_err() {
+        if outbox
+            .unbounded_send(PoolBody::Heartbeat(heartbeat))
+            .is_err()
+        {
             return;
         }
         let period = state.shared.heartbeat_period.get();
@@ -262,13 +265,13 @@
         PoolBody::Grant(grant) => {
             // If the owner has lost the store, it counts as not heard, so that candidates check its
             // heartbeat row at once.
-            let heard_at = if grant.store_lost {
+            let contact_at = if grant.store_lost {
                 TimePoint::default()
             } else {
                 state.shared.now()
             };
-            state.shared.owner_heard_at.set(heard_at);
-            state.shared.link_heard_at.set(state.shared.now());
+            state.shared.owner_contact_at.set(contact_at);
+            state.shared.link_contact_at.set(state.shared.now());
             state
                 .shared
                 .heartbeat_period
--- a/crates/wax-front/src/process.rs
+++ b/crates/wax-front/src/process.rs
@@ -1,7 +1,7 @@
 //! Starts a front and runs it until shutdown.
 
 use crate::handler::CallerHandler;
-use crate::owner_link::keep_owner_link;
+use crate::owner_link::maintain_owner_link;
 use crate::readiness::{ReadinessHandler, watch_store};
 use crate::state::FrontState;
 use compio::runtime::spawn;
@@ -49,11 +49,11 @@
         store,
         pool.advisor,
         keep_ended,
-        vm_strength(&pool.machine),
+        vm_capacity(&pool.machine),
     );
     shared.set_bounds(pool.config_bound(), pool.drain_bound());
     let shared = Rc::new(shared);
-    shared.set_place_rules(settings.policy.place);
+    shared.set_placement_rules(settings.policy.place);
     let state = Rc::new(FrontState::new(shared.clone()));
     let callers_shutdown = ShutdownSignal::default();
     let callers_server = HttpServer::new(
@@ -75,7 +75,7 @@
     spawn(apply_changes(shared.clone(), changes)).detach();
     spawn(readiness_server.run()).detach();
     spawn(follow_operator_rows(shared.clone())).detach();
-    spawn(keep_owner_link(state.clone(), pool.peer_seeds())).detach();
+    spawn(maintain_owner_link(state.clone(), pool.peer_seeds())).detach();
     spawn(watch_store(state)).detach();
     let ownership = spawn(run_ownership(shared, shutdown.clone()));
     tracing::info!(name = %settings.name, %callers, peers = %pool.peers, "front started");
@@ -91,7 +91,7 @@
 }
 
 /// Returns the strength of this VM; values that the settings omit are those of an average VM.
-fn vm_strength(vm: &MachineSettings) -> VmCapacity {
+fn vm_capacity(vm: &MachineSettings) -> VmCapacity {
     let default = VmCapacity::default();
     VmCapacity {
         cores: vm.cpu_share.unwrap_or(default.cores) * vm.cores.unwrap_or(1.0),
@@ -104,7 +104,7 @@
 async fn apply_changes(shared: Rc<PoolShared>, mut changes: UnboundedReceiver<DaemonSettings>) {
     while let Some(settings) = changes.next().await {
         shared.store.set_address(settings.platform.address);
-        shared.set_place_rules(settings.policy.place);
+        shared.set_placement_rules(settings.policy.place);
         tracing::info!(store = %settings.platform.address, "settings reloaded");
     }
 }
--- a/crates/wax-front/src/show.rs
+++ b/crates/wax-front/src/show.rs
@@ -25,8 +25,8 @@
     job: JobName,
     deadline: TimePoint,
 ) -> Result<Option<JobState>, WaxError> {
-    if let Some((outcome, begun)) = query_owner(state, job).await {
-        return Ok(Some(to_state(outcome, begun)));
+    if let Some((outcome, started)) = query_owner(state, job).await {
+        return Ok(Some(to_state(outcome, started)));
     }
     let left = deadline.since(state.shared.now());
     let rows = read_job_rows(state, job, left).await?;
@@ -51,12 +51,12 @@
     Ok(Some(to_state(outcome, !progress.occurrences.is_empty())))
 }
 
-fn to_state(outcome: JobOutcome, begun: bool) -> JobState {
+fn to_state(outcome: JobOutcome, started: bool) -> JobState {
     match outcome {
         JobOutcome::Completed => JobState::Completed,
         JobOutcome::Failed => JobState::Failed,
         JobOutcome::Cancelled => JobState::Cancelled,
-        JobOutcome::Open if begun => JobState::Running,
+        JobOutcome::Open if started => JobState::Running,
         JobOutcome::Open => JobState::Queued,
     }
 }
@@ -64,7 +64,7 @@
 async fn query_owner(state: &FrontState, job: JobName) -> Option<(JobOutcome, bool)> {
     if let Some(term) = state.shared.current_term() {
         return match term.job_status(job) {
-            JobStatus::Known { outcome, begun } => Some((outcome, begun)),
+            JobStatus::Known { outcome, started } => Some((outcome, started)),
             JobStatus::Unknown => None,
         };
     }
@@ -80,7 +80,7 @@
 /// No owner that has loaded the whole queue answers in time.
 pub(crate) async fn read_queue_pending(state: &FrontState, queue: &str) -> Result<u64, WaxError> {
     let pending = match state.shared.current_term() {
-        Some(term) => term.pending(queue, state.shared.now()),
+        Some(term) => term.pending_job_count(queue, state.shared.now()),
         None => query(state, 0, queue)
             .await
             .filter(|reply| reply.known)
--- a/crates/wax-front/src/state.rs
+++ b/crates/wax-front/src/state.rs
@@ -36,7 +36,7 @@
 /// A slow store answers within this time; one that has not is checked.
 const OVERDUE_AFTER: Duration = Duration::from_millis(1_200);
 /// An owner that has sent nothing for this long counts as unreachable.
-const OWNER_SILENCE_LIMIT: Duration = Duration::from_millis(800);
+const OWNER_MAX_SILENCE: Duration = Duration::from_millis(800);
 
 impl FrontState {
     pub(crate) fn new(shared: Rc<PoolShared>) -> Self {
@@ -54,8 +54,8 @@
     /// Returns whether an owner that has the store was heard recently: it can send transactions for
     /// this front.
     pub(crate) fn is_owner_reachable(&self) -> bool {
-        let limit = self.shared.allowed_silence(OWNER_SILENCE_LIMIT);
-        self.shared.now().since(self.shared.owner_heard_at.get()) < limit
+        let limit = self.shared.allowed_silence(OWNER_MAX_SILENCE);
+        self.shared.now().since(self.shared.owner_contact_at.get()) < limit
     }
 
     /// Returns whether both the store and an owner that has it have been unreachable for a while.
--- a/crates/wax-front/src/store_route.rs
+++ b/crates/wax-front/src/store_route.rs
@@ -20,7 +20,7 @@
 /// first route alone none.
 const SECOND_ROUTE_DELAY: Duration = Duration::from_millis(1_200);
 /// Pause before the next relay attempt, without a link to the owner or after a missing answer.
-const RELAY_RETRY_PAUSE: Duration = Duration::from_millis(100);
+const RELAY_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Sends a transaction unchanged by both routes, until its resolution is known or `deadline` has
 /// passed.
@@ -108,14 +108,14 @@
         }
         if !state.is_owner_reachable() {
             // There is no owner, or it has lost the store as well.
-            sleep(RELAY_RETRY_PAUSE.min(time_left)).await;
+            sleep(RELAY_RETRY_DELAY.min(time_left)).await;
             continue;
         }
-        let outcome = send_relay_request(state, tx, time_left).await;
-        if let Some(resolution) = tracker.record(outcome) {
+        let attempt = send_relay_request(state, tx, time_left).await;
+        if let Some(resolution) = tracker.record(attempt) {
             return resolution;
         }
-        sleep(RELAY_RETRY_PAUSE.min(time_left)).await;
+        sleep(RELAY_RETRY_DELAY.min(time_left)).await;
     }
 }
 
--- a/crates/wax-owner/src/agent_links.rs
+++ b/crates/wax-owner/src/agent_links.rs
@@ -158,8 +158,8 @@
 
     async fn handle(&self, body: PoolBody) {
         match body {
-            PoolBody::Heartbeat(ping) => self.grant_lease(&ping),
-            PoolBody::WorkerSnapshot(up) => self.worker_up(up).await,
+            PoolBody::Heartbeat(heartbeat) => self.grant_lease(&heartbeat),
+            PoolBody::WorkerSnapshot(snapshot) => self.accept_worker(snapshot).await,
             PoolBody::WorkerChanged(frame) => self.worker_changed(frame.into()),
             PoolBody::BootCrashed(crash) => self.boot_crashed(&crash).await,
             PoolBody::AllRunsEnded(message) => self.worker_ended(&message),
@@ -173,7 +173,7 @@
         }
     }
 
-    fn grant_lease(&self, ping: &LinkHeartbeat) {
+    fn grant_lease(&self, heartbeat: &LinkHeartbeat) {
         let now = self.shared.now();
         let timeouts = &self.shared.timeouts;
         let validity_left = (self.term.confirmed_at.get() + timeouts.term_validity).since(now);
@@ -190,7 +190,7 @@
             .extend_grant(self.node, now + valid);
         self.send_interference(now);
         self.send(PoolBody::Grant(LeaseGrant {
-            sent_us: ping.sent_us,
+            sent_us: heartbeat.sent_us,
             valid_ms: valid.as_millis() as u64,
             store_lost: store_silence(self.term, now) > timeouts.takeover_if_reachable,
             overload: self.term.overload.get() as f32,
@@ -217,16 +217,16 @@
     }
 
     /// Takes over a worker's runs once the store has a row that permits orders to the worker.
-    async fn worker_up(&self, up: WorkerSnapshot) {
+    async fn accept_worker(&self, snapshot: WorkerSnapshot) {
         self.term.loaded.wait().await;
-        self.wait_row_stored(&up.worker.boot()).await;
+        self.wait_row_stored(&snapshot.worker.boot()).await;
         if self.term.ended.is_raised() || !self.is_current() {
             return;
         }
         let (now, now_ms) = (self.shared.now(), wall_clock_ms());
-        let view: WorkerView = up.worker.into();
-        let runs: Vec<RunReport> = up.runs.iter().map(Into::into).collect();
-        let ends: Vec<RunEnd> = up.ends.iter().map(Into::into).collect();
+        let view: WorkerView = snapshot.worker.into();
+        let runs: Vec<RunReport> = snapshot.runs.iter().map(Into::into).collect();
+        let ends: Vec<RunEnd> = snapshot.ends.iter().map(Into::into).collect();
         let boot = view.boot.clone();
         let worker = self.register_worker(view, now);
         let mut scheduler = self.term.scheduler.borrow_mut();
@@ -243,13 +243,13 @@
         let cursor = scheduler.acknowledged_end(worker);
         drop(scheduler);
         tracing::info!(agent = self.node, worker = %boot, runs = runs.len(), ends = ends.len(), "worker taken over");
-        let kept = WorkerAccepted {
+        let accepted = WorkerAccepted {
             worker: boot.worker_id().into(),
             placements,
             started_ms: boot.started_ms(),
         };
-        self.send(PoolBody::WorkerAccepted(kept));
-        if self.term.needs_all_pairs(up.known_pairs) {
+        self.send(PoolBody::WorkerAccepted(accepted));
+        if self.term.needs_all_pairs(snapshot.known_pairs) {
             self.send(PoolBody::Interference(self.term.interference_snapshot()));
         }
         // An acknowledgement may have been lost with the previous link.
@@ -357,12 +357,12 @@
         }
         let mut merged = Vec::with_capacity(updates.pairs.len());
         for pair in &updates.pairs {
-            let known =
+            let estimate =
                 scheduler.merge_interference(&pair.serving, &pair.best_effort, pair.interference());
             merged.push(InterferenceFrame::new(
                 &pair.serving,
                 &pair.best_effort,
-                known,
+                estimate,
             ));
         }
         drop(scheduler);
@@ -393,13 +393,13 @@
         }
         let (now, now_ms) = (self.shared.now(), wall_clock_ms());
         let mut scheduler = self.term.scheduler.borrow_mut();
-        for mark in &updates.started {
-            scheduler.record_start(worker, RunId::from(mark), now);
+        for run_id in &updates.started {
+            scheduler.record_start(worker, RunId::from(run_id), now);
         }
         for refusal in &updates.refused {
-            let (mark, reason) = refusal.decode();
-            tracing::info!(task = %mark.task, run = mark.run, agent = self.node, why = ?reason, "start refused");
-            scheduler.record_refusal(worker, mark, reason, now, now_ms);
+            let (run_id, reason) = refusal.decode();
+            tracing::info!(task = %run_id.task, run = run_id.run, agent = self.node, why = ?reason, "start refused");
+            scheduler.record_refusal(worker, run_id, reason, now, now_ms);
         }
         for report in &updates.running {
             scheduler.adopt_run(worker, &report.into(), now);
--- a/crates/wax-owner/src/candidates.rs
+++ b/crates/wax-owner/src/candidates.rs
@@ -93,8 +93,8 @@
 impl TimerLateness {
     /// Records a timer that was set for `span` and fired after `took`.
     pub fn record(&mut self, span: Duration, took: Duration) {
-        let late_ratio = took.saturating_sub(span);
-        self.mean = (self.mean * 4 + late_ratio) / 5;
+        let lateness = took.saturating_sub(span);
+        self.mean = (self.mean * 4 + lateness) / 5;
     }
 
     /// Returns the moving average.
--- a/crates/wax-owner/src/dispatch.rs
+++ b/crates/wax-owner/src/dispatch.rs
@@ -170,11 +170,11 @@
 
 /// Describes a run's reservation to its agent.
 pub(crate) fn placement_frame(
-    mark: wax_batch::RunId,
+    run_id: wax_batch::RunId,
     step: &wax_batch::StepSpec,
 ) -> PlacementFrame {
     PlacementFrame {
-        run_id: mark.into(),
+        run_id: run_id.into(),
         cpu_milli: step.size.cpu_milli,
         memory_mb: step.size.memory_mb,
         accelerators: step.size.accelerators,
--- a/crates/wax-owner/src/front_links.rs
+++ b/crates/wax-owner/src/front_links.rs
@@ -51,9 +51,9 @@
                     spawn_relay(shared.clone(), outbox.clone(), request, delay);
                     continue;
                 }
-                PoolBody::Heartbeat(ping) => {
-                    transit_delay.record_heartbeat(ping.sent_us, shared.now());
-                    PoolBody::Heartbeat(ping)
+                PoolBody::Heartbeat(heartbeat) => {
+                    transit_delay.record_heartbeat(heartbeat.sent_us, shared.now());
+                    PoolBody::Heartbeat(heartbeat)
                 }
                 body => body,
             };
@@ -97,10 +97,10 @@
     body: PoolBody,
 ) -> Vec<PoolBody> {
     match body {
-        PoolBody::Heartbeat(ping) => answer_heartbeat(shared, term, node, &ping),
-        PoolBody::JobQuery(request) => vec![PoolBody::JobReply(answer_job_query(
+        PoolBody::Heartbeat(heartbeat) => answer_heartbeat(shared, term, node, &heartbeat),
+        PoolBody::JobQuery(query) => vec![PoolBody::JobReply(answer_job_query(
             term,
-            &request,
+            &query,
             shared.now(),
         ))],
         PoolBody::Cancelled(cancel) => {
@@ -135,22 +135,22 @@
     shared: &PoolShared,
     term: &OwnerTerm,
     node: &str,
-    ping: &LinkHeartbeat,
+    heartbeat: &LinkHeartbeat,
 ) -> Vec<PoolBody> {
     let now = shared.now();
     let version = shared.config_version();
     let mut fronts = term.fronts.borrow_mut();
     let mut pushes_config = false;
     if let Some(front) = fronts.get_mut(node) {
-        front.record_heartbeat(OwnerFitness(ping.fitness), ping.store_lost, now);
-        pushes_config = front.should_push_config(ping.config_version, version, now);
+        front.record_heartbeat(OwnerFitness(heartbeat.fitness), heartbeat.store_lost, now);
+        pushes_config = front.should_push_config(heartbeat.config_version, version, now);
     }
     let rank = fronts.rank(node, now);
     fronts.notify_early_candidates(&shared.ended_boots.borrow());
     let period = front_heartbeat_period(fronts.len(), rank.rank, &shared.config_rules);
     drop(fronts);
     let mut answers = vec![PoolBody::Grant(LeaseGrant {
-        sent_us: ping.sent_us,
+        sent_us: heartbeat.sent_us,
         valid_ms: 0,
         store_lost: store_silence(term, now) > shared.timeouts.store_suspected,
         config_version: version,
@@ -163,7 +163,7 @@
             .config_view
             .get()
             .own_read_age(now)
-            .map(|transit_delay| transit_delay.as_millis() as u64),
+            .map(|age| age.as_millis() as u64),
     })];
     if pushes_config {
         let text = shared.config_text.borrow().clone();
@@ -172,21 +172,21 @@
     answers
 }
 
-fn answer_job_query(term: &OwnerTerm, request: &JobQuery, now: TimePoint) -> JobReply {
+fn answer_job_query(term: &OwnerTerm, query: &JobQuery, now: TimePoint) -> JobReply {
     let mut reply = JobReply {
-        request_id: request.request_id,
+        request_id: query.request_id,
         ..Default::default()
     };
-    if !request.queue.is_empty() {
-        let pending = term.pending(&request.queue, now);
+    if !query.queue.is_empty() {
+        let pending = term.pending_job_count(&query.queue, now);
         reply.known = pending.is_some();
         reply.pending = pending.unwrap_or(0);
         return reply;
     }
-    if let JobStatus::Known { outcome, begun } = term.job_status(JobName(request.job)) {
+    if let JobStatus::Known { outcome, started } = term.job_status(JobName(query.job)) {
         reply.known = true;
         reply.outcome = outcome.into();
-        reply.begun = begun;
+        reply.begun = started;
     }
     reply
 }
--- a/crates/wax-owner/src/load.rs
+++ b/crates/wax-owner/src/load.rs
@@ -66,9 +66,9 @@
         }
     };
     match InterferenceUpdate::decode(&*row.value) {
-        Ok(news) => {
+        Ok(update) => {
             let mut scheduler = term.scheduler.borrow_mut();
-            for pair in &news.pairs {
+            for pair in &update.pairs {
                 scheduler.restore_interference(
                     &pair.serving,
                     &pair.best_effort,
--- a/crates/wax-owner/src/owner_term.rs
+++ b/crates/wax-owner/src/owner_term.rs
@@ -27,7 +27,7 @@
         /// Outcome of the job as stored; `JobOutcome::Open` until it has ended.
         outcome: JobOutcome,
         /// Whether any task of the job has started.
-        begun: bool,
+        started: bool,
     },
     /// The owner does not have the job, or has not loaded it yet.
     Unknown,
@@ -111,7 +111,7 @@
         confirmed_at: TimePoint,
         former_owner_ended: bool,
     ) -> Self {
-        let mut scheduler = JobScheduler::new(row.epoch, shared.place_rules());
+        let mut scheduler = JobScheduler::new(row.epoch, shared.placement_rules());
         if let Some(config) = shared.config.borrow().config() {
             scheduler.set_config(config.clone());
         }
@@ -197,7 +197,7 @@
         match self.scheduler.borrow().job_info(job) {
             Some(info) => JobStatus::Known {
                 outcome: info.outcome,
-                begun: info.started,
+                started: info.started,
             },
             None => JobStatus::Unknown,
         }
@@ -205,7 +205,7 @@
 
     /// Returns how many accepted jobs of a queue have no started task. Returns `None` if the shard
     /// is not loaded yet, the term has ended, or the job feed is too old.
-    pub fn pending(&self, queue: &str, now: TimePoint) -> Option<u64> {
+    pub fn pending_job_count(&self, queue: &str, now: TimePoint) -> Option<u64> {
         let is_fresh = now.since(self.job_feed_confirmed_at.get()) < JOB_FEED_MAX_AGE;
         let is_complete = self.loaded.is_raised() && !self.ended.is_raised() && is_fresh;
         is_complete.then(|| self.scheduler.borrow().pending_job_count(queue))
@@ -291,7 +291,9 @@
         let pairs = scheduler.interference_table().iter().take(MAX_PAIRS);
         InterferenceUpdate {
             pairs: pairs
-                .map(|(serving, filling, press)| InterferenceFrame::new(serving, filling, press))
+                .map(|(serving, best_effort, interference)| {
+                    InterferenceFrame::new(serving, best_effort, interference)
+                })
                 .collect(),
             headrooms: Vec::new(),
         }
--- a/crates/wax-owner/src/shared.rs
+++ b/crates/wax-owner/src/shared.rs
@@ -63,7 +63,7 @@
     /// ended; 0 if none.
     pub refused_epoch: Cell<u64>,
     /// Limits and weights of placement; the settings may change them.
-    place_rules: Cell<PlacementRules>,
+    placement_rules: Cell<PlacementRules>,
     /// Config in force.
     pub config: RefCell<QueueTable>,
     /// The operator's text of the config in force.
@@ -90,10 +90,10 @@
     pub term: RefCell<Option<Rc<OwnerTerm>>>,
     /// When this process's link last received a grant from an owner that reaches the store; reset to
     /// zero by a grant from an owner that does not.
-    pub owner_heard_at: Cell<TimePoint>,
+    pub owner_contact_at: Cell<TimePoint>,
     /// When this process's link last received a grant from an owner, whether or not the owner
     /// reaches the store.
-    pub link_heard_at: Cell<TimePoint>,
+    pub link_contact_at: Cell<TimePoint>,
     /// Interval between two heartbeats on that link, as set by the owner's last grant.
     pub heartbeat_period: Cell<Duration>,
     /// When the store last answered this process.
@@ -149,7 +149,7 @@
             timeouts: OwnerTimeouts::default(),
             ended_job_retention,
             advisor,
-            place_rules: Cell::default(),
+            placement_rules: Cell::default(),
             config: RefCell::default(),
             config_text: RefCell::default(),
             config_changed: Event::new(),
@@ -162,8 +162,8 @@
             owner: RefCell::default(),
             owner_changed: Event::new(),
             term: RefCell::default(),
-            owner_heard_at: Cell::default(),
-            link_heard_at: Cell::default(),
+            owner_contact_at: Cell::default(),
+            link_contact_at: Cell::default(),
             heartbeat_period: Cell::new(FRONT_HEARTBEAT_PERIOD),
             store_answered_at: Cell::default(),
             config_view: Cell::default(),
@@ -212,13 +212,13 @@
     }
 
     /// Returns the limits and weights of placement in force.
-    pub fn place_rules(&self) -> PlacementRules {
-        self.place_rules.get()
+    pub fn placement_rules(&self) -> PlacementRules {
+        self.placement_rules.get()
     }
 
     /// Replaces the limits and weights of placement; an owner uses them from now on.
-    pub fn set_place_rules(&self, rules: PlacementRules) {
-        self.place_rules.set(rules);
+    pub fn set_placement_rules(&self, rules: PlacementRules) {
+        self.placement_rules.set(rules);
         if let Some(term) = self.current_term() {
             term.scheduler.borrow_mut().set_rules(rules);
         }
--- a/crates/wax-owner/src/tx_resolution.rs
+++ b/crates/wax-owner/src/tx_resolution.rs
@@ -40,7 +40,7 @@
         match (self, other) {
             (known, _) if known.is_known() => known,
             (_, known) if known.is_known() => known,
-            (may_apply @ Self::Unknown(_), _) | (_, may_apply @ Self::Unknown(_)) => may_apply,
+            (unknown @ Self::Unknown(_), _) | (_, unknown @ Self::Unknown(_)) => unknown,
             (refused @ Self::Refused(_), _) | (_, refused @ Self::Refused(_)) => refused,
             (none, _) => none,
         }
--- a/crates/wax-owner/src/watch.rs
+++ b/crates/wax-owner/src/watch.rs
@@ -192,7 +192,7 @@
     let is_unowned = known
         .as_ref()
         .is_some_and(|owner| has_ended(shared, owner) || shared.refused_epoch.get() == owner.epoch);
-    if known.is_some() && !is_unowned && now.since(shared.owner_heard_at.get()) < max_silence {
+    if known.is_some() && !is_unowned && now.since(shared.owner_contact_at.get()) < max_silence {
         watch.seen = None;
         return Ok(OwnerCheck::Wait);
     }
@@ -212,7 +212,7 @@
         }
     }
     let since = watch.record(version, now);
-    let is_linked = now.since(shared.link_heard_at.get()) < max_silence;
+    let is_linked = now.since(shared.link_contact_at.get()) < max_silence;
     let limit = match is_linked {
         true => shared.timeouts.takeover_if_reachable,
         false => shared.timeouts.takeover_if_unreachable,
--- a/crates/wax-owner/tests/candidates.rs
+++ b/crates/wax-owner/tests/candidates.rs
@@ -79,12 +79,12 @@
 #[test]
 fn weak_front_waits_longer_than_strong_fronts_with_or_without_rank() {
     let strong = (0..40).map(|rank| delay(STRONG, last_rank(rank, STRONG)).duration());
-    let strong_drawn = delay(STRONG, None).duration();
-    let weak_drawn = TakeoverDelay {
+    let strong_unranked = delay(STRONG, None).duration();
+    let weak_unranked = TakeoverDelay {
         random: 0.0,
         ..delay(WEAK, None)
     };
-    assert!(weak_drawn.duration() > strong_drawn);
+    assert!(weak_unranked.duration() > strong_unranked);
     let weak = delay(WEAK, last_rank(20, STRONG)).duration();
     assert!(strong.into_iter().all(|wait| wait < weak));
     assert!(
--- a/crates/wax-owner/tests/fronts.rs
+++ b/crates/wax-owner/tests/fronts.rs
@@ -59,7 +59,7 @@
         let mut boots = 0;
         while let Ok(body) = self.inboxes[number as usize].try_recv() {
             match body {
-                PoolBody::BootsEnded(dead) => boots += dead.boots.len(),
+                PoolBody::BootsEnded(ended) => boots += ended.boots.len(),
                 other => panic!("unexpected: {other:?}"),
             }
         }
--- a/crates/wax-owner/tests/interference_log.rs
+++ b/crates/wax-owner/tests/interference_log.rs
@@ -13,12 +13,12 @@
     TimePoint::from_millis(100_000 + millis)
 }
 
-fn pair(filling: &str, per_core: f64) -> InterferenceFrame {
-    let press = PairInterference {
+fn pair(best_effort: &str, per_core: f64) -> InterferenceFrame {
+    let interference = PairInterference {
         per_core,
         precision: 10.0,
     };
-    InterferenceFrame::new("serving", filling, press)
+    InterferenceFrame::new("serving", best_effort, interference)
 }
 
 fn changes(pairs: &[InterferenceFrame]) -> PendingInterference {
--- a/crates/wax-owner/tests/scale.rs
+++ b/crates/wax-owner/tests/scale.rs
@@ -18,13 +18,13 @@
 const MIN_COUNT: u64 = 200;
 
 /// Runs the same scenario at each size and compares each count with that at half the size.
-fn assert_growth(simulation: impl Fn(&mut SimulatedPool)) {
+fn assert_growth(scenario: impl Fn(&mut SimulatedPool)) {
     let costs: Vec<Cost> = SIZES
         .iter()
         .map(|agents| {
             let mut pool = SimulatedPool::settled(PoolSize::of_agents(*agents));
             pool.take_cost();
-            simulation(&mut pool);
+            scenario(&mut pool);
             pool.take_cost()
         })
         .collect();
@@ -40,11 +40,11 @@
 }
 
 macro_rules! growth_cases {
-    ($($name:ident: $simulation:expr;)*) => {
+    ($($name:ident: $scenario:expr;)*) => {
         $(
             #[test]
             fn $name() {
-                assert_growth($simulation);
+                assert_growth($scenario);
             }
         )*
     };
--- a/crates/wax-owner/tests/scale/simulation.rs
+++ b/crates/wax-owner/tests/scale/simulation.rs
@@ -54,7 +54,7 @@
     messages: u64,
     bytes: u64,
     agents_visited: u64,
-    workers_asked: u64,
+    workers_evaluated: u64,
     fronts_ranked: u64,
     transactions: u64,
 }
@@ -66,7 +66,7 @@
             ("messages", self.messages),
             ("bytes", self.bytes),
             ("agents visited", self.agents_visited),
-            ("workers asked", self.workers_asked),
+            ("workers asked", self.workers_evaluated),
             ("fronts ranked", self.fronts_ranked),
             ("transactions", self.transactions),
         ]
@@ -214,7 +214,7 @@
 
     /// Returns the counts since the last call.
     pub(crate) fn take_cost(&mut self) -> Cost {
-        self.cost.workers_asked += self.scheduler.take_workers_evaluated();
+        self.cost.workers_evaluated += self.scheduler.take_workers_evaluated();
         self.cost.agents_visited += self.roster.take_visited();
         self.cost.fronts_ranked += self.fronts.take_ranked();
         std::mem::take(&mut self.cost)
@@ -282,8 +282,8 @@
     /// times with other workers.
     pub(crate) fn restart_workers(&mut self, share: f64, times: usize) {
         let batches = (1.0 / share) as usize;
-        for dispatch in 0..times {
-            for agent in (dispatch..self.agents.len()).step_by(batches) {
+        for batch in 0..times {
+            for agent in (batch..self.agents.len()).step_by(batches) {
                 self.stop_worker(agent);
                 self.after(Duration::from_millis(500), Event::ReconcileWorker(agent));
             }
@@ -363,7 +363,7 @@
             Event::AgentHeartbeat(number) => self.agent_heartbeat(number),
             Event::FrontHeartbeat(number) => self.front_heartbeat(number),
             Event::SubmitJob => self.submit_job(),
-            Event::EndTask(number, mark) => self.end_task(number, mark),
+            Event::EndTask(number, run_id) => self.end_task(number, run_id),
             Event::LinkAgent(number) => self.link_agent(number),
             Event::ReconcileWorker(number) => self.reconcile(number),
             Event::FinishWrite => self.finish_write(),
@@ -457,15 +457,15 @@
         self.after(pause, Event::SubmitJob);
     }
 
-    fn end_task(&mut self, number: usize, mark: RunId) {
+    fn end_task(&mut self, number: usize, run_id: RunId) {
         let agent = &mut self.agents[number];
-        if !agent.runs.remove(&mark) {
+        if !agent.runs.remove(&run_id) {
             return;
         }
         agent.ends += 1;
         let end = RunEnd {
             number: agent.ends,
-            run_id: mark,
+            run_id,
             kind: RunEndKind::Done,
             checkpoint: "".into(),
         };
@@ -501,7 +501,7 @@
             return;
         }
         let agent = &self.agents[number];
-        let reports: Vec<RunReport> = agent.runs.iter().map(|mark| report(*mark)).collect();
+        let reports: Vec<RunReport> = agent.runs.iter().map(|run_id| report(*run_id)).collect();
         let view = view(number, boot.clone());
         let worker = match self.roster.worker(&node) {
             Some((key, known)) if known == boot => {
@@ -636,9 +636,9 @@
     }
 }
 
-fn report(mark: RunId) -> RunReport {
+fn report(run_id: RunId) -> RunReport {
     RunReport {
-        run_id: mark,
+        run_id,
         checkpoint: "".into(),
         percent: 10,
         load_metric: 700,
--- a/crates/wax-owner/tests/transaction_resolution.rs
+++ b/crates/wax-owner/tests/transaction_resolution.rs
@@ -15,9 +15,9 @@
     WaxError::new(ErrorKind::Timeout, Step::SubmitJob, "store", "no answer")
 }
 
-fn answered(fate: RelayResult) -> RelayAttempt {
+fn answered(result: RelayResult) -> RelayAttempt {
     RelayAttempt::Answered(RelayReply {
-        result: fate.into(),
+        result: result.into(),
         ..Default::default()
     })
 }
@@ -126,9 +126,9 @@
     // The peer's clock is 90 s behind, and its heartbeats take 5 ms and 2 ms.
     delay.record_heartbeat(10_000_000, at(100_005));
     delay.record_heartbeat(10_200_000, at(100_202));
-    let asked_us = 11_000_000;
-    assert_eq!(delay.delay_of(asked_us, at(101_002)), Duration::ZERO);
-    let late = delay.delay_of(asked_us, at(104_002));
+    let sent_us = 11_000_000;
+    assert_eq!(delay.delay_of(sent_us, at(101_002)), Duration::ZERO);
+    let late = delay.delay_of(sent_us, at(104_002));
     assert_eq!(late, Duration::from_secs(3));
 }
 
