--- a/crates/wax-agent/src/boot_change.rs
+++ b/crates/wax-agent/src/boot_change.rs
@@ -87,8 +87,9 @@
     state.boots.borrow_mut().note_ended(boot);
 }
 
-/// Makes `view` the active boot. It has answered a call with a fencing token that no earlier boot
-/// of this worker got; `on_next` lists all runs whose starts, sent with older tokens, reached it.
+/// Makes the boot of `view` the active one. The boot has answered a call with a fencing token that
+/// no earlier boot of this worker got. `on_next` lists all runs whose starts, sent with older
+/// tokens, reached the boot.
 fn replace_boot(state: &Rc<AgentState>, view: WorkerView, sequence: u64, on_next: &[RunId]) {
     if is_replaced(state) {
         end_replaced(state, on_next);
@@ -129,7 +130,8 @@
             .crashes
             .borrow_mut()
             .note_ended(&ended.view, &runs, now);
-        // Sent before the end of the boot: on that message the owner queues the boot's tasks again.
+        // The crash is sent before the end of the boot, because the owner queues the boot's tasks
+        // again when it receives the end.
         send_crash(state, crash);
         state.send(PoolBody::AllRunsEnded(AllRunsEnded::new(active, true)));
     }
@@ -160,8 +162,8 @@
 }
 
 /// Ends the replaced boot, except for the runs that are on the next boot. The end has no message of
-/// its own: the owner learns of it from the next boot's run list. With a separate message it would
-/// start the tasks of the runs on the next boot elsewhere.
+/// its own: the owner learns of it from the next boot's run list. After a separate message, the
+/// owner would start tasks elsewhere whose runs are on the next boot.
 fn end_replaced(state: &Rc<AgentState>, on_next: &[RunId]) {
     let Some(ended) = state.boot.borrow_mut().take() else {
         return;
--- a/crates/wax-agent/src/boots.rs
+++ b/crates/wax-agent/src/boots.rs
@@ -2,8 +2,9 @@
 //! ended.
 //!
 //! The active boot must not be registered a second time: all its runs would count as lost and be
-//! started elsewhere while they still run. Which of two boots is alive shows from which one answers
-//! a call: check-ins may be late, and the wall clock that gives the start times may step back.
+//! started elsewhere while they still run. Which of two boots is alive is decided by which one
+//! answers a call, because check-ins may be late, and the wall clock that gives the start times may
+//! step back.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use wax_batch::{BootId, WorkerView};
@@ -11,7 +12,8 @@
 /// Number of ended boots that are sent to an owner: more than one VM's worker has within a term.
 const MAX_REPORTED_ENDED: usize = 8;
 /// Number of ended boots that are remembered: more than end within the longest delay of a check-in.
-/// A boot that was dropped from the registry does not answer, and so does not become active again.
+/// An older ended boot does not become active again either, because it does not answer its
+/// verification.
 const MAX_REMEMBERED_ENDED: usize = 256;
 
 /// Content of one check-in of a worker.
@@ -77,7 +79,8 @@
 
     /// Takes the candidate while `active` is the active boot.
     ///
-    /// A boot may check in again while its first answer is awaited, and be active when it arrives.
+    /// A boot may check in again while it is being verified, so it may be active by the time this
+    /// candidate is taken.
     pub fn take_candidate(&mut self, active: Option<&BootId>) -> CandidateAction {
         match self.candidate.take() {
             Some(report) if self.ended.contains(&report.view.boot) => CandidateAction::None,
--- a/crates/wax-agent/src/crash_log.rs
+++ b/crates/wax-agent/src/crash_log.rs
@@ -6,8 +6,8 @@
 use wax_types::TimePoint;
 use wax_wire::BootCrashed;
 
-/// How long a crash is sent on new links. An owner that ends before it has stored the crash is
-/// replaced within this time.
+/// How long a crash is sent on each new link. If an owner ends before it has stored the crash, the
+/// next owner takes over within this time.
 const REPORT_PERIOD: Duration = Duration::from_secs(10);
 /// Number of crashes that are kept. No more happen within `REPORT_PERIOD`, even if the worker
 /// restarts at once each time.
@@ -22,8 +22,8 @@
 }
 
 impl CrashLog {
-    /// Records that the leases of a boot have expired. If another boot checks in next, it had
-    /// crashed.
+    /// Records that the leases of a boot have expired. If the next active boot is another one,
+    /// this boot counts as crashed.
     pub fn note_expired(&mut self, view: &WorkerView, runs: Vec<LostRun>) {
         if view.state != WorkerState::Draining {
             self.expired = Some((view.boot.clone(), runs));
--- a/crates/wax-agent/src/driver.rs
+++ b/crates/wax-agent/src/driver.rs
@@ -19,7 +19,7 @@
 const HOLD_WAIT: Duration = Duration::from_millis(250);
 /// Timeout for a hold, including its wait.
 pub(crate) const HOLD_TIMEOUT: Duration = Duration::from_millis(800);
-/// Pause after a hold that failed, or that was answered early without updates.
+/// Delay after a hold that failed, or that was answered early without updates.
 const HOLD_RETRY_DELAY: Duration = Duration::from_millis(60);
 /// Period of checks for a worker and an owner, if no event wakes the driver sooner.
 const IDLE_POLL_PERIOD: Duration = Duration::from_millis(500);
--- a/crates/wax-agent/src/orders.rs
+++ b/crates/wax-agent/src/orders.rs
@@ -16,7 +16,7 @@
 const START_TIMEOUT: Duration = Duration::from_millis(700);
 /// Timeout for a stop or a change of pace.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause between two attempts to send a stop.
+/// Delay between two attempts to send a stop.
 const STOP_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 impl From<&PlacementFrame> for PlacementInfo {
--- a/crates/wax-agent/src/owner_link.rs
+++ b/crates/wax-agent/src/owner_link.rs
@@ -1,4 +1,4 @@
-//! Finds the owner of the shard and keeps a link to it.
+//! Finds the owner of the shard and maintains a link to it.
 
 use crate::state::{AgentState, OwnerLink};
 use compio::net::TcpStream;
@@ -29,7 +29,7 @@
 const SUCCESSOR_SEARCH_PERIOD: Duration = Duration::from_millis(400);
 /// How long a link that this process closes may take to send the queued messages.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
-/// Pause between two attempts of the search, with up to as much again as random jitter.
+/// Delay between two attempts of the search, plus up to as much again at random.
 const SEARCH_RETRY_DELAY: Duration = Duration::from_millis(120);
 
 /// Source for the owner's address.
@@ -38,7 +38,7 @@
     fn read(&self) -> impl Future<Output = Option<SocketAddr>>;
 }
 
-/// Keeps a link to the owner for the lifetime of the process.
+/// Maintains a link to the owner for the lifetime of the process.
 pub(crate) async fn maintain_owner_link(
     state: Rc<AgentState>,
     seeds: Vec<SocketAddr>,
--- a/crates/wax-agent/src/pace.rs
+++ b/crates/wax-agent/src/pace.rs
@@ -1,10 +1,13 @@
-//! How fast the tasks that fill may work beside tasks that serve.
+//! Plans the paces of best-effort tasks: how fast they may run on the same worker as serving tasks.
 //!
-//! A serving task is taken as a queue: with the load `u` its tail is its tail without load divided
-//! by `1 - u`. Tasks that fill slow its work, so that `u` is its own load times one plus the
-//! press: for each filling image the cores in use, times what a core of that image presses
-//! (`wax_policy::InterferenceTable`). The own load is what the last looks leave after the press. The pace
-//! of an image is what keeps every predicted load below the aim.
+//! A serving task is modelled as a queue: at the load `u`, its tail latency is its tail latency
+//! without load, divided by `1 - u`. Best-effort tasks slow the serving task down, so `u` is its
+//! baseline load times one plus the total interference. Each best-effort image contributes to the
+//! total the number of cores that it uses, times the interference of one core of the image
+//! ([`wax_policy::InterferenceTable`]). The baseline load is estimated from the last samples by
+//! removing the interference from the measured load. Paces are chosen so that the predicted load of
+//! each serving task stays at or below the load at which its tail latency reaches the allowed share
+//! of its target.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -37,7 +40,7 @@
 /// Sample of the worker's runs by which paces are planned.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct PaceSample {
-    /// Serving runs that the worker reports as working.
+    /// Serving runs that the worker reports as working ([`wax_batch::RunReport::percent`] is 100).
     pub serving: Vec<ServingSample>,
     /// Best-effort runs by image.
     pub best_effort: BTreeMap<Box<str>, BestEffortSample>,
@@ -174,7 +177,7 @@
 const SATURATED_LOAD: f64 = 0.9;
 /// Lower bound for baseline loads: interference with a lower load cannot be observed.
 const MIN_LOAD: f64 = 0.05;
-/// Time that the worker's figure for a tail latency covers.
+/// Period over which the worker measures a reported tail latency, in seconds.
 const TAIL_WINDOW_S: f64 = 0.5;
 /// Maximum time between two samples from whose difference interference is learned.
 const MAX_SAMPLE_GAP: Duration = Duration::from_millis(1_200);
@@ -303,8 +306,8 @@
     }
 
     /// Learns interference from the changes since the last sample. All runs of an image on the
-    /// worker suffer the same interference, so that the median change is used: a single run that is
-    /// slow for another reason is not attributed to best-effort images.
+    /// worker suffer the same interference, so the median change is used: a single run that is slow
+    /// for another reason does not count as interference.
     fn learn_interference(
         &mut self,
         run_loads: &[RunLoad<'_>],
--- a/crates/wax-agent/src/run_table.rs
+++ b/crates/wax-agent/src/run_table.rs
@@ -215,7 +215,7 @@
     }
 
     /// Returns all runs as lost, with the time that each is known to have run: from its start to
-    /// `answered`, when the worker answered last.
+    /// `answered_at`, when the worker answered last.
     pub fn lost_runs(&self, answered_at: TimePoint) -> Vec<LostRun> {
         let entries = self.entries.iter();
         let lost = entries.map(|(run_id, entry)| LostRun {
--- a/crates/wax-agent/src/state.rs
+++ b/crates/wax-agent/src/state.rs
@@ -28,7 +28,7 @@
     pub(crate) is_reconciled: bool,
 }
 
-/// What the agent keeps of one boot of the worker.
+/// State of one boot of the worker.
 #[derive(Debug)]
 pub(crate) struct WorkerBoot {
     pub(crate) view: WorkerView,
@@ -215,8 +215,8 @@
         }
     }
 
-    /// Takes over the drained failure domains from the owner's answer to a heartbeat sent at
-    /// `asked`.
+    /// Updates the drained failure domains from the owner's answer to a heartbeat that was sent at
+    /// `sent_at`.
     pub(crate) fn apply_drains(&self, frame: DrainFrame, sent_at: TimePoint) {
         let mut view = self.drains.borrow_mut();
         let age_ms = frame.age_ms;
--- a/crates/wax-front/src/accept.rs
+++ b/crates/wax-front/src/accept.rs
@@ -43,7 +43,9 @@
     );
     loop {
         let owner = shared.owner.borrow().clone();
-        // Names the current term: owners of earlier terms have never seen this job.
+        // The row carries the number of the current term. Owners of earlier terms have never seen
+        // the job, so it has no runs of their terms; a former owner that reads the row ends its own
+        // term.
         row.epoch = owner.as_ref().map_or(0, |owner| owner.epoch);
         let owner_version = owner.as_ref().map_or(0, |owner| owner.row_version);
         let tx = TxRequest {
--- a/crates/wax-front/src/owner_link.rs
+++ b/crates/wax-front/src/owner_link.rs
@@ -26,10 +26,10 @@
 const LINK_TIMEOUT: Duration = Duration::from_millis(800);
 /// Maximum number of ended boots in one message, which bounds its size to some kilobytes.
 const MAX_BOOTS_PER_MESSAGE: usize = 256;
-/// Pause between two attempts to link, with up to as much again as random jitter.
+/// Delay between two attempts to link, plus up to as much again at random.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Keeps a link to the owner for the lifetime of the process.
+/// Maintains a link to the owner for the lifetime of the process.
 pub(crate) async fn maintain_owner_link(state: Rc<FrontState>, seeds: Vec<SocketAddr>) {
     let mut hint = None;
     let mut round = 0_usize;
@@ -59,8 +59,9 @@
     all.get(round % all.len().max(1)).copied()
 }
 
-/// Returns whether to look for an owner. A process that owns the shard does so only once its term
-/// is in doubt, since it does not learn otherwise that it was replaced.
+/// Returns whether to look for an owner. A process that owns the shard looks for another owner only
+/// once the store has been silent for so long that one may have taken over: without the store, the
+/// process does not learn of its successor in any other way.
 fn should_seek_owner(state: &FrontState) -> bool {
     let term = state.shared.current_term();
     term.is_none_or(|term| term.may_be_superseded(state.shared.now()))
@@ -263,8 +264,8 @@
 fn handle_message(state: &Rc<FrontState>, body: PoolBody) {
     match body {
         PoolBody::Grant(grant) => {
-            // If the owner has lost the store, it counts as not heard, so that candidates check its
-            // heartbeat row at once.
+            // A grant from an owner that has lost the store does not count as contact, so that
+            // candidates check the heartbeat row at once.
             let contact_at = if grant.store_lost {
                 TimePoint::default()
             } else {
--- a/crates/wax-front/src/process.rs
+++ b/crates/wax-front/src/process.rs
@@ -90,7 +90,7 @@
     Ok(())
 }
 
-/// Returns the strength of this VM; values that the settings omit are those of an average VM.
+/// Returns the capacity of this VM; values that the settings omit are those of an average VM.
 fn vm_capacity(vm: &MachineSettings) -> VmCapacity {
     let default = VmCapacity::default();
     VmCapacity {
--- a/crates/wax-front/src/state.rs
+++ b/crates/wax-front/src/state.rs
@@ -1,4 +1,4 @@
-//! State of a front in addition to the state that all processes of the pool share.
+//! State of a front in addition to [`PoolShared`], which also holds what ownership needs.
 
 use futures_channel::mpsc::UnboundedSender;
 use futures_channel::oneshot;
@@ -33,7 +33,8 @@
 /// How long the store must have been lost before requests are refused, so that a single failed
 /// call is not enough.
 const CUT_OFF_AFTER: Duration = Duration::from_millis(300);
-/// A slow store answers within this time; one that has not is checked.
+/// Time without an answer after which the store is checked. A store that is only slow answers
+/// sooner.
 const OVERDUE_AFTER: Duration = Duration::from_millis(1_200);
 /// An owner that has sent nothing for this long counts as unreachable.
 const OWNER_MAX_SILENCE: Duration = Duration::from_millis(800);
@@ -51,16 +52,16 @@
         }
     }
 
-    /// Returns whether an owner that has the store was heard recently: it can send transactions for
-    /// this front.
+    /// Returns whether there was recent contact with an owner that reaches the store. Such an owner
+    /// can relay transactions for this front.
     pub(crate) fn is_owner_reachable(&self) -> bool {
         let limit = self.shared.allowed_silence(OWNER_MAX_SILENCE);
         self.shared.now().since(self.shared.owner_contact_at.get()) < limit
     }
 
-    /// Returns whether both the store and an owner that has it have been unreachable for a while.
-    /// Requests are refused then: they would wait until their deadline, while another front may
-    /// serve them.
+    /// Returns whether the store has been unreachable for a while, and there is no recent contact
+    /// with an owner that reaches it. Requests are refused then: they would wait until their
+    /// deadline, while another front may serve them.
     pub(crate) fn is_cut_off(&self) -> bool {
         let now = self.shared.now();
         let lost_since = self.store_lost_since.get();
--- a/crates/wax-front/src/store_route.rs
+++ b/crates/wax-front/src/store_route.rs
@@ -1,7 +1,8 @@
 //! The two routes of a front's transactions to the store: a direct call, and a relay by the owner.
 //!
-//! The platform may refuse this VM while it serves the owner's. A transaction that is sent by both
-//! routes takes effect at most once: its conditions name the versions of all rows that it writes.
+//! The platform may refuse calls from this VM while it serves the owner's VM. A transaction that is
+//! sent by both routes takes effect at most once: its conditions name the versions of all rows that
+//! it writes.
 
 use crate::state::FrontState;
 use compio::time::{sleep, timeout};
@@ -19,7 +20,7 @@
 /// transactions: with a delay of 250 ms, 27 of 387 attempts at a slow store got no answer, with the
 /// first route alone none.
 const SECOND_ROUTE_DELAY: Duration = Duration::from_millis(1_200);
-/// Pause before the next relay attempt, without a link to the owner or after a missing answer.
+/// Delay before the next relay attempt, without a link to the owner or after a missing answer.
 const RELAY_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Sends a transaction unchanged by both routes, until its resolution is known or `deadline` has
--- a/crates/wax-owner/src/agent_links.rs
+++ b/crates/wax-owner/src/agent_links.rs
@@ -381,9 +381,9 @@
             return;
         };
         if !self.is_reconciled.get() {
-            // Ends that were lost with the previous link have lower numbers. If this end were
-            // counted first, those would be skipped and their tasks started again. The worker's
-            // list of runs contains this end, too.
+            // Ends that were lost with the previous link have lower numbers. If the ends in this
+            // message were recorded first, the lost ones would be skipped and their tasks started
+            // again. The worker's snapshot contains the ends in this message, too.
             tracing::info!(
                 agent = self.node,
                 ends = updates.ends.len(),
--- a/crates/wax-owner/src/candidates.rs
+++ b/crates/wax-owner/src/candidates.rs
@@ -1,8 +1,8 @@
 //! Ranks the fronts as candidates for ownership and computes how long each waits before a takeover.
 //!
 //! A rank only orders the attempts: the condition in the store decides which front owns the shard.
-//! A weak front that owns a large pool is slow, is taken for silent and gets replaced, so strong
-//! fronts try first.
+//! A weak front that owns a large pool answers so slowly that it counts as silent and is replaced,
+//! so strong fronts try first.
 
 use std::cmp::Reverse;
 use std::time::Duration;
--- a/crates/wax-owner/src/dispatch.rs
+++ b/crates/wax-owner/src/dispatch.rs
@@ -12,9 +12,10 @@
 
 /// Longest time between two dispatch rounds without a change; some decisions depend on time alone.
 const IDLE_PERIOD: Duration = Duration::from_millis(100);
-/// A longer gap between two rounds means that this process was stalled, not the workers.
+/// Gap between two dispatch rounds beyond which this process counts as stalled. Missing progress is
+/// then not attributed to the workers.
 const PROCESS_STALL_THRESHOLD: Duration = Duration::from_millis(500);
-/// After such a stall, new progress reports arrive within this time.
+/// Time after a stall of this process within which new progress reports arrive.
 const PROGRESS_CATCH_UP: Duration = Duration::from_millis(2_000);
 /// Delay that lets changes which arrive together share a dispatch round.
 const COALESCE_DELAY: Duration = Duration::from_millis(2);
@@ -94,7 +95,7 @@
             waits = is_stale,
             age_ms = view.age(now).map(millis),
             version = view.version(),
-            "start orders depend on a fresh reading of the drains"
+            "start orders were suspended or resumed, depending on the age of the drain view"
         );
     }
     !is_stale
--- a/crates/wax-owner/src/front_relay.rs
+++ b/crates/wax-owner/src/front_relay.rs
@@ -16,8 +16,8 @@
 use std::time::Duration;
 use wax_wire::PoolBody;
 
-/// Time without an answer on the direct path after which a front is asked to relay. A slow store
-/// suffers from each transaction that is sent twice.
+/// Time without an answer on the direct path after which a front is asked to relay. A store that is
+/// only slow is slowed further by each transaction that is sent twice.
 const RELAY_DELAY: Duration = Duration::from_millis(1_200);
 /// Timeout for one relay request to a front.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(1_000);
--- a/crates/wax-owner/src/interference_log.rs
+++ b/crates/wax-owner/src/interference_log.rs
@@ -41,7 +41,7 @@
     }
 
     /// Returns the number of rounds closed so far. An agent that receives all pairs now has seen
-    /// all of them.
+    /// these rounds.
     pub fn closed_rounds(&self) -> u64 {
         self.closed_rounds
     }
--- a/crates/wax-owner/src/job_feed.rs
+++ b/crates/wax-owner/src/job_feed.rs
@@ -18,8 +18,8 @@
 /// Longest time for which the store holds a feed request without a change.
 ///
 /// An answer without changes is useful, too: it shows that no job is missing. On a connection that
-/// has become silent, the call lasts longer by the store's slack, and jobs and cancel requests wait
-/// that long.
+/// has become silent, the request fails only [`FEED_TIMEOUT_MARGIN`] later, and jobs and cancel
+/// requests wait until then.
 const FEED_WAIT: Duration = Duration::from_millis(500);
 /// Timeout for one page of a read.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(1_500);
--- a/crates/wax-owner/src/load.rs
+++ b/crates/wax-owner/src/load.rs
@@ -80,7 +80,7 @@
     }
 }
 
-/// Adds an agent from its row. A row that cannot be decoded may stand for any run.
+/// Adds an agent from its row. If the row cannot be decoded, any run may be on the agent's worker.
 fn add_agent(shared: &PoolShared, term: &OwnerTerm, row: &StoredRow, expires_at: TimePoint) {
     let agent = AgentRow::decode(&*row.value).unwrap_or_else(|error| {
         tracing::error!(%error, key = %row.key.key, "could not decode the row of an agent");
--- a/crates/wax-owner/src/operator_rows.rs
+++ b/crates/wax-owner/src/operator_rows.rs
@@ -86,9 +86,9 @@
 ) -> Result<(), WaxError> {
     let requested_at = shared.now();
     let mut feed = pin!(shared.store.follow(OPERATOR_TABLE, after, wait));
-    // Readings continue during the feed request, because a request on a silent connection lasts 9.5
-    // s, several times the bound. The feed request is abandoned if a reading finds a change that
-    // the feed has not reported.
+    // Readings continue during the feed request, because on a silent connection a request lasts
+    // 9.5 s, several times the bound. The feed request is abandoned if a reading finds a change
+    // that the feed has not reported.
     while shared.rows_version.get() == Some(after) {
         let read = pin!(read_when_due(shared, reads));
         if let Either::Left((reply, _)) = select(feed.as_mut(), read).await {
--- a/crates/wax-owner/src/owner_term.rs
+++ b/crates/wax-owner/src/owner_term.rs
@@ -229,8 +229,7 @@
         max_silence.is_some_and(|max_silence| now.since(self.confirmed_at.get()) > max_silence)
     }
 
-    /// Ends the term if another owner with a greater term number exists; returns whether that is
-    /// so.
+    /// Ends the term if `epoch`, the term of another owner, is later; returns whether it is.
     pub fn end_if_superseded(&self, epoch: u64) -> bool {
         let is_newer = epoch > self.epoch;
         if is_newer {
--- a/crates/wax-owner/src/shared.rs
+++ b/crates/wax-owner/src/shared.rs
@@ -88,8 +88,9 @@
     pub owner_changed: Event,
     /// Term of this process; `None` while it does not own the shard.
     pub term: RefCell<Option<Rc<OwnerTerm>>>,
-    /// When this process's link last received a grant from an owner that reaches the store; reset to
-    /// zero by a grant from an owner that does not.
+    /// Last contact with an owner that reaches the store: when this process's link to the owner
+    /// was opened or last received a grant. A grant from an owner that does not reach the store
+    /// resets the time to zero.
     pub owner_contact_at: Cell<TimePoint>,
     /// When this process's link last received a grant from an owner, whether or not the owner
     /// reaches the store.
@@ -253,8 +254,9 @@
         self.config_view.set(view);
     }
 
-    /// Records the owner's answer to a heartbeat sent at `sent`: the owner had config `version`,
-    /// which it knew to be the newest `age` before that.
+    /// Records the owner's answer to a heartbeat sent at `sent`: the owner has config `version` and
+    /// last read the config `age` before it answered. The age is subtracted from `sent`, which is
+    /// earlier than the answer.
     pub fn record_owner_config(&self, version: u64, sent: TimePoint, age: Duration) {
         if version <= self.config_version() {
             let as_of = sent.min(self.now()) - age;
--- a/crates/wax-owner/src/tx_resolution.rs
+++ b/crates/wax-owner/src/tx_resolution.rs
@@ -35,7 +35,7 @@
     }
 
     /// Combines the results of a transaction that was sent on two paths. A known result takes
-    /// precedence, then an unknown one, then a refusal.
+    /// precedence, then an unknown one, then a refusal, then `NotSent`.
     pub fn join(self, other: Self) -> Self {
         match (self, other) {
             (known, _) if known.is_known() => known,
--- a/crates/wax-owner/src/watch.rs
+++ b/crates/wax-owner/src/watch.rs
@@ -31,7 +31,8 @@
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Interval between two checks of the owner.
 const CHECK_PERIOD: Duration = Duration::from_millis(150);
-/// The heartbeat row is not read if the owner was heard on the link within this time.
+/// The heartbeat row is not read if the last contact with an owner that reaches the store was
+/// within this time.
 const OWNER_MAX_SILENCE: Duration = Duration::from_millis(450);
 /// Timeout for the transaction of a takeover.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(3);
--- a/crates/wax-owner/tests/scale/simulation.rs
+++ b/crates/wax-owner/tests/scale/simulation.rs
@@ -66,7 +66,7 @@
             ("messages", self.messages),
             ("bytes", self.bytes),
             ("agents visited", self.agents_visited),
-            ("workers asked", self.workers_evaluated),
+            ("workers evaluated", self.workers_evaluated),
             ("fronts ranked", self.fronts_ranked),
             ("transactions", self.transactions),
         ]
