--- a/crates/wax-agent/tests/interference.rs
+++ b/crates/wax-agent/tests/interference.rs
@@ -80,11 +80,11 @@
 /// Replays three workers for 34 seconds, in which baseline loads vary by half every 20 seconds. The
 /// actual interference is known from all workers of this day (`docs/MEASURES.md`).
 macro_rules! recorded {
-    ($($name:ident: $worker:literal, $serving:literal, $filling:literal => $range:expr;)*) => {$(
+    ($($name:ident: $worker:literal, $serving:literal, $best_effort:literal => $range:expr;)*) => {$(
         #[test]
         fn $name() {
             let controls = replay(RECORDED_SAMPLES);
-            let interference = controls[$worker].interference($serving, $filling);
+            let interference = controls[$worker].interference($serving, $best_effort);
             assert!($range.contains(&interference), "{interference}");
         }
     )*};
