--- a/crates/wax-agent/src/owner_link.rs
+++ b/crates/wax-agent/src/owner_link.rs
@@ -1,4 +1,4 @@
-//! Finds the owner of the shard and keeps a link to it.
+//! Finds the owner of the shard and maintains a link to it.
 
 use crate::state::{AgentState, OwnerLink};
 use compio::net::TcpStream;
@@ -29,8 +29,8 @@
 const SUCCESSOR_SEARCH_PERIOD: Duration = Duration::from_millis(400);
 /// How long a link that this process closes may take to send the queued messages.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
-/// Pause between two attempts of the search, with up to as much again as random jitter.
-const SEARCH_PAUSE: Duration = Duration::from_millis(120);
+/// Delay between two attempts of the search, plus up to as much again at random.
+const SEARCH_RETRY_DELAY: Duration = Duration::from_millis(120);
 
 /// Source for the owner's address.
 pub trait OwnerDirectory {
@@ -38,8 +38,8 @@
     fn read(&self) -> impl Future<Output = Option<SocketAddr>>;
 }
 
-/// Keeps a link to the owner for the lifetime of the process.
-pub(crate) async fn keep_owner_link(
+/// Maintains a link to the owner for the lifetime of the process.
+pub(crate) async fn maintain_owner_link(
     state: Rc<AgentState>,
     seeds: Vec<SocketAddr>,
     directory: impl OwnerDirectory,
@@ -148,7 +148,7 @@
 }
 
 async fn pause_search() {
-    sleep(SEARCH_PAUSE + SEARCH_PAUSE.mul_f64(fastrand::f64())).await;
+    sleep(SEARCH_RETRY_DELAY + SEARCH_RETRY_DELAY.mul_f64(fastrand::f64())).await;
 }
 
 struct OpenLink {
@@ -255,12 +255,15 @@
     last_received: Rc<Cell<TimePoint>>,
 ) {
     while state.now().since(last_received.get()) < link_timeout(&state) {
-        let ping = LinkHeartbeat {
+        let heartbeat = LinkHeartbeat {
             sent_us: state.now().0,
             ..Default::default()
         };
         state.send_pending_updates();
-        if outbox.unbounded_send(PoolBody::Heartbeat(ping)).is_err() {
+        if outbox
+            .unbounded_send(PoolBody::Heartbeat(heartbeat))
+            .is_err()
+        {
             return;
         }
         sleep(state.heartbeat_period.get()).await;
--- a/crates/wax-front/src/owner_link.rs
+++ b/crates/wax-front/src/owner_link.rs
@@ -26,11 +26,11 @@
 const LINK_TIMEOUT: Duration = Duration::from_millis(800);
 /// Maximum number of ended boots in one message, which bounds its size to some kilobytes.
 const MAX_BOOTS_PER_MESSAGE: usize = 256;
-/// Pause between two attempts to link, with up to as much again as random jitter.
-const RETRY_PAUSE: Duration = Duration::from_millis(150);
+/// Delay between two attempts to link, plus up to as much again at random.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Keeps a link to the owner for the lifetime of the process.
-pub(crate) async fn keep_owner_link(state: Rc<FrontState>, seeds: Vec<SocketAddr>) {
+/// Maintains a link to the owner for the lifetime of the process.
+pub(crate) async fn maintain_owner_link(state: Rc<FrontState>, seeds: Vec<SocketAddr>) {
     let mut hint = None;
     let mut round = 0_usize;
     loop {
@@ -44,10 +44,10 @@
             }
             _ => {}
         }
-        let pause = RETRY_PAUSE + RETRY_PAUSE.mul_f64(fastrand::f64());
+        let delay = RETRY_DELAY + RETRY_DELAY.mul_f64(fastrand::f64());
         let started_at = state.shared.now();
-        sleep(pause).await;
-        state.shared.record_timer(pause, started_at);
+        sleep(delay).await;
+        state.shared.record_timer(delay, started_at);
     }
 }
 
@@ -59,8 +59,9 @@
     all.get(round % all.len().max(1)).copied()
 }
 
-/// Returns whether to look for an owner. A process that owns the shard does so only once its term
-/// is in doubt, since it does not learn otherwise that it was replaced.
+/// Returns whether to look for an owner. A process that owns the shard looks for another owner only
+/// once the store has been silent for so long that one may have taken over: without the store, the
+/// process does not learn of its successor in any other way.
 fn should_seek_owner(state: &FrontState) -> bool {
     let term = state.shared.current_term();
     term.is_none_or(|term| term.may_be_superseded(state.shared.now()))
@@ -149,7 +150,7 @@
 async fn run_link(state: &Rc<FrontState>, epoch: u64, reader: PoolReader, writer: PoolWriter) {
     let (outbox, inbox) = unbounded();
     *state.outbox.borrow_mut() = Some(outbox.clone());
-    state.shared.owner_heard_at.set(state.shared.now());
+    state.shared.owner_contact_at.set(state.shared.now());
     send_ended_boots(state, &outbox);
     let writing = spawn(write_link(writer, inbox));
     let heartbeats = spawn(send_heartbeats(state.clone(), outbox));
@@ -227,13 +228,16 @@
 async fn send_heartbeats(state: Rc<FrontState>, outbox: UnboundedSender<PoolBody>) {
     loop {
         let now = state.shared.now();
-        let ping = LinkHeartbeat {
+        let heartbeat = LinkHeartbeat {
             sent_us: now.0,
             config_version: state.shared.config_version(),
             fitness: state.shared.fitness().0,
             store_lost: state.store_lost_since.get().is_some(),
         };
-        if outbox.unbounded_send(PoolBody::Heartbeat(ping)).is_err() {
+        if outbox
+            .unbounded_send(PoolBody::Heartbeat(heartbeat))
+            .is_err()
+        {
             return;
         }
         let period = state.shared.heartbeat_period.get();
@@ -260,15 +264,15 @@
 fn handle_message(state: &Rc<FrontState>, body: PoolBody) {
     match body {
         PoolBody::Grant(grant) => {
-            // If the owner has lost the store, it counts as not heard, so that candidates check its
-            // heartbeat row at once.
-            let heard_at = if grant.store_lost {
+            // A grant from an owner that has lost the store does not count as contact, so that
+            // candidates check the heartbeat row at once.
+            let contact_at = if grant.store_lost {
                 TimePoint::default()
             } else {
                 state.shared.now()
             };
-            state.shared.owner_heard_at.set(heard_at);
-            state.shared.link_heard_at.set(state.shared.now());
+            state.shared.owner_contact_at.set(contact_at);
+            state.shared.link_contact_at.set(state.shared.now());
             state
                 .shared
                 .heartbeat_period
--- a/crates/wax-owner/src/candidates.rs
+++ b/crates/wax-owner/src/candidates.rs
@@ -1,8 +1,8 @@
 //! Ranks the fronts as candidates for ownership and computes how long each waits before a takeover.
 //!
 //! A rank only orders the attempts: the condition in the store decides which front owns the shard.
-//! A weak front that owns a large pool is slow, is taken for silent and gets replaced, so strong
-//! fronts try first.
+//! A weak front that owns a large pool answers so slowly that it counts as silent and is replaced,
+//! so strong fronts try first.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -93,8 +93,8 @@
 impl TimerLateness {
     /// Records a timer that was set for `span` and fired after `took`.
     pub fn record(&mut self, span: Duration, took: Duration) {
-        let late_ratio = took.saturating_sub(span);
-        self.mean = (self.mean * 4 + late_ratio) / 5;
+        let lateness = took.saturating_sub(span);
+        self.mean = (self.mean * 4 + lateness) / 5;
     }
 
     /// Returns the moving average.
--- a/crates/wax-owner/src/shared.rs
+++ b/crates/wax-owner/src/shared.rs
@@ -63,7 +63,7 @@
     /// ended; 0 if none.
     pub refused_epoch: Cell<u64>,
     /// Limits and weights of placement; the settings may change them.
-    place_rules: Cell<PlacementRules>,
+    placement_rules: Cell<PlacementRules>,
     /// Config in force.
     pub config: RefCell<QueueTable>,
     /// The operator's text of the config in force.
@@ -88,12 +88,13 @@
     pub owner_changed: Event,
     /// Term of this process; `None` while it does not own the shard.
     pub term: RefCell<Option<Rc<OwnerTerm>>>,
-    /// When this process's link last received a grant from an owner that reaches the store; reset to
-    /// zero by a grant from an owner that does not.
-    pub owner_heard_at: Cell<TimePoint>,
+    /// Last contact with an owner that reaches the store: when this process's link to the owner
+    /// was opened or last received a grant. A grant from an owner that does not reach the store
+    /// resets the time to zero.
+    pub owner_contact_at: Cell<TimePoint>,
     /// When this process's link last received a grant from an owner, whether or not the owner
     /// reaches the store.
-    pub link_heard_at: Cell<TimePoint>,
+    pub link_contact_at: Cell<TimePoint>,
     /// Interval between two heartbeats on that link, as set by the owner's last grant.
     pub heartbeat_period: Cell<Duration>,
     /// When the store last answered this process.
@@ -149,7 +150,7 @@
             timeouts: OwnerTimeouts::default(),
             ended_job_retention,
             advisor,
-            place_rules: Cell::default(),
+            placement_rules: Cell::default(),
             config: RefCell::default(),
             config_text: RefCell::default(),
             config_changed: Event::new(),
@@ -162,8 +163,8 @@
             owner: RefCell::default(),
             owner_changed: Event::new(),
             term: RefCell::default(),
-            owner_heard_at: Cell::default(),
-            link_heard_at: Cell::default(),
+            owner_contact_at: Cell::default(),
+            link_contact_at: Cell::default(),
             heartbeat_period: Cell::new(FRONT_HEARTBEAT_PERIOD),
             store_answered_at: Cell::default(),
             config_view: Cell::default(),
@@ -212,13 +213,13 @@
     }
 
     /// Returns the limits and weights of placement in force.
-    pub fn place_rules(&self) -> PlacementRules {
-        self.place_rules.get()
+    pub fn placement_rules(&self) -> PlacementRules {
+        self.placement_rules.get()
     }
 
     /// Replaces the limits and weights of placement; an owner uses them from now on.
-    pub fn set_place_rules(&self, rules: PlacementRules) {
-        self.place_rules.set(rules);
+    pub fn set_placement_rules(&self, rules: PlacementRules) {
+        self.placement_rules.set(rules);
         if let Some(term) = self.current_term() {
             term.scheduler.borrow_mut().set_rules(rules);
         }
@@ -253,8 +254,9 @@
         self.config_view.set(view);
     }
 
-    /// Records the owner's answer to a heartbeat sent at `sent`: the owner had config `version`,
-    /// which it knew to be the newest `age` before that.
+    /// Records the owner's answer to a heartbeat sent at `sent`: the owner has config `version` and
+    /// last read the config `age` before it answered. The age is subtracted from `sent`, which is
+    /// earlier than the answer.
     pub fn record_owner_config(&self, version: u64, sent: TimePoint, age: Duration) {
         if version <= self.config_version() {
             let as_of = sent.min(self.now()) - age;
--- a/crates/wax-owner/src/tx_resolution.rs
+++ b/crates/wax-owner/src/tx_resolution.rs
@@ -35,12 +35,12 @@
     }
 
     /// Combines the results of a transaction that was sent on two paths. A known result takes
-    /// precedence, then an unknown one, then a refusal.
+    /// precedence, then an unknown one, then a refusal, then `NotSent`.
     pub fn join(self, other: Self) -> Self {
         match (self, other) {
             (known, _) if known.is_known() => known,
             (_, known) if known.is_known() => known,
-            (may_apply @ Self::Unknown(_), _) | (_, may_apply @ Self::Unknown(_)) => may_apply,
+            (unknown @ Self::Unknown(_), _) | (_, unknown @ Self::Unknown(_)) => unknown,
             (refused @ Self::Refused(_), _) | (_, refused @ Self::Refused(_)) => refused,
             (none, _) => none,
         }
--- a/crates/wax-owner/src/watch.rs
+++ b/crates/wax-owner/src/watch.rs
@@ -31,7 +31,8 @@
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Interval between two checks of the owner.
 const CHECK_PERIOD: Duration = Duration::from_millis(150);
-/// The heartbeat row is not read if the owner was heard on the link within this time.
+/// The heartbeat row is not read if the last contact with an owner that reaches the store was
+/// within this time.
 const OWNER_MAX_SILENCE: Duration = Duration::from_millis(450);
 /// Timeout for the transaction of a takeover.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(3);
@@ -192,7 +193,7 @@
     let is_unowned = known
         .as_ref()
         .is_some_and(|owner| has_ended(shared, owner) || shared.refused_epoch.get() == owner.epoch);
-    if known.is_some() && !is_unowned && now.since(shared.owner_heard_at.get()) < max_silence {
+    if known.is_some() && !is_unowned && now.since(shared.owner_contact_at.get()) < max_silence {
         watch.seen = None;
         return Ok(OwnerCheck::Wait);
     }
@@ -212,7 +213,7 @@
         }
     }
     let since = watch.record(version, now);
-    let is_linked = now.since(shared.link_heard_at.get()) < max_silence;
+    let is_linked = now.since(shared.link_contact_at.get()) < max_silence;
     let limit = match is_linked {
         true => shared.timeouts.takeover_if_reachable,
         false => shared.timeouts.takeover_if_unreachable,
