--- a/crates/wax-agent/src/pace.rs
+++ b/crates/wax-agent/src/pace.rs
@@ -93,7 +93,7 @@
     /// Tracks how long the tail latency has been too high, and whether stopping best-effort runs
     /// helps.
     fn track_tail(&mut self, tail_ratio: f64, now: TimePoint, rules: &PaceRules) {
-        if tail_ratio < rules.overrun_share {
+        if tail_ratio < rules.overrun_ratio {
             self.over_target_since = None;
             self.mitigation_since = None;
             return;
@@ -284,7 +284,7 @@
             .powf(span.as_secs_f64() / TAIL_WINDOW_S);
         let mut run_loads = Vec::with_capacity(sample.serving.len());
         for run in sample.serving.iter().filter(|run| run.tail_ratio > 0.0) {
-            let first = rules.initial_idle_tail;
+            let first = rules.initial_idle_tail_ratio;
             let idle_ratio = self
                 .idle_tail_ratios
                 .entry(run.image.clone())
@@ -396,8 +396,8 @@
                 .idle_tail_ratios
                 .get(&run.image)
                 .copied()
-                .unwrap_or(rules.initial_idle_tail);
-            let target_load = (1.0 - idle_ratio / rules.max_tail_share).max(MIN_LOAD);
+                .unwrap_or(rules.initial_idle_tail_ratio);
+            let target_load = (1.0 - idle_ratio / rules.max_tail_ratio).max(MIN_LOAD);
             let is_saturated = now.since(load.saturated_at) <= rules.settle_time;
             let headroom = if is_saturated {
                 0.0
--- a/crates/wax-batch/src/approvals.rs
+++ b/crates/wax-batch/src/approvals.rs
@@ -95,14 +95,14 @@
         if approval.is_some_and(|approval| now.since(approval.requested_at) < REQUEST_INTERVAL) {
             return None;
         }
-        let rules = (
+        let limits = (
             self.rules.best_effort_limit(ExpectedFinish::InTime),
             &self.rules,
         );
         let workers_with_capacity: Vec<(WorkerKey, &str)> = self
             .workers
             .iter()
-            .filter(|(_, worker)| worker.can_fit(&job.queue.service, spec, rules, now))
+            .filter(|(_, worker)| worker.can_fit(&job.queue.service, spec, limits, now))
             .map(|(key, worker)| (key, worker.view.boot.worker_id()))
             .collect();
         if workers_with_capacity
--- a/crates/wax-batch/src/crash_history.rs
+++ b/crates/wax-batch/src/crash_history.rs
@@ -129,7 +129,7 @@
         !self.is_empty() && now.since(self.last_reported) < VM_AVOIDANCE_TIME
     }
 
-    fn early(&self) -> impl Iterator<Item = &CrashedRun> {
+    fn early_crashes(&self) -> impl Iterator<Item = &CrashedRun> {
         self.runs.iter().filter(|crashed| crashed.early)
     }
 
@@ -177,12 +177,12 @@
         // required.
         let needed = EARLY_CRASH_VMS + usize::from(repeated);
         let proven_early = early
-            && self.early().count() >= needed
-            && enough(count_vms(self.early()), EARLY_CRASH_VMS);
+            && self.early_crashes().count() >= needed
+            && enough(count_vms(self.early_crashes()), EARLY_CRASH_VMS);
         let proven_late = self.crash_count() >= LATE_CRASH_VMS && enough(vms, LATE_CRASH_VMS);
         // A long-running task is hit by more crashes of other causes in its lifetime than a task
         // that ends.
-        let too_many = self.early().count() >= MAX_EARLY_CRASHES
+        let too_many = self.early_crashes().count() >= MAX_EARLY_CRASHES
             || !crashed.long_running
                 && self.crash_count() >= MAX_CRASHES
                 && enough(vms, MANY_CRASH_VMS);
@@ -198,7 +198,7 @@
     pub(crate) fn isolation(&self, long_running: bool) -> Option<Duration> {
         if !long_running && count_vms(self.runs.iter()) >= MANY_CRASH_VMS {
             Some(PROVEN_HARMLESS_AFTER)
-        } else if self.early().next().is_some() {
+        } else if self.early_crashes().next().is_some() {
             Some(SHORT_ISOLATION_TIME)
         } else {
             None
--- a/crates/wax-batch/src/crashes.rs
+++ b/crates/wax-batch/src/crashes.rs
@@ -50,7 +50,7 @@
 impl WorkerRecord {
     /// Returns whether the worker is isolated for another task than this one; `None` stands for any
     /// task without crashes.
-    pub(crate) fn is_reserved_against(&self, task_ref: Option<TaskRef>, now: TimePoint) -> bool {
+    pub(crate) fn is_isolated_from(&self, task_ref: Option<TaskRef>, now: TimePoint) -> bool {
         match self.isolation {
             Some(WorkerIsolation::Reserved { task, until }) => {
                 now < until && Some(task) != task_ref
@@ -75,8 +75,8 @@
     ) -> f64 {
         let mut cost = 0.0;
         if let Some(crashed_at) = last_crash {
-            let age = now.since(crashed_at).div_duration_f64(RECENT_CRASH_WINDOW);
-            cost += RECENT_CRASH_COST * (1.0 - age.min(1.0));
+            let age_share = now.since(crashed_at).div_duration_f64(RECENT_CRASH_WINDOW);
+            cost += RECENT_CRASH_COST * (1.0 - age_share.min(1.0));
         }
         if is_suspected {
             // Other runs on the worker may be lost if the task crashes it.
@@ -104,9 +104,9 @@
     ) -> Vec<CrashFinding> {
         self.last_vm_crash
             .retain(|_, crashed_at| now.since(*crashed_at) < RECENT_CRASH_WINDOW);
-        let before = self.last_vm_crash.insert(vm.into(), now);
+        let previous_crash = self.last_vm_crash.insert(vm.into(), now);
         let repeated =
-            before.is_some_and(|crashed_at| now.since(crashed_at) < REPEATED_CRASH_WINDOW);
+            previous_crash.is_some_and(|crashed_at| now.since(crashed_at) < REPEATED_CRASH_WINDOW);
         let timed_runs = runs
             .iter()
             .filter_map(|lost| Some((lost.run_id, lost.min_run_time?)));
@@ -146,11 +146,11 @@
             long_running: job.spec.steps[usize::from(task_ref.step.step)].long_running,
         };
         let task = self.task_mut(task_ref)?;
-        let before = task.crash_history.clone();
+        let history_before = task.crash_history.clone();
         let verdict = task.crash_history.record(crashed, context, now);
         task.last_run = task.last_run.max(run_id.run);
         let crashes = task.crash_history.crash_count();
-        if task.crash_history != before {
+        if task.crash_history != history_before {
             self.mark_changed(task_ref.step.job);
         }
         if verdict == CrashVerdict::GivenUp {
@@ -217,14 +217,14 @@
     ) -> bool {
         let workers = self.workers.values();
         let of_service = workers.filter(|worker| *worker.view.service == *service);
-        let isolated = of_service.filter(|worker| worker.is_reserved_against(Some(task_ref), now));
+        let isolated = of_service.filter(|worker| worker.is_isolated_from(Some(task_ref), now));
         isolated.count() >= (self.worker_count(service) / WORKERS_PER_ISOLATION).max(1)
     }
 
     /// Prepares an isolated start of a suspected task on a worker. Returns whether the task can
     /// start there now. Otherwise the worker is reserved until its last start is no longer recent,
     /// since a crash after two starts would not show which of them caused it.
-    pub(crate) fn reserve_isolated_worker(
+    pub(crate) fn prepare_isolated_start(
         &mut self,
         task_ref: TaskRef,
         worker: WorkerKey,
--- a/crates/wax-batch/src/ends.rs
+++ b/crates/wax-batch/src/ends.rs
@@ -84,12 +84,13 @@
         // The worker may delete the end only after all changes of the job known by now are stored,
         // whether this end caused them or only repeats an earlier one.
         let job = self.names.get(&end.run_id.task.job);
-        let covered = job.map(|key| (*key, self.jobs[*key].changes));
+        let required_changes = job.map(|key| (*key, self.jobs[*key].changes));
         if let Some(record) = self.workers.get_mut(worker) {
             let number = end.number;
-            record
-                .pending_ends
-                .push_back(PendingEnd { number, covered });
+            record.pending_ends.push_back(PendingEnd {
+                number,
+                required_changes,
+            });
             self.unacknowledged.insert(worker);
         }
     }
@@ -206,10 +207,10 @@
         let Some(task) = step.tasks.get_mut(task_ref.index as usize) else {
             return;
         };
-        let has_run = task.placement().is_some_and(|placement| placement.running);
+        let was_running = task.placement().is_some_and(|placement| placement.running);
         task.state = TaskState::Waiting;
         step.waiting += 1;
-        if has_run {
+        if was_running {
             // A refused start does not restart the waiting time.
             step.waiting_since = now;
         }
@@ -271,11 +272,11 @@
         now: TimePoint,
         now_ms: u64,
     ) {
-        let task = self.task_name(task_ref);
+        let name = self.task_name(task_ref);
         if let Some(record) = self.workers.get_mut(worker) {
             // Tasks are counted rather than failures: a long-running task that always fails would
             // otherwise exclude its worker from all other work.
-            record.failed_tasks.insert(task);
+            record.failed_tasks.insert(name);
             if record.failed_tasks.len() >= EXCLUDE_AFTER_FAILED_TASKS {
                 record.excluded_until = now + EXCLUSION_TIME;
             }
@@ -378,7 +379,7 @@
             };
             let before = record.ack_cursor;
             while let Some(first) = record.pending_ends.front() {
-                let is_stored = first.covered.is_none_or(|(job, changes)| {
+                let is_stored = first.required_changes.is_none_or(|(job, changes)| {
                     jobs.get(job)
                         .is_none_or(|job| job.stored_changes >= changes)
                 });
--- a/crates/wax-batch/src/fit.rs
+++ b/crates/wax-batch/src/fit.rs
@@ -19,7 +19,7 @@
     }
 
     /// Returns why the worker accepts no tasks of the step at all; `None` if it accepts them.
-    fn exclusion_reason(
+    fn rejection_reason(
         &self,
         service: &str,
         step: &StepSpec,
@@ -45,7 +45,7 @@
     /// Returns whether the worker accepts tasks of the step at all, regardless of its free
     /// capacity.
     pub(crate) fn accepts(&self, service: &str, step: &StepSpec, now: TimePoint) -> bool {
-        self.exclusion_reason(service, step, now).is_none()
+        self.rejection_reason(service, step, now).is_none()
     }
 
     /// Returns whether one more task of the step fits here; `best_effort_limit` bounds the share of
@@ -69,29 +69,30 @@
         (best_effort_limit, rules): (f64, &PlacementRules),
         now: TimePoint,
     ) -> Option<WaitReason> {
-        if let Some(reason) = self.exclusion_reason(service, step, now) {
+        if let Some(reason) = self.rejection_reason(service, step, now) {
             return Some(reason);
         }
         if !step.reserved().fits(self.free_capacity()) {
             return Some(WaitReason::Capacity);
         }
-        let available = self.best_effort_headroom_milli(best_effort_limit, rules);
+        let available = self.best_effort_available_milli(best_effort_limit, rules);
         (step.best_effort && available < f64::from(step.size.cpu_milli))
             .then_some(WaitReason::Spare)
     }
 
     /// Returns the processors that best-effort tasks may still request, in thousandths of a core.
-    fn best_effort_headroom_milli(&self, best_effort_limit: f64, rules: &PlacementRules) -> f64 {
+    fn best_effort_available_milli(&self, best_effort_limit: f64, rules: &PlacementRules) -> f64 {
         let long_running = f64::from(self.long_running_milli);
-        let batch = f64::from(self.reserved.cpu_milli) - long_running;
-        let available =
-            f64::from(self.view.capacity.cpu_milli) - batch - long_running * rules.long_running_use;
+        let other_reserved = f64::from(self.reserved.cpu_milli) - long_running;
+        let available = f64::from(self.view.capacity.cpu_milli)
+            - other_reserved
+            - long_running * rules.long_running_use;
         available * best_effort_limit - f64::from(self.best_effort_milli)
     }
 
     /// Returns the expected interference between one more task of the step and the serving tasks on
     /// this worker.
-    pub(crate) fn interference_choice(
+    pub(crate) fn interference_estimate(
         &self,
         step: &StepSpec,
         pairs: &InterferenceTable,
@@ -110,7 +111,7 @@
         pairs: &InterferenceTable,
         rules: &PlacementRules,
     ) -> bool {
-        !step.best_effort || self.interference_choice(step, pairs, rules).pace >= min_pace
+        !step.best_effort || self.interference_estimate(step, pairs, rules).pace >= min_pace
     }
 
     /// Returns the expected pace of one more task of the step here: the share of its full speed, 0
@@ -122,7 +123,7 @@
         rules: &PlacementRules,
     ) -> f64 {
         match step.best_effort {
-            true => self.interference_choice(step, pairs, rules).pace,
+            true => self.interference_estimate(step, pairs, rules).pace,
             false => 1.0,
         }
     }
@@ -150,9 +151,9 @@
             + f64::from(self.best_effort_milli);
         let mut cost = (used + f64::from(step.size.cpu_milli)) / capacity;
         if step.best_effort {
-            let choice = self.interference_choice(step, pairs, rules);
-            cost += rules.slow_pace_cost * (1.0 - choice.pace)
-                + rules.interference_cost * choice.headroom_share;
+            let estimate = self.interference_estimate(step, pairs, rules);
+            cost += rules.slow_pace_cost * (1.0 - estimate.pace)
+                + rules.interference_cost * estimate.headroom_share;
         }
         if step.long_running {
             // Long-running tasks of one image share workers, and fill a worker before they start on
--- a/crates/wax-batch/src/lib.rs
+++ b/crates/wax-batch/src/lib.rs
@@ -34,7 +34,7 @@
 pub use crashes::CrashFinding;
 pub use ends::StartRefusal;
 pub use names::{JobName, RunId, TaskName};
-pub use placement::PlacementChoice;
+pub use placement::WorkerChoice;
 pub use progress::{
     JobOutcome, JobProgress, JobRow, OccurrenceProgress, StepProgress, TaskFailures,
 };
--- a/crates/wax-batch/src/migrations.rs
+++ b/crates/wax-batch/src/migrations.rs
@@ -110,8 +110,9 @@
         else {
             return false;
         };
-        let remaining_work = f64::from(100 - placement.percent.min(100)) / 100.0;
-        let remaining_work = Duration::from_millis(spec.estimate_ms.into()).mul_f64(remaining_work);
+        let remaining_share = f64::from(100 - placement.percent.min(100)) / 100.0;
+        let remaining_work =
+            Duration::from_millis(spec.estimate_ms.into()).mul_f64(remaining_share);
         spec.long_running || (spec.checkpoints && !spec.gang && remaining_work > remaining)
     }
 
@@ -120,12 +121,12 @@
             return false;
         };
         let step = &job.spec.steps[usize::from(task_ref.step.step)];
-        let rules = (
+        let limits = (
             self.rules.best_effort_limit(ExpectedFinish::InTime),
             &self.rules,
         );
         let mut others = self.workers.iter().filter(|(key, _)| *key != worker);
-        others.any(|(_, other)| other.can_fit(&job.queue.service, step, rules, now))
+        others.any(|(_, other)| other.can_fit(&job.queue.service, step, limits, now))
     }
 
     /// Returns for how long a run has stalled, if that is long enough to move it.
--- a/crates/wax-batch/src/placement.rs
+++ b/crates/wax-batch/src/placement.rs
@@ -33,7 +33,7 @@
 
 /// Outcome of the search for a worker for one task.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum PlacementChoice {
+pub enum WorkerChoice {
     /// The task can start on this worker.
     Worker(ChosenWorker),
     /// No worker takes the task now, for this reason.
@@ -230,11 +230,11 @@
                 index,
             };
             match self.choose_worker(task, &request, &mut cached, now) {
-                PlacementChoice::Worker(chosen) => {
+                WorkerChoice::Worker(chosen) => {
                     orders.push(self.create_order(task, chosen, &request, None, now));
                     self.refresh_offer(step_ref, &request, &mut cached, chosen.key, now);
                 }
-                PlacementChoice::Wait(reason) => {
+                WorkerChoice::Wait(reason) => {
                     self.report_wait(task, &request, reason, now);
                     if nth < without_crashes {
                         self.delay_next_check(step_ref, now);
@@ -264,11 +264,11 @@
                 index,
             };
             match self.choose_worker(task, request, &mut cached, now) {
-                PlacementChoice::Worker(chosen) => {
+                WorkerChoice::Worker(chosen) => {
                     members.push(self.create_order(task, chosen, request, Some(run), now));
                     self.refresh_offer(step_ref, request, &mut cached, chosen.key, now);
                 }
-                PlacementChoice::Wait(reason) => {
+                WorkerChoice::Wait(reason) => {
                     let reason = match members.is_empty() {
                         true => reason,
                         false => WaitReason::Gang,
@@ -426,12 +426,12 @@
         request: &StepRequest<'_>,
         cached: &mut Option<(PlacementRelaxation, StepOffers)>,
         now: TimePoint,
-    ) -> PlacementChoice {
+    ) -> WorkerChoice {
         let Some(relaxation) = self.relaxation(task_ref.step, request, now) else {
-            return PlacementChoice::Wait(WaitReason::NoWorker);
+            return WorkerChoice::Wait(WaitReason::NoWorker);
         };
         let Some(task) = self.task(task_ref) else {
-            return PlacementChoice::Wait(WaitReason::NoWorker);
+            return WorkerChoice::Wait(WaitReason::NoWorker);
         };
         if task.excluded_worker.is_some() || !task.crash_history.is_empty() {
             return self.choose_after_failures(task_ref, request, relaxation, now);
@@ -460,14 +460,14 @@
         match best {
             Ok(best) => {
                 let worker = &self.workers[best.worker];
-                PlacementChoice::Worker(ChosenWorker {
+                WorkerChoice::Worker(ChosenWorker {
                     key: best.worker,
                     cost: best.cost,
                     next_cost: best.next_cost,
                     pace: worker.pace_for(request.step, &self.pairs, &self.rules),
                 })
             }
-            Err(reason) => PlacementChoice::Wait(reason),
+            Err(reason) => WorkerChoice::Wait(reason),
         }
     }
 
@@ -561,10 +561,10 @@
             | PlacementRelaxation::AnyPace => request.best_effort_limit,
             PlacementRelaxation::Starved => f64::INFINITY,
         };
-        if let Some(placement_obstacle) =
+        if let Some(obstacle) =
             worker.placement_obstacle(request.service, step, (best_effort_limit, &self.rules), now)
         {
-            return Err(placement_obstacle);
+            return Err(obstacle);
         }
         let max_tasks = match step.max_per_worker {
             0 => u32::MAX,
@@ -579,7 +579,7 @@
         }) {
             return Err(WaitReason::FailedThere);
         }
-        if worker.is_reserved_against(failed.map(|task| task.task_ref), now) {
+        if worker.is_isolated_from(failed.map(|task| task.task_ref), now) {
             return Err(WaitReason::Trial);
         }
         if !worker.can_keep_pace(
@@ -633,13 +633,13 @@
         request: &StepRequest<'_>,
         relaxation: PlacementRelaxation,
         now: TimePoint,
-    ) -> PlacementChoice {
+    ) -> WorkerChoice {
         let is_suspected = self.isolation_of(task_ref).is_some();
         if is_suspected && self.is_isolation_limit_reached(task_ref, request.service, now) {
-            return PlacementChoice::Wait(WaitReason::Trial);
+            return WorkerChoice::Wait(WaitReason::Trial);
         }
         let Some(record) = self.task(task_ref) else {
-            return PlacementChoice::Wait(WaitReason::NoWorker);
+            return WorkerChoice::Wait(WaitReason::NoWorker);
         };
         let task = FailedTask {
             task_ref,
@@ -650,12 +650,12 @@
         let mut offers = self.collect_offers(Some(&task), task_ref.step, request, relaxation, now);
         let best = match offers.best() {
             Ok(best) => best,
-            Err(reason) => return PlacementChoice::Wait(reason),
+            Err(reason) => return WorkerChoice::Wait(reason),
         };
-        if is_suspected && !self.reserve_isolated_worker(task_ref, best.worker, now) {
-            return PlacementChoice::Wait(WaitReason::Trial);
+        if is_suspected && !self.prepare_isolated_start(task_ref, best.worker, now) {
+            return WorkerChoice::Wait(WaitReason::Trial);
         }
-        PlacementChoice::Worker(ChosenWorker {
+        WorkerChoice::Worker(ChosenWorker {
             key: best.worker,
             cost: best.cost,
             next_cost: best.next_cost,
--- a/crates/wax-batch/src/records.rs
+++ b/crates/wax-batch/src/records.rs
@@ -310,16 +310,16 @@
         self.stored_outcome = self.outcome;
         self.ended_ms = progress.ended_ms;
         self.next_occurrence = progress.done_before;
-        for kept in &progress.occurrences {
+        for stored in &progress.occurrences {
             let mut occurrence = OccurrenceRecord::new(&self.spec, self.accepted);
-            for (number, step) in kept.steps.iter().enumerate() {
+            for (number, step) in stored.steps.iter().enumerate() {
                 if let Some(spec) = self.spec.steps.get(number) {
                     occurrence.steps[number].restore(spec, step);
                 }
             }
             self.started = true;
-            self.occurrences.insert(kept.number, occurrence);
-            self.next_occurrence = self.next_occurrence.max(kept.number + 1);
+            self.occurrences.insert(stored.number, occurrence);
+            self.next_occurrence = self.next_occurrence.max(stored.number + 1);
         }
     }
 }
--- a/crates/wax-batch/src/scheduler.rs
+++ b/crates/wax-batch/src/scheduler.rs
@@ -100,7 +100,7 @@
     pub(crate) number: u64,
     /// Job and the number of its changes that must be stored first; `None` if nothing has to be
     /// stored.
-    pub(crate) covered: Option<(JobKey, u64)>,
+    pub(crate) required_changes: Option<(JobKey, u64)>,
 }
 
 /// State of a worker and of the runs placed on it.
@@ -557,7 +557,7 @@
     }
 
     /// Removes a job whose rows were deleted from the store.
-    pub fn forget(&mut self, name: JobName) {
+    pub fn remove_job(&mut self, name: JobName) {
         if let Some(key) = self.names.remove(&name) {
             self.jobs.remove(key);
             self.dirty.remove(&key);
--- a/crates/wax-batch/src/unreconciled.rs
+++ b/crates/wax-batch/src/unreconciled.rs
@@ -87,11 +87,11 @@
 
     /// Returns the number of waiting tasks that are held back until more workers are reconciled.
     pub fn held_back_task_count(&self) -> usize {
-        let held = self
+        let counts = self
             .ready_steps
             .iter()
             .map(|step_ref| self.held_back_tasks_in(*step_ref));
-        held.sum()
+        counts.sum()
     }
 
     fn held_back_tasks_in(&self, step_ref: StepRef) -> usize {
@@ -99,11 +99,11 @@
             return 0;
         };
         let eligibility = self.eligibility(step_ref, step);
-        let held = step
+        let held_back = step
             .tasks
             .iter()
             .filter(|task| task.is_waiting() && !eligibility.includes(task));
-        held.count()
+        held_back.count()
     }
 
     pub(crate) fn step_record(&self, step_ref: StepRef) -> Option<&StepRecord> {
--- a/crates/wax-batch/tests/support/mod.rs
+++ b/crates/wax-batch/tests/support/mod.rs
@@ -10,7 +10,7 @@
 use wax_types::TimePoint;
 
 /// Unix time in milliseconds that corresponds to `at(0)`.
-pub(crate) const EPOCH_MS: u64 = 1_000_000;
+pub(crate) const START_UNIX_MS: u64 = 1_000_000;
 
 /// Returns the monotonic time `millis` after the start of a test.
 pub(crate) fn at(millis: u64) -> TimePoint {
@@ -19,7 +19,7 @@
 
 /// Returns the Unix time in milliseconds at `at(millis)`.
 pub(crate) fn unix_ms(millis: u64) -> u64 {
-    EPOCH_MS + millis
+    START_UNIX_MS + millis
 }
 
 pub(crate) fn size(cpu_milli: u32) -> TaskSize {
--- a/crates/wax-batch/tests/takeover.rs
+++ b/crates/wax-batch/tests/takeover.rs
@@ -45,8 +45,8 @@
         ..running(run_id(7, 0, 0, 1))
     };
     scheduler.reconcile_worker(worker, &[sent], &[], at(0), unix_ms(0));
-    let never = end(1, run_id(7, 0, 0, 1), RunEndKind::Stopped);
-    scheduler.record_end(worker, &never, at(20), unix_ms(20));
+    let never_started = end(1, run_id(7, 0, 0, 1), RunEndKind::Stopped);
+    scheduler.record_end(worker, &never_started, at(20), unix_ms(20));
     assert!(
         scheduler.place(at(2_000)).is_empty(),
         "a later run may be on an unreconciled worker"
--- a/crates/wax-owner/src/operator_rows.rs
+++ b/crates/wax-owner/src/operator_rows.rs
@@ -105,7 +105,7 @@
         Ok(()) => reads.succeed(),
         Err(error) => {
             reads.fail(&error);
-            shared.update_config_view(|view| view.note_read_failure());
+            shared.update_config_view(|view| view.record_read_failure());
             let pause = shared.config_rules.retry_delay();
             sleep(pause + pause.mul_f64(fastrand::f64())).await;
         }
@@ -191,7 +191,7 @@
 
 fn record_reading(shared: &PoolShared, requested_at: TimePoint) {
     shared.store_answered_at.set(shared.now());
-    shared.update_config_view(|view| view.note_read(requested_at));
+    shared.update_config_view(|view| view.record_read(requested_at));
     let term = shared.current_term();
     if let Some(term) = term.filter(|term| term.drains_stale.get()) {
         term.dispatch.notify(usize::MAX);
--- a/crates/wax-owner/src/shared.rs
+++ b/crates/wax-owner/src/shared.rs
@@ -258,7 +258,7 @@
     pub fn record_owner_config(&self, version: u64, sent: TimePoint, age: Duration) {
         if version <= self.config_version() {
             let as_of = sent.min(self.now()) - age;
-            self.update_config_view(|view| view.note_report(as_of));
+            self.update_config_view(|view| view.record_report(as_of));
         }
     }
 
--- a/crates/wax-owner/src/writer.rs
+++ b/crates/wax-owner/src/writer.rs
@@ -197,7 +197,7 @@
     let mut scheduler = term.scheduler.borrow_mut();
     scheduler.confirm_updates(&write.updates);
     for job in &write.removed_jobs {
-        scheduler.forget(*job);
+        scheduler.remove_job(*job);
     }
     drop(scheduler);
     term.agents.borrow_mut().updates_stored(&write.agents);
--- a/crates/wax-policy/benches/decisions.rs
+++ b/crates/wax-policy/benches/decisions.rs
@@ -88,7 +88,7 @@
 }
 
 #[divan::bench(args = [75, 750, 7_500])]
-fn placement_with_room(bencher: Bencher<'_, '_>, workers: usize) {
+fn placement_with_free_capacity(bencher: Bencher<'_, '_>, workers: usize) {
     place(
         bencher,
         workers,
--- a/crates/wax-policy/src/config_view.rs
+++ b/crates/wax-policy/src/config_view.rs
@@ -82,18 +82,18 @@
 
 impl ConfigView {
     /// Records a successful read that started at `as_of` and whose result is in force.
-    pub fn note_read(&mut self, as_of: TimePoint) {
+    pub fn record_read(&mut self, as_of: TimePoint) {
         self.last_read = self.last_read.max(Some(as_of));
         self.failures = 0;
     }
 
     /// Records a report by the owner that it knew of no newer config at `as_of`.
-    pub fn note_report(&mut self, as_of: TimePoint) {
+    pub fn record_report(&mut self, as_of: TimePoint) {
         self.last_report = self.last_report.max(Some(as_of));
     }
 
     /// Records a failed read.
-    pub fn note_read_failure(&mut self) {
+    pub fn record_read_failure(&mut self) {
         self.failures = self.failures.saturating_add(1);
     }
 
--- a/crates/wax-policy/src/contact.rs
+++ b/crates/wax-policy/src/contact.rs
@@ -72,12 +72,12 @@
     }
 
     /// Records that a renewal is about to be sent.
-    pub fn note_renewal(&mut self, now: TimePoint, timings: &LeaseTimings) {
+    pub fn record_renewal(&mut self, now: TimePoint, timings: &LeaseTimings) {
         self.leases_until = self.leases_until.max(now + timings.expiry_delay());
     }
 
     /// Records an answer to a call that was sent at `sent`.
-    pub fn note_answer(&mut self, sent: TimePoint, timings: &LeaseTimings) {
+    pub fn record_answer(&mut self, sent: TimePoint, timings: &LeaseTimings) {
         if !self.answered {
             // The first answer tells which runs the worker has and fences the former owner, so only
             // renewals by this owner count from here on.
@@ -88,7 +88,7 @@
     }
 
     /// Records a failed call.
-    pub fn note_failure(&mut self) {
+    pub fn record_failure(&mut self) {
         self.failed_calls += 1;
     }
 
--- a/crates/wax-policy/src/interference.rs
+++ b/crates/wax-policy/src/interference.rs
@@ -15,7 +15,7 @@
 /// Excess assumed for a pair without samples.
 const PRIOR_EXCESS: f64 = 0.08;
 /// Standard deviation of [`PRIOR_EXCESS`].
-const PRIOR_SPREAD: f64 = 0.25;
+const PRIOR_STD_DEV: f64 = 0.25;
 
 /// Band of a worker's load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -57,8 +57,8 @@
 
 impl PairEstimate {
     /// Returns the standard deviation of the estimate.
-    pub fn spread(&self) -> f64 {
-        PRIOR_SPREAD / (1.0 + self.samples).sqrt()
+    pub fn std_dev(&self) -> f64 {
+        PRIOR_STD_DEV / (1.0 + self.samples).sqrt()
     }
 
     fn learn(&mut self, error: f64) {
--- a/crates/wax-policy/src/pace_rules.rs
+++ b/crates/wax-policy/src/pace_rules.rs
@@ -14,14 +14,14 @@
         period: Duration = ("period_ms", "ms", 240, 50 to 5000),
         /// Best-effort tasks are slowed down so that predicted tails stay below this share of their
         /// target.
-        max_tail_share: f64 = ("aim", "share", 0.74, 0.1 to 2),
-        /// Replaces `max_tail_share` when all best-effort jobs are late; for a smaller share of
+        max_tail_ratio: f64 = ("aim", "share", 0.74, 0.1 to 2),
+        /// Replaces `max_tail_ratio` when all best-effort jobs are late; for a smaller share of
         /// late jobs the value is interpolated. Late best-effort jobs thus get the safety margin of
         /// the serving tasks: at a load at which a tenth of these jobs met their objective, 4
         /// instead of 7 of 54 days missed a required minimum, without loss of value.
-        max_tail_share_overload: f64 = ("strained_aim", "share", 1.0, 0.1 to 2, off 0.74),
+        max_tail_ratio_overload: f64 = ("strained_aim", "share", 1.0, 0.1 to 2, off 0.74),
         /// Tails above this share of their target count as too long for `stop_after`.
-        overrun_share: f64 = ("near", "share", 0.95, 0.1 to 10),
+        overrun_ratio: f64 = ("near", "share", 0.95, 0.1 to 10),
         /// All best-effort tasks on the worker are stopped when a tail has been too long for this
         /// time.
         stop_after: Duration = ("bear_ms", "ms", 1400, 100 to 600000, off 600000),
@@ -44,7 +44,7 @@
         tail_retention: f64 = ("tail_kept", "share", 0.27, 0 to 0.95, off 0),
         /// Share of its target that the tail of an idle serving task is assumed to take before it
         /// has been measured.
-        initial_idle_tail: f64 = ("first_idle", "share", 0.17, 0.01 to 0.9),
+        initial_idle_tail_ratio: f64 = ("first_idle", "share", 0.17, 0.01 to 0.9),
         /// Interference per core counts as 0 if its estimate plus one standard deviation is below
         /// this value.
         negligible_interference: f64 = ("no_press", "share", 0.05, 0 to 1, off 0),
@@ -56,8 +56,8 @@
     pub fn for_overload(self, overload: f64) -> Self {
         let overload = overload.clamp(0.0, 1.0);
         Self {
-            max_tail_share: self.max_tail_share
-                + overload * (self.max_tail_share_overload - self.max_tail_share),
+            max_tail_ratio: self.max_tail_ratio
+                + overload * (self.max_tail_ratio_overload - self.max_tail_ratio),
             ..self
         }
     }
--- a/crates/wax-policy/src/pair_interference.rs
+++ b/crates/wax-policy/src/pair_interference.rs
@@ -25,8 +25,8 @@
 const LOAD_DRIFT: f64 = 0.10;
 /// Standard deviation of the logarithm of a measured load at [`REFERENCE_LOAD`]; it grows as the
 /// load falls.
-const MEASUREMENT_SPREAD: f64 = 0.08;
-/// Load to which [`MEASUREMENT_SPREAD`] refers.
+const MEASUREMENT_STD_DEV: f64 = 0.08;
+/// Load to which [`MEASUREMENT_STD_DEV`] refers.
 const REFERENCE_LOAD: f64 = 0.3;
 /// Period to which [`LOAD_DRIFT`] refers, in seconds.
 const DRIFT_PERIOD_S: f64 = 0.5;
@@ -53,13 +53,13 @@
     }
 
     /// Returns the standard deviation of the estimate.
-    pub fn spread(self) -> f64 {
+    pub fn std_dev(self) -> f64 {
         self.variance().sqrt()
     }
 
     /// Returns whether the estimate plus one standard deviation is below `bound`.
     pub fn is_negligible(self, bound: f64) -> bool {
-        self.expected() + self.spread() < bound
+        self.expected() + self.std_dev() < bound
     }
 
     fn variance(self) -> f64 {
@@ -191,13 +191,13 @@
             return Vec::new();
         }
         let sensitivities = change.sensitivities(before, after);
-        let spread: f64 = sensitivities
+        let pair_variance: f64 = sensitivities
             .iter()
             .map(|(best_effort, sensitivity)| {
                 sensitivity * sensitivity * self.get(change.serving, best_effort).variance()
             })
             .sum();
-        let variance = spread + change.noise();
+        let variance = pair_variance + change.noise();
         let max_residual = MAX_DEVIATIONS * variance.sqrt();
         let residual = residual.clamp(-max_residual, max_residual);
         let mut observed = Vec::new();
@@ -263,7 +263,7 @@
     /// the measurement error.
     fn noise(&self) -> f64 {
         let drift = LOAD_DRIFT * self.interval.as_secs_f64() / DRIFT_PERIOD_S;
-        let measurement = MEASUREMENT_SPREAD * REFERENCE_LOAD / self.load;
+        let measurement = MEASUREMENT_STD_DEV * REFERENCE_LOAD / self.load;
         drift * drift + measurement * measurement
     }
 }
--- a/crates/wax-policy/src/placement.rs
+++ b/crates/wax-policy/src/placement.rs
@@ -412,7 +412,7 @@
 ) -> f64 {
     let estimate = pairs.estimate(affected, neighbour, band);
     let margin = if urgent { 1.0 } else { -0.5 };
-    (estimate.excess + margin * estimate.spread()).max(0.0)
+    (estimate.excess + margin * estimate.std_dev()).max(0.0)
 }
 
 /// Returns the weighted cost of the slowdown of the neighbours by the task and of the task by its
--- a/crates/wax-policy/src/routing.rs
+++ b/crates/wax-policy/src/routing.rs
@@ -229,7 +229,7 @@
     /// upstream.
     fn score(&self, now: TimePoint) -> Duration {
         let age = now.since(self.connected_at).as_secs_f64() / WARMUP_TIME.as_secs_f64();
-        let factor = (WARMUP_FACTOR - (WARMUP_FACTOR - 1.0) * age).max(1.0);
+        let warmup_factor = (WARMUP_FACTOR - (WARMUP_FACTOR - 1.0) * age).max(1.0);
         let busy = f64::from(self.depth()) / f64::from(self.slots);
         let time = self.service_time().mul_f64(1.0 + 0.25 * busy.min(1.0)) + self.wait();
         let penalty = if self.local {
@@ -237,12 +237,12 @@
         } else {
             DOMAIN_PENALTY
         };
-        let overdue = if self.is_avoided(now) {
+        let avoid_factor = if self.is_avoided(now) {
             AVOID_FACTOR
         } else {
             1.0
         };
-        time.mul_f64(factor * overdue) + penalty
+        time.mul_f64(warmup_factor * avoid_factor) + penalty
     }
 }
 
@@ -316,8 +316,8 @@
                 view.avoid_until = now + REFUSAL_PENALTY_TIME;
                 view.failures += 1;
                 if view.failures >= FAILURES_TO_EJECT && can_eject {
-                    let span = MIN_EJECTION * (1 << view.ejections.min(5));
-                    view.ejected_until = now + span.min(MAX_EJECTION);
+                    let duration = MIN_EJECTION * (1 << view.ejections.min(5));
+                    view.ejected_until = now + duration.min(MAX_EJECTION);
                     view.ejections += 1;
                     view.failures = 0;
                 }
--- a/crates/wax-policy/src/sizing.rs
+++ b/crates/wax-policy/src/sizing.rs
@@ -11,7 +11,7 @@
 /// Quantile of the measured usage that is reserved.
 const QUANTILE: f64 = 0.95;
 /// Factor on the quantile, as a margin.
-const HEADROOM: f64 = 1.1;
+const MARGIN_FACTOR: f64 = 1.1;
 /// Lower and upper bound of the corrected size, as shares of the declared one.
 const MIN_SHARE: f64 = 0.25;
 const MAX_SHARE: f64 = 2.0;
@@ -69,7 +69,7 @@
     let mut sorted = shares.to_vec();
     sorted.sort_by(f32::total_cmp);
     let rank = ((sorted.len() - 1) as f64 * QUANTILE).round() as usize;
-    let share = f64::from(sorted[rank]) * HEADROOM;
+    let share = f64::from(sorted[rank]) * MARGIN_FACTOR;
     let share = share.clamp(MIN_SHARE, MAX_SHARE);
     (f64::from(declared) * share).ceil() as u32
 }
--- a/crates/wax-policy/tests/config_view.rs
+++ b/crates/wax-policy/tests/config_view.rs
@@ -19,8 +19,8 @@
     ConfigRules::new(Duration::from_millis(BOUND_MS), DrainRules::default())
 }
 
-fn ceil_ms(span: Duration) -> u64 {
-    span.as_micros().div_ceil(1_000) as u64
+fn ceil_ms(duration: Duration) -> u64 {
+    duration.as_micros().div_ceil(1_000) as u64
 }
 
 /// Simulated process that reads the operator's rows when its view asks for it.
@@ -33,20 +33,20 @@
     reading: Option<(u64, bool)>,
     /// Whether the open connection is silent; the first read after the cut fails and a new
     /// connection is opened.
-    is_connection_dead: bool,
+    is_connection_silent: bool,
     read_count: u32,
 }
 
 impl Reader {
     fn new(reader: ConfigReader) -> Self {
         let mut view = ConfigView::default();
-        view.note_read(TimePoint::from_millis(0));
+        view.record_read(TimePoint::from_millis(0));
         Self {
             view,
             reader,
             busy_until: 0,
             reading: None,
-            is_connection_dead: false,
+            is_connection_silent: false,
             read_count: 0,
         }
     }
@@ -59,10 +59,10 @@
         }
         if let Some((started, answered)) = self.reading.take() {
             if answered {
-                self.view.note_read(TimePoint::from_millis(started));
+                self.view.record_read(TimePoint::from_millis(started));
             } else {
-                self.is_connection_dead = false;
-                self.view.note_read_failure();
+                self.is_connection_silent = false;
+                self.view.record_read_failure();
                 let pause = rules().retry_delay();
                 self.busy_until = now + ceil_ms(pause.mul_f64(1.0 + jitter));
                 return;
@@ -73,7 +73,7 @@
             ReadChoice::Wait(wait) => self.busy_until = now + ceil_ms(wait).min(HEARTBEAT_MS),
             ReadChoice::Read(limit) => {
                 self.read_count += 1;
-                let answered = store_answers && !self.is_connection_dead;
+                let answered = store_answers && !self.is_connection_silent;
                 let duration = if answered { ANSWER_MS } else { ceil_ms(limit) };
                 self.reading = Some((now, answered));
                 self.busy_until = now + duration;
@@ -104,7 +104,7 @@
         let cuts: Vec<u64> = cuts.iter().map(|gap| { next += gap; next }).collect();
         for now in 0..next + 8_000 {
             if cuts.contains(&now) {
-                reader.is_connection_dead = true;
+                reader.is_connection_silent = true;
                 // A read in progress is lost with its connection.
                 if let Some(reading) = reader.reading.as_mut() {
                     reading.1 = false;
@@ -145,7 +145,7 @@
             owner.step(now, true, jitter);
             if now % HEARTBEAT_MS == 0 && now > 0 {
                 let age = owner.view.own_read_age(TimePoint::from_millis(now + delay_ms));
-                front.view.note_report(TimePoint::from_millis(now) - age.unwrap_or_default());
+                front.view.record_report(TimePoint::from_millis(now) - age.unwrap_or_default());
             }
             front.step(now, true, jitter);
         }
@@ -157,9 +157,9 @@
 #[test]
 fn older_reports_do_not_refresh_the_view() {
     let mut view = ConfigView::default();
-    view.note_report(TimePoint::from_millis(5_000));
-    view.note_report(TimePoint::from_millis(1_000));
-    view.note_read(TimePoint::from_millis(2_000));
+    view.record_report(TimePoint::from_millis(5_000));
+    view.record_report(TimePoint::from_millis(1_000));
+    view.record_read(TimePoint::from_millis(2_000));
     let now = TimePoint::from_millis(6_000);
     assert_eq!(view.age(now), Some(Duration::from_millis(1_000)));
     assert_eq!(view.own_read_age(now), Some(Duration::from_millis(4_000)));
--- a/crates/wax-policy/tests/leases.rs
+++ b/crates/wax-policy/tests/leases.rs
@@ -19,7 +19,7 @@
 
 fn after_three_failed_calls(mut contact: WorkerContact) -> WorkerContact {
     for _ in 0..3 {
-        contact.note_failure();
+        contact.record_failure();
     }
     contact
 }
@@ -28,8 +28,8 @@
 #[test]
 fn silent_worker_is_probed_until_its_last_lease_has_expired() {
     let mut contact = WorkerContact::after_takeover(at(0), &TIMINGS);
-    contact.note_answer(at(0), &TIMINGS);
-    contact.note_renewal(at(100), &TIMINGS);
+    contact.record_answer(at(0), &TIMINGS);
+    contact.record_renewal(at(100), &TIMINGS);
     let contact = after_three_failed_calls(contact);
     assert_eq!(contact.decide(at(101)), ContactChoice::Probe);
     assert_eq!(contact.decide(at(111)), ContactChoice::Probe);
@@ -49,7 +49,7 @@
 #[test]
 fn answer_of_a_worker_excludes_renewals_by_the_former_owner() {
     let mut contact = WorkerContact::after_takeover(at(100), &TIMINGS);
-    contact.note_answer(at(101), &TIMINGS);
+    contact.record_answer(at(101), &TIMINGS);
     let contact = after_three_failed_calls(contact);
     assert_eq!(contact.decide(at(112)), ContactChoice::Probe);
     assert_eq!(contact.decide(at(113)), ContactChoice::Lapsed);
@@ -59,10 +59,10 @@
 #[test]
 fn no_renewal_is_sent_after_repeated_failures() {
     let mut contact = WorkerContact::after_takeover(at(0), &TIMINGS);
-    contact.note_answer(at(0), &TIMINGS);
+    contact.record_answer(at(0), &TIMINGS);
     assert_eq!(contact.decide(at(1)), ContactChoice::Renew);
     let mut contact = after_three_failed_calls(contact);
     assert_ne!(contact.decide(at(1)), ContactChoice::Renew);
-    contact.note_answer(at(2), &TIMINGS);
+    contact.record_answer(at(2), &TIMINGS);
     assert_eq!(contact.decide(at(2)), ContactChoice::Renew);
 }
--- a/crates/wax-settings/tests/pages.rs
+++ b/crates/wax-settings/tests/pages.rs
@@ -199,5 +199,5 @@
         .policy
         .pace;
     assert_eq!(pace.period, std::time::Duration::from_millis(300));
-    assert_eq!((pace.max_tail_share, pace.min_pace_percent), (0.5, 7));
+    assert_eq!((pace.max_tail_ratio, pace.min_pace_percent), (0.5, 7));
 }
--- a/crates/wax-tasks/src/worker_link.rs
+++ b/crates/wax-tasks/src/worker_link.rs
@@ -88,7 +88,7 @@
         if renewing {
             entry
                 .contact
-                .note_renewal(now, &shared.options.lease_timings);
+                .record_renewal(now, &shared.options.lease_timings);
         }
         (entry.forget.iter().copied().collect(), entry.usage_through)
     });
@@ -132,10 +132,10 @@
         Ok(reply) => {
             entry
                 .contact
-                .note_answer(sent, &shared.options.lease_timings);
+                .record_answer(sent, &shared.options.lease_timings);
             entry.clock = Some((reply.clock_ms, now));
         }
-        Err(_) => entry.contact.note_failure(),
+        Err(_) => entry.contact.record_failure(),
     }
     let reachable = entry.contact.is_reachable();
     let open = reachable && entry.quarantined_until.is_none_or(|until| until <= now);
@@ -222,7 +222,7 @@
     // The start grants a lease, so it counts as a renewal.
     entry
         .contact
-        .note_renewal(now, &shared.options.lease_timings);
+        .record_renewal(now, &shared.options.lease_timings);
     let request = StartRequest {
         owner: shared.term.epoch(),
         run_id,
