--- a/crates/wax-batch/src/approvals.rs
+++ b/crates/wax-batch/src/approvals.rs
@@ -56,8 +56,8 @@
         (now + TICKET_MARGIN < *until).then(|| ticket.clone())
     }
 
-    /// Returns the next request to the advisor: for the most urgent waiting step that fits on no
-    /// approved worker.
+    /// Returns the next request to the advisor, for the most urgent waiting step that fits on no
+    /// approved worker; `None` if no step needs a request now.
     pub fn next_advice_request(&mut self, now: TimePoint) -> Option<AdviceRequest> {
         let jobs = &self.jobs;
         self.approvals
--- a/crates/wax-batch/src/crash_history.rs
+++ b/crates/wax-batch/src/crash_history.rs
@@ -20,8 +20,8 @@
 pub(crate) const EARLY_CRASH_LIMIT: Duration = Duration::from_millis(250);
 /// A run that has lasted this long shows that its task does not crash workers.
 const PROVEN_HARMLESS_AFTER: Duration = Duration::from_secs(10);
-/// Time for which a suspected task has its worker to itself after a start: until a crash would no
-/// longer count as early, and one more answer interval.
+/// Time after the start of a suspected task for which nothing else starts on its worker: until a
+/// crash would no longer count as early, and one more answer interval.
 const SHORT_ISOLATION_TIME: Duration = EARLY_CRASH_LIMIT.saturating_mul(2);
 /// Number of VMs with an early crash after a start of the task that proves it to be the cause, if
 /// no other run had just started at the last crash. To occur by chance, two other causes would each
@@ -31,7 +31,8 @@
 /// are more likely.
 const LATE_CRASH_VMS: usize = 4;
 /// Number of early crashes, on any VMs and with any other starts at the same time, after which the
-/// task is given up. Bounds the starts of a task after it has crashed three workers.
+/// task is given up. Without this limit a task that has already crashed three workers could be
+/// started three or more times again.
 const MAX_EARLY_CRASHES: usize = 4;
 /// Number of crashes, early or not, after which a task that is not long-running is given up, if
 /// they occurred on [`MANY_CRASH_VMS`] VMs. With crashes on that many VMs the task is also isolated
@@ -51,7 +52,8 @@
 pub enum CrashVerdict {
     /// The run had lasted long enough to show that the task is not the cause.
     Beside,
-    /// The task may be the cause. With more crashes it is isolated for longer at its starts.
+    /// The task may be the cause. The more crashes it has had, the longer nothing else starts on
+    /// its worker after its next start.
     Suspected,
     /// The task is the cause and is not started again.
     GivenUp,
@@ -192,9 +194,9 @@
         }
     }
 
-    /// Returns for how long the next start of the task must have its worker to itself; `None` if it
-    /// may share the worker. Long-running tasks are only isolated briefly: otherwise many of them
-    /// would queue for the few workers that may be isolated.
+    /// Returns for how long nothing else may start on the task's worker after its next start;
+    /// `None` if the start need not be isolated. Long-running tasks are only isolated briefly:
+    /// otherwise many of them would queue for the few workers that may be isolated.
     pub(crate) fn isolation(&self, long_running: bool) -> Option<Duration> {
         if !long_running && count_vms(self.runs.iter()) >= MANY_CRASH_VMS {
             Some(PROVEN_HARMLESS_AFTER)
--- a/crates/wax-batch/src/crashes.rs
+++ b/crates/wax-batch/src/crashes.rs
@@ -25,12 +25,15 @@
 /// suspected task. Negative, so that this worker is preferred to any other.
 const RESERVED_WORKER_COST: f64 = -20.0;
 
-/// Isolation of a worker for a suspected task.
+/// Isolation of a worker for a suspected task: nothing else starts there. Runs that started earlier
+/// continue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum WorkerIsolation {
-    /// The worker waits for the task to start, once no other start is recent, until `until`.
+    /// The worker is reserved until `until` for the task, which starts there once no other start is
+    /// recent.
     Reserved { task: TaskRef, until: TimePoint },
-    /// The task runs alone until `until`; longer if the worker does not answer. Ends with the run.
+    /// The task has started, and nothing else starts until `until`, or for longer while the worker
+    /// does not answer. Ends with the run.
     Running { run_id: RunId, until: TimePoint },
 }
 
@@ -191,9 +194,10 @@
             })
     }
 
-    /// Returns for how long the next start of a task must have its worker to itself. Members of a
-    /// gang are never isolated: they start together wherever there is capacity, and waiting for an
-    /// isolated worker each could keep them from ever starting.
+    /// Returns for how long nothing else may start on a task's worker after its next start; `None`
+    /// if the start need not be isolated. Members of a gang are never isolated: they start together
+    /// wherever there is capacity, and if each waited for an isolated worker they might never
+    /// start.
     pub(crate) fn isolation_of(&self, task_ref: TaskRef) -> Option<Duration> {
         let job = self.jobs.get(task_ref.step.job)?;
         let spec = &job.spec.steps[usize::from(task_ref.step.step)];
@@ -243,7 +247,8 @@
         false
     }
 
-    /// Records a start on a worker, which is then isolated for the time given by `isolation`.
+    /// Records a start on a worker, which is then isolated for the time given by `isolation`, if
+    /// any.
     pub(crate) fn record_last_start(
         &mut self,
         worker: WorkerKey,
--- a/crates/wax-batch/src/fit.rs
+++ b/crates/wax-batch/src/fit.rs
@@ -48,7 +48,7 @@
         self.rejection_reason(service, step, now).is_none()
     }
 
-    /// Returns whether one more task of the step fits here; `best_effort_limit` bounds the share of
+    /// Returns whether one more task of the step fits here; `best_effort_limit` is the multiple of
     /// the spare processors that best-effort tasks may request.
     pub(crate) fn can_fit(
         &self,
--- a/crates/wax-batch/src/migrations.rs
+++ b/crates/wax-batch/src/migrations.rs
@@ -1,4 +1,5 @@
-//! Moves stalled best-effort runs to other workers, and runs off workers that are shutting down.
+//! Moves runs to other workers: best-effort runs that have stalled, and runs on workers that are
+//! about to shut down.
 
 use crate::names::RunId;
 use crate::reasons::StopReason;
--- a/crates/wax-batch/src/placement.rs
+++ b/crates/wax-batch/src/placement.rs
@@ -17,12 +17,12 @@
 
 /// Number of workers of a larger pool that are evaluated for a step if enough of them can take a
 /// task. Without this limit the cost of each step would be proportional to the size of the pool,
-/// and a pool of twice the size would need four times the work.
+/// and a pool of twice the size, with twice the steps, would need four times the work.
 const SAMPLE_SIZE: usize = 256;
 /// Distance between the workers at which two consecutive steps begin their scan. A prime, so that
 /// all workers take their turn.
 const SCAN_STRIDE: usize = 101;
-/// Number of offers per waiting task that leaves a choice for each task.
+/// Number of offers that are collected per waiting task of a step, so that each task has a choice.
 const OFFERS_PER_TASK: usize = 2;
 /// A step that fits nowhere on a large pool is checked again after this delay for each worker of
 /// the pool.
@@ -59,12 +59,12 @@
     service: &'a str,
     /// Rank of the step among all waiting steps.
     rank: JobRank,
-    /// Share of the spare processors that best-effort tasks of this rank may request in total.
+    /// Multiple of the spare processors that best-effort tasks of this rank may request in total.
     best_effort_limit: f64,
     /// Time for which the step's tasks have waited.
     waited: Duration,
-    /// For a best-effort step, whether most of the service's processors are not reserved; false for
-    /// other steps and for gangs.
+    /// For a best-effort step, whether the service is lightly loaded; false for other steps and for
+    /// gangs.
     lightly_loaded: bool,
     /// Position of the worker that is evaluated first.
     scan_start: usize,
@@ -340,7 +340,8 @@
         self.reset_to_waiting(task, order.worker, now);
     }
 
-    /// Returns whether most processors of a service are not reserved.
+    /// Returns whether less than the share `low_use` of a service's processors is reserved. Counts
+    /// ready workers in failure domains that are not drained.
     fn is_lightly_loaded(&self, service: &str) -> bool {
         let workers = self.workers.values();
         let ready = workers.filter(|worker| {
--- a/crates/wax-batch/src/rank.rs
+++ b/crates/wax-batch/src/rank.rs
@@ -104,7 +104,7 @@
 }
 
 impl JobRank {
-    /// Returns the rank of a step of occurrence `number`.
+    /// Returns the rank of a step of one occurrence of a job.
     pub fn new(job: &JobRecord, occurrence_number: u32, step: u16, now: TimePoint) -> Self {
         let occurrence = job.occurrences.get(&occurrence_number);
         let due = occurrence.map_or(job.accepted, |record| record.due);
--- a/crates/wax-batch/src/reasons.rs
+++ b/crates/wax-batch/src/reasons.rs
@@ -30,7 +30,8 @@
     NoWorker,
     /// No worker has the required label.
     Label,
-    /// No worker is reachable, healthy and not about to leave.
+    /// Each worker is unreachable, unhealthy, about to leave, or excluded for a while after
+    /// failures or refusals.
     NotReady,
     /// All otherwise suitable workers are in drained failure domains.
     Drained,
@@ -47,8 +48,8 @@
     Advice,
     /// Only workers are left on which the task has just failed or may have caused a crash.
     FailedThere,
-    /// The task is suspected of crashing its workers and waits for an isolated worker, or all
-    /// workers are isolated for other tasks.
+    /// The task is suspected of crashing its workers and waits for an isolated worker, or the
+    /// workers that could take it are isolated for other tasks.
     Trial,
     /// The members of a gang do not all fit at the same time.
     Gang,
--- a/crates/wax-batch/src/records.rs
+++ b/crates/wax-batch/src/records.rs
@@ -47,7 +47,7 @@
 pub struct TaskRecord {
     /// Life-cycle state.
     pub state: TaskState,
-    /// Numbers of the failed runs. Not kept for long-running tasks.
+    /// Numbers of the failed runs. Always empty for long-running tasks.
     pub failed_runs: Vec<u64>,
     /// Runs that ended in a crash of their worker.
     pub crash_history: CrashHistory,
--- a/crates/wax-batch/src/scheduler.rs
+++ b/crates/wax-batch/src/scheduler.rs
@@ -138,7 +138,8 @@
     pub(crate) vm: Box<str>,
     /// Time at which a start was last ordered here.
     pub(crate) last_start: TimePoint,
-    /// Set while the worker is set apart for a task that is suspected of crashing its worker.
+    /// Isolation of the worker for a task that is suspected of crashing its worker. It may have
+    /// expired already.
     pub(crate) isolation: Option<WorkerIsolation>,
 }
 
@@ -157,8 +158,8 @@
     pub long_running: bool,
 }
 
-/// Run numbers of a later term start above a multiple of this, and so above all run numbers of
-/// earlier terms.
+/// Number of run numbers that a task has in each term. In a later term its run numbers start above
+/// a multiple of this, and so above those of all earlier terms.
 pub(crate) const RUNS_PER_TERM: u64 = 1 << 16;
 
 /// Jobs, workers and placements of one shard, kept in the memory of its owner.
@@ -323,6 +324,7 @@
         }
     }
 
+    /// Returns the rules of the job's queue; default rules if the config does not have the queue.
     fn queue_rules(&self, row: &JobRow) -> Rc<QueueRules> {
         let found = self
             .config
@@ -346,7 +348,7 @@
     }
 
     /// Starts the occurrences of a job that are due. Returns when the next one is due, Unix
-    /// milliseconds.
+    /// milliseconds; `None` if all have been started.
     fn start_due_occurrences_of(
         &mut self,
         key: JobKey,
@@ -374,7 +376,7 @@
     }
 
     /// Starts all due occurrences of repeated jobs. Returns when the next one is due, Unix
-    /// milliseconds.
+    /// milliseconds; `None` if there is none.
     pub fn start_due_occurrences(&mut self, now: TimePoint, now_ms: u64) -> Option<u64> {
         let repeated: Vec<JobKey> = self
             .jobs
--- a/crates/wax-batch/src/unreconciled.rs
+++ b/crates/wax-batch/src/unreconciled.rs
@@ -2,7 +2,7 @@
 //!
 //! The store does not record where a task runs. A new owner learns it from the workers. Until all
 //! workers are reconciled, a task of an earlier term may be running on one that is not. This module
-//! determines which tasks cannot be, and so may be started.
+//! determines which tasks cannot be running on such a worker, and so may be started.
 
 use crate::names::JobName;
 use crate::records::{StepRecord, TaskRecord};
--- a/crates/wax-batch/tests/placement.rs
+++ b/crates/wax-batch/tests/placement.rs
@@ -246,8 +246,8 @@
     assert_eq!(orders[0].run_id.task.job.0, 8);
 }
 
-/// Guards against losing jobs that never start: while most processors are not reserved, a job must
-/// make progress whatever its age.
+/// Guards against losing jobs that never start: while less than 60 % of a service's processors are
+/// reserved, a job must make progress whatever its age.
 #[test]
 fn in_a_lightly_loaded_service_a_young_job_without_placed_tasks_gets_one_task_placed() {
     let mut scheduler = scheduler(1);
@@ -418,7 +418,7 @@
     );
     let request = scheduler
         .next_advice_request(at(0))
-        .expect("the advisor is asked");
+        .expect("a request to the advisor");
     assert_eq!(&*request.name, "0000000000000007.0.0");
     assert_eq!(request.workers.len(), 2);
     assert_eq!(
@@ -442,11 +442,11 @@
     );
     let retry = scheduler
         .next_advice_request(at(1_900))
-        .expect("the advisor is asked again");
+        .expect("another request to the advisor");
     assert_eq!(
         retry.workers.len(),
         1,
-        "a denied worker is not asked about again"
+        "a denied worker is not requested again"
     );
 }
 
--- a/crates/wax-policy/src/heartbeats.rs
+++ b/crates/wax-policy/src/heartbeats.rs
@@ -20,7 +20,8 @@
 /// Number of fronts that are first in line to take over; they use the shortest interval, to notice
 /// a lost owner early.
 const EARLY_CANDIDATES: u32 = 8;
-/// One part in this many of the time left for a heartbeat is reserved for its transit and delays.
+/// The time available for a heartbeat, divided by this number, is reserved for its transit and
+/// delays.
 const TRANSIT_DIVISOR: u32 = 5;
 
 /// Returns the interval between two heartbeats of each of `agents` agents.
--- a/crates/wax-policy/src/pair_interference.rs
+++ b/crates/wax-policy/src/pair_interference.rs
@@ -90,7 +90,8 @@
 /// Cores in use by each best-effort image on a worker.
 pub type CoresByImage = BTreeMap<Box<str>, f64>;
 
-/// Sample of the load of a serving image on a worker.
+/// Circumstances of one sample of a serving image's load on a worker. [`LoadChange`] has the load
+/// itself.
 #[derive(Debug, Clone, Copy)]
 pub struct LoadSample<'a> {
     /// Cores in use by best-effort images on the worker.
--- a/crates/wax-policy/src/placement_rules.rs
+++ b/crates/wax-policy/src/placement_rules.rs
@@ -31,7 +31,7 @@
         /// at full pace.
         slow_pace_cost: f64 = ("pace_cost", "share", 4.0, 0 to 100, off 0),
         /// Cost of a worker on which a best-effort task would take the whole headroom of a serving
-        /// task.
+        /// task; proportionally less if it would take a part of it.
         interference_cost: f64 = ("press_cost", "share", 1.0, 0 to 100, off 0),
         /// Pace that a best-effort task demands from a worker until `preferred_pace_wait` has
         /// passed.
@@ -61,8 +61,8 @@
         /// Interference per core counts as 0 if its estimate plus one standard deviation is below
         /// this value.
         negligible_interference: f64 = ("no_press", "share", 0.05, 0 to 1, off 0),
-        /// Cost of placing a long-running task next to long-running tasks of other images, if all
-        /// of those on the worker are of other images.
+        /// Cost of placing a long-running task on a worker whose long-running tasks all have other
+        /// images; proportionally less if only a part of them do.
         other_image_cost: f64 = ("stranger_cost", "share", 1.0, 0 to 100, off 0),
         /// Cost of placing a long-running task on a worker that has none yet.
         first_long_running_cost: f64 = ("open_cost", "share", 3.0, 0 to 100, off 0),
--- a/crates/wax-policy/src/rendezvous.rs
+++ b/crates/wax-policy/src/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Rendezvous hashing: when a member leaves, only the keys that it held move to other members.
+//! Rendezvous hashing: when a member leaves, only the keys assigned to it move to other members.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
--- a/crates/wax-policy/src/routing.rs
+++ b/crates/wax-policy/src/routing.rs
@@ -26,6 +26,7 @@
 const REFUSAL_PENALTY_TIME: Duration = Duration::from_millis(200);
 /// Multiple of its service time after which an upstream that answers nothing is overdue.
 const OVERDUE_FACTOR: f64 = 2.5;
+/// Lower bound on the time after which an upstream that answers nothing is overdue.
 const MIN_OVERDUE: Duration = Duration::from_millis(40);
 /// Factor on the expected time of an upstream that is to be avoided.
 const AVOID_FACTOR: f64 = 20.0;
@@ -40,6 +41,8 @@
 const WARMUP_TIME: Duration = Duration::from_secs(5);
 /// Consecutive failures after which an upstream is ejected.
 const FAILURES_TO_EJECT: u32 = 5;
+/// Duration of the first ejection of an upstream. It doubles with each further ejection until the
+/// upstream answers, up to [`MAX_EJECTION`].
 const MIN_EJECTION: Duration = Duration::from_secs(1);
 const MAX_EJECTION: Duration = Duration::from_secs(30);
 
@@ -230,6 +233,7 @@
     fn score(&self, now: TimePoint) -> Duration {
         let age = now.since(self.connected_at).as_secs_f64() / WARMUP_TIME.as_secs_f64();
         let warmup_factor = (WARMUP_FACTOR - (WARMUP_FACTOR - 1.0) * age).max(1.0);
+        // An upstream whose slots are all in use counts as 25 % slower than an idle one.
         let busy = f64::from(self.depth()) / f64::from(self.slots);
         let time = self.service_time().mul_f64(1.0 + 0.25 * busy.min(1.0)) + self.wait();
         let penalty = if self.local {
@@ -377,6 +381,7 @@
         }
         let view = &self.upstreams[key];
         let wait = view.wait();
+        // A request is late only if even one of half the usual service time would be.
         if wait > Duration::ZERO && now + wait + view.service_time().mul_f64(0.5) > deadline {
             return RouteChoice::Late(wait);
         }
--- a/crates/wax-policy/src/sizing.rs
+++ b/crates/wax-policy/src/sizing.rs
@@ -10,7 +10,7 @@
 const SAMPLE_WINDOW: usize = 64;
 /// Quantile of the measured usage that is reserved.
 const QUANTILE: f64 = 0.95;
-/// Factor on the quantile, as a margin.
+/// Factor by which the reserved size exceeds the quantile.
 const MARGIN_FACTOR: f64 = 1.1;
 /// Lower and upper bound of the corrected size, as shares of the declared one.
 const MIN_SHARE: f64 = 0.25;
