--- a/crates/wax-batch/tests/crash_storm.rs
+++ b/crates/wax-batch/tests/crash_storm.rs
@@ -329,6 +329,8 @@
     assert!(report.completed * 5 >= report.open * 95);
 }
 
+/// Tasks that crash their workers must be given up after a few starts. Jobs that only lose runs in
+/// these crashes must not fail.
 #[test]
 fn crashing_tasks_are_found_and_other_jobs_complete() {
     for (seed, one_in) in [(1, 20), (2, 20), (3, 50)] {
@@ -344,6 +346,8 @@
     }
 }
 
+/// Workers that crash and restart on their own hit the same tasks again and again. No task may be
+/// taken for the cause.
 #[test]
 fn flapping_workers_make_no_job_fail() {
     for (seed, up_ms) in [(1, 1_500), (3, 4_000), (5, 700)] {
@@ -359,6 +363,8 @@
     }
 }
 
+/// The crashes must still be attributed to the right tasks. That all jobs complete in the simulated
+/// time is not required with so many crashes.
 #[test]
 fn no_other_job_fails_with_more_crashing_tasks_or_with_flapping_workers_as_well() {
     for (seed, one_in, flapping) in [(1, 8, 0), (3, 20, 2), (5, 8, 2)] {
--- a/crates/wax-batch/tests/crashes.rs
+++ b/crates/wax-batch/tests/crashes.rs
@@ -81,6 +81,8 @@
     );
 }
 
+/// A worker that crashes again within a few seconds may crash on its own, so one more crash is
+/// required as evidence.
 #[test]
 fn repeated_crashes_on_one_vm_are_weaker_evidence_but_count_in_the_end() {
     let mut scheduler = scheduler(1);
@@ -92,6 +94,7 @@
     assert_eq!(verdicts, [open, open, CrashVerdict::GivenUp]);
 }
 
+/// The second run lasts 700 ms, which shows that the start of the task did not crash the worker.
 #[test]
 fn a_start_that_its_worker_survives_clears_earlier_early_crashes() {
     let mut scheduler = scheduler(1);
@@ -119,6 +122,7 @@
     }
 }
 
+/// A restarted worker is empty and would otherwise attract the task again.
 #[test]
 fn a_task_avoids_vms_that_it_may_have_crashed_while_another_has_capacity() {
     let mut scheduler = scheduler(1);
@@ -190,6 +194,7 @@
     assert_eq!(stored_outcome(&mut scheduler, 7), JobOutcome::Failed);
 }
 
+/// Several agents, or one agent on several links, may report the same crash.
 #[test]
 fn a_crash_that_is_reported_again_counts_once() {
     let mut scheduler = scheduler(1);
@@ -203,6 +208,7 @@
     assert_eq!(stored_outcome(&mut scheduler, 7), JobOutcome::Open);
 }
 
+/// If crashes were not stored, a task could crash further workers after each takeover.
 #[test]
 fn the_next_owner_knows_which_task_crashed_a_worker() {
     let mut old = scheduler(1);
@@ -275,6 +281,8 @@
     assert_eq!(scheduler.place(at(1_600)).len(), 1);
 }
 
+/// A silent worker may have been crashed by the isolated run, which shows only after its restart.
+/// Until then the worker must count as isolated.
 #[test]
 fn a_worker_that_becomes_silent_stays_isolated() {
     let mut scheduler = scheduler(1);
@@ -341,6 +349,7 @@
     );
 }
 
+/// VMs whose workers crash and restart repeatedly hit the same task again and again.
 #[test]
 fn late_crashes_on_the_same_few_vms_prove_nothing() {
     let mut scheduler = scheduler(1);
@@ -375,6 +384,7 @@
     }
 }
 
+/// A crash after two recent starts would not show which of them caused it.
 #[test]
 fn a_suspected_task_waits_on_a_reserved_worker_until_no_other_start_is_recent() {
     let mut scheduler = scheduler(1);
@@ -449,6 +459,7 @@
     assert_eq!(stored_outcome(&mut scheduler, 7), JobOutcome::Failed);
 }
 
+/// If each member waited for an isolated worker, the gang might never start.
 #[test]
 fn members_of_a_gang_are_never_isolated() {
     let mut scheduler = scheduler(1);
--- a/crates/wax-batch/tests/job_lifecycle.rs
+++ b/crates/wax-batch/tests/job_lifecycle.rs
@@ -110,6 +110,8 @@
     assert_eq!(scheduler.advance_ack_cursors(), vec![(worker, 3)]);
 }
 
+/// A worker reports an end until it is acknowledged, also to the next owner. A failure that counted
+/// twice would use up the attempts of its job.
 #[test]
 fn a_failed_run_that_is_reported_to_two_owners_counts_once() {
     let mut first = scheduler(1);
@@ -233,6 +235,7 @@
     );
 }
 
+/// A task that is placed before the orphan run has ended could exceed the capacity of the worker.
 #[test]
 fn an_orphan_run_is_stopped_and_keeps_its_reservation_until_it_has_ended() {
     let mut scheduler = scheduler(1);
@@ -506,6 +509,7 @@
     );
 }
 
+/// The first order may have been lost with its link.
 #[test]
 fn a_stop_order_is_repeated_on_the_next_link() {
     let mut scheduler = scheduler(1);
--- a/crates/wax-batch/tests/placement.rs
+++ b/crates/wax-batch/tests/placement.rs
@@ -450,6 +450,7 @@
     );
 }
 
+/// Otherwise the few attempts of a task could all be spent on a worker on which every task fails.
 #[test]
 fn a_task_does_not_return_at_once_to_the_worker_on_which_it_failed() {
     let mut scheduler = scheduler(1);
@@ -470,6 +471,8 @@
     assert_eq!(scheduler.place(at(30))[0].worker, other);
 }
 
+/// A task lowers its demands the longer it has waited. If each refused start began the wait again,
+/// it might never reach the lowest ones.
 #[test]
 fn a_refused_start_does_not_reset_the_waiting_time() {
     let mut scheduler = scheduler(1);
--- a/crates/wax-batch/tests/takeover.rs
+++ b/crates/wax-batch/tests/takeover.rs
@@ -1,4 +1,5 @@
-//! Tasks that a new owner may start before it has reconciled with all workers.
+//! Tasks that a new owner may start before it has reconciled with all workers. If it started any
+//! other, the task could run twice at the same time.
 
 mod support;
 
--- a/crates/wax-policy/tests/heartbeats.rs
+++ b/crates/wax-policy/tests/heartbeats.rs
@@ -5,6 +5,7 @@
     ConfigReader, ConfigRules, DrainRules, agent_heartbeat_period, front_heartbeat_period,
 };
 
+/// Time after a heartbeat for which the owner grants authority to an agent.
 const GRANT: Duration = Duration::from_millis(2_500);
 
 fn rules(bound_ms: u64) -> ConfigRules {
@@ -30,6 +31,7 @@
     period_is_capped_for_huge_pools: 100_000 => 1_000;
 }
 
+/// Two lost heartbeats in a row must not end an agent's grant.
 #[test]
 fn two_heartbeats_can_be_lost_within_a_grant() {
     assert!(agent_heartbeat_period(usize::MAX) * 2 < GRANT);
--- a/crates/wax-policy/tests/limits.rs
+++ b/crates/wax-policy/tests/limits.rs
@@ -16,6 +16,8 @@
 }
 
 proptest! {
+    /// Arrivals and releases in any order must not lead to more running requests than slots, or to
+    /// a longer queue than allowed.
     #[test]
     fn gate_never_exceeds_its_slots(
         slots in 1_usize..9,
@@ -46,6 +48,8 @@
         }
     }
 
+    /// Whatever the policy, a task must fit on the worker that is chosen for it, and evictions must
+    /// free enough capacity and hit no urgent task.
     #[test]
     fn no_policy_reserves_more_than_worker_capacity(
         policy in prop::sample::select(vec![
