--- a/crates/wax-batch/src/crashes.rs
+++ b/crates/wax-batch/src/crashes.rs
@@ -25,12 +25,15 @@
 /// suspected task. Negative, so that this worker is preferred to any other.
 const RESERVED_WORKER_COST: f64 = -20.0;
 
-/// Isolation of a worker for a suspected task.
+/// Isolation of a worker for a suspected task: nothing else starts there. Runs that started earlier
+/// continue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum WorkerIsolation {
-    /// The worker waits for the task to start, once no other start is recent, until `until`.
+    /// The worker is reserved until `until` for the task, which starts there once no other start is
+    /// recent.
     Reserved { task: TaskRef, until: TimePoint },
-    /// The task runs alone until `until`; longer if the worker does not answer. Ends with the run.
+    /// The task has started, and nothing else starts until `until`, or for longer while the worker
+    /// does not answer. Ends with the run.
     Running { run_id: RunId, until: TimePoint },
 }
 
@@ -50,7 +53,7 @@
 impl WorkerRecord {
     /// Returns whether the worker is isolated for another task than this one; `None` stands for any
     /// task without crashes.
-    pub(crate) fn is_reserved_against(&self, task_ref: Option<TaskRef>, now: TimePoint) -> bool {
+    pub(crate) fn is_isolated_from(&self, task_ref: Option<TaskRef>, now: TimePoint) -> bool {
         match self.isolation {
             Some(WorkerIsolation::Reserved { task, until }) => {
                 now < until && Some(task) != task_ref
@@ -75,8 +78,8 @@
     ) -> f64 {
         let mut cost = 0.0;
         if let Some(crashed_at) = last_crash {
-            let age = now.since(crashed_at).div_duration_f64(RECENT_CRASH_WINDOW);
-            cost += RECENT_CRASH_COST * (1.0 - age.min(1.0));
+            let age_share = now.since(crashed_at).div_duration_f64(RECENT_CRASH_WINDOW);
+            cost += RECENT_CRASH_COST * (1.0 - age_share.min(1.0));
         }
         if is_suspected {
             // Other runs on the worker may be lost if the task crashes it.
@@ -104,9 +107,9 @@
     ) -> Vec<CrashFinding> {
         self.last_vm_crash
             .retain(|_, crashed_at| now.since(*crashed_at) < RECENT_CRASH_WINDOW);
-        let before = self.last_vm_crash.insert(vm.into(), now);
+        let previous_crash = self.last_vm_crash.insert(vm.into(), now);
         let repeated =
-            before.is_some_and(|crashed_at| now.since(crashed_at) < REPEATED_CRASH_WINDOW);
+            previous_crash.is_some_and(|crashed_at| now.since(crashed_at) < REPEATED_CRASH_WINDOW);
         let timed_runs = runs
             .iter()
             .filter_map(|lost| Some((lost.run_id, lost.min_run_time?)));
@@ -146,11 +149,11 @@
             long_running: job.spec.steps[usize::from(task_ref.step.step)].long_running,
         };
         let task = self.task_mut(task_ref)?;
-        let before = task.crash_history.clone();
+        let history_before = task.crash_history.clone();
         let verdict = task.crash_history.record(crashed, context, now);
         task.last_run = task.last_run.max(run_id.run);
         let crashes = task.crash_history.crash_count();
-        if task.crash_history != before {
+        if task.crash_history != history_before {
             self.mark_changed(task_ref.step.job);
         }
         if verdict == CrashVerdict::GivenUp {
@@ -191,9 +194,10 @@
             })
     }
 
-    /// Returns for how long the next start of a task must have its worker to itself. Members of a
-    /// gang are never isolated: they start together wherever there is capacity, and waiting for an
-    /// isolated worker each could keep them from ever starting.
+    /// Returns for how long nothing else may start on a task's worker after its next start; `None`
+    /// if the start need not be isolated. Members of a gang are never isolated: they start together
+    /// wherever there is capacity, and if each waited for an isolated worker they might never
+    /// start.
     pub(crate) fn isolation_of(&self, task_ref: TaskRef) -> Option<Duration> {
         let job = self.jobs.get(task_ref.step.job)?;
         let spec = &job.spec.steps[usize::from(task_ref.step.step)];
@@ -217,14 +221,14 @@
     ) -> bool {
         let workers = self.workers.values();
         let of_service = workers.filter(|worker| *worker.view.service == *service);
-        let isolated = of_service.filter(|worker| worker.is_reserved_against(Some(task_ref), now));
+        let isolated = of_service.filter(|worker| worker.is_isolated_from(Some(task_ref), now));
         isolated.count() >= (self.worker_count(service) / WORKERS_PER_ISOLATION).max(1)
     }
 
     /// Prepares an isolated start of a suspected task on a worker. Returns whether the task can
     /// start there now. Otherwise the worker is reserved until its last start is no longer recent,
     /// since a crash after two starts would not show which of them caused it.
-    pub(crate) fn reserve_isolated_worker(
+    pub(crate) fn prepare_isolated_start(
         &mut self,
         task_ref: TaskRef,
         worker: WorkerKey,
@@ -243,7 +247,8 @@
         false
     }
 
-    /// Records a start on a worker, which is then isolated for the time given by `isolation`.
+    /// Records a start on a worker, which is then isolated for the time given by `isolation`, if
+    /// any.
     pub(crate) fn record_last_start(
         &mut self,
         worker: WorkerKey,
--- a/crates/wax-batch/src/records.rs
+++ b/crates/wax-batch/src/records.rs
@@ -47,7 +47,7 @@
 pub struct TaskRecord {
     /// Life-cycle state.
     pub state: TaskState,
-    /// Numbers of the failed runs. Not kept for long-running tasks.
+    /// Numbers of the failed runs. Always empty for long-running tasks.
     pub failed_runs: Vec<u64>,
     /// Runs that ended in a crash of their worker.
     pub crash_history: CrashHistory,
@@ -310,16 +310,16 @@
         self.stored_outcome = self.outcome;
         self.ended_ms = progress.ended_ms;
         self.next_occurrence = progress.done_before;
-        for kept in &progress.occurrences {
+        for stored in &progress.occurrences {
             let mut occurrence = OccurrenceRecord::new(&self.spec, self.accepted);
-            for (number, step) in kept.steps.iter().enumerate() {
+            for (number, step) in stored.steps.iter().enumerate() {
                 if let Some(spec) = self.spec.steps.get(number) {
                     occurrence.steps[number].restore(spec, step);
                 }
             }
             self.started = true;
-            self.occurrences.insert(kept.number, occurrence);
-            self.next_occurrence = self.next_occurrence.max(kept.number + 1);
+            self.occurrences.insert(stored.number, occurrence);
+            self.next_occurrence = self.next_occurrence.max(stored.number + 1);
         }
     }
 }
