--- a/crates/wax-agent/src/boot_change.rs
+++ b/crates/wax-agent/src/boot_change.rs
@@ -116,7 +116,7 @@
         .take_if(|boot| boot.view.boot == *driven);
     if let Some(ended) = ended {
         state.boots.borrow_mut().bury(driven);
-        count(Counter::WorkersGone);
+        count(Counter::WorkersEnded);
         tracing::warn!(worker = %driven, why, "worker is gone");
         let now = state.now();
         let runs = ended.lose_runs(now, &[]);
@@ -160,7 +160,7 @@
         return;
     };
     state.boots.borrow_mut().bury(&ended.view.boot);
-    count(Counter::WorkersGone);
+    count(Counter::WorkersEnded);
     tracing::warn!(worker = %ended.view.boot, on_next = on_next.len(), "worker is gone");
     let now = state.now();
     let runs = ended.lose_runs(now, on_next);
@@ -181,7 +181,7 @@
     else {
         return;
     };
-    count(Counter::WorkersGone);
+    count(Counter::WorkersEnded);
     tracing::warn!(worker = %driven, "leases have lapsed");
     let runs = lapsed.lose_runs(now, &[]);
     let view = lapsed.view.clone();
--- a/crates/wax-agent/src/orders.rs
+++ b/crates/wax-agent/src/orders.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wax_batch::{BootId, RunId, StartRefusal};
-use wax_trace::{Counter, Latency, count, count_many, note_latency};
+use wax_trace::{Counter, Latency, count, count_many, record_latency};
 use wax_wire::{PoolBody, RefusalFrame, RunNews, SeatFrame, StartRun};
 
 /// A start that is not answered for this long is stopped instead.
@@ -81,7 +81,7 @@
         let mark = request.mark;
         let sent = self.now();
         let answer = self.worker.start(&boot, &request, START_LIMIT).await;
-        note_latency(Latency::StartRun, self.now().since(sent));
+        record_latency(Latency::StartRun, self.now().since(sent));
         if answer.is_ok() {
             self.note_heard(&boot);
         }
--- a/crates/wax-front/src/handler.rs
+++ b/crates/wax-front/src/handler.rs
@@ -12,7 +12,7 @@
 use wax_http::{
     HttpHandler, HttpReply, HttpRequest, collect_body, empty_reply, error_reply, json_reply,
 };
-use wax_trace::{Counter, Latency, count, note_latency};
+use wax_trace::{Counter, Latency, count, record_latency};
 use wax_types::{ErrorKind, Step, TimePoint, WaxError};
 
 /// Callers that do not say how long they wait are taken to wait this long.
@@ -106,7 +106,7 @@
             let text = "no such queue";
             return WaxError::new(ErrorKind::NotFound, Step::RouteRequest, "config", text);
         }
-        count(Counter::RoutesUnsure);
+        count(Counter::RoutesIndeterminate);
         let kind = ErrorKind::Unavailable(CONFIG_RETRY);
         let text = "no such queue in the config of a while ago; there may be a newer one";
         WaxError::new(kind, Step::RouteRequest, "config", text)
@@ -135,7 +135,7 @@
             .map_err(|text| invalid(text, "correct the job and submit it again"))?;
         let outcome = accept_job(&self.state, queue, job, &spec, deadline).await;
         let took_ms = self.state.shared.now().since(began).as_millis() as u64;
-        note_latency(Latency::AcceptJob, Duration::from_millis(took_ms));
+        record_latency(Latency::AcceptJob, Duration::from_millis(took_ms));
         count(match &outcome {
             Ok(AcceptOutcome::Stored) => Counter::JobsAccepted,
             Ok(AcceptOutcome::Known) => Counter::JobsRepeated,
--- a/crates/wax-front/src/process.rs
+++ b/crates/wax-front/src/process.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use wax_http::{HttpServer, ShutdownSignal, bind_listener};
 use wax_owner::{PoolShared, VmCapacity, follow_operator_rows, run_ownership, serve_peers};
-use wax_settings::{DaemonSettings, MachineSettings};
+use wax_settings::{DaemonSettings, VmSettings};
 use wax_types::{ErrorKind, Step, WaxError};
 
 /// After a stop is asked for, connections are taken this long: the balancer notices by two misses.
@@ -48,7 +48,7 @@
         store,
         pool.advisor,
         keep_ended,
-        strength(&pool.machine),
+        strength(&pool.vm),
     );
     shared.set_bounds(pool.config_bound(), pool.drain_bound());
     let shared = Rc::new(shared);
@@ -89,7 +89,7 @@
 }
 
 /// What the settings leave open counts as that of a common machine.
-fn strength(machine: &MachineSettings) -> VmCapacity {
+fn strength(machine: &VmSettings) -> VmCapacity {
     let common = VmCapacity::default();
     VmCapacity {
         cores: machine.cpu_share.unwrap_or(common.cores) * machine.cores.unwrap_or(1.0),
--- a/crates/wax-http/src/body.rs
+++ b/crates/wax-http/src/body.rs
@@ -9,21 +9,21 @@
 
 /// The body ended before it was whole; the connection is cut so that the receiver sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display)]
-pub enum CutBody {
+pub enum TruncatedBody {
     /// the body was cut before its end
-    Cut,
+    Truncated,
 }
 
-impl std::error::Error for CutBody {}
+impl std::error::Error for TruncatedBody {}
 
 /// The sending side of a body in parts; dropping it without [`BodySender::finish`] cuts the body.
 #[derive(Debug)]
 pub struct BodySender {
-    parts: UnboundedSender<BodyPart>,
+    chunks: UnboundedSender<BodyChunk>,
 }
 
 #[derive(Debug)]
-enum BodyPart {
+enum BodyChunk {
     Data(Bytes),
     End,
 }
@@ -31,121 +31,121 @@
 impl BodySender {
     /// Passes a part on; says whether the receiver still takes parts.
     pub fn send(&self, data: Bytes) -> bool {
-        self.parts.unbounded_send(BodyPart::Data(data)).is_ok()
+        self.chunks.unbounded_send(BodyChunk::Data(data)).is_ok()
     }
 
     /// Ends the body whole.
     pub fn finish(self) {
         // A receiver that went away does not need the end.
-        let _ = self.parts.unbounded_send(BodyPart::End);
+        let _ = self.chunks.unbounded_send(BodyChunk::End);
     }
 
     /// Whether the receiver has gone away.
     pub fn is_closed(&self) -> bool {
-        self.parts.is_closed()
+        self.chunks.is_closed()
     }
 }
 
 /// The body of a request that is sent or of an answer.
-pub enum ReplyBody {
+pub enum OutgoingBody {
     /// Whole; `None` once it was taken.
-    Whole(Option<Bytes>),
+    Full(Option<Bytes>),
     /// Arrives in parts.
-    Parts(PartsBody),
+    Streamed(StreamedBody),
 }
 
-impl std::fmt::Debug for ReplyBody {
+impl std::fmt::Debug for OutgoingBody {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Whole(bytes) => f.debug_tuple("Whole").field(bytes).finish(),
-            Self::Parts(_) => f.write_str("Parts"),
+            Self::Full(bytes) => f.debug_tuple("Whole").field(bytes).finish(),
+            Self::Streamed(_) => f.write_str("Parts"),
         }
     }
 }
 
 /// A body in parts that tells how many bytes were taken.
-pub struct PartsBody {
-    parts: UnboundedReceiver<BodyPart>,
-    taken: Box<dyn FnMut(usize)>,
+pub struct StreamedBody {
+    chunks: UnboundedReceiver<BodyChunk>,
+    on_taken: Box<dyn FnMut(usize)>,
     ended: bool,
 }
 
 /// Makes a body in parts; `taken` is told of the bytes that the receiver has taken.
 ///
 /// The queue has no bound of its own: the sender keeps it by the credit that `taken` gives.
-pub fn body_channel(taken: impl FnMut(usize) + 'static) -> (BodySender, ReplyBody) {
-    let (sender, parts) = unbounded();
-    let body = PartsBody {
-        parts,
-        taken: Box::new(taken),
+pub fn body_channel(on_taken: impl FnMut(usize) + 'static) -> (BodySender, OutgoingBody) {
+    let (sender, chunks) = unbounded();
+    let body = StreamedBody {
+        chunks,
+        on_taken: Box::new(on_taken),
         ended: false,
     };
-    (BodySender { parts: sender }, ReplyBody::Parts(body))
+    (BodySender { chunks: sender }, OutgoingBody::Streamed(body))
 }
 
-impl ReplyBody {
+impl OutgoingBody {
     /// A whole body.
-    pub fn whole(bytes: impl Into<Bytes>) -> Self {
-        Self::Whole(Some(bytes.into()))
+    pub fn full(bytes: impl Into<Bytes>) -> Self {
+        Self::Full(Some(bytes.into()))
     }
 
     /// No body.
     pub fn empty() -> Self {
-        Self::Whole(None)
+        Self::Full(None)
     }
 }
 
-impl PartsBody {
-    fn poll_part(
+impl StreamedBody {
+    fn poll_chunk(
         &mut self,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, CutBody>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedBody>>> {
         if self.ended {
             return Poll::Ready(None);
         }
-        match Pin::new(&mut self.parts).poll_next(context) {
+        match Pin::new(&mut self.chunks).poll_next(context) {
             Poll::Pending => Poll::Pending,
-            Poll::Ready(Some(BodyPart::Data(data))) => {
-                (self.taken)(data.len());
+            Poll::Ready(Some(BodyChunk::Data(data))) => {
+                (self.on_taken)(data.len());
                 Poll::Ready(Some(Ok(Frame::data(data))))
             }
-            Poll::Ready(Some(BodyPart::End)) => {
+            Poll::Ready(Some(BodyChunk::End)) => {
                 self.ended = true;
                 Poll::Ready(None)
             }
             Poll::Ready(None) => {
                 self.ended = true;
-                Poll::Ready(Some(Err(CutBody::Cut)))
+                Poll::Ready(Some(Err(TruncatedBody::Truncated)))
             }
         }
     }
 }
 
-impl Body for ReplyBody {
+impl Body for OutgoingBody {
     type Data = Bytes;
-    type Error = CutBody;
+    type Error = TruncatedBody;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, CutBody>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedBody>>> {
         match self.get_mut() {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Self::Parts(parts) => parts.poll_part(context),
+            Self::Full(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            Self::Streamed(streamed) => streamed.poll_chunk(context),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(bytes) => bytes.is_none(),
-            Self::Parts(parts) => parts.ended,
+            Self::Full(bytes) => bytes.is_none(),
+            Self::Streamed(streamed) => streamed.ended,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64),
-            Self::Parts(_) => SizeHint::default(),
+            Self::Full(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64),
+            Self::Streamed(_) => SizeHint::default(),
         }
     }
 }
--- a/crates/wax-http/src/client.rs
+++ b/crates/wax-http/src/client.rs
@@ -1,6 +1,6 @@
 //! Client connections that are counted, for an upstream with a bound on connections.
 
-use crate::body::ReplyBody;
+use crate::body::OutgoingBody;
 use compio::net::TcpStream;
 use compio::runtime::spawn;
 use compio::time::timeout;
@@ -26,16 +26,16 @@
     }
 }
 
-struct CountGuard(ConnectionCount);
+struct ConnectionGuard(ConnectionCount);
 
-impl CountGuard {
+impl ConnectionGuard {
     fn new(count: &ConnectionCount) -> Self {
         count.0.set(count.0.get() + 1);
         Self(count.clone())
     }
 }
 
-impl Drop for CountGuard {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.0.set(self.0.0.get() - 1);
     }
@@ -44,26 +44,26 @@
 /// One connection to an HTTP/1.1 server.
 #[derive(Debug)]
 pub struct ClientConnection {
-    sender: SendRequest<ReplyBody>,
+    sender: SendRequest<OutgoingBody>,
 }
 
 impl ClientConnection {
-    /// Connects within `limit`; `count` falls again when the socket is closed.
+    /// Connects within `time_limit`; `count` falls again when the socket is closed.
     ///
     /// # Errors
     ///
     /// `Unavailable`: the server cannot be reached; nothing was sent.
     pub async fn open(
         address: SocketAddr,
-        limit: Duration,
+        time_limit: Duration,
         count: &ConnectionCount,
     ) -> Result<Self, WaxError> {
-        let guard = CountGuard::new(count);
+        let guard = ConnectionGuard::new(count);
         let unreachable = |error: &dyn std::fmt::Display| {
             let kind = ErrorKind::Unavailable(Duration::from_secs(1));
             WaxError::new(kind, Step::Connect, address.to_string(), error)
         };
-        let stream = match timeout(limit, connect(address)).await {
+        let stream = match timeout(time_limit, connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => return Err(unreachable(&error)),
             Err(_) => return Err(unreachable(&"no connection in time")),
@@ -97,8 +97,8 @@
     /// The connection broke; without the request, the server may have taken it.
     pub async fn try_send(
         &mut self,
-        request: Request<ReplyBody>,
-    ) -> Result<Response<Incoming>, (hyper::Error, Option<Request<ReplyBody>>)> {
+        request: Request<OutgoingBody>,
+    ) -> Result<Response<Incoming>, (hyper::Error, Option<Request<OutgoingBody>>)> {
         match self.sender.try_send_request(request).await {
             Ok(response) => Ok(response),
             Err(mut error) => {
@@ -115,7 +115,7 @@
     /// The connection broke; the server may have taken the request.
     pub async fn send(
         &mut self,
-        request: Request<ReplyBody>,
+        request: Request<OutgoingBody>,
     ) -> Result<Response<Incoming>, hyper::Error> {
         self.sender.send_request(request).await
     }
--- a/crates/wax-http/src/lib.rs
+++ b/crates/wax-http/src/lib.rs
@@ -6,14 +6,14 @@
 mod server;
 mod shutdown;
 
-pub use body::{BodySender, CutBody, ReplyBody, body_channel};
+pub use body::{BodySender, OutgoingBody, TruncatedBody, body_channel};
 pub use client::{ClientConnection, ConnectionCount};
 pub use reply::{collect_body, empty_reply, error_reply, json_reply, parse_json};
-pub use server::{HttpHandler, HttpServer, OpenCount, bind_listener};
+pub use server::{HttpHandler, HttpServer, OpenConnections, bind_listener};
 pub use shutdown::ShutdownSignal;
 
 /// A request as the server receives it.
 pub type HttpRequest = http::Request<hyper::body::Incoming>;
 
 /// An answer that the server sends.
-pub type HttpReply = http::Response<ReplyBody>;
+pub type HttpReply = http::Response<OutgoingBody>;
--- a/crates/wax-http/src/reply.rs
+++ b/crates/wax-http/src/reply.rs
@@ -1,6 +1,6 @@
 //! Builds answers and reads bodies.
 
-use crate::body::ReplyBody;
+use crate::body::OutgoingBody;
 use crate::{HttpReply, HttpRequest};
 use bytes::Bytes;
 use http::{Response, StatusCode, header};
@@ -11,7 +11,7 @@
 
 /// An answer without a body.
 pub fn empty_reply(status: StatusCode) -> HttpReply {
-    let mut reply = Response::new(ReplyBody::empty());
+    let mut reply = Response::new(OutgoingBody::empty());
     *reply.status_mut() = status;
     reply
 }
@@ -19,7 +19,7 @@
 /// An answer with a JSON body.
 pub fn json_reply<T: Serialize>(status: StatusCode, body: &T) -> HttpReply {
     let bytes = serde_json::to_vec(body).unwrap_or_default();
-    let mut reply = Response::new(ReplyBody::whole(bytes));
+    let mut reply = Response::new(OutgoingBody::full(bytes));
     *reply.status_mut() = status;
     let json = header::HeaderValue::from_static("application/json");
     reply.headers_mut().insert(header::CONTENT_TYPE, json);
@@ -52,11 +52,11 @@
         help: &error.help,
     };
     let mut reply = json_reply(status, &body);
-    if let Some(after) = error.retry_after() {
+    if let Some(delay) = error.retry_after() {
         let headers = reply.headers_mut();
-        let seconds = after.as_secs_f64().ceil().max(1.0) as u64;
+        let seconds = delay.as_secs_f64().ceil().max(1.0) as u64;
         headers.insert(header::RETRY_AFTER, seconds.into());
-        headers.insert("waxwing-retry-after-ms", (after.as_millis() as u64).into());
+        headers.insert("waxwing-retry-after-ms", (delay.as_millis() as u64).into());
     }
     reply
 }
--- a/crates/wax-http/src/server.rs
+++ b/crates/wax-http/src/server.rs
@@ -20,14 +20,14 @@
 use wax_types::{ErrorKind, Step, WaxError};
 
 /// A caller that sends no whole header for this long is cut off.
-const HEADER_LIMIT: Duration = Duration::from_secs(10);
+const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
 /// The longest header accepted, in bytes.
-const HEADER_BYTES: usize = 32 << 10;
+const MAX_HEADER_BYTES: usize = 32 << 10;
 /// After a failed accept, such as for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Connections that may wait to be accepted: the system's own bound, unless it is set higher.
-const BACKLOG: i32 = 4_096;
+const ACCEPT_BACKLOG: i32 = 4_096;
 
 /// Answers requests of one server.
 pub trait HttpHandler: 'static {
@@ -57,37 +57,39 @@
     let socket = socket_with(family, SocketType::STREAM, flags, None)?;
     sockopt::set_socket_reuseaddr(&socket, true)?;
     bind(&socket, &address)?;
-    listen(&socket, BACKLOG)?;
+    listen(&socket, ACCEPT_BACKLOG)?;
     TcpListener::from_std(StdListener::from(socket))
 }
 
 /// Counts the open connections of a server.
 #[derive(Debug, Default)]
-pub struct OpenCount {
+pub struct OpenConnections {
     open: Cell<usize>,
-    most: Cell<usize>,
+    max_open: Cell<usize>,
     closed: Event,
 }
 
-impl OpenCount {
+impl OpenConnections {
     /// The most that were open at once.
-    pub fn most(&self) -> usize {
-        self.most.get()
+    pub fn max_open(&self) -> usize {
+        self.max_open.get()
     }
 }
 
 /// One more open connection until it is dropped.
-struct OpenGuard(Rc<OpenCount>);
-
-impl OpenGuard {
-    fn new(count: &Rc<OpenCount>) -> Self {
-        count.open.set(count.open.get() + 1);
-        count.most.set(count.most.get().max(count.open.get()));
-        Self(count.clone())
+struct OpenConnectionGuard(Rc<OpenConnections>);
+
+impl OpenConnectionGuard {
+    fn new(connections: &Rc<OpenConnections>) -> Self {
+        connections.open.set(connections.open.get() + 1);
+        connections
+            .max_open
+            .set(connections.max_open.get().max(connections.open.get()));
+        Self(connections.clone())
     }
 }
 
-impl Drop for OpenGuard {
+impl Drop for OpenConnectionGuard {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get() - 1);
         self.0.closed.notify(usize::MAX);
@@ -99,7 +101,7 @@
     listener: TcpListener,
     handler: Rc<H>,
     shutdown: ShutdownSignal,
-    count: Rc<OpenCount>,
+    connections: Rc<OpenConnections>,
 }
 
 impl<H: HttpHandler> HttpServer<H> {
@@ -109,13 +111,13 @@
             listener,
             handler,
             shutdown,
-            count: Rc::default(),
+            connections: Rc::default(),
         }
     }
 
     /// The count of connections, which outlives the server.
-    pub fn open_count(&self) -> Rc<OpenCount> {
-        self.count.clone()
+    pub fn open_connections(&self) -> Rc<OpenConnections> {
+        self.connections.clone()
     }
 
     /// Serves until shutdown, then until every connection has finished its request.
@@ -126,13 +128,13 @@
             match select(stop, accept).await {
                 Either::Left(_) => break,
                 Either::Right((Ok((stream, _)), _)) => self.start_connection(stream),
-                Either::Right((Err(_), _)) => compio::time::sleep(ACCEPT_PAUSE).await,
+                Either::Right((Err(_), _)) => compio::time::sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
         drop(self.listener);
-        while self.count.open.get() > 0 {
-            let listener = self.count.closed.listen();
-            if self.count.open.get() > 0 {
+        while self.connections.open.get() > 0 {
+            let listener = self.connections.closed.listen();
+            if self.connections.open.get() > 0 {
                 listener.await;
             }
         }
@@ -141,7 +143,7 @@
     fn start_connection(&self, stream: TcpStream) {
         // Without it, small answers may wait for the peer's delayed acknowledgement.
         let _ = stream.set_nodelay(true);
-        let guard = OpenGuard::new(&self.count);
+        let guard = OpenConnectionGuard::new(&self.connections);
         let handler = self.handler.clone();
         let shutdown = self.shutdown.clone();
         spawn(async move {
@@ -163,8 +165,8 @@
     });
     let connection = http1::Builder::new()
         .timer(CompioTimer)
-        .header_read_timeout(HEADER_LIMIT)
-        .max_buf_size(HEADER_BYTES)
+        .header_read_timeout(HEADER_TIMEOUT)
+        .max_buf_size(MAX_HEADER_BYTES)
         .serve_connection(HyperStream::new_plain(stream), service);
     let mut connection = pin!(connection);
     let finished = {
--- a/crates/wax-http/tests/backlog.rs
+++ b/crates/wax-http/tests/backlog.rs
@@ -5,9 +5,9 @@
 use wax_http::bind_listener;
 
 /// More than the standard library lets wait.
-const PEERS: usize = 600;
+const PEER_COUNT: usize = 600;
 /// A connection that is not taken at once is tried again by the system after a second.
-const LIMIT: Duration = Duration::from_millis(900);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(900);
 
 #[test]
 fn hundreds_of_peers_connect_before_any_is_accepted() {
@@ -16,10 +16,10 @@
         let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
         let listener = bind_listener(any).expect("it binds");
         let address = listener.local_addr().expect("it has an address");
-        let peers: Vec<_> = (0..PEERS)
-            .map_while(|_| TcpStream::connect_timeout(&address, LIMIT).ok())
+        let peers: Vec<_> = (0..PEER_COUNT)
+            .map_while(|_| TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).ok())
             .collect();
-        assert_eq!(peers.len(), PEERS);
+        assert_eq!(peers.len(), PEER_COUNT);
     });
 }
 
--- a/crates/wax-ledger/src/lib.rs
+++ b/crates/wax-ledger/src/lib.rs
@@ -5,5 +5,5 @@
 mod sum;
 
 pub use entry::{LedgerEntry, UsageAmount, UsageKey};
-pub use segment::{LEDGER_PREFIX, day_of, read_days, segment_key, write_segment};
+pub use segment::{LEDGER_PREFIX, day_number, read_days, segment_key, write_segment};
 pub use sum::{UsageRow, UsageSum};
--- a/crates/wax-ledger/src/segment.rs
+++ b/crates/wax-ledger/src/segment.rs
@@ -10,7 +10,7 @@
 const DAY_MS: u64 = 86_400_000;
 
 /// Days since the Unix epoch, UTC.
-pub fn day_of(at_ms: u64) -> u64 {
+pub fn day_number(at_ms: u64) -> u64 {
     at_ms / DAY_MS
 }
 
--- a/crates/wax-owner/src/advice.rs
+++ b/crates/wax-owner/src/advice.rs
@@ -37,10 +37,10 @@
             continue;
         };
         if let Err(error) = query_once(&shared, &term, &advisor, &request).await {
-            streak.fail(&error);
+            streak.record_failure(&error);
             sleep(RETRY_DELAY).await;
         } else {
-            streak.succeed();
+            streak.record_success();
         }
     }
 }
--- a/crates/wax-owner/src/dispatch.rs
+++ b/crates/wax-owner/src/dispatch.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wax_batch::{BootId, StartOrder, UnreconciledRuns, WorkerKey};
-use wax_trace::{Counter, Latency, count, count_many, note_latency};
+use wax_trace::{Counter, Latency, count, count_many, record_latency};
 use wax_types::{TimePoint, wall_clock_ms};
 use wax_wire::{AckEnds, PoolBody, SeatFrame, StartRun, StopRun};
 
@@ -61,10 +61,10 @@
         }
     }
     count_many(
-        Counter::WorkersAsked,
+        Counter::WorkersEvaluated,
         term.scheduler.borrow().take_workers_evaluated(),
     );
-    count_many(Counter::AgentsLookedAt, term.agents.borrow().take_visited());
+    count_many(Counter::AgentsVisited, term.agents.borrow().take_visited());
     let stops = term.scheduler.borrow_mut().take_stops();
     for stop in stops {
         tracing::info!(task = %stop.run_id.task, run = stop.run_id.run, why = %stop.reason, "stop ordered");
@@ -237,7 +237,7 @@
         "runs of earlier terms not reconciled yet"
     );
     if scheduler.is_reconciled() {
-        note_latency(Latency::Settle, now.since(term.began_at));
+        record_latency(Latency::Settle, now.since(term.began_at));
         tracing::info!(epoch = term.epoch, "all workers heard or lapsed");
     }
 }
--- a/crates/wax-owner/src/job_feed.rs
+++ b/crates/wax-owner/src/job_feed.rs
@@ -57,7 +57,7 @@
         match load_shard(&shared, &term).await {
             Ok(version) => break version,
             Err(error) => {
-                streak.fail(&error);
+                streak.record_failure(&error);
                 sleep(RETRY_DELAY).await;
             }
         }
@@ -68,11 +68,11 @@
     loop {
         match follow_once(&shared, &term, after).await {
             Ok(version) => {
-                streak.succeed();
+                streak.record_success();
                 after = version;
             }
             Err(error) => {
-                streak.fail(&error);
+                streak.record_failure(&error);
                 sleep(RETRY_DELAY).await;
             }
         }
--- a/crates/wax-owner/src/load.rs
+++ b/crates/wax-owner/src/load.rs
@@ -10,7 +10,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 use wax_batch::{JobName, JobProgress, JobRow};
-use wax_trace::{Latency, note_latency};
+use wax_trace::{Latency, record_latency};
 use wax_types::{TimePoint, WaxError, wall_clock_ms};
 use wax_wire::PressNews;
 
@@ -41,7 +41,7 @@
     }
     let progress = decode_progress(&progress);
     add_jobs(shared, term, &jobs, &progress);
-    note_latency(Latency::Load, shared.now().since(term.began_at));
+    record_latency(Latency::Load, shared.now().since(term.began_at));
     tracing::info!(
         epoch = term.epoch,
         jobs = jobs.len(),
--- a/crates/wax-owner/src/operator_rows.rs
+++ b/crates/wax-owner/src/operator_rows.rs
@@ -38,11 +38,11 @@
         };
         match step {
             Ok(()) => {
-                feeds.succeed();
+                feeds.record_success();
                 wait = FEED_WAIT;
             }
             Err(error) => {
-                feeds.fail(&error);
+                feeds.record_failure(&error);
                 // The next request is answered at once and shows whether the store is reachable.
                 wait = Duration::ZERO;
                 sleep(RETRY_DELAY + RETRY_DELAY.mul_f64(fastrand::f64())).await;
@@ -70,7 +70,7 @@
         }
         reply => {
             apply_reply(shared, after, reply, requested_at, "a reading");
-            count(Counter::ConfigReadings);
+            count(Counter::ConfigChangesFoundByReading);
         }
     }
     Ok(())
@@ -102,9 +102,9 @@
 async fn read_when_due(shared: &PoolShared, reads: &FailureStreak) {
     let limit = wait_until_read_due(shared).await;
     match read_operator_rows(shared, limit).await {
-        Ok(()) => reads.succeed(),
+        Ok(()) => reads.record_success(),
         Err(error) => {
-            reads.fail(&error);
+            reads.record_failure(&error);
             shared.update_config_view(|view| view.note_read_failure());
             let pause = shared.config_rules.retry_delay();
             sleep(pause + pause.mul_f64(fastrand::f64())).await;
--- a/crates/wax-owner/src/watch.rs
+++ b/crates/wax-owner/src/watch.rs
@@ -55,11 +55,11 @@
                 }
             }
             Ok(OwnerCheck::Wait) => {
-                streak.succeed();
+                streak.record_success();
                 wait_next_check(&shared).await;
             }
             Err(error) => {
-                streak.fail(&error);
+                streak.record_failure(&error);
                 sleep(RETRY_DELAY + RETRY_DELAY.mul_f64(fastrand::f64())).await;
             }
         }
@@ -95,7 +95,7 @@
     let streak = FailureStreak::new("feed of owners");
     loop {
         if let Err(error) = follow_owner_once(&shared, &streak).await {
-            streak.fail(&error);
+            streak.record_failure(&error);
             sleep(RETRY_DELAY + RETRY_DELAY.mul_f64(fastrand::f64())).await;
         }
     }
@@ -115,7 +115,7 @@
 
 async fn follow_owner_once(shared: &PoolShared, streak: &FailureStreak) -> Result<(), WaxError> {
     let mut after = read_owner(shared).await?;
-    streak.succeed();
+    streak.record_success();
     loop {
         match shared.store.follow(OWNER_TABLE, after, FEED_WAIT).await? {
             FeedReply::Forgotten => return Ok(()),
--- a/crates/wax-owner/src/writer.rs
+++ b/crates/wax-owner/src/writer.rs
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wax_batch::JobOutcome;
-use wax_trace::{Counter, Latency, count, count_many, note_latency};
+use wax_trace::{Counter, Latency, count, count_many, record_latency};
 use wax_types::TimePoint;
 
 /// Deadline of one transaction, after which it is sent again if the term has not ended.
@@ -163,7 +163,7 @@
 
 fn count_write(write: &ChainWrite, took: Duration) {
     count(Counter::ChainWrites);
-    note_latency(Latency::ChainWrite, took);
+    record_latency(Latency::ChainWrite, took);
     let ended = write
         .updates
         .iter()
--- a/crates/wax-platform/src/store.rs
+++ b/crates/wax-platform/src/store.rs
@@ -106,7 +106,7 @@
         match self.shared.breaker.borrow_mut().check(now, &mut rng) {
             BreakerChoice::Send => Ok(()),
             BreakerChoice::Refuse(after) => {
-                count(Counter::StoreRefused);
+                count(Counter::StoreCallsRejected);
                 let kind = ErrorKind::Unavailable(after);
                 Err(WaxError::new(
                     kind,
--- a/crates/wax-platform/src/table.rs
+++ b/crates/wax-platform/src/table.rs
@@ -312,7 +312,7 @@
         let ours = reply.rows.first().filter(|row| {
             row.value.get("nonce").and_then(serde_json::Value::as_u64) == Some(transaction.nonce)
         });
-        count(Counter::StoreSettled);
+        count(Counter::StoreCommitsResolved);
         Ok(match ours {
             Some(row) => CommitOutcome::Committed(row.version),
             None => CommitOutcome::Conflict(keys),
--- a/crates/wax-route/src/answer.rs
+++ b/crates/wax-route/src/answer.rs
@@ -10,7 +10,7 @@
 use http::{HeaderName, HeaderValue, Response, StatusCode};
 use std::rc::Rc;
 use std::time::Duration;
-use wax_http::{BodySender, HttpReply, ReplyBody, body_channel, error_reply};
+use wax_http::{BodySender, HttpReply, OutgoingBody, body_channel, error_reply};
 use wax_trace::{Counter, count};
 use wax_types::{AttemptKey, RunOutcome, WaxError};
 use wax_wire::{BodyChunk, CreditGrant, PeerBody, ResponseHead};
@@ -64,7 +64,7 @@
 
     /// The answer from memory.
     pub(crate) fn into_reply(self) -> HttpReply {
-        let body = ReplyBody::whole(self.held.freeze());
+        let body = OutgoingBody::full(self.held.freeze());
         build_reply(&self.head, body)
     }
 
@@ -119,10 +119,10 @@
         }
     }
     // Dropping the attempt cancels it; dropping the sender cuts the connection.
-    count(Counter::EntryCutAnswers);
+    count(Counter::EntryTruncatedAnswers);
 }
 
-fn build_reply(head: &ResponseHead, body: ReplyBody) -> HttpReply {
+fn build_reply(head: &ResponseHead, body: OutgoingBody) -> HttpReply {
     let mut reply = Response::new(body);
     let status = u16::try_from(head.status).unwrap_or_default();
     *reply.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
--- a/crates/wax-route/src/job_calls.rs
+++ b/crates/wax-route/src/job_calls.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 use std::time::Duration;
-use wax_http::{HttpReply, HttpRequest, ReplyBody, error_reply, json_reply, parse_json};
+use wax_http::{HttpReply, HttpRequest, OutgoingBody, error_reply, json_reply, parse_json};
 use wax_types::{ErrorKind, JobId, Step, WaxError};
 
 const BODY_LIMIT: usize = 1 << 20;
@@ -93,5 +93,5 @@
         .parse()
         .map_err(|error| WaxError::new(ErrorKind::Invalid, Step::ReadJob, index, error))?;
     let bytes = shared.desk.result(parse_job(job)?, index).await?;
-    Ok(Response::new(ReplyBody::whole(bytes)))
+    Ok(Response::new(OutgoingBody::full(bytes)))
 }
--- a/crates/wax-route/src/operators.rs
+++ b/crates/wax-route/src/operators.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 use wax_http::{HttpHandler, HttpReply, HttpRequest, empty_reply, error_reply, json_reply};
-use wax_ledger::{UsageRow, UsageSum, day_of, read_days};
+use wax_ledger::{UsageRow, UsageSum, day_number, read_days};
 use wax_types::{ErrorKind, Step, WaxError, wall_clock_ms};
 
 /// Days of usage that may be asked for at once.
@@ -43,7 +43,7 @@
     }
 
     async fn usage(&self, request: &HttpRequest) -> Result<HttpReply, WaxError> {
-        let today = day_of(wall_clock_ms());
+        let today = day_number(wall_clock_ms());
         let from = number_of(request, "from_day")?.unwrap_or(today);
         let to = number_of(request, "to_day")?.unwrap_or(today);
         if to < from || to - from > MOST_DAYS {
--- a/crates/wax-route/src/peer_link.rs
+++ b/crates/wax-route/src/peer_link.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wax_policy::{UpstreamLoad, UpstreamView};
-use wax_settings::ApplyChoice;
+use wax_settings::ApplyOutcome;
 use wax_trace::{Counter, count};
 use wax_types::SettingsVersion;
 use wax_wire::{
@@ -205,7 +205,7 @@
 
 /// A sidecar has a greater version: this entry was cut off from the store.
 fn take_settings(shared: &Rc<EntryShared>, push: &SettingsPush) {
-    if let ApplyChoice::Applied(version) = shared.settings.apply_json(&push.tree) {
+    if let ApplyOutcome::Applied(version) = shared.settings.apply_json(&push.tree) {
         tracing::info!(%version, source = "sidecar", "settings in force");
         shared.after_settings(None);
     }
--- a/crates/wax-route/src/settings_sync.rs
+++ b/crates/wax-route/src/settings_sync.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wax_platform::{CommitOutcome, RowEntry, TableTransaction};
-use wax_settings::{ApplyChoice, NodePath, NodeSettings, SettingsTree, TreeDelta};
+use wax_settings::{ApplyOutcome, NodePath, NodeSettings, SettingsTree, TreeDelta};
 use wax_trace::{Counter, count};
 use wax_types::{ErrorKind, RowVersion, SettingsVersion, Step, TimePoint, WaxError, wall_clock_ms};
 
@@ -82,7 +82,7 @@
 }
 
 fn take_tree(shared: &EntryShared, tree: SettingsTree) {
-    if let ApplyChoice::Applied(version) = shared.settings.apply(tree) {
+    if let ApplyOutcome::Applied(version) = shared.settings.apply(tree) {
         count(Counter::SettingsApplied);
         tracing::info!(%version, "settings in force");
         shared.after_settings(None);
@@ -90,7 +90,7 @@
 }
 
 fn take_delta(shared: &EntryShared, delta: TreeDelta) {
-    if let ApplyChoice::Applied(version) = shared.settings.apply_delta(&delta) {
+    if let ApplyOutcome::Applied(version) = shared.settings.apply_delta(&delta) {
         count(Counter::SettingsApplied);
         tracing::info!(%version, author = %delta.author, "settings in force");
         shared.after_settings(Some(delta));
--- a/crates/wax-settings/src/daemon.rs
+++ b/crates/wax-settings/src/daemon.rs
@@ -228,16 +228,16 @@
 pub(crate) struct BoundCheck {
     key: &'static str,
     value: u64,
-    least: u64,
-    most: u64,
+    min: u64,
+    max: u64,
 }
 
-pub(crate) const fn bound(key: &'static str, value: u64, least: u64, most: u64) -> BoundCheck {
+pub(crate) const fn bound(key: &'static str, value: u64, min: u64, max: u64) -> BoundCheck {
     BoundCheck {
         key,
         value,
-        least,
-        most,
+        min,
+        max,
     }
 }
 
@@ -262,7 +262,7 @@
         for check in settings.bounds() {
             check_bound(file, &check)?;
         }
-        settings.check_terms(file)?;
+        settings.check_timings(file)?;
         Ok(settings)
     }
 
@@ -351,7 +351,7 @@
         checks
     }
 
-    fn check_terms(&self, file: &SettingsFile) -> Result<(), WaxError> {
+    fn check_timings(&self, file: &SettingsFile) -> Result<(), WaxError> {
         let Some(coordinator) = &self.coordinator else {
             return Ok(());
         };
@@ -367,10 +367,10 @@
                 help,
             ));
         }
-        let takeover =
+        let takeover_ms =
             coordinator.member_ttl_ms + 2 * coordinator.heartbeat_ms + coordinator.renew_ms;
-        if takeover > coordinator.lease_ms {
-            let label = format!("shorter than a takeover, which takes {takeover} ms");
+        if takeover_ms > coordinator.lease_ms {
+            let label = format!("shorter than a takeover, which takes {takeover_ms} ms");
             let help = "at least member_ttl_ms + 2 * heartbeat_ms + renew_ms, so that the next \
                         owner renews the leases of running tasks before they lapse";
             return Err(file.key_error("coordinator.lease_ms", label, help));
@@ -403,12 +403,12 @@
 }
 
 fn check_bound(file: &SettingsFile, check: &BoundCheck) -> Result<(), WaxError> {
-    if (check.least..=check.most).contains(&check.value) {
+    if (check.min..=check.max).contains(&check.value) {
         return Ok(());
     }
     let label = format!(
         "{} is out of range, expected {} to {}",
-        check.value, check.least, check.most
+        check.value, check.min, check.max
     );
     Err(file.key_error(
         check.key,
--- a/crates/wax-settings/src/files.rs
+++ b/crates/wax-settings/src/files.rs
@@ -35,19 +35,19 @@
 
     /// An error about `key`, with the line where the key first stands.
     pub fn key_error(&self, key: &str, label: impl std::fmt::Display, help: &str) -> WaxError {
-        let last = key.rsplit('.').next().unwrap_or(key);
+        let last_segment = key.rsplit('.').next().unwrap_or(key);
         let line = self
             .text
             .lines()
-            .position(|line| line.contains(&format!("{last}:")));
-        let place = match line {
+            .position(|line| line.contains(&format!("{last_segment}:")));
+        let location = match line {
             Some(index) => format!("{}:{}", self.name, index + 1),
             None => self.name.to_string(),
         };
         WaxError::new(
             ErrorKind::Invalid,
             Step::ReadSettings,
-            place,
+            location,
             format!("{key}: {label}"),
         )
         .with_help(help)
@@ -61,13 +61,13 @@
 /// The text is not YAML of the expected shape; the error names the line and the column.
 pub fn parse_yaml<T: DeserializeOwned>(file: &SettingsFile) -> Result<T, WaxError> {
     serde_saphyr::from_str(&file.text).map_err(|error| {
-        let place = match error.location() {
-            Some(place) => format!("{}:{}:{}", file.name, place.line(), place.column()),
+        let location = match error.location() {
+            Some(position) => format!("{}:{}:{}", file.name, position.line(), position.column()),
             None => file.name.to_string(),
         };
         let text = error.without_snippet().to_string();
         let text = text.split(" at line ").next().unwrap_or_default();
-        WaxError::new(ErrorKind::Invalid, Step::ReadSettings, place, text)
+        WaxError::new(ErrorKind::Invalid, Step::ReadSettings, location, text)
             .with_help("docs/SETTINGS.md lists every key with its unit and bounds")
     })
 }
--- a/crates/wax-settings/src/holder.rs
+++ b/crates/wax-settings/src/holder.rs
@@ -7,7 +7,7 @@
 
 /// What became of a version that arrived.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ApplyChoice {
+pub enum ApplyOutcome {
     /// It is in force now.
     Applied(SettingsVersion),
     /// A version as great or greater is in force.
@@ -36,41 +36,41 @@
     }
 
     /// Applies a tree if its version is greater.
-    pub fn apply(&self, tree: SettingsTree) -> ApplyChoice {
+    pub fn apply(&self, tree: SettingsTree) -> ApplyOutcome {
         let version = tree.version;
         if version <= self.version() {
-            return ApplyChoice::Stale;
+            return ApplyOutcome::Stale;
         }
         *self.tree.borrow_mut() = Rc::new(tree);
-        ApplyChoice::Applied(version)
+        ApplyOutcome::Applied(version)
     }
 
     /// Applies a delta if it makes the next version.
-    pub fn apply_delta(&self, delta: &TreeDelta) -> ApplyChoice {
+    pub fn apply_delta(&self, delta: &TreeDelta) -> ApplyOutcome {
         let version = self.version();
         if delta.version <= version {
-            return ApplyChoice::Stale;
+            return ApplyOutcome::Stale;
         }
         if delta.version != version.next() {
-            return ApplyChoice::Gap;
+            return ApplyOutcome::Gap;
         }
         let tree = self.tree().with_delta(delta);
         self.apply(tree)
     }
 
     /// Decodes and applies a delta that a peer sent.
-    pub fn apply_delta_json(&self, bytes: &[u8]) -> ApplyChoice {
+    pub fn apply_delta_json(&self, bytes: &[u8]) -> ApplyOutcome {
         match serde_json::from_slice::<TreeDelta>(bytes) {
             Ok(delta) => self.apply_delta(&delta),
-            Err(error) => ApplyChoice::Unreadable(error.to_string().into()),
+            Err(error) => ApplyOutcome::Unreadable(error.to_string().into()),
         }
     }
 
     /// Decodes and applies a tree that a peer sent.
-    pub fn apply_json(&self, bytes: &[u8]) -> ApplyChoice {
+    pub fn apply_json(&self, bytes: &[u8]) -> ApplyOutcome {
         match serde_json::from_slice::<SettingsTree>(bytes) {
             Ok(tree) => self.apply(tree),
-            Err(error) => ApplyChoice::Unreadable(error.to_string().into()),
+            Err(error) => ApplyOutcome::Unreadable(error.to_string().into()),
         }
     }
 
--- a/crates/wax-settings/src/lib.rs
+++ b/crates/wax-settings/src/lib.rs
@@ -13,10 +13,10 @@
     SidecarSettings,
 };
 pub use files::{SettingsFile, parse_yaml};
-pub use holder::{ApplyChoice, SettingsHolder};
+pub use holder::{ApplyOutcome, SettingsHolder};
 pub use node::{KeyInfo, NodeSettings, TaskClass, key_table};
 pub use policy::PolicySettings;
-pub use pool::{MachineSettings, PoolSettings};
+pub use pool::{PoolSettings, VmSettings};
 pub use tree::{
     EffectiveSettings, NodeLevel, NodePath, SettingsTree, TreeChange, TreeDelta, ValueOrigin,
 };
--- a/crates/wax-settings/src/node.rs
+++ b/crates/wax-settings/src/node.rs
@@ -15,7 +15,7 @@
 }
 
 macro_rules! node_settings {
-    ($($(#[$doc:meta])* $key:ident: $kind:ty = $default:expr, $least:expr, $most:expr;)*) => {
+    ($($(#[$doc:meta])* $key:ident: $kind:ty = $default:expr, $min:expr, $max:expr;)*) => {
         /// What a node overrides.
         #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
         #[serde(deny_unknown_fields)]
@@ -35,9 +35,9 @@
             /// Its value where no level sets it.
             pub default: Value,
             /// The least that is accepted; `None` where the value is no number.
-            pub least: Option<u64>,
+            pub min: Option<u64>,
             /// The most that is accepted.
-            pub most: Option<u64>,
+            pub max: Option<u64>,
         }
 
         /// Every key, in the order of declaration.
@@ -45,8 +45,8 @@
             vec![$(KeyInfo {
                 key: stringify!($key),
                 default: serde_json::json!($default),
-                least: $least,
-                most: $most,
+                min: $min,
+                max: $max,
             }),*]
         }
 
--- a/crates/wax-settings/src/pool.rs
+++ b/crates/wax-settings/src/pool.rs
@@ -27,13 +27,14 @@
     /// Where workers are asked for that a queue's policy allows.
     pub advisor: Option<SocketAddr>,
     /// The platform's list of machines.
-    pub machines: Option<SocketAddr>,
+    #[serde(rename = "machines")]
+    pub vm_list: Option<SocketAddr>,
     /// Front: what this machine has.
-    #[serde(default)]
-    pub machine: MachineSettings,
+    #[serde(rename = "machine", default)]
+    pub vm: VmSettings,
     /// Longest lease that a worker takes, milliseconds.
-    #[serde(default = "defaults::most_lease_ms")]
-    pub most_lease_ms: u32,
+    #[serde(rename = "most_lease_ms", default = "defaults::max_lease_ms")]
+    pub max_lease_ms: u32,
     /// How long a job that has ended can still be asked for, seconds.
     #[serde(default = "defaults::keep_ended_s")]
     pub keep_ended_s: u32,
@@ -50,7 +51,7 @@
 /// What a machine has: strong ones own the shard first.
 #[derive(Debug, Clone, Copy, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct MachineSettings {
+pub struct VmSettings {
     /// The share of a core.
     pub cpu_share: Option<f64>,
     /// How many times as fast that core is.
@@ -62,7 +63,7 @@
 }
 
 mod defaults {
-    pub(super) fn most_lease_ms() -> u32 {
+    pub(super) fn max_lease_ms() -> u32 {
         10_000
     }
     pub(super) fn keep_ended_s() -> u32 {
@@ -112,16 +113,16 @@
         let config = self
             .config_bound_ms
             .map(|bound_ms| bound("pool.config_bound_ms", bound_ms.into(), 500, 600_000));
-        let all = [
+        let required = [
             bound(
                 "pool.most_lease_ms",
-                self.most_lease_ms.into(),
+                self.max_lease_ms.into(),
                 1_000,
                 600_000,
             ),
             bound("pool.keep_ended_s", self.keep_ended_s.into(), 1, 86_400),
             bound("pool.stop_grace_s", self.stop_grace_s.into(), 1, 3_600),
         ];
-        all.into_iter().chain(drain).chain(config).collect()
+        required.into_iter().chain(drain).chain(config).collect()
     }
 }
--- a/crates/wax-settings/src/tree.rs
+++ b/crates/wax-settings/src/tree.rs
@@ -11,8 +11,8 @@
 /// The values in force at a node.
 pub type EffectiveSettings = ResolvedSettings;
 
-const KIND_MARK: &str = "kinds";
-const WATCH_MARK: &str = "watches";
+const KIND_SEGMENT: &str = "kinds";
+const WATCH_SEGMENT: &str = "watches";
 
 /// The level of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -53,12 +53,12 @@
 
     /// A job kind of a service.
     pub fn kind(team: &str, service: &str, kind: &str) -> Self {
-        Self(format!("/{team}/{service}/{KIND_MARK}/{kind}").into())
+        Self(format!("/{team}/{service}/{KIND_SEGMENT}/{kind}").into())
     }
 
     /// A standing watch of a service.
     pub fn watch(team: &str, service: &str, watch: &str) -> Self {
-        Self(format!("/{team}/{service}/{WATCH_MARK}/{watch}").into())
+        Self(format!("/{team}/{service}/{WATCH_SEGMENT}/{watch}").into())
     }
 
     /// Its text.
@@ -77,7 +77,7 @@
             0 => NodeLevel::Organisation,
             1 => NodeLevel::Team,
             2 => NodeLevel::Service,
-            _ if parts[2] == KIND_MARK => NodeLevel::JobKind,
+            _ if parts[2] == KIND_SEGMENT => NodeLevel::JobKind,
             _ => NodeLevel::StandingWatch,
         }
     }
@@ -110,7 +110,7 @@
     }
 }
 
-fn name_is_valid(name: &str) -> bool {
+fn is_valid_name(name: &str) -> bool {
     !name.is_empty()
         && name.len() <= 64
         && name
@@ -133,13 +133,13 @@
         }
         let path = Self(text.into());
         let parts = path.parts();
-        if parts.iter().any(|part| !name_is_valid(part)) {
+        if parts.iter().any(|part| !is_valid_name(part)) {
             return Err(error("a name has characters that are not allowed"));
         }
         match parts.as_slice() {
             [] => Ok(Self::root()),
             [_] | [_, _] => Ok(Self(format!("/{}", parts.join("/")).into())),
-            [_, _, mark, _] if *mark == KIND_MARK || *mark == WATCH_MARK => {
+            [_, _, segment, _] if *segment == KIND_SEGMENT || *segment == WATCH_SEGMENT => {
                 Ok(Self(format!("/{}", parts.join("/")).into()))
             }
             _ => Err(error("no level of the tree has this path")),
@@ -232,11 +232,11 @@
         key_table()
             .into_iter()
             .map(|info| {
-                let set = lineage.iter().rev().find_map(|node| {
+                let found = lineage.iter().rev().find_map(|node| {
                     let overrides = serde_json::to_value(self.nodes.get(node)?).ok()?;
                     Some((overrides.get(info.key)?.clone(), node.clone()))
                 });
-                let (value, from) = match set {
+                let (value, from) = match found {
                     Some((value, node)) => (value, Some(node)),
                     None => (info.default, None),
                 };
@@ -354,15 +354,15 @@
         for path in paths {
             match (self.contains(path), next.contains(path)) {
                 (true, true) => self.diff_node(next, path, &mut changes),
-                (was, _) => changes.push(TreeChange {
+                (existed, _) => changes.push(TreeChange {
                     path: path.clone(),
                     key: "".into(),
-                    before: if was {
+                    before: if existed {
                         Value::from("declared")
                     } else {
                         Value::Null
                     },
-                    after: if was {
+                    after: if existed {
                         Value::Null
                     } else {
                         Value::from("declared")
@@ -388,8 +388,8 @@
 }
 
 fn key_error(path: &NodePath, key: &str, label: impl fmt::Display) -> WaxError {
-    let place = format!("{path} {key}");
-    WaxError::new(ErrorKind::Invalid, Step::ReadSettings, place, label)
+    let location = format!("{path} {key}");
+    WaxError::new(ErrorKind::Invalid, Step::ReadSettings, location, label)
         .with_help("docs/SETTINGS.md lists every key with its unit and bounds")
 }
 
@@ -399,10 +399,10 @@
         let Some(value) = fields.get(info.key).and_then(Value::as_u64) else {
             continue;
         };
-        let least = info.least.unwrap_or(0);
-        let most = info.most.unwrap_or(u64::MAX);
-        if !(least..=most).contains(&value) {
-            let text = format!("{value} is out of range, expected {least} to {most}");
+        let min = info.min.unwrap_or(0);
+        let max = info.max.unwrap_or(u64::MAX);
+        if !(min..=max).contains(&value) {
+            let text = format!("{value} is out of range, expected {min} to {max}");
             return Err(key_error(path, info.key, text));
         }
     }
--- a/crates/wax-settings/tests/holder.rs
+++ b/crates/wax-settings/tests/holder.rs
@@ -1,7 +1,7 @@
 //! A process applies only greater versions, in whatever order they come.
 
 use proptest::prelude::*;
-use wax_settings::{ApplyChoice, NodePath, NodeSettings, SettingsHolder, SettingsTree, TreeDelta};
+use wax_settings::{ApplyOutcome, NodePath, NodeSettings, SettingsHolder, SettingsTree, TreeDelta};
 use wax_types::SettingsVersion;
 
 fn tree(version: u64) -> SettingsTree {
@@ -21,18 +21,18 @@
     #[test]
     fn no_order_of_arrival_reverts_a_version(arrivals in prop::collection::vec(0_u64..20, 1..40)) {
         let holder = SettingsHolder::default();
-        let mut greatest = 0;
+        let mut highest = 0;
         for version in arrivals {
             let choice = holder.apply(tree(version));
-            let applied = choice == ApplyChoice::Applied(SettingsVersion(version));
-            prop_assert_eq!(applied, version > greatest);
-            greatest = greatest.max(version);
-            prop_assert_eq!(holder.version(), SettingsVersion(greatest));
+            let applied = choice == ApplyOutcome::Applied(SettingsVersion(version));
+            prop_assert_eq!(applied, version > highest);
+            highest = highest.max(version);
+            prop_assert_eq!(holder.version(), SettingsVersion(highest));
         }
     }
 
     #[test]
-    fn a_delta_makes_the_tree_that_it_was_made_from(weights in prop::collection::vec(1_u32..100, 1..8)) {
+    fn applying_a_delta_reproduces_the_target_tree(weights in prop::collection::vec(1_u32..100, 1..8)) {
         let mut before = SettingsTree::default();
         for (index, weight) in weights.iter().enumerate() {
             let mut after = before.clone();
@@ -44,15 +44,15 @@
                 after.nodes.insert(path, settings);
             }
             let delta = before.delta_to(&after, "test", 0);
-            let made = before.with_delta(&delta);
-            prop_assert_eq!(&made.nodes, &after.nodes);
-            prop_assert_eq!(made.version, before.version.next());
-            before = made;
+            let rebuilt = before.with_delta(&delta);
+            prop_assert_eq!(&rebuilt.nodes, &after.nodes);
+            prop_assert_eq!(rebuilt.version, before.version.next());
+            before = rebuilt;
         }
     }
 
     #[test]
-    fn hostile_bytes_are_unreadable_and_change_nothing(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn invalid_bytes_leave_the_settings_unchanged(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let holder = SettingsHolder::default();
         holder.apply(tree(3));
         holder.apply_json(&bytes);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_delta_with_a_gap_is_not_applied() {
+fn a_delta_that_skips_a_version_is_not_applied() {
     let holder = SettingsHolder::default();
     holder.apply(tree(3));
     let delta = TreeDelta {
@@ -71,12 +71,12 @@
         author: "test".into(),
         at_ms: 0,
     };
-    assert_eq!(holder.apply_delta(&delta), ApplyChoice::Gap);
+    assert_eq!(holder.apply_delta(&delta), ApplyOutcome::Gap);
     assert_eq!(holder.version(), SettingsVersion(3));
 }
 
 #[test]
-fn levels_inherit_what_they_do_not_override() {
+fn nodes_inherit_values_that_they_do_not_override() {
     let mut tree = SettingsTree::default();
     let set = |tree: &mut SettingsTree, path: &str, key: &str, value: u64| {
         let path = path.parse().expect("a path");
--- a/crates/wax-settings/tests/pages.rs
+++ b/crates/wax-settings/tests/pages.rs
@@ -15,8 +15,8 @@
             Some(text) => text.to_owned(),
             None => info.default.to_string(),
         };
-        let bounds = match (info.least, info.most) {
-            (Some(least), Some(most)) => format!("{least} to {most}"),
+        let bounds = match (info.min, info.max) {
+            (Some(min), Some(max)) => format!("{min} to {max}"),
             _ => "`batch` or `latency-critical`".to_owned(),
         };
         let row = format!("| `{}` | {default} | {bounds} |", info.key);
@@ -48,27 +48,27 @@
     "| `pool.config_bound_ms` | 5000 | 500 to 600000 |",
 ];
 
-const BASE: &str = "name: a\nregion: b\nfailure_domain: c\n";
+const IDENTITY: &str = "name: a\nregion: b\nfailure_domain: c\n";
 const PLATFORM: &str = "platform: {address: '127.0.0.1:1'}\n";
 const ENTRY: &str =
     "entry: {callers: '127.0.0.1:0', operators: '127.0.0.1:0', peers: '127.0.0.1:0'}\n";
 
 /// A file in which one key has one value.
-fn file_with(key: &str, value: u64) -> SettingsFile {
+fn file_with_value(key: &str, value: u64) -> SettingsFile {
     let (section, name) = key.split_once('.').expect("a section and a key");
     let entry = ENTRY.trim_end().trim_end_matches('}');
     let text = match section {
         "platform" => format!(
-            "role: entry\n{BASE}platform: {{address: '127.0.0.1:1', {name}: {value}}}\n{ENTRY}"
+            "role: entry\n{IDENTITY}platform: {{address: '127.0.0.1:1', {name}: {value}}}\n{ENTRY}"
         ),
-        "entry" => format!("role: entry\n{BASE}{PLATFORM}{entry}, {name}: {value}}}\n"),
+        "entry" => format!("role: entry\n{IDENTITY}{PLATFORM}{entry}, {name}: {value}}}\n"),
         "sidecar" => format!(
-            "role: sidecar\n{BASE}{PLATFORM}sidecar: {{service: s, upstream: '127.0.0.1:1', entries: ['127.0.0.1:1'], {name}: {value}}}\n"
+            "role: sidecar\n{IDENTITY}{PLATFORM}sidecar: {{service: s, upstream: '127.0.0.1:1', entries: ['127.0.0.1:1'], {name}: {value}}}\n"
         ),
         "pool" => format!(
-            "role: front\n{BASE}{PLATFORM}pool: {{peers: '127.0.0.1:1', callers: '127.0.0.1:2', readiness: '127.0.0.1:3', {name}: {value}}}\n"
+            "role: front\n{IDENTITY}{PLATFORM}pool: {{peers: '127.0.0.1:1', callers: '127.0.0.1:2', readiness: '127.0.0.1:3', {name}: {value}}}\n"
         ),
-        _ => format!("role: entry\n{BASE}{PLATFORM}{ENTRY}coordinator: {{{name}: {value}}}\n"),
+        _ => format!("role: entry\n{IDENTITY}{PLATFORM}{ENTRY}coordinator: {{{name}: {value}}}\n"),
     };
     SettingsFile {
         name: "test.yaml".into(),
@@ -83,12 +83,12 @@
         assert!(page.contains(row), "docs/SETTINGS.md lacks: {row}");
         let cells: Vec<&str> = row.split('|').map(str::trim).collect();
         let key = cells[1].trim_matches('`');
-        let most = cells[3]
+        let max = cells[3]
             .rsplit(' ')
             .next()
             .and_then(|text| text.parse::<u64>().ok());
-        let over = most.expect("a bound") + 1;
-        let error = DaemonSettings::parse(&file_with(key, over)).expect_err(key);
+        let over = max.expect("a bound") + 1;
+        let error = DaemonSettings::parse(&file_with_value(key, over)).expect_err(key);
         assert!(error.label.contains("out of range"), "{key}: {error}");
     }
 }
@@ -112,12 +112,12 @@
 }
 
 /// Roles of the pool name what they lack.
-macro_rules! lacks {
+macro_rules! missing_key_tests {
     ($($name:ident: $role:literal, $pool:literal => $key:literal,)*) => {
         $(
             #[test]
             fn $name() {
-                let text = format!("role: {}\n{BASE}{PLATFORM}pool: {{peers: '127.0.0.1:1'{}}}\n", $role, $pool);
+                let text = format!("role: {}\n{IDENTITY}{PLATFORM}pool: {{peers: '127.0.0.1:1'{}}}\n", $role, $pool);
                 let file = SettingsFile {
                     name: "test.yaml".into(),
                     text: text.into(),
@@ -130,7 +130,7 @@
     };
 }
 
-lacks! {
+missing_key_tests! {
     a_front_without_callers: "front", ", readiness: '127.0.0.1:2'" => "pool.callers",
     a_front_without_readiness: "front", ", callers: '127.0.0.1:2'" => "pool.readiness",
     an_agent_without_check_ins: "agent", ", worker: '127.0.0.1:2'" => "pool.check_ins",
@@ -138,9 +138,9 @@
 }
 
 /// A front's file with one line under `policy`.
-fn with_policy(section: &str, line: &str) -> SettingsFile {
+fn file_with_rule(section: &str, line: &str) -> SettingsFile {
     let text = format!(
-        "role: front\n{BASE}{PLATFORM}pool: {{peers: '127.0.0.1:1', callers: '127.0.0.1:2', readiness: '127.0.0.1:3'}}\n\
+        "role: front\n{IDENTITY}{PLATFORM}pool: {{peers: '127.0.0.1:1', callers: '127.0.0.1:2', readiness: '127.0.0.1:3'}}\n\
          policy: {{{section}: {{{line}}}}}\n"
     );
     SettingsFile {
@@ -163,18 +163,18 @@
         );
         assert!(page.contains(&row), "docs/SETTINGS.md lacks: {row}");
         assert!((info.min..=info.max).contains(&info.value), "{key}");
-        let over = with_policy(section, &format!("{key}: {}", info.max + 1.0));
+        let over = file_with_rule(section, &format!("{key}: {}", info.max + 1.0));
         let error = DaemonSettings::parse(&over).expect_err(key);
         assert!(error.label.contains(key), "{error}");
         assert!(error.label.contains("out of range"), "{error}");
-        let off_line = with_policy(section, &format!("{key}: off"));
+        let off_line = file_with_rule(section, &format!("{key}: off"));
         match (info.off, DaemonSettings::parse(&off_line)) {
             (Some(off), Ok(settings)) => {
                 let infos = settings.policy.infos();
                 let found = infos.iter().find(|(_, found)| found.key == key);
-                assert!(
-                    found.is_some_and(|(place, found)| *place != section || found.value == off)
-                );
+                assert!(found.is_some_and(
+                    |(found_section, found)| *found_section != section || found.value == off
+                ));
                 assert!((info.min..=info.max).contains(&off), "{key}");
             }
             (None, Err(error)) => assert!(error.label.contains("cannot be off"), "{error}"),
@@ -185,15 +185,16 @@
 
 #[test]
 fn a_rule_that_is_not_known_is_refused_by_name() {
-    let error = DaemonSettings::parse(&with_policy("place", "careful_pce: 1")).expect_err("a typo");
+    let error =
+        DaemonSettings::parse(&file_with_rule("place", "careful_pce: 1")).expect_err("a typo");
     assert!(error.label.contains("careful_pce: no such rule"), "{error}");
-    let error = DaemonSettings::parse(&with_policy("places", "x: 1")).expect_err("a section");
+    let error = DaemonSettings::parse(&file_with_rule("places", "x: 1")).expect_err("a section");
     assert!(error.label.contains("places"), "{error}");
 }
 
 #[test]
 fn rules_are_read_in_their_units() {
-    let file = with_policy("pace", "aim: 0.5, period_ms: 300, least_percent: 7");
+    let file = file_with_rule("pace", "aim: 0.5, period_ms: 300, least_percent: 7");
     let pace = DaemonSettings::parse(&file)
         .expect("it is correct")
         .policy
--- a/crates/wax-sidecar/src/attempt.rs
+++ b/crates/wax-sidecar/src/attempt.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tracing::Instrument;
-use wax_http::{BodySender, ClientConnection, ReplyBody, body_channel};
+use wax_http::{BodySender, ClientConnection, OutgoingBody, body_channel};
 use wax_trace::{Counter, TraceContext, count};
 use wax_types::{AttemptKey, TimePoint};
 use wax_wire::{
@@ -41,7 +41,7 @@
     head: RequestHead,
     deadline: TimePoint,
     handle: AttemptHandle,
-    body: Option<ReplyBody>,
+    body: Option<OutgoingBody>,
 }
 
 /// What the connection's reader needs of a running attempt.
@@ -183,13 +183,13 @@
         }
     }
 
-    fn open_body(&self, key: AttemptKey, head: &mut RequestHead) -> ReplyBody {
+    fn open_body(&self, key: AttemptKey, head: &mut RequestHead) -> OutgoingBody {
         let first = std::mem::take(&mut head.body);
         if head.body_complete {
             return if first.is_empty() {
-                ReplyBody::empty()
+                OutgoingBody::empty()
             } else {
-                ReplyBody::whole(first)
+                OutgoingBody::full(first)
             };
         }
         let outbox = self.shared.outbox.clone();
@@ -327,7 +327,7 @@
         &mut self,
         shared: &SidecarShared,
         context: Option<TraceContext>,
-    ) -> Option<Request<ReplyBody>> {
+    ) -> Option<Request<OutgoingBody>> {
         let method = Method::from_bytes(self.head.method.as_bytes()).ok()?;
         let uri: Uri = self.head.path.parse().ok()?;
         let mut request = Request::new(self.body.take()?);
--- a/crates/wax-sidecar/src/link.rs
+++ b/crates/wax-sidecar/src/link.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wax_policy::BackoffPlan;
-use wax_settings::ApplyChoice;
+use wax_settings::ApplyOutcome;
 use wax_trace::{Counter, count};
 use wax_types::{ErrorKind, Step, WaxError};
 use wax_wire::{FrameReader, PeerBody, PeerHello, SettingsAck, SettingsPush, split_stream};
@@ -176,14 +176,14 @@
         shared.settings().apply_delta_json(&push.delta)
     };
     match choice {
-        ApplyChoice::Applied(version) => {
+        ApplyOutcome::Applied(version) => {
             count(Counter::SettingsApplied);
             tracing::info!(%version, "settings in force");
         }
-        ApplyChoice::Stale => count(Counter::SettingsStale),
+        ApplyOutcome::Stale => count(Counter::SettingsStale),
         // The acknowledgement of the old version makes the entry send the whole tree.
-        ApplyChoice::Gap => {}
-        ApplyChoice::Unreadable(error) => tracing::warn!(%error, "settings not readable"),
+        ApplyOutcome::Gap => {}
+        ApplyOutcome::Unreadable(error) => tracing::warn!(%error, "settings not readable"),
     }
     shared.acknowledge_settings();
 }
--- a/crates/wax-standin/src/load.rs
+++ b/crates/wax-standin/src/load.rs
@@ -13,16 +13,16 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use wax_http::{ClientConnection, ConnectionCount, ReplyBody};
+use wax_http::{ClientConnection, ConnectionCount, OutgoingBody};
 use wax_types::WaxError;
 
 /// How much longer than its deadline a caller waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(5);
+const ANSWER_TIMEOUT_MARGIN: Duration = Duration::from_secs(5);
 
 struct LoadState {
     options: LoadOptions,
-    idle: RefCell<Vec<ClientConnection>>,
-    count: ConnectionCount,
+    idle_connections: RefCell<Vec<ClientConnection>>,
+    connection_count: ConnectionCount,
     latency: RefCell<Histogram<u64>>,
     outcomes: RefCell<BTreeMap<String, u64>>,
 }
@@ -31,11 +31,11 @@
     let histogram = Histogram::new(3).expect("three digits are allowed");
     let total = u64::from(options.rate) * u64::from(options.seconds);
     let mut rng = Rng::with_seed(options.seed);
-    let mean = 1.0 / f64::from(options.rate.max(1));
+    let mean_interval_s = 1.0 / f64::from(options.rate.max(1));
     let state = Rc::new(LoadState {
         options,
-        idle: RefCell::default(),
-        count: ConnectionCount::default(),
+        idle_connections: RefCell::default(),
+        connection_count: ConnectionCount::default(),
         latency: RefCell::new(histogram),
         outcomes: RefCell::default(),
     });
@@ -43,14 +43,14 @@
     let mut due = Duration::ZERO;
     let mut callers = Vec::new();
     for _ in 0..total {
-        due += Duration::from_secs_f64(-mean * (1.0 - rng.f64()).ln());
-        let wait = due.saturating_sub(start.elapsed());
-        if !wait.is_zero() {
-            sleep(wait).await;
+        due += Duration::from_secs_f64(-mean_interval_s * (1.0 - rng.f64()).ln());
+        let delay = due.saturating_sub(start.elapsed());
+        if !delay.is_zero() {
+            sleep(delay).await;
         }
         let state = state.clone();
-        let intended = start + due;
-        callers.push(spawn(async move { state.call(intended).await }));
+        let due_at = start + due;
+        callers.push(spawn(async move { state.call(due_at).await }));
     }
     for caller in callers {
         // A caller that panicked is missing in the outcomes.
@@ -61,27 +61,27 @@
 }
 
 impl LoadState {
-    async fn call(&self, intended: Instant) {
-        let outcome = match timeout(self.limit(), self.exchange()).await {
+    async fn call(&self, due_at: Instant) {
+        let outcome = match timeout(self.answer_timeout(), self.send_request()).await {
             Ok(outcome) => outcome,
             Err(_) => "no answer".into(),
         };
         if outcome == "200 ran" || outcome == "200 none" {
-            let micros = intended.elapsed().as_micros() as u64;
+            let micros = due_at.elapsed().as_micros() as u64;
             // The histogram grows by itself and takes any value.
             let _ = self.latency.borrow_mut().record(micros.max(1));
         }
         *self.outcomes.borrow_mut().entry(outcome).or_default() += 1;
     }
 
-    fn limit(&self) -> Duration {
-        Duration::from_millis(u64::from(self.options.deadline_ms)) + PATIENCE
+    fn answer_timeout(&self) -> Duration {
+        Duration::from_millis(u64::from(self.options.deadline_ms)) + ANSWER_TIMEOUT_MARGIN
     }
 
     async fn connection(&self) -> Result<ClientConnection, WaxError> {
         loop {
-            let Some(connection) = self.idle.borrow_mut().pop() else {
-                return connect(self.options.entry, &self.count).await;
+            let Some(connection) = self.idle_connections.borrow_mut().pop() else {
+                return connect(self.options.entry, &self.connection_count).await;
             };
             if connection.is_ready() {
                 return Ok(connection);
@@ -97,8 +97,10 @@
         format!("/v1/call/{}{}", options.service, options.path)
     }
 
-    async fn exchange(&self) -> String {
-        if self.count.get() >= self.options.connections && self.idle.borrow().is_empty() {
+    async fn send_request(&self) -> String {
+        if self.connection_count.get() >= self.options.connections
+            && self.idle_connections.borrow().is_empty()
+        {
             return "no free connection".into();
         }
         let mut connection = match self.connection().await {
@@ -111,7 +113,7 @@
             .header("host", options.entry.to_string())
             .header("waxwing-team", &options.team)
             .header("waxwing-deadline-ms", options.deadline_ms)
-            .body(ReplyBody::empty());
+            .body(OutgoingBody::empty());
         let Ok(request) = request else {
             return "bad request".into();
         };
@@ -129,7 +131,7 @@
             return "cut answer".into();
         }
         if connection.ready().await {
-            self.idle.borrow_mut().push(connection);
+            self.idle_connections.borrow_mut().push(connection);
         }
         format!("{status} {outcome}")
     }
--- a/crates/wax-standin/src/peers.rs
+++ b/crates/wax-standin/src/peers.rs
@@ -12,7 +12,7 @@
 use wax_types::{ErrorKind, Step, WaxError};
 use wax_wire::{LoadReport, PeerBody, PeerFrame, PeerHello, SettingsAck, split_stream};
 
-const HEARTBEAT: Duration = Duration::from_secs(1);
+const HEARTBEAT_PERIOD: Duration = Duration::from_secs(1);
 
 pub(crate) async fn run(options: PeersOptions) -> Result<(), WaxError> {
     let failed = |error: io::Error| {
@@ -40,7 +40,7 @@
     writer.write(PeerBody::Hello(hello)).await?;
     let (outbox, mut frames) = unbounded();
     spawn(async move { writer.drain(&mut frames).await }).detach();
-    spawn(beat(outbox.clone())).detach();
+    spawn(send_load_reports(outbox.clone())).detach();
     spawn(async move {
         while let Ok(Some(body)) = reader.read().await {
             if let PeerBody::Settings(push) = body {
@@ -55,12 +55,12 @@
 }
 
 /// An idle sidecar says its load once a second.
-async fn beat(outbox: UnboundedSender<PeerBody>) {
+async fn send_load_reports(outbox: UnboundedSender<PeerBody>) {
     let load = LoadReport {
         upstream_up: true,
         ..LoadReport::default()
     };
     while outbox.unbounded_send(PeerBody::Load(load)).is_ok() {
-        sleep(HEARTBEAT).await;
+        sleep(HEARTBEAT_PERIOD).await;
     }
 }
--- a/crates/wax-standin/src/platform.rs
+++ b/crates/wax-standin/src/platform.rs
@@ -12,15 +12,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wax_http::{
-    HttpHandler, HttpReply, HttpRequest, HttpServer, ReplyBody, ShutdownSignal, bind_listener,
+    HttpHandler, HttpReply, HttpRequest, HttpServer, OutgoingBody, ShutdownSignal, bind_listener,
     collect_body, empty_reply, error_reply, json_reply, parse_json,
 };
 use wax_platform::{CommitRequest, WorkerInfo, WorkerList};
 use wax_types::{ErrorKind, Step, WaxError};
 
-const BODY_LIMIT: usize = 64 << 20;
+const MAX_BODY_BYTES: usize = 64 << 20;
 /// How long a call hangs whose reply is lost.
-const LOST_REPLY: Duration = Duration::from_secs(30);
+const LOST_REPLY_DELAY: Duration = Duration::from_secs(30);
 
 #[derive(Default)]
 struct PlatformState {
@@ -60,11 +60,11 @@
             return empty_reply(StatusCode::SERVICE_UNAVAILABLE);
         }
         match path.as_str() {
-            "/table/read" => match parse_json(request, BODY_LIMIT).await {
+            "/table/read" => match parse_json(request, MAX_BODY_BYTES).await {
                 Ok(read) => json_reply(StatusCode::OK, &self.table.borrow_mut().read(&read)),
                 Err(error) => error_reply(&error),
             },
-            "/table/scan" => match parse_json(request, BODY_LIMIT).await {
+            "/table/scan" => match parse_json(request, MAX_BODY_BYTES).await {
                 Ok(scan) => json_reply(StatusCode::OK, &self.table.borrow_mut().scan(&scan)),
                 Err(error) => error_reply(&error),
             },
@@ -79,7 +79,7 @@
 
 impl PlatformState {
     async fn set_faults(&self, request: HttpRequest) -> HttpReply {
-        match parse_json::<StoreFaults>(request, BODY_LIMIT).await {
+        match parse_json::<StoreFaults>(request, MAX_BODY_BYTES).await {
             Ok(faults) => {
                 *self.faults.borrow_mut() = faults.clone();
                 json_reply(StatusCode::OK, &faults)
@@ -99,14 +99,14 @@
     }
 
     async fn commit(&self, request: HttpRequest) -> HttpReply {
-        let commit: CommitRequest = match parse_json(request, BODY_LIMIT).await {
+        let commit: CommitRequest = match parse_json(request, MAX_BODY_BYTES).await {
             Ok(commit) => commit,
             Err(error) => return error_reply(&error),
         };
         let lost = self.reply_is_lost(&commit);
         let reply = self.table.borrow_mut().commit(commit);
         if lost {
-            sleep(LOST_REPLY).await;
+            sleep(LOST_REPLY_DELAY).await;
             return empty_reply(StatusCode::GATEWAY_TIMEOUT);
         }
         json_reply(StatusCode::OK, &reply)
@@ -130,7 +130,7 @@
     }
 
     async fn add_worker(&self, request: HttpRequest) -> HttpReply {
-        match parse_json::<WorkerInfo>(request, BODY_LIMIT).await {
+        match parse_json::<WorkerInfo>(request, MAX_BODY_BYTES).await {
             Ok(info) => {
                 let id = (*info.id).into();
                 self.workers.borrow_mut().insert(id, info);
@@ -150,12 +150,12 @@
         }
         if request.method() == Method::GET {
             return match self.objects.borrow().read(key) {
-                Some(bytes) => Response::new(ReplyBody::whole(bytes)),
+                Some(bytes) => Response::new(OutgoingBody::full(bytes)),
                 None => empty_reply(StatusCode::NOT_FOUND),
             };
         }
         let key = key.to_owned();
-        match collect_body(request, BODY_LIMIT).await {
+        match collect_body(request, MAX_BODY_BYTES).await {
             Ok(bytes) if self.objects.borrow_mut().create(&key, bytes.clone()) => {
                 empty_reply(StatusCode::CREATED)
             }
--- a/crates/wax-standin/src/site.rs
+++ b/crates/wax-standin/src/site.rs
@@ -16,11 +16,11 @@
 };
 use wax_types::{ErrorKind, Step, WaxError};
 
-const BODY_LIMIT: usize = 1_000_000;
+const MAX_BODY_BYTES: usize = 1_000_000;
 /// Entries of one transaction.
-const MOST_ENTRIES: usize = 100;
+const MAX_TX_ENTRIES: usize = 100;
 /// How long a call hangs whose answer is lost.
-const LOST_REPLY: Duration = Duration::from_secs(30);
+const LOST_REPLY_DELAY: Duration = Duration::from_secs(30);
 
 /// What is wrong with the store now.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
@@ -40,7 +40,7 @@
     rows: RefCell<SiteRows>,
     changed: Event,
     faults: RefCell<SiteFaults>,
-    began: Instant,
+    started_at: Instant,
 }
 
 pub(crate) async fn run(options: SiteOptions) -> Result<(), WaxError> {
@@ -53,7 +53,7 @@
         rows: RefCell::default(),
         changed: Event::new(),
         faults: RefCell::default(),
-        began: Instant::now(),
+        started_at: Instant::now(),
     });
     HttpServer::new(listener, state, ShutdownSignal::default())
         .run()
@@ -65,7 +65,7 @@
     request.headers().contains_key("x-operator")
 }
 
-fn query(request: &HttpRequest, name: &str) -> String {
+fn query_parameter(request: &HttpRequest, name: &str) -> String {
     let query = request.uri().query().unwrap_or_default();
     let value = query.split('&').find_map(|pair| {
         let (key, value) = pair.split_once('=')?;
@@ -78,7 +78,7 @@
     async fn handle(&self, request: HttpRequest) -> HttpReply {
         let path = request.uri().path().to_owned();
         if path == "/faults" {
-            return match parse_json::<SiteFaults>(request, BODY_LIMIT).await {
+            return match parse_json::<SiteFaults>(request, MAX_BODY_BYTES).await {
                 Ok(faults) => {
                     *self.faults.borrow_mut() = faults;
                     empty_reply(StatusCode::OK)
@@ -103,26 +103,26 @@
 
 impl SiteState {
     fn now_ms(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.started_at.elapsed().as_millis() as u64
     }
 
     async fn transact(&self, request: HttpRequest, lose_percent: u32) -> HttpReply {
         // Only the operator writes its tables.
-        let operator = is_operator(&request);
-        let body: TxBody = match parse_json(request, BODY_LIMIT).await {
+        let by_operator = is_operator(&request);
+        let body: TxBody = match parse_json(request, MAX_BODY_BYTES).await {
             Ok(body) => body,
             Err(error) => return error_reply(&error),
         };
-        if body.entries() > MOST_ENTRIES {
+        if body.entry_count() > MAX_TX_ENTRIES {
             return empty_reply(StatusCode::BAD_REQUEST);
         }
-        if !operator && body.touches_operator() {
+        if !by_operator && body.writes_operator_table() {
             return empty_reply(StatusCode::FORBIDDEN);
         }
         let outcome = self.rows.borrow_mut().apply(body);
         self.changed.notify(usize::MAX);
-        if !operator && fastrand::u32(0..100) < lose_percent {
-            sleep(LOST_REPLY).await;
+        if !by_operator && fastrand::u32(0..100) < lose_percent {
+            sleep(LOST_REPLY_DELAY).await;
             return empty_reply(StatusCode::GATEWAY_TIMEOUT);
         }
         let now_ms = self.now_ms();
@@ -139,13 +139,13 @@
     }
 
     fn get(&self, request: &HttpRequest) -> HttpReply {
-        let limit = query(request, "limit").parse().unwrap_or(500);
+        let limit = query_parameter(request, "limit").parse().unwrap_or(500);
         let rows = self.rows.borrow();
         let (page, more) = rows.range(
-            &query(request, "table"),
-            &query(request, "part"),
-            &query(request, "from"),
-            &query(request, "to"),
+            &query_parameter(request, "table"),
+            &query_parameter(request, "part"),
+            &query_parameter(request, "from"),
+            &query_parameter(request, "to"),
             limit,
         );
         let body = json!({ "rows": page, "hasMore": more, "rowVersion": rows.version(), "nowMs": self.now_ms() });
@@ -153,24 +153,30 @@
     }
 
     async fn feed(&self, request: &HttpRequest) -> HttpReply {
-        let table = query(request, "table");
-        let after: u64 = query(request, "after").parse().unwrap_or_default();
-        let wait = Duration::from_millis(query(request, "waitMs").parse().unwrap_or_default());
-        let began = Instant::now();
+        let table = query_parameter(request, "table");
+        let after: u64 = query_parameter(request, "after")
+            .parse()
+            .unwrap_or_default();
+        let wait = Duration::from_millis(
+            query_parameter(request, "waitMs")
+                .parse()
+                .unwrap_or_default(),
+        );
+        let started_at = Instant::now();
         loop {
             if std::mem::take(&mut self.faults.borrow_mut().forget) {
                 return empty_reply(StatusCode::GONE);
             }
             let listener = self.changed.listen();
             let (changes, version) = self.rows.borrow().changes(&table, after);
-            let left = wait.saturating_sub(began.elapsed());
-            if !changes.is_empty() || left.is_zero() {
+            let remaining = wait.saturating_sub(started_at.elapsed());
+            if !changes.is_empty() || remaining.is_zero() {
                 let body =
                     json!({ "rows": changes, "rowVersion": version, "nowMs": self.now_ms() });
                 return json_reply(StatusCode::OK, &body);
             }
             // Either a change or the end of the wait; both lead to another look.
-            let _ = timeout(left, listener).await;
+            let _ = timeout(remaining, listener).await;
         }
     }
 }
--- a/crates/wax-standin/src/site_rows.rs
+++ b/crates/wax-standin/src/site_rows.rs
@@ -54,12 +54,12 @@
 
 impl TxBody {
     /// How many entries it has.
-    pub(crate) fn entries(&self) -> usize {
+    pub(crate) fn entry_count(&self) -> usize {
         self.expect.len() + self.writes.len() + self.remove.len()
     }
 
     /// Whether it writes a table that is the operator's alone.
-    pub(crate) fn touches_operator(&self) -> bool {
+    pub(crate) fn writes_operator_table(&self) -> bool {
         let written = self.writes.iter().map(|write| &write.table);
         let removed = self.remove.iter().map(|row| &row.table);
         written.chain(removed).any(|table| table == "op")
--- a/crates/wax-standin/src/site_runs.rs
+++ b/crates/wax-standin/src/site_runs.rs
@@ -36,7 +36,7 @@
 
 impl TaskWork {
     /// When the worker ends by this task, counted from its start, milliseconds.
-    fn crashes_after_ms(&self, task: &str) -> Option<u64> {
+    fn crash_delay_ms(&self, task: &str) -> Option<u64> {
         let index = task.rsplit('.').next()?.parse().ok()?;
         (self.crash == Some(index)).then_some(self.crash_ms)
     }
@@ -56,7 +56,7 @@
 }
 
 #[derive(Debug)]
-struct RunLife {
+struct RunRecord {
     run: u64,
     work: TaskWork,
     began_ms: u64,
@@ -71,23 +71,23 @@
     pub(crate) reason: Option<&'static str>,
 }
 
-type EndRow = (u64, String, u64, &'static str, String);
+type EndRecord = (u64, String, u64, &'static str, String);
 
 /// All runs.
 #[derive(Debug)]
 pub(crate) struct SiteRuns {
-    began: Instant,
+    created_at: Instant,
     /// What the clock showed then, milliseconds.
     clock_ms: u64,
     /// When it says that it started, Unix milliseconds.
     started_ms: u64,
     cpu_milli: u32,
     memory_mb: u32,
-    running: BTreeMap<String, RunLife>,
-    ends: Vec<EndRow>,
+    running: BTreeMap<String, RunRecord>,
+    ends: Vec<EndRecord>,
     ended: u64,
     /// The highest run of a task that was stopped or has ended here.
-    closed: HashMap<String, u64>,
+    highest_closed_runs: HashMap<String, u64>,
     token: u64,
     lease_ms: u64,
     history: Vec<Value>,
@@ -96,15 +96,15 @@
 impl SiteRuns {
     pub(crate) fn new(options: &SiteWorkerOptions) -> Self {
         Self {
-            began: Instant::now(),
+            created_at: Instant::now(),
             clock_ms: options.clock_ms,
-            started_ms: options.started_ms.unwrap_or_else(|| unix_us() / 1_000),
+            started_ms: options.started_ms.unwrap_or_else(|| unix_time_us() / 1_000),
             cpu_milli: options.cpu_milli,
             memory_mb: options.memory_mb,
             running: BTreeMap::new(),
             ends: Vec::new(),
             ended: 0,
-            closed: HashMap::new(),
+            highest_closed_runs: HashMap::new(),
             token: 0,
             lease_ms: 0,
             history: Vec::new(),
@@ -112,7 +112,7 @@
     }
 
     pub(crate) fn clock_ms(&self) -> u64 {
-        self.clock_ms + self.began.elapsed().as_millis() as u64
+        self.clock_ms + self.created_at.elapsed().as_millis() as u64
     }
 
     pub(crate) fn started_ms(&self) -> u64 {
@@ -146,25 +146,25 @@
         passes
     }
 
-    fn note(&mut self, what: &str, task: &str, run: u64) {
+    fn record_event(&mut self, what: &str, task: &str, run: u64) {
         self.history
-            .push(json!({ "what": what, "task": task, "run": run, "at": unix_us() }));
+            .push(json!({ "what": what, "task": task, "run": run, "at": unix_time_us() }));
     }
 
     pub(crate) fn start(&mut self, order: RunOrder) -> OrderAnswer {
         if !self.fence(order.fencing_token) {
             return self.answer(Some("fence"));
         }
-        let old = self
-            .closed
+        let is_closed = self
+            .highest_closed_runs
             .get(&order.task)
-            .is_some_and(|closed| order.run <= *closed);
-        if let Some(life) = self.running.get(&order.task)
-            && life.run == order.run
+            .is_some_and(|highest| order.run <= *highest);
+        if let Some(record) = self.running.get(&order.task)
+            && record.run == order.run
         {
             return self.answer(None);
         }
-        if old || self.running.contains_key(&order.task) {
+        if is_closed || self.running.contains_key(&order.task) {
             return self.answer(Some("old"));
         }
         if order.deadline_ms <= self.clock_ms() {
@@ -172,17 +172,17 @@
         }
         self.lease_ms = self.lease_ms.max(order.deadline_ms);
         let work: TaskWork = serde_json::from_str(&order.spec).unwrap_or_default();
-        let life = RunLife {
+        let record = RunRecord {
             run: order.run,
             work,
             began_ms: self.clock_ms(),
         };
-        self.running.insert(order.task.clone(), life);
-        let cpu: u32 = self.running.values().map(|life| life.work.cpu).sum();
-        let memory: u32 = self.running.values().map(|life| life.work.mem).sum();
-        self.note("start", &order.task, order.run);
+        self.running.insert(order.task.clone(), record);
+        let cpu: u32 = self.running.values().map(|record| record.work.cpu).sum();
+        let memory: u32 = self.running.values().map(|record| record.work.mem).sum();
+        self.record_event("start", &order.task, order.run);
         if cpu > self.cpu_milli || memory > self.memory_mb {
-            self.note("over", &order.task, order.run);
+            self.record_event("over", &order.task, order.run);
         }
         self.answer(None)
     }
@@ -194,12 +194,12 @@
         if self
             .running
             .get(&order.task)
-            .is_some_and(|life| life.run == order.run)
+            .is_some_and(|record| record.run == order.run)
         {
-            self.end(&order.task, "stopped");
+            self.end_run(&order.task, "stopped");
         }
-        let closed = self.closed.entry(order.task).or_default();
-        *closed = (*closed).max(order.run);
+        let highest = self.highest_closed_runs.entry(order.task).or_default();
+        *highest = (*highest).max(order.run);
         self.answer(None)
     }
 
@@ -208,14 +208,14 @@
             return self.answer(Some("fence"));
         }
         self.lease_ms = self.lease_ms.max(until_ms.unwrap_or(0));
-        let acknowledged: Vec<EndRow> = self
+        let acknowledged: Vec<EndRecord> = self
             .ends
             .iter()
             .filter(|end| end.0 <= cursor)
             .cloned()
             .collect();
         for end in acknowledged {
-            self.note("ack", &end.1, end.2);
+            self.record_event("ack", &end.1, end.2);
         }
         self.ends.retain(|end| end.0 > cursor);
         self.answer(None)
@@ -224,51 +224,56 @@
     /// Ends what is done, and everything once the lease has lapsed.
     pub(crate) fn tick(&mut self, fail: bool) {
         let now = self.clock_ms();
-        let lapsed = now > self.lease_ms;
-        let over: Vec<(String, &'static str)> = self
+        let expired = now > self.lease_ms;
+        let finished: Vec<(String, &'static str)> = self
             .running
             .iter()
-            .filter_map(|(task, life)| {
-                let done = now >= life.began_ms + life.work.ms;
-                match (done, lapsed) {
-                    (true, _) if fail || life.work.fail => Some((task.clone(), "failed")),
+            .filter_map(|(task, record)| {
+                let done = now >= record.began_ms + record.work.ms;
+                match (done, expired) {
+                    (true, _) if fail || record.work.fail => Some((task.clone(), "failed")),
                     (true, _) => Some((task.clone(), "done")),
                     (false, true) => Some((task.clone(), "lapsed")),
                     (false, false) => None,
                 }
             })
             .collect();
-        for (task, how) in over {
-            self.end(&task, how);
+        for (task, outcome) in finished {
+            self.end_run(&task, outcome);
         }
     }
 
     /// Whether a task that runs takes the worker with it now; all that runs is then noted as killed.
     pub(crate) fn crash(&mut self) -> bool {
         let now = self.clock_ms();
-        let crashes = |(task, life): (&String, &RunLife)| {
-            let after = life.work.crashes_after_ms(task);
-            after.is_some_and(|after| now >= life.began_ms + after)
+        let crashes = |(task, record): (&String, &RunRecord)| {
+            let after = record.work.crash_delay_ms(task);
+            after.is_some_and(|after| now >= record.began_ms + after)
         };
         if !self.running.iter().any(crashes) {
             return false;
         }
-        for (task, life) in std::mem::take(&mut self.running) {
-            self.note("killed", &task, life.run);
+        for (task, record) in std::mem::take(&mut self.running) {
+            self.record_event("killed", &task, record.run);
         }
         true
     }
 
-    fn end(&mut self, task: &str, how: &'static str) {
-        let Some(life) = self.running.remove(task) else {
+    fn end_run(&mut self, task: &str, outcome: &'static str) {
+        let Some(record) = self.running.remove(task) else {
             return;
         };
         self.ended += 1;
-        self.ends
-            .push((self.ended, task.to_owned(), life.run, how, String::new()));
-        let closed = self.closed.entry(task.to_owned()).or_default();
-        *closed = (*closed).max(life.run);
-        self.note(how, task, life.run);
+        self.ends.push((
+            self.ended,
+            task.to_owned(),
+            record.run,
+            outcome,
+            String::new(),
+        ));
+        let highest = self.highest_closed_runs.entry(task.to_owned()).or_default();
+        *highest = (*highest).max(record.run);
+        self.record_event(outcome, task, record.run);
     }
 
     /// Both lists, as a hold answers them.
@@ -276,17 +281,17 @@
         let running: Vec<Value> = self
             .running
             .iter()
-            .map(|(task, life)| {
-                let done = self.clock_ms() - life.began_ms;
-                let percent = (done * 100 / life.work.ms.max(1)).min(100);
-                json!([task, life.run, "", percent, life.work.cpu])
+            .map(|(task, record)| {
+                let elapsed_ms = self.clock_ms() - record.began_ms;
+                let percent = (elapsed_ms * 100 / record.work.ms.max(1)).min(100);
+                json!([task, record.run, "", percent, record.work.cpu])
             })
             .collect();
         json!({ "clockMs": self.clock_ms(), "born": self.started_ms, "running": running, "finished": self.ends })
     }
 }
 
-fn unix_us() -> u64 {
+fn unix_time_us() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |span| span.as_micros() as u64)
--- a/crates/wax-standin/src/site_worker.rs
+++ b/crates/wax-standin/src/site_worker.rs
@@ -18,19 +18,19 @@
 };
 use wax_types::{ErrorKind, Step, WaxError};
 
-const BODY_LIMIT: usize = 1 << 20;
-const TICK: Duration = Duration::from_millis(5);
+const MAX_BODY_BYTES: usize = 1 << 20;
+const TICK_PERIOD: Duration = Duration::from_millis(5);
 const CHECK_IN_PERIOD: Duration = Duration::from_millis(300);
 /// How long an order hangs whose answer is lost.
-const LOST_REPLY: Duration = Duration::from_secs(30);
+const LOST_REPLY_DELAY: Duration = Duration::from_secs(30);
 
 /// Exit code of a worker that one of its tasks has ended.
-const CRASHED: i32 = 101;
+const CRASH_EXIT_CODE: i32 = 101;
 
 /// What is wrong with the worker now.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
-struct WorkerFaults {
+struct SiteWorkerFaults {
     /// Every run fails at its end.
     fail: bool,
     /// This share of the starts is carried out after this long and never answered.
@@ -42,10 +42,10 @@
     cpu_milli: Option<u32>,
 }
 
-struct WorkerState {
+struct SiteWorkerState {
     id: String,
     runs: RefCell<SiteRuns>,
-    faults: RefCell<WorkerFaults>,
+    faults: RefCell<SiteWorkerFaults>,
     sequence: Cell<u64>,
     /// Its last report.
     reported: RefCell<Value>,
@@ -67,7 +67,7 @@
         .local_addr()
         .map_err(|error| WaxError::new(ErrorKind::Invalid, Step::Listen, "worker", error))?;
     println!("{}", json!({ "worker": address }));
-    let state = Rc::new(WorkerState {
+    let state = Rc::new(SiteWorkerState {
         id: options.id.clone(),
         runs: RefCell::new(SiteRuns::new(&options)),
         faults: RefCell::default(),
@@ -82,20 +82,20 @@
     Ok(())
 }
 
-async fn tick(state: Rc<WorkerState>) {
+async fn tick(state: Rc<SiteWorkerState>) {
     loop {
-        sleep(TICK).await;
+        sleep(TICK_PERIOD).await;
         if state.runs.borrow_mut().crash() {
             // What it has seen is lost with it but for this line.
             println!("{}", json!({ "history": state.runs.borrow().history() }));
-            std::process::exit(CRASHED);
+            std::process::exit(CRASH_EXIT_CODE);
         }
         let fail = state.faults.borrow().fail;
         state.runs.borrow_mut().tick(fail);
     }
 }
 
-async fn check_in(state: Rc<WorkerState>, options: SiteWorkerOptions, address: SocketAddr) {
+async fn check_in(state: Rc<SiteWorkerState>, options: SiteWorkerOptions, address: SocketAddr) {
     let Ok(client) = Client::new() else {
         return;
     };
@@ -117,12 +117,12 @@
     }
 }
 
-impl HttpHandler for WorkerState {
+impl HttpHandler for SiteWorkerState {
     async fn handle(&self, request: HttpRequest) -> HttpReply {
         let path = request.uri().path().to_owned();
         match path.as_str() {
             "/faults" => {
-                return match parse_json::<WorkerFaults>(request, BODY_LIMIT).await {
+                return match parse_json::<SiteWorkerFaults>(request, MAX_BODY_BYTES).await {
                     Ok(faults) => {
                         *self.faults.borrow_mut() = faults;
                         empty_reply(StatusCode::OK)
@@ -158,16 +158,16 @@
     json_reply(status, answer)
 }
 
-impl WorkerState {
+impl SiteWorkerState {
     /// What the worker says of itself.
     fn report(&self, options: &SiteWorkerOptions, address: SocketAddr) -> Value {
         let faults = self.faults.borrow();
         let runs = self.runs.borrow();
-        let word = if faults.draining { "draining" } else { "ready" };
+        let status = if faults.draining { "draining" } else { "ready" };
         let cpu_milli = faults.cpu_milli.unwrap_or(options.cpu_milli);
         json!({
             "service": options.service, "address": address.to_string(), "zone": options.domain, "version": "v1",
-            "slots": 8, "state": word, "coldRemainingMs": 0,
+            "slots": 8, "state": status, "coldRemainingMs": 0,
             "capacity": { "cpu": cpu_milli, "memMb": options.memory_mb, "gpu": 0 },
             "labels": ["a", "r1"], "clockMs": runs.clock_ms(), "sequence": self.sequence.get(),
             "born": runs.started_ms(),
@@ -175,7 +175,7 @@
     }
 
     async fn start(&self, request: HttpRequest) -> HttpReply {
-        let order: RunOrder = match parse_json(request, BODY_LIMIT).await {
+        let order: RunOrder = match parse_json(request, MAX_BODY_BYTES).await {
             Ok(order) => order,
             Err(error) => return error_reply(&error),
         };
@@ -183,7 +183,7 @@
         if fastrand::u32(0..100) < faults.late_percent {
             sleep(Duration::from_millis(faults.late_ms)).await;
             self.runs.borrow_mut().start(order);
-            sleep(LOST_REPLY).await;
+            sleep(LOST_REPLY_DELAY).await;
             return empty_reply(StatusCode::GATEWAY_TIMEOUT);
         }
         reply(&self.runs.borrow_mut().start(order))
@@ -194,14 +194,14 @@
         request: HttpRequest,
         act: impl Fn(&mut SiteRuns, RunOrder) -> OrderAnswer,
     ) -> HttpReply {
-        match parse_json(request, BODY_LIMIT).await {
+        match parse_json(request, MAX_BODY_BYTES).await {
             Ok(order) => reply(&act(&mut self.runs.borrow_mut(), order)),
             Err(error) => error_reply(&error),
         }
     }
 
     async fn hold(&self, request: HttpRequest) -> HttpReply {
-        let body: HoldBody = match parse_json(request, BODY_LIMIT).await {
+        let body: HoldBody = match parse_json(request, MAX_BODY_BYTES).await {
             Ok(body) => body,
             Err(error) => return error_reply(&error),
         };
@@ -213,12 +213,12 @@
             return reply(&answer);
         }
         let ended = self.runs.borrow().ended();
-        let waits = (body.wait_ms / TICK.as_millis() as u64).max(1);
+        let waits = (body.wait_ms / TICK_PERIOD.as_millis() as u64).max(1);
         for _ in 0..waits {
             if self.runs.borrow().ended() > ended || body.wait_ms == 0 {
                 break;
             }
-            sleep(TICK).await;
+            sleep(TICK_PERIOD).await;
         }
         json_reply(StatusCode::OK, &self.runs.borrow().lists())
     }
--- a/crates/wax-standin/src/upstream.rs
+++ b/crates/wax-standin/src/upstream.rs
@@ -11,12 +11,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wax_http::{
-    HttpHandler, HttpReply, HttpRequest, HttpServer, OpenCount, ReplyBody, ShutdownSignal,
+    HttpHandler, HttpReply, HttpRequest, HttpServer, OpenConnections, OutgoingBody, ShutdownSignal,
     bind_listener, body_channel, collect_body, empty_reply, error_reply, json_reply, parse_json,
 };
 use wax_types::{ErrorKind, Step, WaxError};
 
-const BODY_LIMIT: usize = 256 << 20;
+const MAX_BODY_BYTES: usize = 256 << 20;
 
 /// Faults of an upstream; `POST /faults` replaces all of them.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
@@ -34,11 +34,11 @@
     service: Duration,
     slots: usize,
     running: Cell<usize>,
-    most_running: Cell<usize>,
+    max_running: Cell<usize>,
     executed: Cell<u64>,
     keys: RefCell<BTreeMap<String, u64>>,
     faults: RefCell<UpstreamFaults>,
-    connections: RefCell<Option<Rc<OpenCount>>>,
+    connections: RefCell<Option<Rc<OpenConnections>>>,
 }
 
 pub(crate) async fn run(options: UpstreamOptions) -> Result<(), WaxError> {
@@ -51,14 +51,14 @@
         service: Duration::from_millis(options.service_ms),
         slots: options.slots,
         running: Cell::new(0),
-        most_running: Cell::new(0),
+        max_running: Cell::new(0),
         executed: Cell::new(0),
         keys: RefCell::default(),
         faults: RefCell::default(),
         connections: RefCell::default(),
     });
     let server = HttpServer::new(listener, state.clone(), ShutdownSignal::default());
-    *state.connections.borrow_mut() = Some(server.open_count());
+    *state.connections.borrow_mut() = Some(server.open_connections());
     server.run().await;
     Ok(())
 }
@@ -73,10 +73,10 @@
 }
 
 impl UpstreamState {
-    fn enter(&self) -> RunningGuard<'_> {
+    fn begin_request(&self) -> RunningGuard<'_> {
         let running = self.running.get() + 1;
         self.running.set(running);
-        self.most_running.set(self.most_running.get().max(running));
+        self.max_running.set(self.max_running.get().max(running));
         self.executed.set(self.executed.get() + 1);
         RunningGuard(&self.running)
     }
@@ -84,8 +84,8 @@
     fn audit(&self) -> HttpReply {
         let body = json!({
             "executed": self.executed.get(),
-            "most_running": self.most_running.get(),
-            "most_connections": self.connections.borrow().as_ref().map(|count| count.most()),
+            "most_running": self.max_running.get(),
+            "most_connections": self.connections.borrow().as_ref().map(|connections| connections.max_open()),
             "keys": *self.keys.borrow(),
         });
         json_reply(StatusCode::OK, &body)
@@ -102,11 +102,11 @@
         let length = header("x-answer-bytes").and_then(|text| text.parse::<usize>().ok());
         let path = request.uri().to_string();
         let method = request.method().clone();
-        let _guard = self.enter();
+        let _guard = self.begin_request();
         if self.running.get() > self.slots {
             return Ok(empty_reply(StatusCode::SERVICE_UNAVAILABLE));
         }
-        let body = collect_body(request, BODY_LIMIT).await?;
+        let body = collect_body(request, MAX_BODY_BYTES).await?;
         if let Some(key) = key {
             *self.keys.borrow_mut().entry(key).or_default() += 1;
         }
@@ -134,7 +134,7 @@
 
 fn answer_reply(answer: Bytes, cut: bool) -> HttpReply {
     if !cut {
-        return Response::new(ReplyBody::whole(answer));
+        return Response::new(OutgoingBody::full(answer));
     }
     let (sender, body) = body_channel(|_| {});
     sender.send(answer.slice(..answer.len() / 2));
@@ -145,7 +145,7 @@
     async fn handle(&self, request: HttpRequest) -> HttpReply {
         let result = match request.uri().path() {
             "/audit" => Ok(self.audit()),
-            "/faults" => match parse_json(request, BODY_LIMIT).await {
+            "/faults" => match parse_json(request, MAX_BODY_BYTES).await {
                 Ok(faults) => {
                     *self.faults.borrow_mut() = faults;
                     Ok(empty_reply(StatusCode::NO_CONTENT))
--- a/crates/wax-standin/src/worker.rs
+++ b/crates/wax-standin/src/worker.rs
@@ -1,7 +1,7 @@
 //! A worker: runs tasks under leases, as the platform would.
 
 use crate::args::WorkerOptions;
-use crate::worker_runs::{RunStep, RunTable};
+use crate::worker_runs::{RunAction, RunTable};
 use compio::runtime::spawn;
 use compio::time::{interval, sleep};
 use http::StatusCode;
@@ -21,8 +21,8 @@
 };
 use wax_types::{ErrorKind, ProcessClock, ShardEpoch, Step, WaxError};
 
-const BODY_LIMIT: usize = 4 << 20;
-const TICK: Duration = Duration::from_millis(5);
+const MAX_BODY_BYTES: usize = 4 << 20;
+const TICK_PERIOD: Duration = Duration::from_millis(5);
 
 struct WorkerState {
     runs: RefCell<RunTable>,
@@ -43,9 +43,9 @@
         server.run().await;
         return Ok(());
     }
-    let any = SocketAddr::new(options.listen.ip(), 0);
+    let any_port = SocketAddr::new(options.listen.ip(), 0);
     for n in 1..=options.count {
-        let (_, server) = prepare(&options, format!("{}-{n}", options.id), any).await?;
+        let (_, server) = prepare(&options, format!("{}-{n}", options.id), any_port).await?;
         spawn(server.run()).detach();
     }
     println!("{}", json!({ "workers": options.count }));
@@ -68,9 +68,9 @@
         concurrency: 16,
     };
     let health = StoreHealth::new(&base, limits, ProcessClock::start())?;
-    let usage_every = Duration::from_millis(options.usage_ms);
+    let usage_period = Duration::from_millis(options.usage_ms);
     let state = Rc::new(WorkerState {
-        runs: RefCell::new(RunTable::new(options.capacity, usage_every)),
+        runs: RefCell::new(RunTable::new(options.capacity, usage_period)),
         objects: ObjectClient::new(health),
     });
     let info = WorkerInfo {
@@ -106,11 +106,11 @@
 }
 
 async fn advance_runs(state: Rc<WorkerState>) {
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_PERIOD);
     loop {
         ticks.tick().await;
-        let steps = state.runs.borrow_mut().advance(Instant::now());
-        for RunStep::WriteResult(mark) in steps {
+        let actions = state.runs.borrow_mut().advance(Instant::now());
+        for RunAction::WriteResult(mark) in actions {
             state.write_result(mark).await;
         }
     }
@@ -161,7 +161,7 @@
 
     /// Refuses an owner that a later one has replaced.
     fn check_owner(&self, owner: ShardEpoch) -> Result<(), WaxError> {
-        if self.runs.borrow_mut().take_owner(owner) {
+        if self.runs.borrow_mut().accept_owner(owner) {
             return Ok(());
         }
         let text = "a later owner has called this worker";
@@ -235,28 +235,28 @@
     async fn answer(&self, request: HttpRequest) -> Result<HttpReply, WaxError> {
         let path = request.uri().path().to_owned();
         if path == "/faults" {
-            self.runs.borrow_mut().faults = parse_json(request, BODY_LIMIT).await?;
+            self.runs.borrow_mut().faults = parse_json(request, MAX_BODY_BYTES).await?;
             return Ok(empty_reply(StatusCode::NO_CONTENT));
         }
         if path == "/audit" {
             let runs = self.runs.borrow();
-            let body = json!({ "runs": runs.audit, "worst_over": runs.worst_over });
+            let body = json!({ "runs": runs.audit, "worst_over": runs.max_overload });
             return Ok(json_reply(StatusCode::OK, &body));
         }
         if self.runs.borrow().faults.cut {
             return Ok(empty_reply(StatusCode::SERVICE_UNAVAILABLE));
         }
         match path.as_str() {
-            "/start" => self.start(parse_json(request, BODY_LIMIT).await?).await,
-            "/renew" => self.renew(&parse_json(request, BODY_LIMIT).await?),
-            "/stop" => self.stop(parse_json(request, BODY_LIMIT).await?).await,
+            "/start" => self.start(parse_json(request, MAX_BODY_BYTES).await?).await,
+            "/renew" => self.renew(&parse_json(request, MAX_BODY_BYTES).await?),
+            "/stop" => self.stop(parse_json(request, MAX_BODY_BYTES).await?).await,
             "/checkpoint" => {
-                let request: ControlRequest = parse_json(request, BODY_LIMIT).await?;
+                let request: ControlRequest = parse_json(request, MAX_BODY_BYTES).await?;
                 self.check_owner(request.owner)?;
                 self.write_checkpoint(request.mark).await;
                 Ok(self.run_reply(request.mark))
             }
-            "/throttle" => self.throttle(&parse_json(request, BODY_LIMIT).await?),
+            "/throttle" => self.throttle(&parse_json(request, MAX_BODY_BYTES).await?),
             _ => Ok(empty_reply(StatusCode::NOT_FOUND)),
         }
     }
--- a/crates/wax-standin/src/worker_runs.rs
+++ b/crates/wax-standin/src/worker_runs.rs
@@ -7,7 +7,7 @@
 use wax_types::{ResourceVector, ShardEpoch, TaskEpoch, TaskId, wall_clock_ms};
 
 /// Usage reports sent in one renewal.
-const USAGE_PAGE: usize = 200;
+const MAX_USAGE_REPORTS: usize = 200;
 
 /// What the stand-in reads of a job's input.
 #[derive(Debug, Clone, Deserialize)]
@@ -78,7 +78,7 @@
 }
 
 /// A task that is given less than it needs runs slower, in proportion.
-fn speed_of(request: &StartRequest, input: &TaskInput) -> f64 {
+fn initial_speed(request: &StartRequest, input: &TaskInput) -> f64 {
     let needed = input.true_cpu_milli.unwrap_or(request.size.cpu_milli);
     (f64::from(request.size.cpu_milli) / f64::from(needed.max(1))).min(1.0)
 }
@@ -97,7 +97,7 @@
 
 /// What the owner of a run has to do next.
 #[derive(Debug, PartialEq)]
-pub(crate) enum RunStep {
+pub(crate) enum RunAction {
     /// Write the result object, then call `finish`.
     WriteResult(TaskMark),
 }
@@ -105,14 +105,14 @@
 #[derive(Debug)]
 pub(crate) struct RunTable {
     capacity: ResourceVector,
-    usage_every: Duration,
+    usage_period: Duration,
     runs: HashMap<TaskId, RunState>,
     usage: VecDeque<(Instant, UsageReport)>,
     acknowledged: VecDeque<UsageReport>,
     sequence: u64,
     pub(crate) faults: WorkerFaults,
     pub(crate) audit: Vec<AuditLine>,
-    pub(crate) worst_over: u64,
+    pub(crate) max_overload: u64,
     /// Epochs that were stopped before they were started.
     fenced: HashMap<TaskId, TaskEpoch>,
     pub(crate) boot: u64,
@@ -121,17 +121,17 @@
 }
 
 impl RunTable {
-    pub(crate) fn new(capacity: ResourceVector, usage_every: Duration) -> Self {
+    pub(crate) fn new(capacity: ResourceVector, usage_period: Duration) -> Self {
         Self {
             capacity,
-            usage_every,
+            usage_period,
             runs: HashMap::new(),
             usage: VecDeque::new(),
             acknowledged: VecDeque::new(),
             sequence: 0,
             faults: WorkerFaults::default(),
             audit: Vec::new(),
-            worst_over: 0,
+            max_overload: 0,
             fenced: HashMap::new(),
             boot: fastrand::u64(1..),
             owner: ShardEpoch::default(),
@@ -144,7 +144,7 @@
     }
 
     /// Whether the owner is not replaced by a later one.
-    pub(crate) fn take_owner(&mut self, owner: ShardEpoch) -> bool {
+    pub(crate) fn accept_owner(&mut self, owner: ShardEpoch) -> bool {
         self.owner = self.owner.max(owner);
         owner == self.owner
     }
@@ -186,7 +186,7 @@
             input: input.clone(),
             done_ms,
             since: now,
-            speed: speed_of(request, &input),
+            speed: initial_speed(request, &input),
             lease_end: now + Duration::from_millis(request.lease_ms),
             run: TaskRun::Running,
             checkpoint: request.checkpoint.clone(),
@@ -203,12 +203,12 @@
             cpu_milli_seconds: 0,
         });
         self.runs.insert(request.mark.task, run);
-        self.note_load();
+        self.record_overload();
         StartReply::Started
     }
 
     /// Records by how much the running tasks exceed the worker.
-    fn note_load(&mut self) {
+    fn record_overload(&mut self) {
         let load = self
             .runs
             .values()
@@ -218,7 +218,7 @@
             });
         let over = load.saturating_sub(self.capacity);
         let over = u64::from(over.cpu_milli.max(over.memory_mib).max(over.accelerators));
-        self.worst_over = self.worst_over.max(over);
+        self.max_overload = self.max_overload.max(over);
     }
 
     pub(crate) fn get(&self, mark: TaskMark) -> Option<&RunState> {
@@ -286,23 +286,23 @@
     }
 
     /// Lets time pass: lapses leases, closes usage intervals, finds finished work.
-    pub(crate) fn advance(&mut self, now: Instant) -> Vec<RunStep> {
+    pub(crate) fn advance(&mut self, now: Instant) -> Vec<RunAction> {
         let running: Vec<TaskMark> = self
             .runs
             .values()
             .filter(|run| run.run == TaskRun::Running)
             .map(|run| run.mark)
             .collect();
-        let mut steps = Vec::new();
+        let mut actions = Vec::new();
         for mark in running {
             let Some(run) = self.get(mark) else { continue };
-            let lapsed = now >= run.lease_end;
+            let expired = now >= run.lease_end;
             let lease_end = run.lease_end;
             let finished = run.progress_ms(now) >= run.input.work_ms as f64;
             let failed = run.input.fail || self.faults.fail_all;
-            let due = now.saturating_duration_since(run.interval_start) >= self.usage_every;
+            let due = now.saturating_duration_since(run.interval_start) >= self.usage_period;
             let checkpoint = run.checkpoint.clone();
-            if lapsed {
+            if expired {
                 self.end(lease_end, mark, TaskRun::Stopped(checkpoint));
             } else if failed {
                 self.end(
@@ -311,12 +311,12 @@
                     TaskRun::Failed("the task exited with status 1".into()),
                 );
             } else if finished {
-                steps.push(RunStep::WriteResult(mark));
+                actions.push(RunAction::WriteResult(mark));
             } else if due {
                 self.close_interval(now, mark);
             }
         }
-        steps
+        actions
     }
 
     fn close_interval(&mut self, now: Instant, mark: TaskMark) {
@@ -368,7 +368,7 @@
                 self.acknowledged.push_back(report);
             }
         }
-        while self.acknowledged.len() > USAGE_PAGE {
+        while self.acknowledged.len() > MAX_USAGE_REPORTS {
             self.acknowledged.pop_front();
         }
         let due = self
@@ -376,7 +376,7 @@
             .iter()
             .take_while(|(due, _)| *due <= now)
             .map(|(_, report)| report.clone())
-            .take(USAGE_PAGE);
+            .take(MAX_USAGE_REPORTS);
         if self.faults.usage_repeat {
             let mut all: Vec<UsageReport> = self.acknowledged.iter().cloned().chain(due).collect();
             all.reverse();
--- a/crates/wax-standin/tests/cli.rs
+++ b/crates/wax-standin/tests/cli.rs
@@ -3,7 +3,7 @@
 use std::process::Command;
 
 #[test]
-fn help_is_given() {
+fn help_prints_the_usage() {
     let output = Command::new(env!("CARGO_BIN_EXE_waxwing-standin"))
         .arg("--help")
         .output()
--- a/crates/wax-tasks/src/desk.rs
+++ b/crates/wax-tasks/src/desk.rs
@@ -139,7 +139,7 @@
             .collect();
         let split = split_job(spec.tasks, spec.size, &shapes, &mut self.rng.borrow_mut());
         let parts = split.map_err(|impossible| {
-            count(Counter::JobsImpossible);
+            count(Counter::JobsUnplaceable);
             WaxError::new(
                 ErrorKind::Invalid,
                 Step::SubmitJob,
--- a/crates/wax-tasks/src/drains.rs
+++ b/crates/wax-tasks/src/drains.rs
@@ -57,8 +57,8 @@
         let streak = FailureStreak::new("reading of the drains");
         loop {
             match self.read().await {
-                Ok(()) => streak.succeed(),
-                Err(error) => streak.fail(&error),
+                Ok(()) => streak.record_success(),
+                Err(error) => streak.record_failure(&error),
             }
             sleep(READ_PERIOD).await;
         }
--- a/crates/wax-tasks/src/ledger_feed.rs
+++ b/crates/wax-tasks/src/ledger_feed.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 use std::time::Duration;
-use wax_ledger::{LedgerEntry, day_of, write_segment};
+use wax_ledger::{LedgerEntry, day_number, write_segment};
 use wax_platform::UsageReport;
 use wax_trace::{Counter, count, count_many};
 use wax_types::{JobId, WaxError, WorkerId, wall_clock_ms};
@@ -187,7 +187,7 @@
     if entries.is_empty() {
         return Ok(());
     }
-    let day = day_of(wall_clock_ms());
+    let day = day_number(wall_clock_ms());
     write_segment(&shared.objects, day, shared.term.shard(), &entries).await?;
     count_many(Counter::UsageIntervals, entries.len() as u64);
     let through = shared.ledger.borrow_mut().finish(&batch);
--- a/crates/wax-trace/src/counter.rs
+++ b/crates/wax-trace/src/counter.rs
@@ -30,7 +30,7 @@
     /// Answers for attempts that were no longer pending.
     EntryLateAnswers = "entry.late_answers",
     /// Answers that ended before they were whole.
-    EntryCutAnswers = "entry.cut_answers",
+    EntryTruncatedAnswers = "entry.cut_answers",
     /// Repeated idempotency keys.
     EntryRepeatedKeys = "entry.repeated_keys",
     /// Requests that a sidecar dispatched to its upstream.
@@ -62,13 +62,13 @@
     /// Calls to the store that failed or timed out.
     StoreFailures = "store.failures",
     /// Commits whose lost reply was settled by sending them again.
-    StoreSettled = "store.settled",
+    StoreCommitsResolved = "store.settled",
     /// Calls refused because the store is known to be down.
-    StoreRefused = "store.refused",
+    StoreCallsRejected = "store.refused",
     /// Jobs accepted.
     JobsAccepted = "jobs.accepted",
     /// Jobs refused because no worker can ever run them.
-    JobsImpossible = "jobs.impossible",
+    JobsUnplaceable = "jobs.impossible",
     /// Tasks placed by a committed transaction.
     TasksPlaced = "tasks.placed",
     /// Tasks that ended with a result.
@@ -98,9 +98,9 @@
     /// Usage intervals received a second time.
     UsageRepeated = "usage.repeated",
     /// Readings of the operator's rows that found what the feed had not told.
-    ConfigReadings = "config.found_by_reading",
+    ConfigChangesFoundByReading = "config.found_by_reading",
     /// Routes that were neither found nor denied, as the config may be old.
-    RoutesUnsure = "config.routes_unsure",
+    RoutesIndeterminate = "config.routes_unsure",
     /// Requests that submitted a job which was already known.
     JobsRepeated = "jobs.repeated",
     /// Jobs that were not accepted, or of which it is not known.
@@ -120,9 +120,9 @@
     /// Transactions of an owner's chain that the store does not take.
     ChainRefused = "chain.refused",
     /// Workers asked what they take for a task.
-    WorkersAsked = "workers.asked",
+    WorkersEvaluated = "workers.asked",
     /// Agents looked at by rounds of the dispatcher.
-    AgentsLookedAt = "agents.looked_at",
+    AgentsVisited = "agents.looked_at",
     /// Starts ordered from agents.
     StartsOrdered = "starts.ordered",
     /// Starts that a worker or its agent refused.
@@ -136,7 +136,7 @@
     /// Changes of pace ordered from a worker.
     PaceOrders = "pace.orders",
     /// Boots of workers that are gone, or whose leases have lapsed.
-    WorkersGone = "workers.gone",
+    WorkersEnded = "workers.gone",
     /// Runs that were on a worker when it ended or its leases lapsed.
     RunsLost = "runs.lost",
     /// Tasks that ended their workers and are not started again.
@@ -145,9 +145,9 @@
     WorkersQuarantined = "workers.quarantined",
 }
 
-const COUNTERS: usize = NAMES.len();
+const COUNTER_COUNT: usize = NAMES.len();
 
-static VALUES: [AtomicU64; COUNTERS] = [const { AtomicU64::new(0) }; COUNTERS];
+static VALUES: [AtomicU64; COUNTER_COUNT] = [const { AtomicU64::new(0) }; COUNTER_COUNT];
 
 /// Adds one.
 pub fn count(counter: Counter) {
--- a/crates/wax-trace/src/latency.rs
+++ b/crates/wax-trace/src/latency.rs
@@ -33,9 +33,9 @@
 }
 
 /// The longest time that is told apart, milliseconds.
-const MOST_MS: u64 = 120_000;
+const MAX_LATENCY_MS: u64 = 120_000;
 /// One significant digit keeps a histogram below two kilobytes.
-const DIGITS: u8 = 1;
+const SIGNIFICANT_DIGITS: u8 = 1;
 /// Quantiles that are shown.
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 1.0];
 
@@ -45,15 +45,15 @@
 }
 
 /// Notes how long a step took.
-pub fn note_latency(latency: Latency, took: Duration) {
+pub fn record_latency(latency: Latency, duration: Duration) {
     HISTOGRAMS.with_borrow_mut(|histograms| {
         let slot = &mut histograms[latency as usize];
         if slot.is_none() {
             // The bounds are constants that the library accepts.
-            *slot = Histogram::new_with_bounds(1, MOST_MS, DIGITS).ok();
+            *slot = Histogram::new_with_bounds(1, MAX_LATENCY_MS, SIGNIFICANT_DIGITS).ok();
         }
         if let Some(histogram) = slot {
-            histogram.saturating_record(took.as_millis() as u64);
+            histogram.saturating_record(duration.as_millis() as u64);
         }
     });
 }
--- a/crates/wax-trace/src/lib.rs
+++ b/crates/wax-trace/src/lib.rs
@@ -10,6 +10,6 @@
 pub use context::TraceContext;
 pub use counter::{Counter, count, count_many, counter_values};
 pub use exporter::MetricsExporter;
-pub use latency::{Latency, note_latency, render_latencies};
+pub use latency::{Latency, record_latency, render_latencies};
 pub use logs::{LogFormat, LogOutput, start_logs};
 pub use streak::FailureStreak;
--- a/crates/wax-trace/src/streak.rs
+++ b/crates/wax-trace/src/streak.rs
@@ -6,33 +6,33 @@
 /// Failures of one dependency in a row.
 #[derive(Debug)]
 pub struct FailureStreak {
-    what: &'static str,
+    dependency: &'static str,
     failures: Cell<u64>,
 }
 
 impl FailureStreak {
     /// Follows the dependency that `what` names.
-    pub const fn new(what: &'static str) -> Self {
+    pub const fn new(dependency: &'static str) -> Self {
         Self {
-            what,
+            dependency,
             failures: Cell::new(0),
         }
     }
 
     /// Notes a failure; the first of a row is logged.
-    pub fn fail(&self, error: &dyn Display) {
+    pub fn record_failure(&self, error: &dyn Display) {
         let failures = self.failures.get();
         self.failures.set(failures + 1);
         if failures == 0 {
-            tracing::warn!(what = self.what, %error, "dependency lost");
+            tracing::warn!(what = self.dependency, %error, "dependency lost");
         }
     }
 
     /// Notes a success; one after failures is logged with their count.
-    pub fn succeed(&self) {
+    pub fn record_success(&self) {
         let failures = self.failures.replace(0);
         if failures > 0 {
-            tracing::info!(what = self.what, failures, "dependency regained");
+            tracing::info!(what = self.dependency, failures, "dependency regained");
         }
     }
 }
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -17,7 +17,7 @@
 use wax_types::{ErrorKind, ProcessClock, ProcessIncarnation, SettingsVersion, Step, WaxError};
 
 /// Between two exports of the counters.
-const METRICS_PERIOD: Duration = Duration::from_secs(10);
+const METRICS_EXPORT_PERIOD: Duration = Duration::from_secs(10);
 
 pub(crate) async fn run(settings: DaemonSettings) -> Result<(), WaxError> {
     let Some(options) = settings.entry.clone() else {
@@ -41,8 +41,8 @@
     let table = TableClient::new(health.clone());
     let objects = ObjectClient::new(health.clone());
     let directory = WorkerDirectory::new(health);
-    let terms = settings.coordinator.clone().unwrap_or_default();
-    let members = member_handle(&settings, &addresses, &terms);
+    let coordinator_settings = settings.coordinator.clone().unwrap_or_default();
+    let members = member_handle(&settings, &addresses, &coordinator_settings);
     let writer = GroupWriter::start(table.clone());
     let shutdown = shutdown_signal();
     let tree = SettingsHolder::default();
@@ -67,7 +67,7 @@
         writer.clone(),
         objects.clone(),
         directory,
-        terms.shards,
+        coordinator_settings.shards,
     );
     let services = EntryServices {
         table: table.clone(),
@@ -81,17 +81,23 @@
         policy: RoutePolicy::default(),
     };
     let process = EntryProcess::new(&settings, &options, services, listeners);
-    let period = Duration::from_millis(terms.heartbeat_ms.into());
-    let gone = ShutdownSignal::default();
-    let membership = spawn(keep_membership(members, table, clock, period, gone.clone()));
-    let owner = coordinator.map(|coordinator| spawn(coordinator.run(shutdown.clone())));
+    let period = Duration::from_millis(coordinator_settings.heartbeat_ms.into());
+    let membership_shutdown = ShutdownSignal::default();
+    let membership = spawn(keep_membership(
+        members,
+        table,
+        clock,
+        period,
+        membership_shutdown.clone(),
+    ));
+    let coordinator_task = coordinator.map(|coordinator| spawn(coordinator.run(shutdown.clone())));
     println!("{}", addresses.ready_line());
     process.run(shutdown).await;
-    if let Some(owner) = owner {
+    if let Some(coordinator_task) = coordinator_task {
         // A handover that panicked leaves the shards to be taken when this process is gone.
-        let _ = owner.await;
+        let _ = coordinator_task.await;
     }
-    gone.raise();
+    membership_shutdown.raise();
     let _ = membership.await;
     Ok(())
 }
@@ -108,7 +114,7 @@
 fn member_handle(
     settings: &DaemonSettings,
     addresses: &ListenAddresses,
-    terms: &CoordinatorSettings,
+    coordinator_settings: &CoordinatorSettings,
 ) -> MemberHandle {
     let row = MemberRow {
         name: settings.name.clone(),
@@ -122,7 +128,10 @@
         leaving: false,
         settings: SettingsVersion::default(),
     };
-    MemberHandle::new(row, Duration::from_millis(terms.member_ttl_ms.into()))
+    MemberHandle::new(
+        row,
+        Duration::from_millis(coordinator_settings.member_ttl_ms.into()),
+    )
 }
 
 /// Where this entry listens, with the ports that were taken.
@@ -177,7 +186,7 @@
     })?;
     spawn(async move {
         loop {
-            sleep(METRICS_PERIOD).await;
+            sleep(METRICS_EXPORT_PERIOD).await;
             exporter.send();
         }
     })
--- a/src/main.rs
+++ b/src/main.rs
@@ -31,7 +31,7 @@
         }
         Ok(Command::Run(file)) => match DaemonSettings::read(&file) {
             Ok(settings) => run(settings, &file),
-            Err(error) => refuse(&error),
+            Err(error) => report_error(&error),
         },
         Err(error) => {
             eprintln!("waxwingd: {error}\n\n{}", args::USAGE);
@@ -40,7 +40,7 @@
     }
 }
 
-fn refuse(error: &WaxError) -> ExitCode {
+fn report_error(error: &WaxError) -> ExitCode {
     eprintln!("waxwingd: {error}");
     ExitCode::from(EXIT_USAGE)
 }
@@ -74,6 +74,6 @@
     });
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => refuse(&error),
+        Err(error) => report_error(&error),
     }
 }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use wax_http::{
-    HttpHandler, HttpReply, HttpRequest, HttpServer, ReplyBody, ShutdownSignal, bind_listener,
+    HttpHandler, HttpReply, HttpRequest, HttpServer, OutgoingBody, ShutdownSignal, bind_listener,
     empty_reply,
 };
 use wax_trace::{counter_values, render_latencies};
@@ -19,7 +19,7 @@
         if request.uri().path() != "/metrics" {
             return empty_reply(StatusCode::NOT_FOUND);
         }
-        let mut reply = Response::new(ReplyBody::whole(render()));
+        let mut reply = Response::new(OutgoingBody::full(render()));
         let plain = header::HeaderValue::from_static("text/plain; version=0.0.4");
         reply.headers_mut().insert(header::CONTENT_TYPE, plain);
         reply
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -20,9 +20,9 @@
 use wax_types::WaxError;
 
 /// Longest time for a look at the owner's row.
-const LOOK_LIMIT: Duration = Duration::from_millis(600);
+const OWNER_READ_TIMEOUT: Duration = Duration::from_millis(600);
 /// The settings file is looked at this often: it may change with or without SIGHUP.
-const SETTINGS_PERIOD: Duration = Duration::from_millis(1_000);
+const SETTINGS_POLL_PERIOD: Duration = Duration::from_millis(1_000);
 
 pub(crate) async fn run_front(settings: DaemonSettings, file: &Path) -> Result<(), WaxError> {
     serve_metrics(settings.pool.as_ref().and_then(|pool| pool.metrics))?;
@@ -35,7 +35,7 @@
     let pace_rules = Rc::new(Cell::new(settings.policy.pace));
     let changes = watch_settings(file);
     spawn(apply_changes(store.clone(), pace_rules.clone(), changes)).detach();
-    let directory = StoreDirectory(store);
+    let directory = StoreOwnerDirectory(store);
     wax_agent::run_agent(&settings, pace_rules, directory, shutdown_signal()).await
 }
 
@@ -55,16 +55,16 @@
 fn watch_settings(file: &Path) -> UnboundedReceiver<DaemonSettings> {
     ignore_hangup();
     let (sender, changes) = unbounded();
-    spawn(follow_file(file.to_owned(), sender)).detach();
+    spawn(poll_settings_file(file.to_owned(), sender)).detach();
     changes
 }
 
-async fn follow_file(path: PathBuf, sender: UnboundedSender<DaemonSettings>) {
-    let mut known = SettingsFile::read(&path).ok().map(|file| file.text);
+async fn poll_settings_file(path: PathBuf, sender: UnboundedSender<DaemonSettings>) {
+    let mut last_text = SettingsFile::read(&path).ok().map(|file| file.text);
     loop {
-        sleep(SETTINGS_PERIOD).await;
+        sleep(SETTINGS_POLL_PERIOD).await;
         let file = match SettingsFile::read(&path) {
-            Ok(file) if known.as_ref() != Some(&file.text) => file,
+            Ok(file) if last_text.as_ref() != Some(&file.text) => file,
             Ok(_) => continue,
             Err(error) => {
                 tracing::warn!(%error, "the settings file cannot be read");
@@ -79,16 +79,20 @@
             }
             Err(error) => tracing::error!(%error, "changed settings refused; those before stay"),
         }
-        known = Some(file.text);
+        last_text = Some(file.text);
     }
 }
 
 /// Finds the owner by its row in the store.
-struct StoreDirectory(Rc<StoreClient>);
+struct StoreOwnerDirectory(Rc<StoreClient>);
 
-impl OwnerDirectory for StoreDirectory {
+impl OwnerDirectory for StoreOwnerDirectory {
     async fn read(&self) -> Option<SocketAddr> {
-        let row = self.0.read_row(&owner_key(), LOOK_LIMIT).await.ok()??;
+        let row = self
+            .0
+            .read_row(&owner_key(), OWNER_READ_TIMEOUT)
+            .await
+            .ok()??;
         let owner = OwnerRow::decode(&*row.value).ok()?;
         owner.address.parse().ok()
     }
