--- a/crates/wax-http/src/body.rs
+++ b/crates/wax-http/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies that are whole from the start or arrive in parts.
+//! Bodies of outgoing requests and responses: complete in memory, or streamed in chunks.
 
 use bytes::Bytes;
 use futures_channel::mpsc::{UnboundedReceiver, UnboundedSender, unbounded};
@@ -7,16 +7,18 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// The body ended before it was whole; the connection is cut so that the receiver sees it.
+/// Error of a streamed body that ended early. hyper aborts the connection on this error, so that
+/// the receiver detects the truncation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display)]
 pub enum TruncatedBody {
-    /// the body was cut before its end
+    /// body truncated: the sender was dropped before the end of the body
     Truncated,
 }
 
 impl std::error::Error for TruncatedBody {}
 
-/// The sending side of a body in parts; dropping it without [`BodySender::finish`] cuts the body.
+/// Sending side of a streamed body. Dropping the sender without [`BodySender::finish`] truncates
+/// the body.
 #[derive(Debug)]
 pub struct BodySender {
     chunks: UnboundedSender<BodyChunk>,
@@ -29,50 +31,52 @@
 }
 
 impl BodySender {
-    /// Passes a part on; says whether the receiver still takes parts.
+    /// Queues a chunk. Returns whether the receiver still exists.
     pub fn send(&self, data: Bytes) -> bool {
         self.chunks.unbounded_send(BodyChunk::Data(data)).is_ok()
     }
 
-    /// Ends the body whole.
+    /// Marks the body as complete.
     pub fn finish(self) {
-        // A receiver that went away does not need the end.
+        // Sending fails only if the receiver was dropped, which then needs no end marker.
         let _ = self.chunks.unbounded_send(BodyChunk::End);
     }
 
-    /// Whether the receiver has gone away.
+    /// Returns whether the receiver was dropped.
     pub fn is_closed(&self) -> bool {
         self.chunks.is_closed()
     }
 }
 
-/// The body of a request that is sent or of an answer.
+/// Body of a request that the client sends or of a response that the server sends.
 pub enum OutgoingBody {
-    /// Whole; `None` once it was taken.
+    /// Complete body; `None` if the body is empty or has been read.
     Full(Option<Bytes>),
-    /// Arrives in parts.
+    /// Body that arrives in chunks.
     Streamed(StreamedBody),
 }
 
 impl std::fmt::Debug for OutgoingBody {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Full(bytes) => f.debug_tuple("Whole").field(bytes).finish(),
-            Self::Streamed(_) => f.write_str("Parts"),
+            Self::Full(bytes) => f.debug_tuple("Full").field(bytes).finish(),
+            Self::Streamed(_) => f.write_str("Streamed"),
         }
     }
 }
 
-/// A body in parts that tells how many bytes were taken.
+/// Receiving side of a streamed body. Reports the size of each chunk when hyper reads the chunk.
 pub struct StreamedBody {
     chunks: UnboundedReceiver<BodyChunk>,
     on_taken: Box<dyn FnMut(usize)>,
     ended: bool,
 }
 
-/// Makes a body in parts; `taken` is told of the bytes that the receiver has taken.
+/// Creates a streamed body and its sender. `on_taken` is called with the size of each chunk that
+/// the receiver reads.
 ///
-/// The queue has no bound of its own: the sender keeps it by the credit that `taken` gives.
+/// The queue between the two is unbounded. The caller must limit what it sends to the credit that
+/// `on_taken` returns to it.
 pub fn body_channel(on_taken: impl FnMut(usize) + 'static) -> (BodySender, OutgoingBody) {
     let (sender, chunks) = unbounded();
     let body = StreamedBody {
@@ -84,12 +88,12 @@
 }
 
 impl OutgoingBody {
-    /// A whole body.
+    /// Returns a complete body.
     pub fn full(bytes: impl Into<Bytes>) -> Self {
         Self::Full(Some(bytes.into()))
     }
 
-    /// No body.
+    /// Returns an empty body.
     pub fn empty() -> Self {
         Self::Full(None)
     }
--- a/crates/wax-http/src/client.rs
+++ b/crates/wax-http/src/client.rs
@@ -1,4 +1,5 @@
-//! Client connections that are counted, for an upstream with a bound on connections.
+//! HTTP/1.1 client connections. Open connections are counted, for upstreams that limit their
+//! number.
 
 use crate::body::OutgoingBody;
 use compio::net::TcpStream;
@@ -15,17 +16,18 @@
 use std::time::Duration;
 use wax_types::{ErrorKind, Step, WaxError};
 
-/// How many connections are open.
+/// Number of open client connections, shared by all clones.
 #[derive(Debug, Clone, Default)]
 pub struct ConnectionCount(Rc<Cell<usize>>);
 
 impl ConnectionCount {
-    /// The present count.
+    /// Returns the current number of open connections, including those being opened.
     pub fn get(&self) -> usize {
         self.0.get()
     }
 }
 
+/// Counts one connection until it is dropped.
 struct ConnectionGuard(ConnectionCount);
 
 impl ConnectionGuard {
@@ -48,11 +50,12 @@
 }
 
 impl ClientConnection {
-    /// Connects within `time_limit`; `count` falls again when the socket is closed.
+    /// Connects to a server within `time_limit`. The connection is counted in `count` until its
+    /// socket is closed.
     ///
     /// # Errors
     ///
-    /// `Unavailable`: the server cannot be reached; nothing was sent.
+    /// `Unavailable` if the server cannot be reached in time. No request was sent.
     pub async fn open(
         address: SocketAddr,
         time_limit: Duration,
@@ -72,7 +75,7 @@
             .await
             .map_err(|error| unreachable(&error))?;
         spawn(async move {
-            // A broken connection shows at its sender.
+            // Errors of the connection are returned to the caller by the sender.
             let _ = connection.await;
             drop(guard);
         })
@@ -80,21 +83,23 @@
         Ok(Self { sender })
     }
 
-    /// Whether the connection can take a request now.
+    /// Returns whether the connection can accept a request immediately.
     pub fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Waits until the connection can take a request; says whether it still lives.
+    /// Waits until the connection can accept a request. Returns `false` if the connection was
+    /// closed.
     pub async fn ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
-    /// Sends a request; gives it back where nothing of it was sent.
+    /// Sends a request and returns the response. On an error, returns the request if none of it was
+    /// sent.
     ///
     /// # Errors
     ///
-    /// The connection broke; without the request, the server may have taken it.
+    /// The connection failed. If the request is not returned, the server may have received it.
     pub async fn try_send(
         &mut self,
         request: Request<OutgoingBody>,
@@ -108,11 +113,11 @@
         }
     }
 
-    /// Sends a request.
+    /// Sends a request and returns the response.
     ///
     /// # Errors
     ///
-    /// The connection broke; the server may have taken the request.
+    /// The connection failed; the server may have received the request.
     pub async fn send(
         &mut self,
         request: Request<OutgoingBody>,
--- a/crates/wax-http/src/lib.rs
+++ b/crates/wax-http/src/lib.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 server and client connections on compio, by hyper.
+//! HTTP/1.1 server and client connections with hyper on the compio runtime.
 
 mod body;
 mod client;
@@ -15,5 +15,5 @@
 /// A request as the server receives it.
 pub type HttpRequest = http::Request<hyper::body::Incoming>;
 
-/// An answer that the server sends.
+/// A response as the server sends it.
 pub type HttpReply = http::Response<OutgoingBody>;
--- a/crates/wax-http/src/reply.rs
+++ b/crates/wax-http/src/reply.rs
@@ -1,4 +1,4 @@
-//! Builds answers and reads bodies.
+//! Builds responses and reads request bodies.
 
 use crate::body::OutgoingBody;
 use crate::{HttpReply, HttpRequest};
@@ -9,14 +9,14 @@
 use serde::de::DeserializeOwned;
 use wax_types::{ErrorKind, Step, WaxError};
 
-/// An answer without a body.
+/// Builds a response without a body.
 pub fn empty_reply(status: StatusCode) -> HttpReply {
     let mut reply = Response::new(OutgoingBody::empty());
     *reply.status_mut() = status;
     reply
 }
 
-/// An answer with a JSON body.
+/// Builds a response with a JSON body.
 pub fn json_reply<T: Serialize>(status: StatusCode, body: &T) -> HttpReply {
     let bytes = serde_json::to_vec(body).unwrap_or_default();
     let mut reply = Response::new(OutgoingBody::full(bytes));
@@ -34,7 +34,8 @@
     help: &'a str,
 }
 
-/// An answer for an error: its status, its text, and when to come back.
+/// Builds the response for an error: status, description as JSON, and, if the error allows a retry,
+/// the delay before the retry in the headers `retry-after` (seconds) and `waxwing-retry-after-ms`.
 pub fn error_reply(error: &WaxError) -> HttpReply {
     let status = match error.kind {
         ErrorKind::Invalid => StatusCode::BAD_REQUEST,
@@ -61,11 +62,12 @@
     reply
 }
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads the complete body of a request, at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// `Invalid` if it is longer; `Protocol` if it was cut.
+/// `Invalid` if the body is longer than `limit`; `Protocol` if the connection failed before its
+/// end.
 pub async fn collect_body(request: HttpRequest, limit: usize) -> Result<Bytes, WaxError> {
     match Limited::new(request.into_body(), limit).collect().await {
         Ok(body) => Ok(body.to_bytes()),
@@ -85,11 +87,12 @@
     }
 }
 
-/// Reads a JSON body of at most `limit` bytes.
+/// Reads and decodes a JSON body of at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// As for [`collect_body`]; `Invalid` if it is not the expected JSON.
+/// The same as for [`collect_body`], and `Invalid` if the body is not JSON of the expected
+/// structure.
 pub async fn parse_json<T: DeserializeOwned>(
     request: HttpRequest,
     limit: usize,
--- a/crates/wax-http/src/server.rs
+++ b/crates/wax-http/src/server.rs
@@ -1,4 +1,4 @@
-//! Accepts connections and serves requests until shutdown; cuts off no request in progress.
+//! HTTP/1.1 server. On shutdown, the server closes its listener and finishes requests in progress.
 
 use crate::shutdown::ShutdownSignal;
 use crate::{HttpReply, HttpRequest};
@@ -19,27 +19,30 @@
 use std::time::Duration;
 use wax_types::{ErrorKind, Step, WaxError};
 
-/// A caller that sends no whole header for this long is cut off.
+/// Time within which a client must send the complete request header; otherwise the connection is
+/// closed.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
-/// The longest header accepted, in bytes.
+/// Maximum size of a request header.
 const MAX_HEADER_BYTES: usize = 32 << 10;
-/// After a failed accept, such as for want of file descriptors.
+/// Delay after a failed accept. Accepting fails repeatedly while the process is out of file
+/// descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Connections that may wait to be accepted: the system's own bound, unless it is set higher.
+/// Maximum number of connections that wait to be accepted; equals the default limit of Linux
+/// (`net.core.somaxconn`), which caps higher values.
 const ACCEPT_BACKLOG: i32 = 4_096;
 
-/// Answers requests of one server.
+/// Handles the requests of one server.
 pub trait HttpHandler: 'static {
-    /// Answers one request.
+    /// Handles one request and returns the response. Errors are returned as responses as well.
     fn handle(&self, request: HttpRequest) -> impl Future<Output = HttpReply>;
 }
 
-/// Binds a listener; port 0 takes a free one.
+/// Binds a listener. Port 0 selects a free port.
 ///
 /// # Errors
 ///
-/// The address is not ours or is in use.
+/// `Invalid` if the address does not belong to this VM or is in use.
 pub fn bind_listener(address: SocketAddr) -> Result<TcpListener, WaxError> {
     open_listener(address).map_err(|error: io::Error| {
         WaxError::new(ErrorKind::Invalid, Step::Listen, address.to_string(), error)
@@ -47,7 +50,8 @@
     })
 }
 
-/// With the standard library's backlog of 128, most of a large pool is turned away when it links at once.
+/// Opens a listening socket with a backlog of [`ACCEPT_BACKLOG`]. The standard library uses a
+/// backlog of 128, which overflows when all processes of a large pool connect at the same time.
 fn open_listener(address: SocketAddr) -> io::Result<TcpListener> {
     let family = match address {
         SocketAddr::V4(_) => AddressFamily::INET,
@@ -61,7 +65,7 @@
     TcpListener::from_std(StdListener::from(socket))
 }
 
-/// Counts the open connections of a server.
+/// Number of open connections of a server, now and at most.
 #[derive(Debug, Default)]
 pub struct OpenConnections {
     open: Cell<usize>,
@@ -70,13 +74,13 @@
 }
 
 impl OpenConnections {
-    /// The most that were open at once.
+    /// Returns the highest number of connections that were open at the same time.
     pub fn max_open(&self) -> usize {
         self.max_open.get()
     }
 }
 
-/// One more open connection until it is dropped.
+/// Counts one open connection until it is dropped.
 struct OpenConnectionGuard(Rc<OpenConnections>);
 
 impl OpenConnectionGuard {
@@ -105,7 +109,7 @@
 }
 
 impl<H: HttpHandler> HttpServer<H> {
-    /// Prepares a server.
+    /// Creates a server that passes requests to `handler` until `shutdown` is raised.
     pub fn new(listener: TcpListener, handler: Rc<H>, shutdown: ShutdownSignal) -> Self {
         Self {
             listener,
@@ -115,12 +119,13 @@
         }
     }
 
-    /// The count of connections, which outlives the server.
+    /// Returns the connection count, which remains readable after the server has ended.
     pub fn open_connections(&self) -> Rc<OpenConnections> {
         self.connections.clone()
     }
 
-    /// Serves until shutdown, then until every connection has finished its request.
+    /// Accepts connections until shutdown, then waits until every connection has finished its
+    /// request.
     pub async fn run(self) {
         loop {
             let accept = pin!(self.listener.accept());
@@ -141,7 +146,7 @@
     }
 
     fn start_connection(&self, stream: TcpStream) {
-        // Without it, small answers may wait for the peer's delayed acknowledgement.
+        // Without TCP_NODELAY, small responses may wait for the peer's delayed acknowledgement.
         let _ = stream.set_nodelay(true);
         let guard = OpenConnectionGuard::new(&self.connections);
         let handler = self.handler.clone();
@@ -175,7 +180,7 @@
     };
     if !finished {
         connection.as_mut().graceful_shutdown();
-        // The peer's errors concern only this connection.
+        // An error affects only this connection.
         let _ = connection.await;
     }
 }
--- a/crates/wax-http/src/shutdown.rs
+++ b/crates/wax-http/src/shutdown.rs
@@ -1,10 +1,10 @@
-//! A signal that is raised once and that many tasks wait for.
+//! Signal that is raised once and that any number of async tasks can wait for.
 
 use event_listener::Event;
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Raised once; every waiter sees it, also one that comes later.
+/// One-time signal, shared by all clones. Waiting on a raised signal returns immediately.
 #[derive(Debug, Clone, Default)]
 pub struct ShutdownSignal {
     shared: Rc<SignalShared>,
@@ -17,18 +17,18 @@
 }
 
 impl ShutdownSignal {
-    /// Raises the signal.
+    /// Raises the signal and wakes all waiters.
     pub fn raise(&self) {
         self.shared.raised.set(true);
         self.shared.event.notify(usize::MAX);
     }
 
-    /// Whether it was raised.
+    /// Returns whether the signal has been raised.
     pub fn is_raised(&self) -> bool {
         self.shared.raised.get()
     }
 
-    /// Waits until it is raised.
+    /// Waits until the signal is raised.
     pub async fn wait(&self) {
         while !self.is_raised() {
             let listener = self.shared.event.listen();
--- a/crates/wax-ledger/src/entry.rs
+++ b/crates/wax-ledger/src/entry.rs
@@ -1,22 +1,22 @@
-//! One entry: one interval of one run.
+//! Ledger entry: the usage of one run during one interval.
 
 use serde::{Deserialize, Serialize};
 use wax_platform::UsageReport;
 use wax_types::{TaskEpoch, TaskId};
 
-/// An amount of use.
+/// Amount of resources used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct UsageAmount {
-    /// Thousandths of core seconds.
+    /// Processor time, thousandths of a core second.
     pub cpu_milli_seconds: u64,
-    /// Mebibyte seconds.
+    /// Memory, mebibyte seconds.
     pub memory_mib_seconds: u64,
-    /// Accelerator milliseconds.
+    /// Accelerator time, milliseconds.
     pub accelerator_ms: u64,
 }
 
 impl UsageAmount {
-    /// Adds another amount.
+    /// Adds another amount to this one.
     pub fn add(&mut self, other: Self) {
         self.cpu_milli_seconds += other.cpu_milli_seconds;
         self.memory_mib_seconds += other.memory_mib_seconds;
@@ -24,41 +24,41 @@
     }
 }
 
-/// Names an interval; a second entry with the same key changes nothing.
+/// Identifies one interval of one run. Of several entries with the same key only the first counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct UsageKey {
-    /// The task.
+    /// Task of the run.
     pub task: TaskId,
-    /// Its placement.
+    /// Epoch of the task's placement.
     pub epoch: TaskEpoch,
-    /// The worker's start during which it ran.
+    /// Boot of the worker on which the task ran.
     pub boot: u64,
-    /// The position of the interval in the run.
+    /// Number of the interval within the run, starting at 0.
     pub interval: u32,
 }
 
 /// One entry of the ledger.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerEntry {
-    /// The interval.
+    /// Interval that the entry covers.
     #[serde(flatten)]
     pub key: UsageKey,
-    /// The team that is charged.
+    /// Team that is charged.
     pub team: Box<str>,
-    /// The service of the job.
+    /// Service to which the job belongs.
     pub service: Box<str>,
-    /// The job kind.
+    /// Kind of the job.
     pub kind: Box<str>,
     /// Start of the interval, Unix milliseconds.
     pub start_ms: u64,
     /// Length of the interval, milliseconds.
     pub length_ms: u32,
-    /// What was used.
+    /// Resources used during the interval.
     pub amount: UsageAmount,
 }
 
 impl LedgerEntry {
-    /// Builds an entry from a worker's report.
+    /// Builds an entry from a worker's usage report.
     pub fn from_report(report: &UsageReport, team: &str, service: &str, kind: &str) -> Self {
         Self {
             key: UsageKey {
--- a/crates/wax-ledger/src/lib.rs
+++ b/crates/wax-ledger/src/lib.rs
@@ -1,4 +1,5 @@
-//! The ledger: what each run used, in immutable segments of the object store.
+//! The ledger: resource usage of all runs for billing, stored in immutable segments in the object
+//! store.
 
 mod entry;
 mod segment;
--- a/crates/wax-ledger/src/segment.rs
+++ b/crates/wax-ledger/src/segment.rs
@@ -1,32 +1,33 @@
-//! Segments: objects that are created once and hold many entries.
+//! Segments of the ledger: objects that are written once and hold many entries.
 
 use crate::entry::LedgerEntry;
 use wax_platform::{ObjectClient, PutOutcome};
 use wax_types::{ErrorKind, ShardId, Step, WaxError};
 
-/// All segments start with it.
+/// Prefix of the object names of all segments.
 pub const LEDGER_PREFIX: &str = "ledger/";
 
 const DAY_MS: u64 = 86_400_000;
 
-/// Days since the Unix epoch, UTC.
+/// Returns the number of days from the Unix epoch to `at_ms` (Unix milliseconds), in UTC.
 pub fn day_number(at_ms: u64) -> u64 {
     at_ms / DAY_MS
 }
 
-/// The name of a segment; `nonce` makes it unique.
+/// Returns the object name of a segment. `nonce` makes the name unique within the day and shard.
 pub fn segment_key(day: u64, shard: ShardId, nonce: u64) -> String {
     format!("{LEDGER_PREFIX}{day:06}/{:04}-{nonce:016x}", shard.0)
 }
 
 /// Writes entries as one segment of the day `day`.
 ///
-/// The day is that of writing: late entries go to a later day and leave a closed day as it is.
+/// `day` is the day of the write, not of the usage. Late entries thus go to a later day, and past
+/// days do not change.
 ///
 /// # Errors
 ///
-/// The store does not answer. The same entries may be written again, under another name: entries
-/// are told apart by their keys.
+/// The store does not answer; the segment may have been written. The caller may write the same
+/// entries again under another name, since [`crate::UsageSum`] counts each entry key once.
 pub async fn write_segment(
     objects: &ObjectClient,
     day: u64,
@@ -38,7 +39,8 @@
     match objects.create(&key, bytes).await? {
         PutOutcome::Created => Ok(()),
         PutOutcome::Existed => {
-            // The name is drawn at random: it can only be this call's own, its reply lost.
+            // The name contains a random nonce, so an existing object was written by this call,
+            // whose first reply was lost.
             Ok(())
         }
     }
@@ -48,7 +50,7 @@
 ///
 /// # Errors
 ///
-/// The store does not answer, or a segment cannot be read.
+/// The store does not answer, or a segment cannot be decoded.
 pub async fn read_days(
     objects: &ObjectClient,
     from: u64,
--- a/crates/wax-ledger/src/sum.rs
+++ b/crates/wax-ledger/src/sum.rs
@@ -1,25 +1,25 @@
-//! Sums of the ledger, by team and by task.
+//! Sums of ledger entries by team, service and job kind, and by task.
 
 use crate::entry::{LedgerEntry, UsageAmount, UsageKey};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashSet};
 use wax_types::TaskId;
 
-/// What one team used for one job kind.
+/// Usage of one team for one job kind.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageRow {
-    /// The team.
+    /// Team that is charged.
     pub team: Box<str>,
-    /// The service.
+    /// Service to which the jobs belong.
     pub service: Box<str>,
-    /// The job kind.
+    /// Kind of the jobs.
     pub kind: Box<str>,
-    /// The amount.
+    /// Total amount of resources used.
     #[serde(flatten)]
     pub amount: UsageAmount,
 }
 
-/// What a row of the bill is about.
+/// Grouping key of [`UsageRow`].
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct ChargeKey {
     team: Box<str>,
@@ -27,7 +27,7 @@
     kind: Box<str>,
 }
 
-/// Adds entries up; an interval counts once, however often it is reported.
+/// Sums entries. Each interval counts once, even if several entries report it.
 #[derive(Debug, Clone, Default)]
 pub struct UsageSum {
     seen: HashSet<UsageKey>,
@@ -37,7 +37,7 @@
 }
 
 impl UsageSum {
-    /// Adds an entry unless its interval was added before.
+    /// Adds an entry unless an entry for the same interval was added before.
     pub fn add(&mut self, entry: &LedgerEntry) {
         if !self.seen.insert(entry.key) {
             self.repeated += 1;
@@ -55,7 +55,7 @@
             .add(entry.amount);
     }
 
-    /// The sums by team, service and kind.
+    /// Returns the sums by team, service and job kind.
     pub fn rows(&self) -> Vec<UsageRow> {
         self.by_kind
             .iter()
@@ -68,12 +68,13 @@
             .collect()
     }
 
-    /// The sums by task.
+    /// Returns the sums by task.
     pub fn tasks(&self) -> &BTreeMap<TaskId, UsageAmount> {
         &self.by_task
     }
 
-    /// How many entries repeated an interval.
+    /// Returns the number of entries that were ignored because their interval had been added
+    /// before.
     pub fn repeated(&self) -> u64 {
         self.repeated
     }
--- a/crates/wax-ledger/tests/sums.rs
+++ b/crates/wax-ledger/tests/sums.rs
@@ -1,4 +1,5 @@
-//! The sums do not depend on the order of entries, nor on how often one is written.
+//! The sums must not depend on the order of entries or on how often an entry is written. Entries
+//! are repeated and reordered when a write is retried after a lost reply.
 
 use proptest::prelude::*;
 use wax_ledger::{LedgerEntry, UsageAmount, UsageKey, UsageSum};
--- a/crates/wax-settings/src/daemon.rs
+++ b/crates/wax-settings/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The settings file of one daemon: who it is and where its peers are.
+//! Settings file of one daemon: its role, name, addresses and limits.
 
 use crate::files::{SettingsFile, parse_yaml};
 use crate::policy::PolicySettings;
@@ -8,129 +8,133 @@
 use std::path::Path;
 use wax_types::WaxError;
 
-/// What a daemon does.
+/// Role of a daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ProcessRole {
-    /// Takes requests of callers and operators, routes them, and may own shards.
+    /// Accepts requests from callers and operators, routes them to upstreams, and may own shards.
     Entry,
-    /// Stands beside one upstream.
+    /// Runs next to one upstream and limits the requests that it executes concurrently.
     Sidecar,
-    /// Takes jobs of callers into queues, and may own a shard of them.
+    /// Accepts jobs from callers into queues, and may own a shard of the pool.
     Front,
-    /// Stands beside one worker and carries out orders of the owner of its shard.
+    /// Runs on the VM of one worker and carries out the orders of the owner of its shard.
     Agent,
 }
 
-/// The whole file.
+/// Content of the settings file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DaemonSettings {
-    /// What the daemon does.
+    /// Role of the daemon; decides which of the optional sections are required.
     pub role: ProcessRole,
-    /// Its name, unique among the processes of the system.
+    /// Name of the daemon, unique among the processes of the system.
     pub name: Box<str>,
-    /// Its region.
+    /// Region in which the daemon runs.
     pub region: Box<str>,
-    /// Its failure domain.
+    /// Failure domain in which the daemon runs.
     pub failure_domain: Box<str>,
-    /// The platform's services.
+    /// Address of the platform's services and limits on calls to them.
     pub platform: PlatformSettings,
-    /// Needed for the role `entry`.
+    /// Required for the role `entry`.
     pub entry: Option<EntrySettings>,
-    /// Needed for the role `sidecar`.
+    /// Required for the role `sidecar`.
     pub sidecar: Option<SidecarSettings>,
-    /// Whether and how this daemon owns shards; absent means that it does not.
+    /// Settings of shard ownership; `None` if this daemon owns no shards.
     pub coordinator: Option<CoordinatorSettings>,
-    /// Needed for the roles `front` and `agent`.
+    /// Required for the roles `front` and `agent`.
     pub pool: Option<PoolSettings>,
-    /// Limits and weights of the pool's decisions.
+    /// Rules of placement and pacing in the pool.
     #[serde(default)]
     pub policy: PolicySettings,
-    /// Log lines, metrics and traces.
+    /// Settings of logs, metrics and traces.
     #[serde(default)]
     pub logs: LogSettings,
 }
 
-/// Where the platform is and how it is called.
+/// Address of the platform and limits on calls to it.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// Address of the table service, object store and list of workers.
+    /// Address of the table service, the object store and the worker list.
     pub address: SocketAddr,
-    /// Longest time for one call, milliseconds.
+    /// Timeout for one call, milliseconds.
     #[serde(default = "defaults::call_ms")]
     pub call_ms: u32,
-    /// Calls under way at once.
+    /// Maximum number of concurrent calls.
     #[serde(default = "defaults::concurrency")]
     pub concurrency: u32,
 }
 
-/// Settings of an entry.
+/// Settings of the role `entry`.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntrySettings {
-    /// Where callers connect.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Where operators connect.
+    /// Listen address for operators.
     pub operators: SocketAddr,
-    /// Where sidecars connect; must be reachable under this address.
+    /// Listen address for sidecars; sidecars must be able to reach this address.
     pub peers: SocketAddr,
-    /// Requests of callers under way at once.
+    /// Maximum number of concurrent caller requests.
     #[serde(default = "defaults::max_requests")]
     pub max_requests: u32,
-    /// The version of the settings tree is read from the table this often, milliseconds.
+    /// Interval at which the version of the settings tree is read from the table, milliseconds.
     #[serde(default = "defaults::settings_poll_ms")]
     pub settings_poll_ms: u32,
 }
 
-/// Settings of a sidecar.
+/// Settings of the role `sidecar`.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SidecarSettings {
-    /// The service that the upstream serves.
+    /// Service that the upstream provides.
     pub service: Box<str>,
-    /// The upstream's HTTP address.
+    /// HTTP address of the upstream.
     pub upstream: SocketAddr,
-    /// Some entries' peer addresses; the others are learned from them.
+    /// Peer addresses of at least one entry; the sidecar learns the addresses of the others from
+    /// it.
     pub entries: Vec<SocketAddr>,
-    /// Requests that the upstream runs at once.
+    /// Maximum number of requests that the upstream executes concurrently.
     #[serde(default = "defaults::slots")]
     pub slots: u32,
-    /// Connections that the upstream accepts.
+    /// Maximum number of connections to the upstream; at least `slots`.
     #[serde(default = "defaults::connections")]
     pub connections: u32,
-    /// Requests that may wait for a slot.
+    /// Maximum number of requests that wait for a slot.
     #[serde(default = "defaults::queue")]
     pub queue: u32,
-    /// Longest time without an answer from the upstream before its connection is given up, milliseconds.
+    /// Time without an answer from the upstream after which the connection is closed, milliseconds.
     #[serde(default = "defaults::answer_ms")]
     pub answer_ms: u32,
-    /// Longest drain after a stop is asked for, milliseconds.
+    /// Maximum time to finish accepted requests after a stop signal, milliseconds.
     #[serde(default = "defaults::drain_ms")]
     pub drain_ms: u32,
 }
 
-/// Settings of the part that owns shards.
+/// Settings of shard ownership.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CoordinatorSettings {
-    /// Into how many shards workers and jobs are cut; the same everywhere and never changed.
+    /// Number of shards over which workers and jobs are divided. Must be equal in all processes and
+    /// must never change.
     #[serde(default = "defaults::shards")]
     pub shards: u16,
-    /// The membership row is renewed this often, milliseconds.
+    /// Interval between two writes of the membership row, milliseconds.
     #[serde(default = "defaults::heartbeat_ms")]
     pub heartbeat_ms: u32,
-    /// A member whose row stands still for this long is taken for dead, milliseconds.
+    /// Time without a change of its membership row after which a member is considered dead,
+    /// milliseconds.
     #[serde(default = "defaults::member_ttl_ms")]
     pub member_ttl_ms: u32,
-    /// Term of a lease at a worker, milliseconds.
+    /// Duration of a lease on a worker, milliseconds.
     #[serde(default = "defaults::lease_ms")]
     pub lease_ms: u32,
-    /// Leases are renewed this often, milliseconds.
+    /// Interval between two lease renewals, milliseconds.
     #[serde(default = "defaults::renew_ms")]
     pub renew_ms: u32,
-    /// Leases are renewed for this long after the last confirmed contact with the store, milliseconds.
+    /// Time after the last confirmed contact with the store during which leases are still renewed,
+    /// milliseconds.
     #[serde(default = "defaults::grace_ms")]
     pub grace_ms: u32,
 }
@@ -148,19 +152,19 @@
     }
 }
 
-/// Log lines, metrics and traces.
+/// Settings of logs, metrics and traces.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// One JSON object a line instead of text.
+    /// Whether log lines are JSON objects instead of plain text.
     pub json: bool,
-    /// Log lines go to standard output instead of standard error.
+    /// Whether log lines go to standard output instead of standard error.
     pub stdout: bool,
-    /// Filter directive.
+    /// Filter directive of `tracing-subscriber`, such as `info` or `wax_tasks=debug`.
     pub filter: Box<str>,
-    /// One in this many requests without a `traceparent` is traced; 0 for none.
+    /// One in this many requests without a `traceparent` header is traced; 0 disables such traces.
     pub trace_one_in: u32,
-    /// StatsD address for the counters.
+    /// StatsD address to which the counters are sent; `None` to send none.
     pub metrics: Option<SocketAddr>,
 }
 
@@ -224,7 +228,7 @@
     }
 }
 
-/// A number in the file and the bounds that it must keep.
+/// Value of a key in the file with its inclusive bounds.
 pub(crate) struct BoundCheck {
     key: &'static str,
     value: u64,
@@ -242,20 +246,21 @@
 }
 
 impl DaemonSettings {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// The file is missing, is not YAML of this shape, or breaks a bound.
+    /// The file cannot be read, is not YAML of this structure, lacks a required section, or has a
+    /// value out of its bounds.
     pub fn read(path: &Path) -> Result<Self, WaxError> {
         Self::parse(&SettingsFile::read(path)?)
     }
 
-    /// Decodes and checks the text of a file.
+    /// Decodes and validates the text of a settings file.
     ///
     /// # Errors
     ///
-    /// As for [`DaemonSettings::read`], but for the missing file.
+    /// The same as for [`DaemonSettings::read`], except for a file that cannot be read.
     pub fn parse(file: &SettingsFile) -> Result<Self, WaxError> {
         let settings: Self = parse_yaml(file)?;
         settings.check_sections(file)?;
--- a/crates/wax-settings/src/files.rs
+++ b/crates/wax-settings/src/files.rs
@@ -1,24 +1,24 @@
-//! Reads YAML files with errors that name the file, the line and the key.
+//! Reads YAML files. Errors name the file, the line and the key.
 
 use serde::de::DeserializeOwned;
 use std::path::Path;
 use wax_types::{ErrorKind, Step, WaxError};
 
-/// The text of a settings file, kept to find the line of a key.
+/// Name and text of a settings file. The text is kept to find the line of a key for error messages.
 #[derive(Debug, Clone)]
 pub struct SettingsFile {
-    /// The file's name for messages.
+    /// Path of the file as error messages show it.
     pub name: Box<str>,
-    /// Its whole text.
+    /// Content of the file.
     pub text: Box<str>,
 }
 
 impl SettingsFile {
-    /// Reads a file.
+    /// Reads a file as UTF-8 text.
     ///
     /// # Errors
     ///
-    /// The file cannot be read.
+    /// `Invalid` if the file cannot be read or is not UTF-8.
     pub fn read(path: &Path) -> Result<Self, WaxError> {
         let name: Box<str> = path.display().to_string().into();
         match std::fs::read_to_string(path) {
@@ -33,7 +33,8 @@
         }
     }
 
-    /// An error about `key`, with the line where the key first stands.
+    /// Builds an error about `key` that names the first line in which the last segment of the key
+    /// occurs.
     pub fn key_error(&self, key: &str, label: impl std::fmt::Display, help: &str) -> WaxError {
         let last_segment = key.rsplit('.').next().unwrap_or(key);
         let line = self
@@ -58,7 +59,8 @@
 ///
 /// # Errors
 ///
-/// The text is not YAML of the expected shape; the error names the line and the column.
+/// `Invalid` if the text is not YAML of the expected structure; the error names the line and the
+/// column.
 pub fn parse_yaml<T: DeserializeOwned>(file: &SettingsFile) -> Result<T, WaxError> {
     serde_saphyr::from_str(&file.text).map_err(|error| {
         let location = match error.location() {
--- a/crates/wax-settings/src/holder.rs
+++ b/crates/wax-settings/src/holder.rs
@@ -1,41 +1,41 @@
-//! The version of the settings tree that a process applies.
+//! Holds the version of the settings tree that is in force in this process.
 
 use crate::tree::{SettingsTree, TreeDelta};
 use std::cell::RefCell;
 use std::rc::Rc;
 use wax_types::SettingsVersion;
 
-/// What became of a version that arrived.
+/// Result of applying a received version of the settings tree.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// It is in force now.
+    /// The received version is in force now.
     Applied(SettingsVersion),
-    /// A version as great or greater is in force.
+    /// The received version is not newer than the version in force; nothing changed.
     Stale,
-    /// A version between is missing; the whole tree is needed.
+    /// The delta skips at least one version; the process needs the complete tree. Nothing changed.
     Gap,
-    /// It cannot be read; what was in force stays.
+    /// The received bytes cannot be decoded, for the reason given; nothing changed.
     Unreadable(Box<str>),
 }
 
-/// Holds the tree in force; only a greater version replaces it.
+/// Settings tree in force, shared by all clones. Only a higher version replaces the tree.
 #[derive(Debug, Clone, Default)]
 pub struct SettingsHolder {
     tree: Rc<RefCell<Rc<SettingsTree>>>,
 }
 
 impl SettingsHolder {
-    /// The tree in force.
+    /// Returns the tree in force.
     pub fn tree(&self) -> Rc<SettingsTree> {
         self.tree.borrow().clone()
     }
 
-    /// The version in force; 0 if none was applied yet.
+    /// Returns the version in force; 0 if no version has been applied yet.
     pub fn version(&self) -> SettingsVersion {
         self.tree.borrow().version
     }
 
-    /// Applies a tree if its version is greater.
+    /// Replaces the tree in force if the version of `tree` is higher.
     pub fn apply(&self, tree: SettingsTree) -> ApplyOutcome {
         let version = tree.version;
         if version <= self.version() {
@@ -45,7 +45,7 @@
         ApplyOutcome::Applied(version)
     }
 
-    /// Applies a delta if it makes the next version.
+    /// Applies a delta if its version directly follows the version in force.
     pub fn apply_delta(&self, delta: &TreeDelta) -> ApplyOutcome {
         let version = self.version();
         if delta.version <= version {
@@ -58,7 +58,7 @@
         self.apply(tree)
     }
 
-    /// Decodes and applies a delta that a peer sent.
+    /// Decodes a delta that a peer sent as JSON and applies it.
     pub fn apply_delta_json(&self, bytes: &[u8]) -> ApplyOutcome {
         match serde_json::from_slice::<TreeDelta>(bytes) {
             Ok(delta) => self.apply_delta(&delta),
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Decodes and applies a tree that a peer sent.
+    /// Decodes a tree that a peer sent as JSON and applies it.
     pub fn apply_json(&self, bytes: &[u8]) -> ApplyOutcome {
         match serde_json::from_slice::<SettingsTree>(bytes) {
             Ok(tree) => self.apply(tree),
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The tree in force as JSON, for peers.
+    /// Encodes the tree in force as JSON for peers.
     pub fn to_json(&self) -> Vec<u8> {
         serde_json::to_vec(&*self.tree()).unwrap_or_default()
     }
--- a/crates/wax-settings/src/lib.rs
+++ b/crates/wax-settings/src/lib.rs
@@ -1,4 +1,5 @@
-//! The daemon's settings file and the settings tree.
+//! Settings of a process (its YAML file) and of the whole system (the settings tree, which
+//! operators change at run time).
 
 mod daemon;
 mod files;
--- a/crates/wax-settings/src/node.rs
+++ b/crates/wax-settings/src/node.rs
@@ -1,22 +1,23 @@
-//! The settings of one node of the tree: each is inherited unless it is overridden.
+//! Settings of one node of the settings tree. A node inherits each value from its parent unless it
+//! overrides the value.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// How urgent the tasks of a job kind are.
+/// Scheduling class of the tasks of a job kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize, Default)]
 #[serde(rename_all = "kebab-case")]
 pub enum TaskClass {
-    /// Must start at once; may evict batch tasks.
+    /// Must start immediately; may evict batch tasks.
     LatencyCritical,
-    /// Runs when there is room.
+    /// Starts when capacity is free.
     #[default]
     Batch,
 }
 
 macro_rules! node_settings {
     ($($(#[$doc:meta])* $key:ident: $kind:ty = $default:expr, $min:expr, $max:expr;)*) => {
-        /// What a node overrides.
+        /// Values that one node overrides; `None` for inherited values.
         #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
         #[serde(deny_unknown_fields)]
         pub struct NodeSettings {
@@ -30,17 +31,17 @@
         /// Name, default and bounds of each key.
         #[derive(Debug, Clone, PartialEq)]
         pub struct KeyInfo {
-            /// Its name.
+            /// Name of the key in the settings tree.
             pub key: &'static str,
-            /// Its value where no level sets it.
+            /// Value that applies if no node from the root down sets the key.
             pub default: Value,
-            /// The least that is accepted; `None` where the value is no number.
+            /// Lower bound, inclusive; `None` if the value is not a number.
             pub min: Option<u64>,
-            /// The most that is accepted.
+            /// Upper bound, inclusive; `None` if the value is not a number.
             pub max: Option<u64>,
         }
 
-        /// Every key, in the order of declaration.
+        /// Returns all keys in the order of their declaration.
         pub fn key_table() -> Vec<KeyInfo> {
             vec![$(KeyInfo {
                 key: stringify!($key),
@@ -50,7 +51,7 @@
             }),*]
         }
 
-        /// The values in force at a node.
+        /// Values in force at one node, with inherited values and defaults filled in.
         #[derive(Debug, Clone, PartialEq, Serialize)]
         pub struct ResolvedSettings {
             $($(#[$doc])* pub $key: $kind,)*
@@ -75,41 +76,41 @@
 }
 
 node_settings! {
-    /// Deadline of a quick request that names none, milliseconds.
+    /// Deadline of a quick request that specifies none, milliseconds.
     deadline_ms: u32 = 2_000, Some(1), Some(600_000);
-    /// Retries, in percent of a team's requests.
+    /// Retry budget, in percent of the team's requests.
     retry_percent: u32 = 10, Some(0), Some(100);
-    /// Hedged attempts, in percent of a team's idempotent requests.
+    /// Budget for hedged attempts, in percent of the team's idempotent requests.
     hedge_percent: u32 = 4, Some(0), Some(100);
-    /// Quick requests of a team under way at one entry.
+    /// Maximum number of concurrent quick requests of a team at one entry.
     requests_in_flight: u32 = 256, Some(0), Some(100_000);
-    /// Largest body of a request, kibibytes.
+    /// Maximum size of a request body, kibibytes.
     body_kib: u32 = 16_384, Some(1), Some(1_048_576);
-    /// A team's share where all want more than there is.
+    /// Share of a team relative to other teams when demand exceeds capacity.
     weight: u32 = 100, Some(1), Some(10_000);
-    /// Quota of running tasks: thousandths of a core.
+    /// Quota for all running tasks of a team, thousandths of a core.
     quota_cpu_milli: u32 = 64_000, Some(0), Some(4_000_000_000);
-    /// Quota of running tasks: mebibytes.
+    /// Quota for all running tasks of a team, mebibytes of memory.
     quota_memory_mib: u32 = 262_144, Some(0), Some(4_000_000_000);
-    /// Quota of running tasks: accelerators.
+    /// Quota for all running tasks of a team, number of accelerators.
     quota_accelerators: u32 = 0, Some(0), Some(100_000);
-    /// Urgency of a job kind.
+    /// Scheduling class of a job kind.
     class: TaskClass = TaskClass::Batch, None, None;
-    /// Size of one task: thousandths of a core.
+    /// Size of one task, thousandths of a core.
     cpu_milli: u32 = 1_000, Some(1), Some(10_000_000);
-    /// Size of one task: mebibytes.
+    /// Size of one task, mebibytes of memory.
     memory_mib: u32 = 1_024, Some(1), Some(100_000_000);
-    /// Size of one task: accelerators.
+    /// Size of one task, number of accelerators.
     accelerators: u32 = 0, Some(0), Some(10_000);
     /// Expected run time of one task, seconds.
     run_time_s: u32 = 600, Some(1), Some(2_592_000);
-    /// Runs of a task that may fail before it is given up.
+    /// Number of failed runs after which a task is not retried.
     attempts: u32 = 3, Some(1), Some(100);
-    /// How much tail latency counts in placement and eviction.
+    /// Weight of tail latency in placement and eviction decisions.
     weight_tail: u32 = 50, Some(0), Some(1_000);
-    /// How much batch throughput counts.
+    /// Weight of batch throughput in placement and eviction decisions.
     weight_throughput: u32 = 50, Some(0), Some(1_000);
-    /// How much evictions count.
+    /// Weight of avoiding evictions in placement and eviction decisions.
     weight_eviction: u32 = 50, Some(0), Some(1_000);
     /// Start of the working day, minutes after midnight UTC.
     day_start_min: u32 = 0, Some(0), Some(1_440);
--- a/crates/wax-settings/src/policy.rs
+++ b/crates/wax-settings/src/policy.rs
@@ -1,20 +1,22 @@
-//! Limits and weights of the pool's decisions.
+//! Section `policy` of the settings file: rules of placement and pacing in the pool.
 
 use serde::Deserialize;
 use wax_policy::{PaceRules, PlacementRules, RuleInfo};
 
-/// The section `policy`; each key is a number in its unit, or `off`.
+/// Rules of the pool's decisions. Each key is a number in the unit of its rule, or `off` if the
+/// rule can be switched off.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PolicySettings {
-    /// Front, as owner: where tasks start and when they are moved.
+    /// Rules by which the owner, a front, places tasks and moves them.
     pub place: PlacementRules,
-    /// Agent: how fast the tasks that fill may work beside those that serve.
+    /// Rules by which an agent throttles best-effort tasks that run on the same worker as serving
+    /// tasks.
     pub pace: PaceRules,
 }
 
 impl PolicySettings {
-    /// All rules with the section they stand in.
+    /// Returns all rules, each with the name of its section (`place` or `pace`).
     pub fn infos(&self) -> Vec<(&'static str, RuleInfo)> {
         let place = self.place.infos().into_iter().map(|info| ("place", info));
         let pace = self.pace.infos().into_iter().map(|info| ("pace", info));
--- a/crates/wax-settings/src/pool.rs
+++ b/crates/wax-settings/src/pool.rs
@@ -1,64 +1,67 @@
-//! Settings of the roles `front` and `agent`.
+//! Section `pool` of the settings file: settings of the roles `front` and `agent`.
 
 use crate::daemon::{BoundCheck, ProcessRole, bound};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Where a process of the pool listens, whom it calls, and the spans it keeps.
+/// Addresses on which a process of the pool listens, addresses that it calls, and time limits.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PoolSettings {
-    /// Where other processes of the pool connect; the port is the same on all machines.
+    /// Listen address for other processes of the pool; all VMs must use the same port.
     pub peers: SocketAddr,
-    /// Addresses of some fronts, of any port; they may be stale.
+    /// Addresses of some fronts, used to find the others. The ports are ignored, and the addresses
+    /// may be stale.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Front: where callers connect.
+    /// Listen address of a front for callers; required for fronts.
     pub callers: Option<SocketAddr>,
-    /// Front: where the balancer asks whether it takes connections.
+    /// Listen address of a front for the load balancer's readiness probe; required for fronts.
     pub readiness: Option<SocketAddr>,
-    /// Agent: where the worker checks in.
+    /// Listen address of an agent for the worker's check-ins; required for agents.
     pub check_ins: Option<SocketAddr>,
-    /// Agent: where the worker takes orders.
+    /// Address at which an agent sends orders to the worker; required for agents.
     pub worker: Option<SocketAddr>,
-    /// Where counters and histograms are served.
+    /// Listen address for metrics: counters and latency histograms. `None` serves no metrics.
     pub metrics: Option<SocketAddr>,
-    /// Where workers are asked for that a queue's policy allows.
+    /// Address of the platform's placement advisor; `None` if the platform has none.
     pub advisor: Option<SocketAddr>,
-    /// The platform's list of machines.
+    /// Address of the platform's VM list.
     #[serde(rename = "machines")]
     pub vm_list: Option<SocketAddr>,
-    /// Front: what this machine has.
+    /// Capacity of the VM on which a front runs.
     #[serde(rename = "machine", default)]
     pub vm: VmSettings,
-    /// Longest lease that a worker takes, milliseconds.
+    /// Longest lease that a worker accepts, milliseconds.
     #[serde(rename = "most_lease_ms", default = "defaults::max_lease_ms")]
     pub max_lease_ms: u32,
-    /// How long a job that has ended can still be asked for, seconds.
+    /// Time for which an ended job can still be queried, seconds.
     #[serde(default = "defaults::keep_ended_s")]
     pub keep_ended_s: u32,
-    /// After SIGTERM the process is killed after this, seconds.
+    /// Time between SIGTERM and the forced end of the process, seconds.
     #[serde(default = "defaults::stop_grace_s")]
     pub stop_grace_s: u32,
-    /// Nothing starts in a drained failure domain so long after the drain, milliseconds; without it a
-    /// drain holds from when it is heard of.
+    /// Time after the acknowledgement of a drain from which nothing starts in the failure domain,
+    /// milliseconds. `None` sets no bound: a process applies the drain when it learns of it.
     pub drain_bound_ms: Option<u32>,
-    /// Front: a change of the config is in force so long after the store has acknowledged it, milliseconds.
+    /// Time after the store's acknowledgement within which a change of the operator's config is in
+    /// force at a front, milliseconds. `None` sets no bound.
     pub config_bound_ms: Option<u32>,
 }
 
-/// What a machine has: strong ones own the shard first.
+/// Capacity of a VM. Fronts on VMs with more capacity are preferred as owners of the shard. Where a
+/// value is `None`, that of a typical VM is assumed.
 #[derive(Debug, Clone, Copy, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VmSettings {
-    /// The share of a core.
+    /// Share of a core that the VM may use; multiplied by `cores`.
     pub cpu_share: Option<f64>,
-    /// How many times as fast that core is.
+    /// Speed of that core relative to a standard core.
     pub cores: Option<f64>,
-    /// Its link, megabits a second.
+    /// Bandwidth of the network link, megabits per second.
     pub link_mbps: Option<f64>,
-    /// Its memory, mebibytes.
+    /// Memory, mebibytes.
     pub memory_mb: Option<f64>,
 }
 
@@ -75,25 +78,28 @@
 }
 
 impl PoolSettings {
-    /// The seeds' peer addresses: their machines with our own port.
+    /// Returns the peer addresses of the seeds: the IP addresses of `seeds` with the port of
+    /// `peers`.
     pub fn peer_seeds(&self) -> Vec<SocketAddr> {
         let peer = |seed: &SocketAddr| SocketAddr::new(seed.ip(), self.peers.port());
         self.seeds.iter().map(peer).collect()
     }
 
-    /// By when nothing starts in a drained failure domain any more, from the drain's acknowledgement.
+    /// Returns the time after the acknowledgement of a drain from which nothing starts in the
+    /// failure domain; `None` without a bound.
     pub fn drain_bound(&self) -> Option<Duration> {
         self.drain_bound_ms
             .map(|bound| Duration::from_millis(bound.into()))
     }
 
-    /// By when a change of the config is in force, from its acknowledgement.
+    /// Returns the time after the acknowledgement of a config change within which the change is in
+    /// force; `None` without a bound.
     pub fn config_bound(&self) -> Option<Duration> {
         self.config_bound_ms
             .map(|bound| Duration::from_millis(bound.into()))
     }
 
-    /// A key that the role needs and that is not there.
+    /// Returns the first key that the role requires and the file lacks.
     pub(crate) fn missing_key(&self, role: ProcessRole) -> Option<&'static str> {
         match role {
             ProcessRole::Front if self.callers.is_none() => Some("pool.callers"),
@@ -106,10 +112,12 @@
 
     pub(crate) fn bounds(&self) -> Vec<BoundCheck> {
         let drain = self.drain_bound_ms;
-        // Below this not even a view that was read just now would do.
+        // With a bound of less than 3 s, even a view of the drains that was read just now would be
+        // too old to start a task.
         let drain =
             drain.map(|bound_ms| bound("pool.drain_bound_ms", bound_ms.into(), 3_000, 600_000));
-        // Below this the platform's store would be asked more often than eight times a second.
+        // With a bound of less than 500 ms, each front would read the platform's store more than
+        // eight times per second.
         let config = self
             .config_bound_ms
             .map(|bound_ms| bound("pool.config_bound_ms", bound_ms.into(), 500, 600_000));
--- a/crates/wax-settings/src/tree.rs
+++ b/crates/wax-settings/src/tree.rs
@@ -1,4 +1,4 @@
-//! The settings tree: organisation, team, service, then job kind or standing watch.
+//! The settings tree. Its levels are organisation, team, service, and job kind or standing watch.
 
 use crate::node::{NodeSettings, ResolvedSettings, key_table};
 use serde::{Deserialize, Serialize};
@@ -8,60 +8,62 @@
 use std::str::FromStr;
 use wax_types::{ErrorKind, SettingsVersion, Step, WaxError};
 
-/// The values in force at a node.
+/// Values in force at one node of the tree.
 pub type EffectiveSettings = ResolvedSettings;
 
+/// Path segment before the name of a job kind.
 const KIND_SEGMENT: &str = "kinds";
+/// Path segment before the name of a standing watch.
 const WATCH_SEGMENT: &str = "watches";
 
-/// The level of a node.
+/// Level of a node in the tree.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NodeLevel {
-    /// The root.
+    /// The root of the tree.
     Organisation,
-    /// A team.
+    /// A team, directly below the root.
     Team,
     /// A service of a team.
     Service,
     /// A kind of batch job of a service.
     JobKind,
-    /// A standing watch of a service.
+    /// A standing watch (long-running job) of a service.
     StandingWatch,
 }
 
-/// Where a node is: `/`, `/team`, `/team/service`, `/team/service/kinds/KIND` or
+/// Path of a node: `/`, `/team`, `/team/service`, `/team/service/kinds/KIND` or
 /// `/team/service/watches/WATCH`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "Box<str>", into = "Box<str>")]
 pub struct NodePath(Box<str>);
 
 impl NodePath {
-    /// The organisation.
+    /// Returns the path of the organisation.
     pub fn root() -> Self {
         Self("/".into())
     }
 
-    /// A team.
+    /// Returns the path of a team.
     pub fn team(team: &str) -> Self {
         Self(format!("/{team}").into())
     }
 
-    /// A service of a team.
+    /// Returns the path of a service.
     pub fn service(team: &str, service: &str) -> Self {
         Self(format!("/{team}/{service}").into())
     }
 
-    /// A job kind of a service.
+    /// Returns the path of a job kind.
     pub fn kind(team: &str, service: &str, kind: &str) -> Self {
         Self(format!("/{team}/{service}/{KIND_SEGMENT}/{kind}").into())
     }
 
-    /// A standing watch of a service.
+    /// Returns the path of a standing watch.
     pub fn watch(team: &str, service: &str, watch: &str) -> Self {
         Self(format!("/{team}/{service}/{WATCH_SEGMENT}/{watch}").into())
     }
 
-    /// Its text.
+    /// Returns the path as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -70,7 +72,7 @@
         self.0.split('/').filter(|part| !part.is_empty()).collect()
     }
 
-    /// Its level.
+    /// Returns the level of the node.
     pub fn level(&self) -> NodeLevel {
         let parts = self.parts();
         match parts.len() {
@@ -82,7 +84,7 @@
         }
     }
 
-    /// The node above it; `None` for the root.
+    /// Returns the path of the parent node; `None` for the root.
     pub fn parent(&self) -> Option<Self> {
         let parts = self.parts();
         match parts.len() {
@@ -93,7 +95,7 @@
         }
     }
 
-    /// The nodes from the root down to this one.
+    /// Returns the paths from the root down to this node, both included.
     pub fn lineage(&self) -> Vec<Self> {
         let mut nodes = vec![self.clone()];
         while let Some(parent) = nodes.last().and_then(Self::parent) {
@@ -161,61 +163,63 @@
     }
 }
 
-/// From which node a value in force comes; `None` for the built-in default.
+/// Value in force at a node, with the node that sets it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ValueOrigin {
-    /// The key.
+    /// Name of the key.
     pub key: Box<str>,
-    /// The value in force.
+    /// Value in force.
     pub value: Value,
-    /// The node that sets it.
+    /// Node that sets the value; `None` for the built-in default.
     pub from: Option<NodePath>,
 }
 
-/// One change of one value in force.
+/// Change of one value in force between two versions of the tree.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TreeChange {
-    /// The node where the value in force changes.
+    /// Node at which the value in force changes.
     pub path: NodePath,
-    /// The key; empty where the node itself comes or goes.
+    /// Name of the key; empty if the node itself is added or removed.
     pub key: Box<str>,
-    /// The value before; null if the node is new.
+    /// Value before the change; null if the node is added.
     pub before: Value,
-    /// The value after; null if the node goes.
+    /// Value after the change; null if the node is removed.
     pub after: Value,
 }
 
-/// What one version changes; kept in the log and pushed to processes that have the version before.
+/// Changes of one version relative to the version before. Deltas are kept in the log and pushed to
+/// processes that have the version before.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TreeDelta {
-    /// The version that it makes.
+    /// Version of the tree after the delta is applied.
     pub version: SettingsVersion,
-    /// Nodes with their new overrides; `None` for a node that goes.
+    /// Changed nodes with their new overrides; `None` for a node that is removed.
     pub nodes: Vec<(NodePath, Option<NodeSettings>)>,
-    /// Who made it.
+    /// Author of the change.
     pub author: Box<str>,
-    /// When it was made, Unix milliseconds.
+    /// Time of the change, Unix milliseconds.
     pub at_ms: u64,
 }
 
-/// One version of the whole tree.
+/// One version of the complete tree.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SettingsTree {
-    /// The version; 0 for the empty tree that nobody has committed.
+    /// Version of the tree; 0 for the initial empty tree, which is never committed.
     #[serde(default)]
     pub version: SettingsVersion,
-    /// What each node overrides.
+    /// Declared nodes with the values that they override.
     pub nodes: BTreeMap<NodePath, NodeSettings>,
 }
 
 impl SettingsTree {
-    /// Whether the node is declared.
+    /// Returns whether the node is declared.
     pub fn contains(&self, path: &NodePath) -> bool {
         self.nodes.contains_key(path)
     }
 
-    /// The values in force at `path`, also where it is not declared.
+    /// Returns the values in force at `path`. An undeclared node inherits all values from its
+    /// declared ancestors.
     pub fn resolve(&self, path: &NodePath) -> EffectiveSettings {
         let mut settings = EffectiveSettings::default();
         for node in path.lineage() {
@@ -226,7 +230,7 @@
         settings
     }
 
-    /// Each value in force at `path` with the node that it comes from.
+    /// Returns each value in force at `path` with the node that sets it.
     pub fn explain(&self, path: &NodePath) -> Vec<ValueOrigin> {
         let lineage = path.lineage();
         key_table()
@@ -249,7 +253,7 @@
             .collect()
     }
 
-    /// The teams that are declared.
+    /// Returns the names of the declared teams.
     pub fn teams(&self) -> impl Iterator<Item = &str> {
         self.nodes
             .keys()
@@ -257,12 +261,13 @@
             .map(|path| &path.as_str()[1..])
     }
 
-    /// Sets or, with `None`, clears one override; the node is declared by it.
+    /// Sets one override, or clears it if `value` is `None`. Declares the node if it is not
+    /// declared yet.
     ///
     /// # Errors
     ///
-    /// The key is unknown, the value has another type or breaks its bounds, or the parent is not
-    /// declared.
+    /// The key is unknown, the value has the wrong type or is out of its bounds, or the parent is
+    /// not declared. The tree may have changed if the check of the complete tree fails.
     pub fn set(
         &mut self,
         path: &NodePath,
@@ -287,11 +292,11 @@
         self.check()
     }
 
-    /// Checks bounds, parents and quotas.
+    /// Checks that the parent of each node is declared and that all values are within their bounds.
     ///
     /// # Errors
     ///
-    /// The first node and key that break a rule, with the rule.
+    /// Names the first node and key that violate a rule, and the rule.
     pub fn check(&self) -> Result<(), WaxError> {
         for (path, node) in &self.nodes {
             self.check_parent(path)?;
@@ -313,7 +318,7 @@
         }
     }
 
-    /// The delta that makes `next` of this tree.
+    /// Returns the delta that turns this tree into `next`.
     pub fn delta_to(&self, next: &Self, author: &str, at_ms: u64) -> TreeDelta {
         let mut nodes = Vec::new();
         for path in self.nodes.keys().filter(|path| !next.contains(path)) {
@@ -332,7 +337,8 @@
         }
     }
 
-    /// This tree with a delta applied; the caller checks that the versions follow each other.
+    /// Returns this tree with a delta applied. The caller checks that the delta belongs to the next
+    /// version.
     pub fn with_delta(&self, delta: &TreeDelta) -> Self {
         let mut tree = self.clone();
         tree.version = delta.version;
@@ -345,7 +351,8 @@
         tree
     }
 
-    /// What changes in force from this tree to `next`, at every node of either.
+    /// Returns the changes of the values in force from this tree to `next`, for every node declared
+    /// in either.
     pub fn diff(&self, next: &Self) -> Vec<TreeChange> {
         let mut paths: Vec<&NodePath> = self.nodes.keys().chain(next.nodes.keys()).collect();
         paths.sort();
--- a/crates/wax-settings/tests/files.rs
+++ b/crates/wax-settings/tests/files.rs
@@ -1,4 +1,5 @@
-//! Settings files: whatever the text, the answer is settings or an error.
+//! Parsing a settings file gives settings or an error that names the file; it never panics,
+//! whatever the text.
 
 use proptest::prelude::*;
 use wax_settings::{DaemonSettings, SettingsFile};
--- a/crates/wax-settings/tests/holder.rs
+++ b/crates/wax-settings/tests/holder.rs
@@ -1,4 +1,5 @@
-//! A process applies only greater versions, in whatever order they come.
+//! A process must apply only higher versions of the settings tree, in whatever order versions
+//! arrive. Otherwise a delayed message from a slow peer would revert a newer change.
 
 use proptest::prelude::*;
 use wax_settings::{ApplyOutcome, NodePath, NodeSettings, SettingsHolder, SettingsTree, TreeDelta};
--- a/crates/wax-settings/tests/pages.rs
+++ b/crates/wax-settings/tests/pages.rs
@@ -1,4 +1,5 @@
-//! `docs/SETTINGS.md` has every key with its default and bounds, and the examples are correct.
+//! Checks that `docs/SETTINGS.md` lists every key with the default and bounds that the code
+//! applies, and that the settings files in `examples/` are valid.
 
 use wax_settings::{DaemonSettings, PolicySettings, SettingsFile, key_table};
 
@@ -24,7 +25,8 @@
     }
 }
 
-/// Keys of the daemon's file with their defaults and bounds, as the code has them.
+/// Table rows of `docs/SETTINGS.md` for the numeric keys of the daemon's file: key, default,
+/// bounds.
 const DAEMON_ROWS: &[&str] = &[
     "| `platform.call_ms` | 1000 | 10 to 60000 |",
     "| `platform.concurrency` | 16 | 1 to 256 |",
@@ -53,9 +55,11 @@
 const ENTRY: &str =
     "entry: {callers: '127.0.0.1:0', operators: '127.0.0.1:0', peers: '127.0.0.1:0'}\n";
 
-/// A file in which one key has one value.
+/// Returns a valid settings file except for `key`, which is set to `value`.
 fn file_with_value(key: &str, value: u64) -> SettingsFile {
-    let (section, name) = key.split_once('.').expect("a section and a key");
+    let (section, name) = key
+        .split_once('.')
+        .expect("the key has the form section.name");
     let entry = ENTRY.trim_end().trim_end_matches('}');
     let text = match section {
         "platform" => format!(
@@ -87,7 +91,7 @@
             .rsplit(' ')
             .next()
             .and_then(|text| text.parse::<u64>().ok());
-        let over = max.expect("a bound") + 1;
+        let over = max.expect("the row has an upper bound") + 1;
         let error = DaemonSettings::parse(&file_with_value(key, over)).expect_err(key);
         assert!(error.label.contains("out of range"), "{key}: {error}");
     }
@@ -111,7 +115,7 @@
     }
 }
 
-/// Roles of the pool name what they lack.
+/// Tests that the error names the key that the role requires and the file lacks.
 macro_rules! missing_key_tests {
     ($($name:ident: $role:literal, $pool:literal => $key:literal,)*) => {
         $(
@@ -122,7 +126,7 @@
                     name: "test.yaml".into(),
                     text: text.into(),
                 };
-                let error = DaemonSettings::parse(&file).expect_err("it lacks a key");
+                let error = DaemonSettings::parse(&file).expect_err("the file lacks a required key");
                 assert!(error.label.contains($key), "{error}");
                 assert!(!error.help.is_empty());
             }
@@ -137,7 +141,7 @@
     an_agent_without_a_worker: "agent", ", check_ins: '127.0.0.1:2'" => "pool.worker",
 }
 
-/// A front's file with one line under `policy`.
+/// Returns the settings file of a front with one line in a section under `policy`.
 fn file_with_rule(section: &str, line: &str) -> SettingsFile {
     let text = format!(
         "role: front\n{IDENTITY}{PLATFORM}pool: {{peers: '127.0.0.1:1', callers: '127.0.0.1:2', readiness: '127.0.0.1:3'}}\n\
@@ -185,10 +189,11 @@
 
 #[test]
 fn a_rule_that_is_not_known_is_refused_by_name() {
-    let error =
-        DaemonSettings::parse(&file_with_rule("place", "careful_pce: 1")).expect_err("a typo");
+    let error = DaemonSettings::parse(&file_with_rule("place", "careful_pce: 1"))
+        .expect_err("the key does not exist");
     assert!(error.label.contains("careful_pce: no such rule"), "{error}");
-    let error = DaemonSettings::parse(&file_with_rule("places", "x: 1")).expect_err("a section");
+    let error = DaemonSettings::parse(&file_with_rule("places", "x: 1"))
+        .expect_err("the section does not exist");
     assert!(error.label.contains("places"), "{error}");
 }
 
@@ -196,7 +201,7 @@
 fn rules_are_read_in_their_units() {
     let file = file_with_rule("pace", "aim: 0.5, period_ms: 300, least_percent: 7");
     let pace = DaemonSettings::parse(&file)
-        .expect("it is correct")
+        .expect("the file is valid")
         .policy
         .pace;
     assert_eq!(pace.period, std::time::Duration::from_millis(300));
--- a/crates/wax-standin/src/args.rs
+++ b/crates/wax-standin/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Parses the command line of the stand-in.
 
 use pico_args::Arguments;
 use std::net::SocketAddr;
@@ -58,9 +58,9 @@
     pub(crate) cpu_milli: u32,
     pub(crate) memory_mb: u32,
     pub(crate) domain: String,
-    /// What its clock shows at its start, milliseconds.
+    /// Value of the worker's clock at its start, milliseconds.
     pub(crate) clock_ms: u64,
-    /// When it says that it started, Unix milliseconds.
+    /// Start time that the worker reports, Unix milliseconds; `None` reports the actual time.
     pub(crate) started_ms: Option<u64>,
 }
 
@@ -84,7 +84,9 @@
     pub(crate) rack: String,
     pub(crate) domain: String,
     pub(crate) capacity: ResourceVector,
+    /// Length of a usage interval, milliseconds.
     pub(crate) usage_ms: u64,
+    /// Number of workers in this process.
     pub(crate) count: u32,
 }
 
@@ -92,6 +94,7 @@
 pub(crate) struct UpstreamOptions {
     pub(crate) listen: SocketAddr,
     pub(crate) slots: usize,
+    /// Execution time of a request, milliseconds.
     pub(crate) service_ms: u64,
 }
 
@@ -101,11 +104,14 @@
     pub(crate) team: String,
     pub(crate) service: String,
     pub(crate) path: String,
+    /// Requests per second.
     pub(crate) rate: u32,
     pub(crate) seconds: u32,
     pub(crate) deadline_ms: u32,
+    /// Maximum number of open connections.
     pub(crate) connections: usize,
     pub(crate) seed: u64,
+    /// Whether `entry` is the address of an upstream that is called directly, without an entry.
     pub(crate) direct: bool,
 }
 
--- a/crates/wax-standin/src/faults.rs
+++ b/crates/wax-standin/src/faults.rs
@@ -1,19 +1,20 @@
-//! Faults of the platform's store that are switched on while it runs.
+//! Faults that tests inject into the platform's store while it runs.
 
 use serde::{Deserialize, Serialize};
 
-/// `POST /faults` replaces all of them.
+/// Faults of the store. `POST /faults` replaces all of them; fields that the request omits are
+/// reset.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(crate) struct StoreFaults {
-    /// Every call is answered 503 without effect.
+    /// Every call is answered with 503 and has no effect.
     pub(crate) down: bool,
-    /// Every call waits this long first.
+    /// Delay before every call is processed, milliseconds.
     pub(crate) delay_ms: u64,
-    /// In how many percent of the commits the effect takes place and the reply is lost.
+    /// Percentage of commits that take effect but whose reply is lost.
     pub(crate) lose_replies_percent: u32,
-    /// Only commits that touch a key with this prefix lose replies; empty for all.
+    /// Replies are lost only for commits that write a key with this prefix; empty for all keys.
     pub(crate) lose_prefix: String,
-    /// The platform's list of workers is refused.
+    /// Requests for the platform's worker list are answered with 503.
     pub(crate) no_workers: bool,
 }
--- a/crates/wax-standin/src/fetch.rs
+++ b/crates/wax-standin/src/fetch.rs
@@ -1,4 +1,4 @@
-//! One HTTP call, for scripts on machines without another client.
+//! Command `fetch`: sends one HTTP request, for test scripts on VMs without another HTTP client.
 
 use crate::args::FetchOptions;
 use cyper::Client;
--- a/crates/wax-standin/src/load.rs
+++ b/crates/wax-standin/src/load.rs
@@ -1,4 +1,5 @@
-//! Callers: an open loop of quick requests at a steady rate, bounded in count and time.
+//! Command `load`: sends quick requests in an open loop with Poisson arrivals at a given mean rate,
+//! and prints outcomes and latencies. The number of requests is fixed by rate and duration.
 
 use crate::args::LoadOptions;
 use compio::runtime::spawn;
@@ -16,7 +17,7 @@
 use wax_http::{ClientConnection, ConnectionCount, OutgoingBody};
 use wax_types::WaxError;
 
-/// How much longer than its deadline a caller waits for an answer.
+/// Time beyond the deadline of a request for which the caller waits for a response.
 const ANSWER_TIMEOUT_MARGIN: Duration = Duration::from_secs(5);
 
 struct LoadState {
@@ -53,7 +54,7 @@
         callers.push(spawn(async move { state.call(due_at).await }));
     }
     for caller in callers {
-        // A caller that panicked is missing in the outcomes.
+        // A request whose task panicked is missing from the outcomes.
         let _ = caller.await;
     }
     state.report(start.elapsed());
@@ -61,6 +62,8 @@
 }
 
 impl LoadState {
+    /// Sends one request and records its outcome. The latency counts from `due_at`, not from the
+    /// actual send, so that delays of this process do not hide slow responses.
     async fn call(&self, due_at: Instant) {
         let outcome = match timeout(self.answer_timeout(), self.send_request()).await {
             Ok(outcome) => outcome,
@@ -68,7 +71,7 @@
         };
         if outcome == "200 ran" || outcome == "200 none" {
             let micros = due_at.elapsed().as_micros() as u64;
-            // The histogram grows by itself and takes any value.
+            // Recording cannot fail because the histogram resizes itself.
             let _ = self.latency.borrow_mut().record(micros.max(1));
         }
         *self.outcomes.borrow_mut().entry(outcome).or_default() += 1;
--- a/crates/wax-standin/src/main.rs
+++ b/crates/wax-standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Test-only stand-ins for the outside systems: platform, worker, upstream, and a load of callers.
+//! Test-only stand-ins for external systems: the platform, workers, upstreams and callers.
 
 mod args;
 mod faults;
@@ -48,7 +48,8 @@
     }
 }
 
-/// Prints ports that are free now: all are held until the last is found, so that they differ.
+/// Prints `count` free ports. All of them stay bound until the last one is found, so that they
+/// differ.
 fn print_ports(count: u16) -> Result<(), wax_types::WaxError> {
     let mut held = Vec::new();
     for _ in 0..count {
--- a/crates/wax-standin/src/objects.rs
+++ b/crates/wax-standin/src/objects.rs
@@ -1,4 +1,4 @@
-//! The object store in memory.
+//! In-memory object store.
 
 use bytes::Bytes;
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 }
 
 impl MemoryObjects {
-    /// Creates the object unless one of this name exists; says whether it did.
+    /// Creates an object. Returns `false` without a change if the key exists.
     pub(crate) fn create(&mut self, key: &str, bytes: Bytes) -> bool {
         if self.objects.contains_key(key) {
             return false;
--- a/crates/wax-standin/src/peers.rs
+++ b/crates/wax-standin/src/peers.rs
@@ -1,4 +1,5 @@
-//! Plays many sidecars to one entry: they announce themselves and apply settings.
+//! Command `peers`: simulates many sidecars of one entry. They connect, report load and acknowledge
+//! settings.
 
 use crate::args::PeersOptions;
 use compio::net::TcpStream;
@@ -54,7 +55,7 @@
     Ok(())
 }
 
-/// An idle sidecar says its load once a second.
+/// Sends the load report of an idle sidecar once per second until the connection ends.
 async fn send_load_reports(outbox: UnboundedSender<PeerBody>) {
     let load = LoadReport {
         upstream_up: true,
--- a/crates/wax-standin/src/platform.rs
+++ b/crates/wax-standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: table service, object store and the list of workers.
+//! Command `platform`: table service, object store and worker list in memory.
 
 use crate::args::PlatformOptions;
 use crate::faults::StoreFaults;
@@ -19,7 +19,8 @@
 use wax_types::{ErrorKind, Step, WaxError};
 
 const MAX_BODY_BYTES: usize = 64 << 20;
-/// How long a call hangs whose reply is lost.
+/// Time before a call with a lost reply is answered. Longer than the callers' timeouts, so that
+/// they see no reply.
 const LOST_REPLY_DELAY: Duration = Duration::from_secs(30);
 
 #[derive(Default)]
--- a/crates/wax-standin/src/site.rs
+++ b/crates/wax-standin/src/site.rs
@@ -1,4 +1,5 @@
-//! The store of the users' platform, in its published forms: rows, transactions, a feed.
+//! Command `site`: the store of the users' platform with its published API of rows, transactions
+//! and a change feed.
 
 use crate::args::SiteOptions;
 use crate::site_rows::{SiteRows, TxBody};
@@ -17,22 +18,25 @@
 use wax_types::{ErrorKind, Step, WaxError};
 
 const MAX_BODY_BYTES: usize = 1_000_000;
-/// Entries of one transaction.
+/// Maximum number of entries in one transaction.
 const MAX_TX_ENTRIES: usize = 100;
-/// How long a call hangs whose answer is lost.
+/// Time before a call with a lost reply is answered. Longer than the callers' timeouts, so that
+/// they see no reply.
 const LOST_REPLY_DELAY: Duration = Duration::from_secs(30);
 
-/// What is wrong with the store now.
+/// Faults of the store. `POST /faults` replaces all of them; fields that the request omits are
+/// reset.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 struct SiteFaults {
-    /// Every call but the operator's is refused.
+    /// Every call except the operator's is answered with 503.
     down: bool,
-    /// Every call waits this long first.
+    /// Delay before every call is processed, milliseconds.
     delay_ms: u64,
-    /// This share of the transactions is done and not answered.
+    /// Percentage of transactions that take effect but whose reply is lost.
     lose_percent: u32,
-    /// The history is dropped: the next look at the feed is refused.
+    /// The next call of the feed is answered with 410, as if the history had been discarded. Resets
+    /// itself.
     forget: bool,
 }
 
@@ -88,7 +92,7 @@
         }
         let faults = self.faults.borrow().clone();
         sleep(Duration::from_millis(faults.delay_ms)).await;
-        // The operator is served whatever the store does to others, as on the platform.
+        // As on the real platform, the operator is served even while the store is down for others.
         if faults.down && !is_operator(&request) {
             return empty_reply(StatusCode::SERVICE_UNAVAILABLE);
         }
@@ -107,7 +111,7 @@
     }
 
     async fn transact(&self, request: HttpRequest, lose_percent: u32) -> HttpReply {
-        // Only the operator writes its tables.
+        // Only the operator may write the operator's tables.
         let by_operator = is_operator(&request);
         let body: TxBody = match parse_json(request, MAX_BODY_BYTES).await {
             Ok(body) => body,
@@ -175,7 +179,7 @@
                     json!({ "rows": changes, "rowVersion": version, "nowMs": self.now_ms() });
                 return json_reply(StatusCode::OK, &body);
             }
-            // Either a change or the end of the wait; both lead to another look.
+            // After a change as well as after the time-out the loop checks again.
             let _ = timeout(remaining, listener).await;
         }
     }
--- a/crates/wax-standin/src/site_rows.rs
+++ b/crates/wax-standin/src/site_rows.rs
@@ -1,11 +1,11 @@
-//! The rows of the platform's store and their history.
+//! Rows of the platform's store with the history of their changes.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 type Key = (String, String, String);
 
-/// A row, or the mark of one that was removed.
+/// A row, or the tombstone of a removed row in the history.
 #[derive(Debug, Clone, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct SiteRow {
@@ -53,12 +53,12 @@
 }
 
 impl TxBody {
-    /// How many entries it has.
+    /// Returns the number of conditions, writes and removals.
     pub(crate) fn entry_count(&self) -> usize {
         self.expect.len() + self.writes.len() + self.remove.len()
     }
 
-    /// Whether it writes a table that is the operator's alone.
+    /// Returns whether the transaction changes a table that only the operator may write.
     pub(crate) fn writes_operator_table(&self) -> bool {
         let written = self.writes.iter().map(|write| &write.table);
         let removed = self.remove.iter().map(|row| &row.table);
@@ -66,7 +66,7 @@
     }
 }
 
-/// All rows, and what changed when.
+/// All rows and the history of their changes.
 #[derive(Debug, Default)]
 pub(crate) struct SiteRows {
     rows: BTreeMap<Key, SiteRow>,
@@ -75,12 +75,13 @@
 }
 
 impl SiteRows {
-    /// The newest version.
+    /// Returns the version of the last transaction.
     pub(crate) fn version(&self) -> u64 {
         self.version
     }
 
-    /// Applies a transaction; else gives the rows of its conditions as they are.
+    /// Applies a transaction and returns its version. If a condition does not hold, nothing
+    /// changes, and the current rows of all conditions are returned with the current version.
     pub(crate) fn apply(&mut self, body: TxBody) -> Result<u64, (Vec<SiteRow>, u64)> {
         let holds = |entry: &ExpectEntry| {
             let key = (entry.table.clone(), entry.part.clone(), entry.key.clone());
@@ -126,7 +127,8 @@
         Ok(row_version)
     }
 
-    /// One page of a part, and whether there is more.
+    /// Returns at most `limit` rows of a part with keys from `from` to `to` (exclusive; empty for
+    /// no end), and whether more rows follow.
     pub(crate) fn range(
         &self,
         table: &str,
@@ -148,7 +150,7 @@
         (page, more)
     }
 
-    /// The changes of a table after a version, and the version to continue from.
+    /// Returns the changes of a table after version `after`, and the version to continue from.
     pub(crate) fn changes(&self, table: &str, after: u64) -> (Vec<SiteRow>, u64) {
         let changed = |row: &&SiteRow| row.table == table && row.row_version > after;
         (
--- a/crates/wax-standin/src/site_runs.rs
+++ b/crates/wax-standin/src/site_runs.rs
@@ -1,4 +1,5 @@
-//! The runs of a worker of the users' platform: leases, ends, and a history for audits.
+//! Runs on a worker of the users' platform: their leases, their ends, and a history that tests
+//! audit.
 
 use crate::args::SiteWorkerOptions;
 use serde::{Deserialize, Serialize};
@@ -6,7 +7,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// An order to a worker; a stop has no `spec`.
+/// Order to start or stop a run; `spec` is empty in a stop order.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(crate) struct RunOrder {
@@ -18,24 +19,28 @@
     checkpoint: String,
 }
 
-/// What a job's text says of its tasks.
+/// Behaviour of the tasks of a job, decoded from the job's spec.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 struct TaskWork {
-    /// How long a task works, milliseconds.
+    /// Run time of a task, milliseconds.
     ms: u64,
-    /// What it takes; the worker checks that it is not given more than it has.
+    /// Size of a task, thousandths of a core. The worker records an event when its runs exceed its
+    /// capacity.
     cpu: u32,
+    /// Size of a task, mebibytes of memory.
     mem: u32,
-    /// Whether it fails at its end.
+    /// Whether a task fails at its end.
     fail: bool,
-    /// The task of this index takes its worker with it, so long after its start.
+    /// Index of a task that crashes its worker; `None` for no crash.
     crash: Option<u32>,
+    /// Time from the start of that task to the crash, milliseconds.
     crash_ms: u64,
 }
 
 impl TaskWork {
-    /// When the worker ends by this task, counted from its start, milliseconds.
+    /// Returns the time from the start of a task until it crashes the worker, milliseconds; `None`
+    /// if the task does not crash the worker.
     fn crash_delay_ms(&self, task: &str) -> Option<u64> {
         let index = task.rsplit('.').next()?.parse().ok()?;
         (self.crash == Some(index)).then_some(self.crash_ms)
@@ -55,14 +60,16 @@
     }
 }
 
+/// A running task.
 #[derive(Debug)]
 struct RunRecord {
     run: u64,
     work: TaskWork,
+    /// Start of the run on the worker's clock, milliseconds.
     began_ms: u64,
 }
 
-/// Answer to an order.
+/// Reply to an order. `reason` is set if the order was refused.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct OrderAnswer {
@@ -71,24 +78,28 @@
     pub(crate) reason: Option<&'static str>,
 }
 
+/// End of a run as a hold reports it: number of the end, task, run, outcome, checkpoint.
 type EndRecord = (u64, String, u64, &'static str, String);
 
-/// All runs.
+/// All runs of a worker, running and ended.
 #[derive(Debug)]
 pub(crate) struct SiteRuns {
     created_at: Instant,
-    /// What the clock showed then, milliseconds.
+    /// Value of the worker's clock at `created_at`, milliseconds.
     clock_ms: u64,
-    /// When it says that it started, Unix milliseconds.
+    /// Start time that the worker reports, Unix milliseconds.
     started_ms: u64,
     cpu_milli: u32,
     memory_mb: u32,
     running: BTreeMap<String, RunRecord>,
     ends: Vec<EndRecord>,
     ended: u64,
-    /// The highest run of a task that was stopped or has ended here.
+    /// Highest run number of each task that was stopped or has ended on this worker. Lower and
+    /// equal runs are not started any more.
     highest_closed_runs: HashMap<String, u64>,
+    /// Highest fencing token received.
     token: u64,
+    /// End of the lease on the worker's clock, milliseconds.
     lease_ms: u64,
     history: Vec<Value>,
 }
@@ -119,12 +130,12 @@
         self.started_ms
     }
 
-    /// The highest fencing token that it has seen.
+    /// Returns the highest fencing token received.
     pub(crate) fn token(&self) -> u64 {
         self.token
     }
 
-    /// How many ends there were.
+    /// Returns the number of runs that have ended.
     pub(crate) fn ended(&self) -> u64 {
         self.ended
     }
@@ -140,6 +151,8 @@
         }
     }
 
+    /// Returns whether an order with this fencing token is accepted: no higher token has been
+    /// received.
     fn fence(&mut self, token: u64) -> bool {
         let passes = token >= self.token;
         self.token = self.token.max(token);
@@ -221,7 +234,8 @@
         self.answer(None)
     }
 
-    /// Ends what is done, and everything once the lease has lapsed.
+    /// Ends runs that have finished their work, and all runs once the lease has expired. With
+    /// `fail`, finished runs end as failed.
     pub(crate) fn tick(&mut self, fail: bool) {
         let now = self.clock_ms();
         let expired = now > self.lease_ms;
@@ -243,7 +257,8 @@
         }
     }
 
-    /// Whether a task that runs takes the worker with it now; all that runs is then noted as killed.
+    /// Returns whether a running task crashes the worker now. If so, all running tasks are recorded
+    /// as killed.
     pub(crate) fn crash(&mut self) -> bool {
         let now = self.clock_ms();
         let crashes = |(task, record): (&String, &RunRecord)| {
@@ -276,7 +291,7 @@
         self.record_event(outcome, task, record.run);
     }
 
-    /// Both lists, as a hold answers them.
+    /// Returns the reply to a hold: the running tasks, and the ends that are not acknowledged yet.
     pub(crate) fn lists(&self) -> Value {
         let running: Vec<Value> = self
             .running
--- a/crates/wax-standin/src/site_worker.rs
+++ b/crates/wax-standin/src/site_worker.rs
@@ -1,4 +1,5 @@
-//! A worker of the users' platform: obeys the process on its machine and keeps its own record.
+//! Command `site-worker`: a worker of the users' platform. Carries out the orders of the agent on
+//! its VM and keeps an independent history for audits.
 
 use crate::args::SiteWorkerOptions;
 use crate::site_runs::{OrderAnswer, RunOrder, SiteRuns};
@@ -21,24 +22,28 @@
 const MAX_BODY_BYTES: usize = 1 << 20;
 const TICK_PERIOD: Duration = Duration::from_millis(5);
 const CHECK_IN_PERIOD: Duration = Duration::from_millis(300);
-/// How long an order hangs whose answer is lost.
+/// Time before an order with a lost reply is answered. Longer than the agent's timeouts, so that
+/// the agent sees no reply.
 const LOST_REPLY_DELAY: Duration = Duration::from_secs(30);
 
-/// Exit code of a worker that one of its tasks has ended.
+/// Exit code of a worker that was crashed by one of its tasks.
 const CRASH_EXIT_CODE: i32 = 101;
 
-/// What is wrong with the worker now.
+/// Faults of the worker. `POST /faults` replaces all of them; fields that the request omits are
+/// reset.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
 struct SiteWorkerFaults {
-    /// Every run fails at its end.
+    /// Every run ends as failed.
     fail: bool,
-    /// This share of the starts is carried out after this long and never answered.
+    /// Percentage of start orders that are carried out after `late_ms` and are not answered.
     late_percent: u32,
+    /// Delay of these start orders, milliseconds.
     late_ms: u64,
-    /// It says that it leaves.
+    /// The worker reports the state `draining`.
     draining: bool,
-    /// It has so much now, thousandths of a core.
+    /// Processor capacity that the worker reports, thousandths of a core; `None` reports the value
+    /// of the command line.
     cpu_milli: Option<u32>,
 }
 
@@ -46,8 +51,9 @@
     id: String,
     runs: RefCell<SiteRuns>,
     faults: RefCell<SiteWorkerFaults>,
+    /// Number of the last check-in.
     sequence: Cell<u64>,
-    /// Its last report.
+    /// Content of the last check-in.
     reported: RefCell<Value>,
 }
 
@@ -86,7 +92,7 @@
     loop {
         sleep(TICK_PERIOD).await;
         if state.runs.borrow_mut().crash() {
-            // What it has seen is lost with it but for this line.
+            // The history is printed because it cannot be queried after the crash.
             println!("{}", json!({ "history": state.runs.borrow().history() }));
             std::process::exit(CRASH_EXIT_CODE);
         }
@@ -110,7 +116,7 @@
         if let Ok(request) = client.post(&url)
             && let Ok(request) = request.json(&body)
         {
-            // An agent that is away is told at the next check-in.
+            // A check-in that fails is not retried; the next one follows after CHECK_IN_PERIOD.
             let _ = request.send().await;
         }
         sleep(CHECK_IN_PERIOD).await;
@@ -159,7 +165,7 @@
 }
 
 impl SiteWorkerState {
-    /// What the worker says of itself.
+    /// Returns the content of a check-in: identity, address, state and capacity.
     fn report(&self, options: &SiteWorkerOptions, address: SocketAddr) -> Value {
         let faults = self.faults.borrow();
         let runs = self.runs.borrow();
--- a/crates/wax-standin/src/table.rs
+++ b/crates/wax-standin/src/table.rs
@@ -1,4 +1,4 @@
-//! The transactional table in memory.
+//! In-memory transactional table.
 
 use serde_json::Value;
 use std::collections::BTreeMap;
--- a/crates/wax-standin/src/upstream.rs
+++ b/crates/wax-standin/src/upstream.rs
@@ -1,4 +1,5 @@
-//! An upstream: answers requests, and records how many ran at once and which keys ran.
+//! Command `upstream`: answers requests, and records how many ran concurrently and how often each
+//! idempotency key was executed.
 
 use crate::args::UpstreamOptions;
 use bytes::Bytes;
@@ -18,15 +19,16 @@
 
 const MAX_BODY_BYTES: usize = 256 << 20;
 
-/// Faults of an upstream; `POST /faults` replaces all of them.
+/// Faults of an upstream. `POST /faults` replaces all of them; fields that the request omits are
+/// reset.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct UpstreamFaults {
-    /// Each request takes this much longer.
+    /// Additional execution time of each request, milliseconds.
     slow_ms: u64,
-    /// Each answer is cut after half of its body.
+    /// Each response is truncated after half of its body.
     cut_answers: bool,
-    /// Each request is answered 500.
+    /// Each request is answered with 500.
     fail: bool,
 }
 
@@ -63,7 +65,7 @@
     Ok(())
 }
 
-/// A request counts as running until this is dropped, also when its connection breaks.
+/// Counts a request as running until it is dropped, which also happens when the connection breaks.
 struct RunningGuard<'a>(&'a Cell<usize>);
 
 impl Drop for RunningGuard<'_> {
--- a/crates/wax-standin/src/worker.rs
+++ b/crates/wax-standin/src/worker.rs
@@ -1,4 +1,4 @@
-//! A worker: runs tasks under leases, as the platform would.
+//! Command `worker`: runs simulated tasks under leases, with the API of the platform's workers.
 
 use crate::args::WorkerOptions;
 use crate::worker_runs::{RunAction, RunTable};
@@ -29,7 +29,7 @@
     objects: ObjectClient,
 }
 
-/// The content of a checkpoint object.
+/// Content of a checkpoint object.
 #[derive(Serialize, Deserialize)]
 struct CheckpointData {
     done_ms: f64,
@@ -52,7 +52,7 @@
     std::future::pending().await
 }
 
-/// Registers one worker with the platform.
+/// Binds the server of one worker and registers the worker with the platform.
 async fn prepare(
     options: &WorkerOptions,
     id: String,
@@ -122,7 +122,7 @@
         let body = json!({ "task": mark.task, "epoch": mark.epoch, "answer": "done" });
         let bytes = serde_json::to_vec(&body).unwrap_or_default();
         if self.objects.create(&key, bytes).await.is_err() {
-            // The run stays finished but unreported; the next tick tries again.
+            // The run stays in the state `Running`; the next tick writes the result again.
             return;
         }
         let mut runs = self.runs.borrow_mut();
@@ -159,7 +159,7 @@
         Ok(data.done_ms)
     }
 
-    /// Refuses an owner that a later one has replaced.
+    /// Returns an error if an owner with a higher epoch has called this worker.
     fn check_owner(&self, owner: ShardEpoch) -> Result<(), WaxError> {
         if self.runs.borrow_mut().accept_owner(owner) {
             return Ok(());
--- a/crates/wax-standin/src/worker_runs.rs
+++ b/crates/wax-standin/src/worker_runs.rs
@@ -1,4 +1,4 @@
-//! The runs of tasks at one worker: progress, leases, checkpoints, usage.
+//! Runs of tasks on one worker: progress, leases, checkpoints and usage reports.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, VecDeque};
@@ -6,16 +6,19 @@
 use wax_platform::{StartReply, StartRequest, TaskMark, TaskReport, TaskRun, UsageReport};
 use wax_types::{ResourceVector, ShardEpoch, TaskEpoch, TaskId, wall_clock_ms};
 
-/// Usage reports sent in one renewal.
+/// Maximum number of usage reports in one reply to a renewal.
 const MAX_USAGE_REPORTS: usize = 200;
 
-/// What the stand-in reads of a job's input.
+/// Behaviour of a task, decoded from the job's input.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub(crate) struct TaskInput {
+    /// Run time at full speed, milliseconds.
     pub(crate) work_ms: u64,
+    /// Whether the run fails immediately.
     pub(crate) fail: bool,
-    /// What the task would use if nothing held it; its reserved size if it is not said.
+    /// Processor use of the task without a limit, thousandths of a core; `None` if equal to its
+    /// reserved size.
     pub(crate) true_cpu_milli: Option<u32>,
 }
 
@@ -29,19 +32,20 @@
     }
 }
 
-/// Faults of a worker; `POST /faults` replaces all of them.
+/// Faults of a worker. `POST /faults` replaces all of them; fields that the request omits are
+/// reset.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(crate) struct WorkerFaults {
-    /// Every run fails at once.
+    /// Every run fails immediately.
     pub(crate) fail_all: bool,
-    /// Usage is reported this much later.
+    /// Delay of usage reports, milliseconds.
     pub(crate) usage_lag_ms: u64,
-    /// Usage that was acknowledged is reported again, and in reverse order.
+    /// Acknowledged usage reports are sent again, and all reports are in reverse order.
     pub(crate) usage_repeat: bool,
-    /// Calls are refused with 503, as if the worker could not be reached.
+    /// Calls are answered with 503, as if the worker were unreachable.
     pub(crate) cut: bool,
-    /// Starts are answered this much later.
+    /// Delay of start orders, milliseconds.
     pub(crate) start_delay_ms: u64,
 }
 
@@ -50,19 +54,24 @@
     pub(crate) mark: TaskMark,
     pub(crate) size: ResourceVector,
     pub(crate) input: TaskInput,
-    /// Work done before `since`, in milliseconds.
+    /// Work done before `since`, milliseconds at full speed.
     done_ms: f64,
+    /// Time of the last change of `speed`.
     since: Instant,
+    /// Progress relative to full speed, from 0 to 1.
     speed: f64,
     lease_end: Instant,
     pub(crate) run: TaskRun,
     pub(crate) checkpoint: Option<Box<str>>,
+    /// Number of the current usage interval.
     interval: u32,
     interval_start: Instant,
     interval_start_ms: u64,
 }
 
 impl RunState {
+    /// Returns the work done until `now`, milliseconds at full speed. A run makes no progress after
+    /// its lease has expired.
     pub(crate) fn progress_ms(&self, now: Instant) -> f64 {
         let live = now
             .min(self.lease_end)
@@ -77,46 +86,52 @@
     }
 }
 
-/// A task that is given less than it needs runs slower, in proportion.
+/// Returns the speed of a run. A task whose size is below its actual use runs slower in proportion.
 fn initial_speed(request: &StartRequest, input: &TaskInput) -> f64 {
     let needed = input.true_cpu_milli.unwrap_or(request.size.cpu_milli);
     (f64::from(request.size.cpu_milli) / f64::from(needed.max(1))).min(1.0)
 }
 
-/// One line of the audit: a run began or ended at this worker.
+/// Audit record of one run on this worker.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct AuditLine {
     pub(crate) task: TaskId,
     pub(crate) epoch: TaskEpoch,
     pub(crate) start_ms: u64,
-    /// `None` while it runs.
+    /// End of the run, Unix milliseconds; `None` while the task runs.
     pub(crate) end_ms: Option<u64>,
     pub(crate) resumed_from: Option<Box<str>>,
     pub(crate) cpu_milli_seconds: u64,
 }
 
-/// What the owner of a run has to do next.
+/// Action that the caller of [`RunTable::advance`] must perform.
 #[derive(Debug, PartialEq)]
 pub(crate) enum RunAction {
-    /// Write the result object, then call `finish`.
+    /// Write the result object of the run, then call [`RunTable::end`].
     WriteResult(TaskMark),
 }
 
+/// Runs of one worker.
 #[derive(Debug)]
 pub(crate) struct RunTable {
     capacity: ResourceVector,
     usage_period: Duration,
     runs: HashMap<TaskId, RunState>,
+    /// Usage reports that are not acknowledged, with the time from which they are sent.
     usage: VecDeque<(Instant, UsageReport)>,
+    /// Acknowledged usage reports, kept for the fault `usage_repeat`.
     acknowledged: VecDeque<UsageReport>,
     sequence: u64,
     pub(crate) faults: WorkerFaults,
     pub(crate) audit: Vec<AuditLine>,
+    /// Largest amount by which the running tasks have exceeded the capacity, in any resource.
     pub(crate) max_overload: u64,
-    /// Epochs that were stopped before they were started.
+    /// Highest stopped epoch of each task. Starts of this epoch and earlier ones are refused.
     fenced: HashMap<TaskId, TaskEpoch>,
     pub(crate) boot: u64,
+    /// Highest epoch of an owner that has called this worker.
     owner: ShardEpoch,
+    /// Start of the worker's clock.
     origin: Instant,
 }
 
@@ -143,13 +158,14 @@
         now.saturating_duration_since(self.origin).as_millis() as u64
     }
 
-    /// Whether the owner is not replaced by a later one.
+    /// Records the epoch of a calling owner. Returns whether no owner with a higher epoch has
+    /// called.
     pub(crate) fn accept_owner(&mut self, owner: ShardEpoch) -> bool {
         self.owner = self.owner.max(owner);
         owner == self.owner
     }
 
-    /// No later start of this epoch or an earlier one has an effect.
+    /// Fences an epoch of a task: starts of this epoch or an earlier one are refused from now on.
     pub(crate) fn fence(&mut self, mark: TaskMark) {
         let epoch = self.fenced.entry(mark.task).or_default();
         *epoch = mark.epoch.max(*epoch);
@@ -207,7 +223,7 @@
         StartReply::Started
     }
 
-    /// Records by how much the running tasks exceed the worker.
+    /// Updates `max_overload` with the current overload.
     fn record_overload(&mut self) {
         let load = self
             .runs
@@ -265,13 +281,15 @@
             .collect()
     }
 
-    /// Ends a run, with its last usage interval.
+    /// Ends a run at `now` with an outcome, and closes its last usage interval. Does nothing if the
+    /// run is not running.
     pub(crate) fn end(&mut self, now: Instant, mark: TaskMark, outcome: TaskRun) {
         if self.get(mark).is_none_or(|run| run.run != TaskRun::Running) {
             return;
         }
         self.close_interval(now, mark);
-        // A lease that lapsed while this process was frozen ended the run at that time.
+        // `now` may be in the past: a lease that expired while this process was suspended ended the
+        // run then.
         let end = wall_clock_ms() - now.elapsed().as_millis() as u64;
         if let Some(run) = self.get_mut(mark) {
             run.run = outcome;
@@ -285,7 +303,8 @@
         }
     }
 
-    /// Lets time pass: lapses leases, closes usage intervals, finds finished work.
+    /// Advances all runs to `now`: ends runs whose lease has expired or that fail, closes usage
+    /// intervals, and returns the actions for runs that have finished their work.
     pub(crate) fn advance(&mut self, now: Instant) -> Vec<RunAction> {
         let running: Vec<TaskMark> = self
             .runs
@@ -357,7 +376,8 @@
         }
     }
 
-    /// Reports that are due, after those acknowledged are dropped.
+    /// Returns the usage reports that are due. Reports up to the sequence number `through` are
+    /// acknowledged and not returned again, except with the fault `usage_repeat`.
     pub(crate) fn take_usage(&mut self, now: Instant, through: u64) -> Vec<UsageReport> {
         while self
             .usage
--- a/crates/wax-standin/tests/cli.rs
+++ b/crates/wax-standin/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The stand-in's command line.
+//! Tests of the stand-in's command line.
 
 use std::process::Command;
 
@@ -7,7 +7,7 @@
     let output = Command::new(env!("CARGO_BIN_EXE_waxwing-standin"))
         .arg("--help")
         .output()
-        .expect("the stand-in runs");
+        .expect("the stand-in starts");
     assert!(output.status.success());
     assert!(String::from_utf8_lossy(&output.stdout).contains("Usage: waxwing-standin"));
 }
--- a/crates/wax-trace/src/context.rs
+++ b/crates/wax-trace/src/context.rs
@@ -1,25 +1,25 @@
-//! The W3C `traceparent` header: which trace a request belongs to.
+//! Trace context of a request, as carried by the W3C `traceparent` header.
 
 use std::fmt;
 use std::str::FromStr;
 use tracing::Span;
 
-/// Position in a distributed trace.
+/// Position of one hop in a distributed trace.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TraceContext {
-    /// The trace; never 0.
+    /// Id of the trace; never 0.
     pub trace_id: u128,
-    /// The span of the hop that this context was made for; never 0.
+    /// Id of the hop's span; never 0.
     pub span_id: u64,
-    /// Whether the hops of this trace are recorded.
+    /// Whether spans of this trace are logged.
     pub sampled: bool,
 }
 
 impl TraceContext {
-    /// The name of the header.
+    /// Name of the HTTP header.
     pub const HEADER: &'static str = "traceparent";
 
-    /// Starts a trace; one in `one_in` traces is sampled, none if it is 0.
+    /// Starts a trace. One in `one_in` traces is sampled at random; none if `one_in` is 0.
     pub fn start(one_in: u32) -> Self {
         Self {
             trace_id: fastrand::u128(1..),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The context of the next hop.
+    /// Returns a context for the next hop: the same trace with a new span id.
     pub fn child(self) -> Self {
         Self {
             span_id: fastrand::u64(1..),
@@ -36,7 +36,7 @@
         }
     }
 
-    /// A span for one hop of the request, disabled where the trace is not sampled.
+    /// Returns a logging span for one hop of the request; disabled if the trace is not sampled.
     pub fn hop_span(self, hop: &'static str, parent: Option<Self>) -> Span {
         if !self.sampled {
             return Span::none();
@@ -65,7 +65,7 @@
     }
 }
 
-/// The header is not a `traceparent` of version 00.
+/// Error for a header that is not a valid `traceparent`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ParseTraceError;
 
--- a/crates/wax-trace/src/counter.rs
+++ b/crates/wax-trace/src/counter.rs
@@ -1,10 +1,11 @@
-//! The counters of the process, one atomic each.
+//! Counters of the process, one atomic integer each.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $variant:ident = $name:literal,)*) => {
-        /// What is counted; the name in metrics is `waxwing.` and the counter's name.
+        /// Counters of the process. The name of a metric is `waxwing.` followed by the name of the
+        /// counter.
         #[derive(Debug, Clone, Copy, PartialEq, Eq)]
         pub enum Counter {
             $($(#[$doc])* $variant,)*
@@ -17,57 +18,58 @@
 counters! {
     /// Quick requests received by an entry.
     EntryRequests = "entry.requests",
-    /// Quick requests answered whole.
+    /// Quick requests whose complete response was sent to the caller.
     EntryAnswered = "entry.answered",
     /// Quick requests refused before any attempt.
     EntryRefused = "entry.refused",
-    /// Quick requests whose deadline passed.
+    /// Quick requests whose deadline expired.
     EntryTimeouts = "entry.timeouts",
-    /// Further attempts after a "not run" or a lost answer.
+    /// Retries after a sidecar answered "not run" or the response was lost.
     EntryRetries = "entry.retries",
     /// Hedged attempts of idempotent requests.
     EntryHedges = "entry.hedges",
-    /// Answers for attempts that were no longer pending.
+    /// Responses that arrived for attempts that were no longer pending.
     EntryLateAnswers = "entry.late_answers",
-    /// Answers that ended before they were whole.
+    /// Responses that ended before they were complete.
     EntryTruncatedAnswers = "entry.cut_answers",
-    /// Repeated idempotency keys.
+    /// Quick requests with an idempotency key that had been used before.
     EntryRepeatedKeys = "entry.repeated_keys",
     /// Requests that a sidecar dispatched to its upstream.
     SidecarDispatched = "sidecar.dispatched",
     /// Requests that a sidecar answered "not run".
     SidecarNotRun = "sidecar.not_run",
-    /// Requests dispatched whose answer was lost.
+    /// Requests that were dispatched to the upstream and whose response was lost.
     SidecarLost = "sidecar.lost",
-    /// Cancels that met a queued or not yet arrived attempt.
+    /// Cancellations of attempts that were still queued at the sidecar or had not arrived yet.
     SidecarCancelled = "sidecar.cancelled",
-    /// Connections opened to the upstream.
+    /// Connections that a sidecar opened to its upstream.
     SidecarConnects = "sidecar.connects",
     /// Peer connections opened or accepted.
     LinksOpened = "links.opened",
-    /// Peer connections lost.
+    /// Peer connections that were closed or failed.
     LinksLost = "links.lost",
-    /// Bytes of control frames sent, without bodies of requests and answers.
+    /// Bytes of control frames sent; bodies of requests and responses are not included.
     LinksControlBytes = "links.control_bytes",
-    /// Calls that read the table.
+    /// Read calls to the table.
     StoreReads = "store.reads",
     /// Commits sent to the table.
     StoreCommits = "store.commits",
-    /// Rows written by the commits sent.
+    /// Rows in the commits sent to the table.
     StoreRowsWritten = "store.rows_written",
-    /// Commits that failed their conditions.
+    /// Commits that the table rejected because a condition did not hold.
     StoreConflicts = "store.conflicts",
-    /// Transactions that an owner sent for a front that could not.
+    /// Transactions that this process sent to the store on behalf of a peer that could not reach
+    /// it.
     TransactionsRelayed = "store.transactions_relayed",
     /// Calls to the store that failed or timed out.
     StoreFailures = "store.failures",
-    /// Commits whose lost reply was settled by sending them again.
+    /// Commits with a lost reply whose outcome was determined afterwards.
     StoreCommitsResolved = "store.settled",
-    /// Calls refused because the store is known to be down.
+    /// Calls to the store that the circuit breaker rejected without sending them.
     StoreCallsRejected = "store.refused",
     /// Jobs accepted.
     JobsAccepted = "jobs.accepted",
-    /// Jobs refused because no worker can ever run them.
+    /// Jobs rejected because no worker is large enough for their tasks.
     JobsUnplaceable = "jobs.impossible",
     /// Tasks placed by a committed transaction.
     TasksPlaced = "tasks.placed",
@@ -79,67 +81,68 @@
     TasksFailed = "tasks.failed",
     /// Tasks lost with their worker and queued again.
     TasksLost = "tasks.lost",
-    /// Tasks found running after a takeover and kept.
+    /// Tasks that were running at a takeover and were taken over by the new owner.
     TasksAdopted = "tasks.adopted",
-    /// Task runs stopped because no allocation stands for them.
+    /// Runs that were stopped because the store holds no allocation for them.
     TasksOrphaned = "tasks.orphaned",
     /// Lease renewals sent to workers.
     LeaseRenewals = "leases.renewals",
-    /// Shards gained.
+    /// Shards of which this process became the owner.
     ShardsGained = "shards.gained",
-    /// Shards lost or handed over.
+    /// Shards that this process lost or handed over.
     ShardsLost = "shards.lost",
     /// Settings versions applied.
     SettingsApplied = "settings.applied",
-    /// Settings versions refused because they were not greater.
+    /// Received settings versions that were ignored because they were not newer.
     SettingsStale = "settings.stale",
     /// Usage intervals written to the ledger.
     UsageIntervals = "usage.intervals",
-    /// Usage intervals received a second time.
+    /// Usage intervals that were received more than once.
     UsageRepeated = "usage.repeated",
-    /// Readings of the operator's rows that found what the feed had not told.
+    /// Reads of the operator's rows that found a change which the feed had not delivered.
     ConfigChangesFoundByReading = "config.found_by_reading",
-    /// Routes that were neither found nor denied, as the config may be old.
+    /// Lookups of a queue that was not found in a config that may be stale; the caller is asked to
+    /// retry.
     RoutesIndeterminate = "config.routes_unsure",
-    /// Requests that submitted a job which was already known.
+    /// Submissions of jobs that had been accepted before.
     JobsRepeated = "jobs.repeated",
-    /// Jobs that were not accepted, or of which it is not known.
+    /// Submissions that were rejected or whose outcome is indeterminate.
     JobsNotAccepted = "jobs.not_accepted",
-    /// Cancels stored.
+    /// Job cancellations that were stored.
     JobsCancelled = "jobs.cancelled",
-    /// Jobs whose end the store has.
+    /// Jobs whose end was stored.
     JobsEnded = "jobs.ended",
-    /// Terms of ownership begun.
+    /// Terms of ownership that this process began.
     TermsBegun = "terms.begun",
-    /// Terms of ownership ended.
+    /// Terms of ownership of this process that ended.
     TermsEnded = "terms.ended",
-    /// Transactions of an owner's chain.
+    /// Transactions of the owner's write chain.
     ChainWrites = "chain.writes",
-    /// Transactions of an owner's chain that a front has sent.
+    /// Transactions of the owner's write chain that a front sent to the store on request.
     ChainRelayed = "chain.relayed",
-    /// Transactions of an owner's chain that the store does not take.
+    /// Transactions of the owner's write chain that the store rejected as invalid.
     ChainRefused = "chain.refused",
-    /// Workers asked what they take for a task.
+    /// Workers that the scheduler evaluated as candidates for a task.
     WorkersEvaluated = "workers.asked",
-    /// Agents looked at by rounds of the dispatcher.
+    /// Agents that the dispatcher visited.
     AgentsVisited = "agents.looked_at",
-    /// Starts ordered from agents.
+    /// Start orders sent to agents.
     StartsOrdered = "starts.ordered",
-    /// Starts that a worker or its agent refused.
+    /// Start orders that a worker or its agent refused.
     StartsRefused = "starts.refused",
-    /// Starts without an answer.
+    /// Start orders that were not answered.
     StartsUnanswered = "starts.unanswered",
-    /// Stops ordered from agents.
+    /// Stop orders sent to agents.
     StopsOrdered = "stops.ordered",
-    /// Holds without an answer.
+    /// Hold calls to workers that were not answered.
     HoldsUnanswered = "holds.unanswered",
-    /// Changes of pace ordered from a worker.
+    /// Changes of the pace of a run that an agent ordered from its worker.
     PaceOrders = "pace.orders",
-    /// Boots of workers that are gone, or whose leases have lapsed.
+    /// Boots of workers that ended or whose leases expired.
     WorkersEnded = "workers.gone",
-    /// Runs that were on a worker when it ended or its leases lapsed.
+    /// Runs that were lost because their worker ended or its leases expired.
     RunsLost = "runs.lost",
-    /// Tasks that ended their workers and are not started again.
+    /// Tasks that are not retried because their runs crashed workers.
     TasksGivenUp = "tasks.given_up",
     /// Workers quarantined because they fail every task.
     WorkersQuarantined = "workers.quarantined",
@@ -149,17 +152,17 @@
 
 static VALUES: [AtomicU64; COUNTER_COUNT] = [const { AtomicU64::new(0) }; COUNTER_COUNT];
 
-/// Adds one.
+/// Adds one to a counter.
 pub fn count(counter: Counter) {
     count_many(counter, 1);
 }
 
-/// Adds `amount`.
+/// Adds `amount` to a counter.
 pub fn count_many(counter: Counter, amount: u64) {
     VALUES[counter as usize].fetch_add(amount, Ordering::Relaxed);
 }
 
-/// The name and value of every counter, in the order of their declaration.
+/// Returns the name and value of every counter, in the order of declaration.
 pub fn counter_values() -> impl Iterator<Item = (&'static str, u64)> {
     NAMES
         .iter()
--- a/crates/wax-trace/src/exporter.rs
+++ b/crates/wax-trace/src/exporter.rs
@@ -1,11 +1,11 @@
-//! Sends the counters' increments to a StatsD address over UDP.
+//! Sends the increments of the counters to a StatsD server over UDP.
 
 use crate::counter::counter_values;
 use cadence::{Counted, StatsdClient, UdpMetricSink};
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
 
-/// Remembers what was sent, so that each call sends only the increments.
+/// Exporter of the counters. Keeps the values of the last export to send only increments.
 #[derive(Debug)]
 pub struct MetricsExporter {
     client: StatsdClient,
@@ -13,7 +13,7 @@
 }
 
 impl MetricsExporter {
-    /// Opens a socket that never blocks.
+    /// Opens a non-blocking UDP socket to `address`. Each metric carries the tag `process`.
     ///
     /// # Errors
     ///
@@ -33,7 +33,7 @@
         Ok(Self { client, sent })
     }
 
-    /// Sends what has been counted since the last call; a lost datagram stays lost.
+    /// Sends the increments since the last call. Lost datagrams are not sent again.
     pub fn send(&mut self) {
         for ((name, value), sent) in counter_values().zip(&mut self.sent) {
             let increment = value - *sent;
--- a/crates/wax-trace/src/latency.rs
+++ b/crates/wax-trace/src/latency.rs
@@ -1,4 +1,4 @@
-//! Latency histograms of the process, one for each step that callers or workers wait for.
+//! Latency histograms of the process, one for each operation that callers or workers wait for.
 
 use hdrhistogram::Histogram;
 use std::cell::RefCell;
@@ -7,7 +7,8 @@
 
 macro_rules! latencies {
     ($($(#[$doc:meta])* $variant:ident = $name:literal,)*) => {
-        /// What is timed; the name in metrics is `waxwing_` and the step's name.
+        /// Operations whose duration is recorded. The name of a metric is `waxwing_`, the name of
+        /// the operation and `_ms`.
         #[derive(Debug, Clone, Copy, PartialEq, Eq)]
         pub enum Latency {
             $($(#[$doc])* $variant,)*
@@ -18,38 +19,38 @@
 }
 
 latencies! {
-    /// From a caller's request to the answer to it.
+    /// Time from a caller's request for a job to the response.
     AcceptJob = "accept_job",
-    /// One transaction of an owner's chain, until its fate was known.
+    /// Duration of one transaction of the owner's write chain until its outcome is known.
     ChainWrite = "chain_write",
-    /// From a start sent to a worker to its answer.
+    /// Time from a start order sent to a worker to the worker's answer.
     StartRun = "start_run",
-    /// A hold, without the wait that it asked for.
+    /// Duration of a hold call, excluding the requested wait.
     Hold = "hold",
-    /// From a takeover to the shard loaded.
+    /// Time from a takeover until the state of the shard is loaded.
     Load = "load",
-    /// From a takeover until all workers were heard or had lapsed.
+    /// Time from a takeover until all workers have reported or their leases have expired.
     Settle = "settle",
 }
 
-/// The longest time that is told apart, milliseconds.
+/// Upper bound of the histograms. Longer durations are recorded with this value.
 const MAX_LATENCY_MS: u64 = 120_000;
-/// One significant digit keeps a histogram below two kilobytes.
+/// Precision of the histograms. One significant digit keeps a histogram below two kilobytes.
 const SIGNIFICANT_DIGITS: u8 = 1;
-/// Quantiles that are shown.
+/// Quantiles in the metrics output.
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 1.0];
 
 thread_local! {
-    /// A process of the system runs on one thread.
+    // Thread-local storage is sufficient because each process runs all its code on one thread.
     static HISTOGRAMS: RefCell<Vec<Option<Histogram<u32>>>> = RefCell::new(vec![None; NAMES.len()]);
 }
 
-/// Notes how long a step took.
+/// Adds the duration of one operation to its histogram.
 pub fn record_latency(latency: Latency, duration: Duration) {
     HISTOGRAMS.with_borrow_mut(|histograms| {
         let slot = &mut histograms[latency as usize];
         if slot.is_none() {
-            // The bounds are constants that the library accepts.
+            // Creation fails only for invalid bounds, and these are valid constants.
             *slot = Histogram::new_with_bounds(1, MAX_LATENCY_MS, SIGNIFICANT_DIGITS).ok();
         }
         if let Some(histogram) = slot {
@@ -58,7 +59,7 @@
     });
 }
 
-/// All histograms as text, a line for each quantile and count.
+/// Appends all histograms to `text`: one line for each quantile and one for the count.
 pub fn render_latencies(text: &mut String) {
     HISTOGRAMS.with_borrow(|histograms| {
         for (name, histogram) in NAMES.iter().zip(histograms) {
@@ -67,7 +68,7 @@
             };
             for quantile in QUANTILES {
                 let value = histogram.value_at_quantile(quantile);
-                // Writing to a string does not fail.
+                // Writing to a string cannot fail.
                 let _ = writeln!(text, "waxwing_{name}_ms{{quantile=\"{quantile}\"}} {value}");
             }
             let _ = writeln!(text, "waxwing_{name}_ms_count {}", histogram.len());
--- a/crates/wax-trace/src/lib.rs
+++ b/crates/wax-trace/src/lib.rs
@@ -1,4 +1,4 @@
-//! Counters, log lines and trace contexts.
+//! Observability of a process: counters, latency histograms, log output and trace contexts.
 
 mod context;
 mod counter;
--- a/crates/wax-trace/src/logs.rs
+++ b/crates/wax-trace/src/logs.rs
@@ -1,18 +1,18 @@
-//! Starts the log subscriber.
+//! Installs the subscriber that writes log lines.
 
 use tracing_subscriber::EnvFilter;
 use tracing_subscriber::fmt::format::FmtSpan;
 
-/// The form of log lines.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogFormat {
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
-    /// Text for people.
+    /// Human-readable text.
     Plain,
 }
 
-/// Where log lines go.
+/// Destination of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogOutput {
     /// Standard output.
@@ -21,10 +21,11 @@
     Stderr,
 }
 
-/// Writes log lines; `filter` is a directive such as `info` or `wax_tasks=debug`.
+/// Starts writing log lines. `filter` is a directive such as `info` or `wax_tasks=debug`; an
+/// invalid directive is replaced by `info`.
 ///
-/// The end of a span is a line of its own with the span's fields and duration. A second call
-/// changes nothing.
+/// When a span ends, a line with the fields and the duration of the span is written. Further calls
+/// have no effect.
 pub fn start_logs(format: LogFormat, output: LogOutput, filter: &str) {
     let filter = EnvFilter::try_new(filter).unwrap_or_else(|_| EnvFilter::new("info"));
     let builder = tracing_subscriber::fmt()
@@ -37,7 +38,7 @@
         })
         .with_ansi(false)
         .with_span_events(FmtSpan::CLOSE);
-    // An error means that a subscriber is installed already, as in tests.
+    // An error means that a subscriber is already installed, which happens in tests.
     let _ = match format {
         LogFormat::Json => builder.json().flatten_event(true).try_init(),
         LogFormat::Plain => builder.try_init(),
--- a/crates/wax-trace/src/streak.rs
+++ b/crates/wax-trace/src/streak.rs
@@ -1,9 +1,10 @@
-//! Logs a dependency's failures by their first and their last, not by each.
+//! Logs the first of several consecutive failures of a dependency and its recovery, instead of each
+//! failure.
 
 use std::cell::Cell;
 use std::fmt::Display;
 
-/// Failures of one dependency in a row.
+/// Number of consecutive failures of one dependency.
 #[derive(Debug)]
 pub struct FailureStreak {
     dependency: &'static str,
@@ -11,7 +12,7 @@
 }
 
 impl FailureStreak {
-    /// Follows the dependency that `what` names.
+    /// Creates a record without failures. `dependency` is the name for log lines.
     pub const fn new(dependency: &'static str) -> Self {
         Self {
             dependency,
@@ -19,7 +20,7 @@
         }
     }
 
-    /// Notes a failure; the first of a row is logged.
+    /// Counts a failure. Logs the error if it is the first since the last success.
     pub fn record_failure(&self, error: &dyn Display) {
         let failures = self.failures.get();
         self.failures.set(failures + 1);
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Notes a success; one after failures is logged with their count.
+    /// Resets the count. Logs the recovery with the number of failures if there were any.
     pub fn record_success(&self) {
         let failures = self.failures.replace(0);
         if failures > 0 {
--- a/src/args.rs
+++ b/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line of the daemon.
+//! Parses the command line of the daemon.
 
 use pico_args::Arguments;
 use std::path::PathBuf;
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -1,4 +1,5 @@
-//! Starts an entry, and the part that owns shards if the settings ask for it.
+//! Runs the role `entry`, including the coordinator that owns shards if the settings have a section
+//! `coordinator`.
 
 use crate::signals::shutdown_signal;
 use compio::runtime::spawn;
@@ -16,7 +17,7 @@
 use wax_trace::MetricsExporter;
 use wax_types::{ErrorKind, ProcessClock, ProcessIncarnation, SettingsVersion, Step, WaxError};
 
-/// Between two exports of the counters.
+/// Interval between two exports of the counters.
 const METRICS_EXPORT_PERIOD: Duration = Duration::from_secs(10);
 
 pub(crate) async fn run(settings: DaemonSettings) -> Result<(), WaxError> {
@@ -94,7 +95,8 @@
     println!("{}", addresses.ready_line());
     process.run(shutdown).await;
     if let Some(coordinator_task) = coordinator_task {
-        // A handover that panicked leaves the shards to be taken when this process is gone.
+        // If the coordinator panicked, other processes take over its shards once this process has
+        // ended.
         let _ = coordinator_task.await;
     }
     membership_shutdown.raise();
@@ -134,7 +136,7 @@
     )
 }
 
-/// Where this entry listens, with the ports that were taken.
+/// Addresses on which this entry listens, with the actual ports where the settings say port 0.
 struct ListenAddresses {
     callers: Box<str>,
     operators: Box<str>,
@@ -162,7 +164,8 @@
         })
     }
 
-    /// One line of JSON, for whoever started the process.
+    /// Returns a line of JSON that tells the parent process that the entry is ready, and its
+    /// addresses.
     fn ready_line(&self) -> String {
         format!(
             "{{\"ready\":{{\"role\":\"entry\",\"callers\":\"{}\",\"operators\":\"{}\",\"peers\":\"{}\"}}}}",
@@ -171,7 +174,8 @@
     }
 }
 
-/// Sends the counters to the address in the settings, if there is one.
+/// Starts sending the counters to the StatsD address in the settings; does nothing without an
+/// address.
 pub(crate) fn export_metrics(settings: &DaemonSettings) -> Result<(), WaxError> {
     let Some(address) = settings.logs.metrics else {
         return Ok(());
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! `waxwingd`: one process of the system, as an entry or as a sidecar.
+//! `waxwingd`: one process of the system, in the role that its settings file names: entry, sidecar,
+//! front or agent.
 
 mod args;
 mod entry;
@@ -14,9 +15,9 @@
 use wax_trace::{LogFormat, LogOutput, start_logs};
 use wax_types::WaxError;
 
-/// Bad arguments or settings; nothing was started.
+/// Exit code for invalid arguments or settings, and for errors that a role returns.
 const EXIT_USAGE: u8 = 2;
-/// Something failed while running.
+/// Exit code if the async runtime cannot be created.
 const EXIT_FAILURE: u8 = 1;
 
 fn main() -> ExitCode {
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Serves counters and latency histograms as text.
+//! Serves counters and latency histograms over HTTP in the Prometheus text format.
 
 use compio::runtime::spawn;
 use http::{Response, StatusCode, header};
@@ -30,7 +30,7 @@
     let mut text = String::new();
     for (name, value) in counter_values() {
         if value > 0 {
-            // Writing to a string does not fail.
+            // Writing to a string cannot fail.
             let _ = writeln!(text, "waxwing_{} {value}", name.replace('.', "_"));
         }
     }
@@ -38,11 +38,11 @@
     text
 }
 
-/// Serves metrics on `address` for the life of the process, if it is set.
+/// Serves metrics on `address` until the process ends; does nothing if `address` is `None`.
 ///
 /// # Errors
 ///
-/// The address is taken.
+/// `Invalid` if the address cannot be bound.
 pub(crate) fn serve_metrics(address: Option<SocketAddr>) -> Result<(), WaxError> {
     if let Some(address) = address {
         let listener = bind_listener(address)?;
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -1,4 +1,4 @@
-//! Starts the roles of the pool: a front, or an agent beside a worker.
+//! Runs the roles `front` and `agent` and reloads their settings file when it changes.
 
 use crate::metrics::serve_metrics;
 use crate::signals::{ignore_hangup, shutdown_signal};
@@ -19,9 +19,10 @@
 use wax_settings::{DaemonSettings, SettingsFile};
 use wax_types::WaxError;
 
-/// Longest time for a look at the owner's row.
+/// Timeout for reading the owner's row from the store.
 const OWNER_READ_TIMEOUT: Duration = Duration::from_millis(600);
-/// The settings file is looked at this often: it may change with or without SIGHUP.
+/// Interval at which the settings file is checked for changes. Polling is used because the file may
+/// change without a SIGHUP.
 const SETTINGS_POLL_PERIOD: Duration = Duration::from_millis(1_000);
 
 pub(crate) async fn run_front(settings: DaemonSettings, file: &Path) -> Result<(), WaxError> {
@@ -39,6 +40,8 @@
     wax_agent::run_agent(&settings, pace_rules, directory, shutdown_signal()).await
 }
 
+/// Applies the address of the store and the pacing rules of changed settings; an agent ignores
+/// other changes.
 async fn apply_changes(
     store: Rc<StoreClient>,
     pace_rules: Rc<Cell<PaceRules>>,
@@ -51,7 +54,8 @@
     }
 }
 
-/// Gives the settings anew whenever the file has changed; a file that does not pass changes nothing.
+/// Returns a stream of the settings after each change of the file. Invalid settings are logged and
+/// skipped.
 fn watch_settings(file: &Path) -> UnboundedReceiver<DaemonSettings> {
     ignore_hangup();
     let (sender, changes) = unbounded();
@@ -67,7 +71,7 @@
             Ok(file) if last_text.as_ref() != Some(&file.text) => file,
             Ok(_) => continue,
             Err(error) => {
-                tracing::warn!(%error, "the settings file cannot be read");
+                tracing::warn!(%error, "cannot read settings file");
                 continue;
             }
         };
@@ -77,13 +81,15 @@
                     return;
                 }
             }
-            Err(error) => tracing::error!(%error, "changed settings refused; those before stay"),
+            Err(error) => {
+                tracing::error!(%error, "changed settings file is invalid; keeping the previous settings")
+            }
         }
         last_text = Some(file.text);
     }
 }
 
-/// Finds the owner by its row in the store.
+/// Reads the owner's address from its row in the store.
 struct StoreOwnerDirectory(Rc<StoreClient>);
 
 impl OwnerDirectory for StoreOwnerDirectory {
--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -1,4 +1,4 @@
-//! Starts a sidecar.
+//! Runs the role `sidecar`.
 
 use crate::signals::shutdown_signal;
 use wax_settings::DaemonSettings;
--- a/src/signals.rs
+++ b/src/signals.rs
@@ -1,11 +1,11 @@
-//! SIGTERM and SIGINT ask for a drain.
+//! Signal handling: SIGTERM and SIGINT start a graceful shutdown, SIGHUP is ignored.
 
 use compio::runtime::spawn;
 use futures_util::future::select;
 use std::pin::pin;
 use wax_http::ShutdownSignal;
 
-/// A signal that is raised by SIGTERM or SIGINT.
+/// Returns a shutdown signal that is raised on SIGTERM or SIGINT.
 pub(crate) fn shutdown_signal() -> ShutdownSignal {
     let shutdown = ShutdownSignal::default();
     let raise = shutdown.clone();
@@ -19,7 +19,8 @@
     shutdown
 }
 
-/// Lets SIGHUP pass: the settings file is looked at anyway, and the default would end the process.
+/// Ignores SIGHUP. By default the signal would end the process, and the settings file is polled for
+/// changes anyway.
 pub(crate) fn ignore_hangup() {
     // SAFETY: SIG_IGN installs no handler, and no other code of the process uses SIGHUP.
     unsafe {
