--- a/crates/wax-http/src/body.rs
+++ b/crates/wax-http/src/body.rs
@@ -7,8 +7,7 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// Error of a streamed body that ended early. hyper aborts the connection on this error, so that
-/// the receiver detects the truncation.
+/// Error of a streamed body that ended early; hyper aborts the connection so that the peer notices.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display)]
 pub enum TruncatedBody {
     /// body truncated: the sender was dropped before the end of the body
@@ -17,8 +16,7 @@
 
 impl std::error::Error for TruncatedBody {}
 
-/// Sending side of a streamed body. Dropping the sender without [`BodySender::finish`] truncates
-/// the body.
+/// Sender of a streamed body. Dropping it without [`BodySender::finish`] truncates the body.
 #[derive(Debug)]
 pub struct BodySender {
     chunks: UnboundedSender<BodyChunk>,
@@ -72,11 +70,9 @@
     ended: bool,
 }
 
-/// Creates a streamed body and its sender. `on_taken` is called with the size of each chunk that
-/// the receiver reads.
+/// Creates a streamed body and its sender; `on_taken` gets the size of each chunk that is read.
 ///
-/// The queue between the two is unbounded. The caller must limit what it sends to the credit that
-/// `on_taken` returns to it.
+/// The queue is unbounded: the caller must limit what it sends by the credit from `on_taken`.
 pub fn body_channel(on_taken: impl FnMut(usize) + 'static) -> (BodySender, OutgoingBody) {
     let (sender, chunks) = unbounded();
     let body = StreamedBody {
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -82,7 +82,7 @@
                 }
             }
             Err(error) => {
-                tracing::error!(%error, "changed settings file is invalid; keeping the previous settings")
+                tracing::error!(%error, "settings file is invalid; keeping previous settings")
             }
         }
         last_text = Some(file.text);
