--- a/src/pool.rs
+++ b/src/pool.rs
@@ -81,9 +81,7 @@
                     return;
                 }
             }
-            Err(error) => {
-                tracing::error!(%error, "settings file is invalid; keeping previous settings")
-            }
+            Err(error) => tracing::error!(%error, "invalid settings file; keeping old settings"),
         }
         last_text = Some(file.text);
     }
