--- a/crates/wax-standin/src/site_runs.rs
+++ b/crates/wax-standin/src/site_runs.rs
@@ -153,10 +153,10 @@
 
     /// Returns whether an order with this fencing token is accepted: no higher token has been
     /// received.
-    fn fence(&mut self, token: u64) -> bool {
-        let passes = token >= self.token;
+    fn accept_token(&mut self, token: u64) -> bool {
+        let is_accepted = token >= self.token;
         self.token = self.token.max(token);
-        passes
+        is_accepted
     }
 
     fn record_event(&mut self, what: &str, task: &str, run: u64) {
@@ -165,7 +165,7 @@
     }
 
     pub(crate) fn start(&mut self, order: RunOrder) -> OrderAnswer {
-        if !self.fence(order.fencing_token) {
+        if !self.accept_token(order.fencing_token) {
             return self.answer(Some("fence"));
         }
         let is_closed = self
@@ -201,7 +201,7 @@
     }
 
     pub(crate) fn stop(&mut self, order: RunOrder) -> OrderAnswer {
-        if !self.fence(order.fencing_token) {
+        if !self.accept_token(order.fencing_token) {
             return self.answer(Some("fence"));
         }
         if self
@@ -217,7 +217,7 @@
     }
 
     pub(crate) fn hold(&mut self, token: u64, until_ms: Option<u64>, cursor: u64) -> OrderAnswer {
-        if !self.fence(token) {
+        if !self.accept_token(token) {
             return self.answer(Some("fence"));
         }
         self.lease_ms = self.lease_ms.max(until_ms.unwrap_or(0));
@@ -236,7 +236,7 @@
 
     /// Ends runs that have finished their work, and all runs once the lease has expired. With
     /// `fail`, finished runs end as failed.
-    pub(crate) fn tick(&mut self, fail: bool) {
+    pub(crate) fn end_finished_runs(&mut self, fail: bool) {
         let now = self.clock_ms();
         let expired = now > self.lease_ms;
         let finished: Vec<(String, &'static str)> = self
@@ -259,7 +259,7 @@
 
     /// Returns whether a running task crashes the worker now. If so, all running tasks are recorded
     /// as killed.
-    pub(crate) fn crash(&mut self) -> bool {
+    pub(crate) fn check_crash(&mut self) -> bool {
         let now = self.clock_ms();
         let crashes = |(task, record): (&String, &RunRecord)| {
             let after = record.work.crash_delay_ms(task);
@@ -292,7 +292,7 @@
     }
 
     /// Returns the reply to a hold: the running tasks, and the ends that are not acknowledged yet.
-    pub(crate) fn lists(&self) -> Value {
+    pub(crate) fn hold_reply(&self) -> Value {
         let running: Vec<Value> = self
             .running
             .iter()
--- a/crates/wax-standin/src/site_worker.rs
+++ b/crates/wax-standin/src/site_worker.rs
@@ -80,28 +80,32 @@
         sequence: Cell::new(0),
         reported: RefCell::default(),
     });
-    spawn(tick(state.clone())).detach();
-    spawn(check_in(state.clone(), options, address)).detach();
+    spawn(run_ticks(state.clone())).detach();
+    spawn(send_check_ins(state.clone(), options, address)).detach();
     HttpServer::new(listener, state, ShutdownSignal::default())
         .run()
         .await;
     Ok(())
 }
 
-async fn tick(state: Rc<SiteWorkerState>) {
+async fn run_ticks(state: Rc<SiteWorkerState>) {
     loop {
         sleep(TICK_PERIOD).await;
-        if state.runs.borrow_mut().crash() {
+        if state.runs.borrow_mut().check_crash() {
             // The history is printed because it cannot be queried after the crash.
             println!("{}", json!({ "history": state.runs.borrow().history() }));
             std::process::exit(CRASH_EXIT_CODE);
         }
         let fail = state.faults.borrow().fail;
-        state.runs.borrow_mut().tick(fail);
+        state.runs.borrow_mut().end_finished_runs(fail);
     }
 }
 
-async fn check_in(state: Rc<SiteWorkerState>, options: SiteWorkerOptions, address: SocketAddr) {
+async fn send_check_ins(
+    state: Rc<SiteWorkerState>,
+    options: SiteWorkerOptions,
+    address: SocketAddr,
+) {
     let Ok(client) = Client::new() else {
         return;
     };
@@ -198,10 +202,10 @@
     async fn order(
         &self,
         request: HttpRequest,
-        act: impl Fn(&mut SiteRuns, RunOrder) -> OrderAnswer,
+        apply: impl Fn(&mut SiteRuns, RunOrder) -> OrderAnswer,
     ) -> HttpReply {
         match parse_json(request, MAX_BODY_BYTES).await {
-            Ok(order) => reply(&act(&mut self.runs.borrow_mut(), order)),
+            Ok(order) => reply(&apply(&mut self.runs.borrow_mut(), order)),
             Err(error) => error_reply(&error),
         }
     }
@@ -226,6 +230,6 @@
             }
             sleep(TICK_PERIOD).await;
         }
-        json_reply(StatusCode::OK, &self.runs.borrow().lists())
+        json_reply(StatusCode::OK, &self.runs.borrow().hold_reply())
     }
 }
