--- a/crates/wax-settings/src/pool.rs
+++ b/crates/wax-settings/src/pool.rs
@@ -116,8 +116,8 @@
         // too old to start a task.
         let drain =
             drain.map(|bound_ms| bound("pool.drain_bound_ms", bound_ms.into(), 3_000, 600_000));
-        // With a bound of less than 500 ms, each front would read the platform's store more than
-        // eight times per second.
+        // With a bound of less than 500 ms, the platform's store would be read more than eight times
+        // per second.
         let config = self
             .config_bound_ms
             .map(|bound_ms| bound("pool.config_bound_ms", bound_ms.into(), 500, 600_000));
