--- a/crates/wax-agent/src/boot_change.rs
+++ b/crates/wax-agent/src/boot_change.rs
@@ -122,7 +122,7 @@
         .take_if(|boot| boot.view.boot == *active);
     if let Some(ended) = ended {
         state.boots.borrow_mut().note_ended(active);
-        count(Counter::WorkersGone);
+        count(Counter::WorkersEnded);
         tracing::warn!(worker = %active, why = reason, "worker is gone");
         let now = state.now();
         let runs = ended.log_lost_runs(now, &[]);
@@ -169,7 +169,7 @@
         return;
     };
     state.boots.borrow_mut().note_ended(&ended.view.boot);
-    count(Counter::WorkersGone);
+    count(Counter::WorkersEnded);
     tracing::warn!(worker = %ended.view.boot, on_next = on_next.len(), "worker is gone");
     let now = state.now();
     let runs = ended.log_lost_runs(now, on_next);
@@ -191,7 +191,7 @@
     else {
         return;
     };
-    count(Counter::WorkersGone);
+    count(Counter::WorkersEnded);
     tracing::warn!(worker = %active, "leases have lapsed");
     let runs = expired.log_lost_runs(now, &[]);
     let view = expired.view.clone();
--- a/crates/wax-agent/src/orders.rs
+++ b/crates/wax-agent/src/orders.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wax_batch::{BootId, RunId, StartRefusal};
-use wax_trace::{Counter, Latency, count, count_many, note_latency};
+use wax_trace::{Counter, Latency, count, count_many, record_latency};
 use wax_wire::{PlacementFrame, PoolBody, RefusalFrame, RunUpdates, StartRun};
 
 /// Timeout for a start; an unanswered start is followed by a stop.
@@ -85,7 +85,7 @@
         let run_id = request.run_id;
         let sent_at = self.now();
         let answer = self.worker.start(&boot, &request, START_TIMEOUT).await;
-        note_latency(Latency::StartRun, self.now().since(sent_at));
+        record_latency(Latency::StartRun, self.now().since(sent_at));
         if answer.is_ok() {
             self.note_order_answer(&boot);
         }
--- a/crates/wax-front/src/handler.rs
+++ b/crates/wax-front/src/handler.rs
@@ -12,7 +12,7 @@
 use wax_http::{
     HttpHandler, HttpReply, HttpRequest, collect_body, empty_reply, error_reply, json_reply,
 };
-use wax_trace::{Counter, Latency, count, note_latency};
+use wax_trace::{Counter, Latency, count, record_latency};
 use wax_types::{ErrorKind, Step, TimePoint, WaxError};
 
 /// Wait of callers that do not state one.
@@ -114,7 +114,7 @@
             let text = "no such queue";
             return WaxError::new(ErrorKind::NotFound, Step::RouteRequest, "config", text);
         }
-        count(Counter::RoutesUnsure);
+        count(Counter::RoutesIndeterminate);
         let kind = ErrorKind::Unavailable(CONFIG_RETRY_AFTER);
         let text = "no such queue in the config of a while ago; there may be a newer one";
         WaxError::new(kind, Step::RouteRequest, "config", text)
@@ -143,7 +143,7 @@
             .map_err(|text| invalid(text, "correct the job and submit it again"))?;
         let outcome = accept_job(&self.state, queue, job, &spec, deadline).await;
         let took_ms = self.state.shared.now().since(started_at).as_millis() as u64;
-        note_latency(Latency::AcceptJob, Duration::from_millis(took_ms));
+        record_latency(Latency::AcceptJob, Duration::from_millis(took_ms));
         count(match &outcome {
             Ok(AcceptOutcome::Stored) => Counter::JobsAccepted,
             Ok(AcceptOutcome::AlreadyStored) => Counter::JobsRepeated,
--- a/crates/wax-front/src/process.rs
+++ b/crates/wax-front/src/process.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use wax_http::{HttpServer, ShutdownSignal, bind_listener};
 use wax_owner::{PoolShared, VmCapacity, follow_operator_rows, run_ownership, serve_peers};
-use wax_settings::{DaemonSettings, MachineSettings};
+use wax_settings::{DaemonSettings, VmSettings};
 use wax_types::{ErrorKind, Step, WaxError};
 
 /// How long connections are still accepted after a shutdown request: the load balancer takes the
@@ -49,7 +49,7 @@
         store,
         pool.advisor,
         keep_ended,
-        vm_capacity(&pool.machine),
+        vm_capacity(&pool.vm),
     );
     shared.set_bounds(pool.config_bound(), pool.drain_bound());
     let shared = Rc::new(shared);
@@ -91,7 +91,7 @@
 }
 
 /// Returns the capacity of this VM; values that the settings omit are those of an average VM.
-fn vm_capacity(vm: &MachineSettings) -> VmCapacity {
+fn vm_capacity(vm: &VmSettings) -> VmCapacity {
     let default = VmCapacity::default();
     VmCapacity {
         cores: vm.cpu_share.unwrap_or(default.cores) * vm.cores.unwrap_or(1.0),
--- a/crates/wax-http/src/client.rs
+++ b/crates/wax-http/src/client.rs
@@ -1,6 +1,7 @@
-//! Client connections that are counted, for an upstream with a bound on connections.
+//! HTTP/1.1 client connections. Open connections are counted, for upstreams that limit their
+//! number.
 
-use crate::body::ReplyBody;
+use crate::body::OutgoingBody;
 use compio::net::TcpStream;
 use compio::runtime::spawn;
 use compio::time::timeout;
@@ -15,27 +16,28 @@
 use std::time::Duration;
 use wax_types::{ErrorKind, Step, WaxError};
 
-/// How many connections are open.
+/// Number of open client connections, shared by all clones.
 #[derive(Debug, Clone, Default)]
 pub struct ConnectionCount(Rc<Cell<usize>>);
 
 impl ConnectionCount {
-    /// The present count.
+    /// Returns the current number of open connections, including those being opened.
     pub fn get(&self) -> usize {
         self.0.get()
     }
 }
 
-struct CountGuard(ConnectionCount);
+/// Counts one connection until it is dropped.
+struct ConnectionGuard(ConnectionCount);
 
-impl CountGuard {
+impl ConnectionGuard {
     fn new(count: &ConnectionCount) -> Self {
         count.0.set(count.0.get() + 1);
         Self(count.clone())
     }
 }
 
-impl Drop for CountGuard {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.0.set(self.0.0.get() - 1);
     }
@@ -44,26 +46,27 @@
 /// One connection to an HTTP/1.1 server.
 #[derive(Debug)]
 pub struct ClientConnection {
-    sender: SendRequest<ReplyBody>,
+    sender: SendRequest<OutgoingBody>,
 }
 
 impl ClientConnection {
-    /// Connects within `limit`; `count` falls again when the socket is closed.
+    /// Connects to a server within `time_limit`. The connection is counted in `count` until its
+    /// socket is closed.
     ///
     /// # Errors
     ///
-    /// `Unavailable`: the server cannot be reached; nothing was sent.
+    /// `Unavailable` if the server cannot be reached in time. No request was sent.
     pub async fn open(
         address: SocketAddr,
-        limit: Duration,
+        time_limit: Duration,
         count: &ConnectionCount,
     ) -> Result<Self, WaxError> {
-        let guard = CountGuard::new(count);
+        let guard = ConnectionGuard::new(count);
         let unreachable = |error: &dyn std::fmt::Display| {
             let kind = ErrorKind::Unavailable(Duration::from_secs(1));
             WaxError::new(kind, Step::Connect, address.to_string(), error)
         };
-        let stream = match timeout(limit, connect(address)).await {
+        let stream = match timeout(time_limit, connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => return Err(unreachable(&error)),
             Err(_) => return Err(unreachable(&"no connection in time")),
@@ -72,7 +75,7 @@
             .await
             .map_err(|error| unreachable(&error))?;
         spawn(async move {
-            // A broken connection shows at its sender.
+            // Errors of the connection are returned to the caller by the sender.
             let _ = connection.await;
             drop(guard);
         })
@@ -80,25 +83,27 @@
         Ok(Self { sender })
     }
 
-    /// Whether the connection can take a request now.
+    /// Returns whether the connection can accept a request immediately.
     pub fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Waits until the connection can take a request; says whether it still lives.
+    /// Waits until the connection can accept a request. Returns `false` if the connection was
+    /// closed.
     pub async fn ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
-    /// Sends a request; gives it back where nothing of it was sent.
+    /// Sends a request and returns the response. On an error, returns the request if none of it was
+    /// sent.
     ///
     /// # Errors
     ///
-    /// The connection broke; without the request, the server may have taken it.
+    /// The connection failed. If the request is not returned, the server may have received it.
     pub async fn try_send(
         &mut self,
-        request: Request<ReplyBody>,
-    ) -> Result<Response<Incoming>, (hyper::Error, Option<Request<ReplyBody>>)> {
+        request: Request<OutgoingBody>,
+    ) -> Result<Response<Incoming>, (hyper::Error, Option<Request<OutgoingBody>>)> {
         match self.sender.try_send_request(request).await {
             Ok(response) => Ok(response),
             Err(mut error) => {
@@ -108,14 +113,14 @@
         }
     }
 
-    /// Sends a request.
+    /// Sends a request and returns the response.
     ///
     /// # Errors
     ///
-    /// The connection broke; the server may have taken the request.
+    /// The connection failed; the server may have received the request.
     pub async fn send(
         &mut self,
-        request: Request<ReplyBody>,
+        request: Request<OutgoingBody>,
     ) -> Result<Response<Incoming>, hyper::Error> {
         self.sender.send_request(request).await
     }
--- a/crates/wax-http/src/reply.rs
+++ b/crates/wax-http/src/reply.rs
@@ -1,6 +1,6 @@
-//! Builds answers and reads bodies.
+//! Builds responses and reads request bodies.
 
-use crate::body::ReplyBody;
+use crate::body::OutgoingBody;
 use crate::{HttpReply, HttpRequest};
 use bytes::Bytes;
 use http::{Response, StatusCode, header};
@@ -9,17 +9,17 @@
 use serde::de::DeserializeOwned;
 use wax_types::{ErrorKind, Step, WaxError};
 
-/// An answer without a body.
+/// Builds a response without a body.
 pub fn empty_reply(status: StatusCode) -> HttpReply {
-    let mut reply = Response::new(ReplyBody::empty());
+    let mut reply = Response::new(OutgoingBody::empty());
     *reply.status_mut() = status;
     reply
 }
 
-/// An answer with a JSON body.
+/// Builds a response with a JSON body.
 pub fn json_reply<T: Serialize>(status: StatusCode, body: &T) -> HttpReply {
     let bytes = serde_json::to_vec(body).unwrap_or_default();
-    let mut reply = Response::new(ReplyBody::whole(bytes));
+    let mut reply = Response::new(OutgoingBody::full(bytes));
     *reply.status_mut() = status;
     let json = header::HeaderValue::from_static("application/json");
     reply.headers_mut().insert(header::CONTENT_TYPE, json);
@@ -34,7 +34,8 @@
     help: &'a str,
 }
 
-/// An answer for an error: its status, its text, and when to come back.
+/// Builds the response for an error: status, description as JSON, and, if the error allows a retry,
+/// the delay before the retry in the headers `retry-after` (seconds) and `waxwing-retry-after-ms`.
 pub fn error_reply(error: &WaxError) -> HttpReply {
     let status = match error.kind {
         ErrorKind::Invalid => StatusCode::BAD_REQUEST,
@@ -52,20 +53,21 @@
         help: &error.help,
     };
     let mut reply = json_reply(status, &body);
-    if let Some(after) = error.retry_after() {
+    if let Some(delay) = error.retry_after() {
         let headers = reply.headers_mut();
-        let seconds = after.as_secs_f64().ceil().max(1.0) as u64;
+        let seconds = delay.as_secs_f64().ceil().max(1.0) as u64;
         headers.insert(header::RETRY_AFTER, seconds.into());
-        headers.insert("waxwing-retry-after-ms", (after.as_millis() as u64).into());
+        headers.insert("waxwing-retry-after-ms", (delay.as_millis() as u64).into());
     }
     reply
 }
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads the complete body of a request, at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// `Invalid` if it is longer; `Protocol` if it was cut.
+/// `Invalid` if the body is longer than `limit`; `Protocol` if the connection failed before its
+/// end.
 pub async fn collect_body(request: HttpRequest, limit: usize) -> Result<Bytes, WaxError> {
     match Limited::new(request.into_body(), limit).collect().await {
         Ok(body) => Ok(body.to_bytes()),
@@ -85,11 +87,12 @@
     }
 }
 
-/// Reads a JSON body of at most `limit` bytes.
+/// Reads and decodes a JSON body of at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// As for [`collect_body`]; `Invalid` if it is not the expected JSON.
+/// The same as for [`collect_body`], and `Invalid` if the body is not JSON of the expected
+/// structure.
 pub async fn parse_json<T: DeserializeOwned>(
     request: HttpRequest,
     limit: usize,
--- a/crates/wax-http/src/server.rs
+++ b/crates/wax-http/src/server.rs
@@ -1,4 +1,4 @@
-//! Accepts connections and serves requests until shutdown; cuts off no request in progress.
+//! HTTP/1.1 server. On shutdown, the server closes its listener and finishes requests in progress.
 
 use crate::shutdown::ShutdownSignal;
 use crate::{HttpReply, HttpRequest};
@@ -19,27 +19,30 @@
 use std::time::Duration;
 use wax_types::{ErrorKind, Step, WaxError};
 
-/// A caller that sends no whole header for this long is cut off.
-const HEADER_LIMIT: Duration = Duration::from_secs(10);
-/// The longest header accepted, in bytes.
-const HEADER_BYTES: usize = 32 << 10;
-/// After a failed accept, such as for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Time within which a client must send the complete request header; otherwise the connection is
+/// closed.
+const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum size of a request header.
+const MAX_HEADER_BYTES: usize = 32 << 10;
+/// Delay after a failed accept. Accepting fails repeatedly while the process is out of file
+/// descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Connections that may wait to be accepted: the system's own bound, unless it is set higher.
-const BACKLOG: i32 = 4_096;
+/// Maximum number of connections that wait to be accepted; equals the default limit of Linux
+/// (`net.core.somaxconn`), which caps higher values.
+const ACCEPT_BACKLOG: i32 = 4_096;
 
-/// Answers requests of one server.
+/// Handles the requests of one server.
 pub trait HttpHandler: 'static {
-    /// Answers one request.
+    /// Handles one request and returns the response. Errors are returned as responses as well.
     fn handle(&self, request: HttpRequest) -> impl Future<Output = HttpReply>;
 }
 
-/// Binds a listener; port 0 takes a free one.
+/// Binds a listener. Port 0 selects a free port.
 ///
 /// # Errors
 ///
-/// The address is not ours or is in use.
+/// `Invalid` if the address does not belong to this VM or is in use.
 pub fn bind_listener(address: SocketAddr) -> Result<TcpListener, WaxError> {
     open_listener(address).map_err(|error: io::Error| {
         WaxError::new(ErrorKind::Invalid, Step::Listen, address.to_string(), error)
@@ -47,7 +50,8 @@
     })
 }
 
-/// With the standard library's backlog of 128, most of a large pool is turned away when it links at once.
+/// Opens a listening socket with a backlog of [`ACCEPT_BACKLOG`]. The standard library uses a
+/// backlog of 128, which overflows when all processes of a large pool connect at the same time.
 fn open_listener(address: SocketAddr) -> io::Result<TcpListener> {
     let family = match address {
         SocketAddr::V4(_) => AddressFamily::INET,
@@ -57,37 +61,39 @@
     let socket = socket_with(family, SocketType::STREAM, flags, None)?;
     sockopt::set_socket_reuseaddr(&socket, true)?;
     bind(&socket, &address)?;
-    listen(&socket, BACKLOG)?;
+    listen(&socket, ACCEPT_BACKLOG)?;
     TcpListener::from_std(StdListener::from(socket))
 }
 
-/// Counts the open connections of a server.
+/// Number of open connections of a server, now and at most.
 #[derive(Debug, Default)]
-pub struct OpenCount {
+pub struct OpenConnections {
     open: Cell<usize>,
-    most: Cell<usize>,
+    max_open: Cell<usize>,
     closed: Event,
 }
 
-impl OpenCount {
-    /// The most that were open at once.
-    pub fn most(&self) -> usize {
-        self.most.get()
+impl OpenConnections {
+    /// Returns the highest number of connections that were open at the same time.
+    pub fn max_open(&self) -> usize {
+        self.max_open.get()
     }
 }
 
-/// One more open connection until it is dropped.
-struct OpenGuard(Rc<OpenCount>);
+/// Counts one open connection until it is dropped.
+struct OpenConnectionGuard(Rc<OpenConnections>);
 
-impl OpenGuard {
-    fn new(count: &Rc<OpenCount>) -> Self {
-        count.open.set(count.open.get() + 1);
-        count.most.set(count.most.get().max(count.open.get()));
-        Self(count.clone())
+impl OpenConnectionGuard {
+    fn new(connections: &Rc<OpenConnections>) -> Self {
+        connections.open.set(connections.open.get() + 1);
+        connections
+            .max_open
+            .set(connections.max_open.get().max(connections.open.get()));
+        Self(connections.clone())
     }
 }
 
-impl Drop for OpenGuard {
+impl Drop for OpenConnectionGuard {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get() - 1);
         self.0.closed.notify(usize::MAX);
@@ -99,26 +105,27 @@
     listener: TcpListener,
     handler: Rc<H>,
     shutdown: ShutdownSignal,
-    count: Rc<OpenCount>,
+    connections: Rc<OpenConnections>,
 }
 
 impl<H: HttpHandler> HttpServer<H> {
-    /// Prepares a server.
+    /// Creates a server that passes requests to `handler` until `shutdown` is raised.
     pub fn new(listener: TcpListener, handler: Rc<H>, shutdown: ShutdownSignal) -> Self {
         Self {
             listener,
             handler,
             shutdown,
-            count: Rc::default(),
+            connections: Rc::default(),
         }
     }
 
-    /// The count of connections, which outlives the server.
-    pub fn open_count(&self) -> Rc<OpenCount> {
-        self.count.clone()
+    /// Returns the connection count, which remains readable after the server has ended.
+    pub fn open_connections(&self) -> Rc<OpenConnections> {
+        self.connections.clone()
     }
 
-    /// Serves until shutdown, then until every connection has finished its request.
+    /// Accepts connections until shutdown, then waits until every connection has finished its
+    /// request.
     pub async fn run(self) {
         loop {
             let accept = pin!(self.listener.accept());
@@ -126,22 +133,22 @@
             match select(stop, accept).await {
                 Either::Left(_) => break,
                 Either::Right((Ok((stream, _)), _)) => self.start_connection(stream),
-                Either::Right((Err(_), _)) => compio::time::sleep(ACCEPT_PAUSE).await,
+                Either::Right((Err(_), _)) => compio::time::sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
         drop(self.listener);
-        while self.count.open.get() > 0 {
-            let listener = self.count.closed.listen();
-            if self.count.open.get() > 0 {
+        while self.connections.open.get() > 0 {
+            let listener = self.connections.closed.listen();
+            if self.connections.open.get() > 0 {
                 listener.await;
             }
         }
     }
 
     fn start_connection(&self, stream: TcpStream) {
-        // Without it, small answers may wait for the peer's delayed acknowledgement.
+        // Without TCP_NODELAY, small responses may wait for the peer's delayed acknowledgement.
         let _ = stream.set_nodelay(true);
-        let guard = OpenGuard::new(&self.count);
+        let guard = OpenConnectionGuard::new(&self.connections);
         let handler = self.handler.clone();
         let shutdown = self.shutdown.clone();
         spawn(async move {
@@ -163,8 +170,8 @@
     });
     let connection = http1::Builder::new()
         .timer(CompioTimer)
-        .header_read_timeout(HEADER_LIMIT)
-        .max_buf_size(HEADER_BYTES)
+        .header_read_timeout(HEADER_TIMEOUT)
+        .max_buf_size(MAX_HEADER_BYTES)
         .serve_connection(HyperStream::new_plain(stream), service);
     let mut connection = pin!(connection);
     let finished = {
@@ -173,7 +180,7 @@
     };
     if !finished {
         connection.as_mut().graceful_shutdown();
-        // The peer's errors concern only this connection.
+        // An error affects only this connection.
         let _ = connection.await;
     }
 }
--- a/crates/wax-platform/src/table.rs
+++ b/crates/wax-platform/src/table.rs
@@ -316,7 +316,7 @@
         let own_row = reply.rows.first().filter(|row| {
             row.value.get("nonce").and_then(serde_json::Value::as_u64) == Some(transaction.nonce)
         });
-        count(Counter::StoreSettled);
+        count(Counter::StoreCommitsResolved);
         Ok(match own_row {
             Some(row) => CommitOutcome::Committed(row.version),
             None => CommitOutcome::Conflict(keys),
--- a/crates/wax-route/src/peer_link.rs
+++ b/crates/wax-route/src/peer_link.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wax_policy::{UpstreamLoad, UpstreamView};
-use wax_settings::ApplyChoice;
+use wax_settings::ApplyOutcome;
 use wax_trace::{Counter, count};
 use wax_types::SettingsVersion;
 use wax_wire::{
@@ -210,7 +210,7 @@
 /// Applies the settings tree of a sidecar that has a newer version. This happens after the entry has
 /// lost its connection to the store.
 fn handle_settings_push(shared: &Rc<EntryShared>, push: &SettingsPush) {
-    if let ApplyChoice::Applied(version) = shared.settings.apply_json(&push.tree) {
+    if let ApplyOutcome::Applied(version) = shared.settings.apply_json(&push.tree) {
         tracing::info!(%version, source = "sidecar", "settings in force");
         shared.publish_settings(None);
     }
--- a/crates/wax-route/src/response.rs
+++ b/crates/wax-route/src/response.rs
@@ -11,7 +11,7 @@
 use http::{HeaderName, HeaderValue, Response, StatusCode};
 use std::rc::Rc;
 use std::time::Duration;
-use wax_http::{BodySender, HttpReply, ReplyBody, body_channel, error_reply};
+use wax_http::{BodySender, HttpReply, OutgoingBody, body_channel, error_reply};
 use wax_trace::{Counter, count};
 use wax_types::{AttemptKey, RunOutcome, WaxError};
 use wax_wire::{BodyChunk, CreditGrant, PeerBody, ResponseHead};
@@ -65,7 +65,7 @@
 
     /// Returns a complete response from memory.
     pub(crate) fn into_reply(self) -> HttpReply {
-        let body = ReplyBody::whole(self.buffered.freeze());
+        let body = OutgoingBody::full(self.buffered.freeze());
         build_reply(&self.head, body)
     }
 
@@ -121,10 +121,10 @@
         }
     }
     // Dropping the attempt cancels it; dropping the sender closes the connection to the caller.
-    count(Counter::EntryCutAnswers);
+    count(Counter::EntryTruncatedAnswers);
 }
 
-fn build_reply(head: &ResponseHead, body: ReplyBody) -> HttpReply {
+fn build_reply(head: &ResponseHead, body: OutgoingBody) -> HttpReply {
     let mut reply = Response::new(body);
     let status = u16::try_from(head.status).unwrap_or_default();
     *reply.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
--- a/crates/wax-sidecar/src/link.rs
+++ b/crates/wax-sidecar/src/link.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wax_policy::BackoffPlan;
-use wax_settings::ApplyChoice;
+use wax_settings::ApplyOutcome;
 use wax_trace::{Counter, count};
 use wax_types::{ErrorKind, Step, WaxError};
 use wax_wire::{PeerBody, PeerHello, PeerReader, SettingsAck, SettingsPush, split_stream};
@@ -180,15 +180,15 @@
         shared.settings().apply_delta_json(&push.delta)
     };
     match choice {
-        ApplyChoice::Applied(version) => {
+        ApplyOutcome::Applied(version) => {
             count(Counter::SettingsApplied);
             tracing::info!(%version, "settings in force");
         }
-        ApplyChoice::Stale => count(Counter::SettingsStale),
+        ApplyOutcome::Stale => count(Counter::SettingsStale),
         // The delta does not follow on the version in force. The acknowledgement below reports that
         // version, and the entry then sends the whole tree.
-        ApplyChoice::Gap => {}
-        ApplyChoice::Unreadable(error) => {
+        ApplyOutcome::Gap => {}
+        ApplyOutcome::Unreadable(error) => {
             tracing::warn!(%error, "cannot parse the settings")
         }
     }
--- a/crates/wax-standin/src/peers.rs
+++ b/crates/wax-standin/src/peers.rs
@@ -1,4 +1,5 @@
-//! Plays many sidecars to one entry: they announce themselves and apply settings.
+//! Command `peers`: simulates many sidecars of one entry. They connect, report load and acknowledge
+//! settings.
 
 use crate::args::PeersOptions;
 use compio::net::TcpStream;
@@ -12,7 +13,7 @@
 use wax_types::{ErrorKind, Step, WaxError};
 use wax_wire::{LoadReport, PeerBody, PeerFrame, PeerHello, SettingsAck, split_stream};
 
-const HEARTBEAT: Duration = Duration::from_secs(1);
+const HEARTBEAT_PERIOD: Duration = Duration::from_secs(1);
 
 pub(crate) async fn run(options: PeersOptions) -> Result<(), WaxError> {
     let failed = |error: io::Error| {
@@ -40,7 +41,7 @@
     writer.write(PeerBody::Hello(hello)).await?;
     let (outbox, mut frames) = unbounded();
     spawn(async move { writer.forward(&mut frames).await }).detach();
-    spawn(beat(outbox.clone())).detach();
+    spawn(send_load_reports(outbox.clone())).detach();
     spawn(async move {
         while let Ok(Some(body)) = reader.read().await {
             if let PeerBody::Settings(push) = body {
@@ -54,13 +55,13 @@
     Ok(())
 }
 
-/// An idle sidecar says its load once a second.
-async fn beat(outbox: UnboundedSender<PeerBody>) {
+/// Sends the load report of an idle sidecar once per second until the connection ends.
+async fn send_load_reports(outbox: UnboundedSender<PeerBody>) {
     let load = LoadReport {
         upstream_up: true,
         ..LoadReport::default()
     };
     while outbox.unbounded_send(PeerBody::Load(load)).is_ok() {
-        sleep(HEARTBEAT).await;
+        sleep(HEARTBEAT_PERIOD).await;
     }
 }
--- a/crates/wax-standin/src/site_worker.rs
+++ b/crates/wax-standin/src/site_worker.rs
@@ -1,4 +1,5 @@
-//! A worker of the users' platform: obeys the process on its machine and keeps its own record.
+//! Command `site-worker`: a worker of the users' platform. Carries out the orders of the agent on
+//! its VM and keeps an independent history for audits.
 
 use crate::args::SiteWorkerOptions;
 use crate::site_runs::{OrderAnswer, RunOrder, SiteRuns};
@@ -18,36 +19,41 @@
 };
 use wax_types::{ErrorKind, Step, WaxError};
 
-const BODY_LIMIT: usize = 1 << 20;
-const TICK: Duration = Duration::from_millis(5);
+const MAX_BODY_BYTES: usize = 1 << 20;
+const TICK_PERIOD: Duration = Duration::from_millis(5);
 const CHECK_IN_PERIOD: Duration = Duration::from_millis(300);
-/// How long an order hangs whose answer is lost.
-const LOST_REPLY: Duration = Duration::from_secs(30);
+/// Time before an order with a lost reply is answered. Longer than the agent's timeouts, so that
+/// the agent sees no reply.
+const LOST_REPLY_DELAY: Duration = Duration::from_secs(30);
 
-/// Exit code of a worker that one of its tasks has ended.
-const CRASHED: i32 = 101;
+/// Exit code of a worker that was crashed by one of its tasks.
+const CRASH_EXIT_CODE: i32 = 101;
 
-/// What is wrong with the worker now.
+/// Faults of the worker. `POST /faults` replaces all of them; fields that the request omits are
+/// reset.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
-struct WorkerFaults {
-    /// Every run fails at its end.
+struct SiteWorkerFaults {
+    /// Every run ends as failed.
     fail: bool,
-    /// This share of the starts is carried out after this long and never answered.
+    /// Percentage of start orders that are carried out after `late_ms` and are not answered.
     late_percent: u32,
+    /// Delay of these start orders, milliseconds.
     late_ms: u64,
-    /// It says that it leaves.
+    /// The worker reports the state `draining`.
     draining: bool,
-    /// It has so much now, thousandths of a core.
+    /// Processor capacity that the worker reports, thousandths of a core; `None` reports the value
+    /// of the command line.
     cpu_milli: Option<u32>,
 }
 
-struct WorkerState {
+struct SiteWorkerState {
     id: String,
     runs: RefCell<SiteRuns>,
-    faults: RefCell<WorkerFaults>,
+    faults: RefCell<SiteWorkerFaults>,
+    /// Number of the last check-in.
     sequence: Cell<u64>,
-    /// Its last report.
+    /// Content of the last check-in.
     reported: RefCell<Value>,
 }
 
@@ -67,35 +73,39 @@
         .local_addr()
         .map_err(|error| WaxError::new(ErrorKind::Invalid, Step::Listen, "worker", error))?;
     println!("{}", json!({ "worker": address }));
-    let state = Rc::new(WorkerState {
+    let state = Rc::new(SiteWorkerState {
         id: options.id.clone(),
         runs: RefCell::new(SiteRuns::new(&options)),
         faults: RefCell::default(),
         sequence: Cell::new(0),
         reported: RefCell::default(),
     });
-    spawn(tick(state.clone())).detach();
-    spawn(check_in(state.clone(), options, address)).detach();
+    spawn(run_ticks(state.clone())).detach();
+    spawn(send_check_ins(state.clone(), options, address)).detach();
     HttpServer::new(listener, state, ShutdownSignal::default())
         .run()
         .await;
     Ok(())
 }
 
-async fn tick(state: Rc<WorkerState>) {
+async fn run_ticks(state: Rc<SiteWorkerState>) {
     loop {
-        sleep(TICK).await;
-        if state.runs.borrow_mut().crash() {
-            // What it has seen is lost with it but for this line.
+        sleep(TICK_PERIOD).await;
+        if state.runs.borrow_mut().check_crash() {
+            // The history is printed because it cannot be queried after the crash.
             println!("{}", json!({ "history": state.runs.borrow().history() }));
-            std::process::exit(CRASHED);
+            std::process::exit(CRASH_EXIT_CODE);
         }
         let fail = state.faults.borrow().fail;
-        state.runs.borrow_mut().tick(fail);
+        state.runs.borrow_mut().end_finished_runs(fail);
     }
 }
 
-async fn check_in(state: Rc<WorkerState>, options: SiteWorkerOptions, address: SocketAddr) {
+async fn send_check_ins(
+    state: Rc<SiteWorkerState>,
+    options: SiteWorkerOptions,
+    address: SocketAddr,
+) {
     let Ok(client) = Client::new() else {
         return;
     };
@@ -110,19 +120,19 @@
         if let Ok(request) = client.post(&url)
             && let Ok(request) = request.json(&body)
         {
-            // An agent that is away is told at the next check-in.
+            // A check-in that fails is not retried; the next one follows after CHECK_IN_PERIOD.
             let _ = request.send().await;
         }
         sleep(CHECK_IN_PERIOD).await;
     }
 }
 
-impl HttpHandler for WorkerState {
+impl HttpHandler for SiteWorkerState {
     async fn handle(&self, request: HttpRequest) -> HttpReply {
         let path = request.uri().path().to_owned();
         match path.as_str() {
             "/faults" => {
-                return match parse_json::<WorkerFaults>(request, BODY_LIMIT).await {
+                return match parse_json::<SiteWorkerFaults>(request, MAX_BODY_BYTES).await {
                     Ok(faults) => {
                         *self.faults.borrow_mut() = faults;
                         empty_reply(StatusCode::OK)
@@ -158,16 +168,16 @@
     json_reply(status, answer)
 }
 
-impl WorkerState {
-    /// What the worker says of itself.
+impl SiteWorkerState {
+    /// Returns the content of a check-in: identity, address, state and capacity.
     fn report(&self, options: &SiteWorkerOptions, address: SocketAddr) -> Value {
         let faults = self.faults.borrow();
         let runs = self.runs.borrow();
-        let word = if faults.draining { "draining" } else { "ready" };
+        let status = if faults.draining { "draining" } else { "ready" };
         let cpu_milli = faults.cpu_milli.unwrap_or(options.cpu_milli);
         json!({
             "service": options.service, "address": address.to_string(), "zone": options.domain, "version": "v1",
-            "slots": 8, "state": word, "coldRemainingMs": 0,
+            "slots": 8, "state": status, "coldRemainingMs": 0,
             "capacity": { "cpu": cpu_milli, "memMb": options.memory_mb, "gpu": 0 },
             "labels": ["a", "r1"], "clockMs": runs.clock_ms(), "sequence": self.sequence.get(),
             "born": runs.started_ms(),
@@ -175,7 +185,7 @@
     }
 
     async fn start(&self, request: HttpRequest) -> HttpReply {
-        let order: RunOrder = match parse_json(request, BODY_LIMIT).await {
+        let order: RunOrder = match parse_json(request, MAX_BODY_BYTES).await {
             Ok(order) => order,
             Err(error) => return error_reply(&error),
         };
@@ -183,7 +193,7 @@
         if fastrand::u32(0..100) < faults.late_percent {
             sleep(Duration::from_millis(faults.late_ms)).await;
             self.runs.borrow_mut().start(order);
-            sleep(LOST_REPLY).await;
+            sleep(LOST_REPLY_DELAY).await;
             return empty_reply(StatusCode::GATEWAY_TIMEOUT);
         }
         reply(&self.runs.borrow_mut().start(order))
@@ -192,16 +202,16 @@
     async fn order(
         &self,
         request: HttpRequest,
-        act: impl Fn(&mut SiteRuns, RunOrder) -> OrderAnswer,
+        apply: impl Fn(&mut SiteRuns, RunOrder) -> OrderAnswer,
     ) -> HttpReply {
-        match parse_json(request, BODY_LIMIT).await {
-            Ok(order) => reply(&act(&mut self.runs.borrow_mut(), order)),
+        match parse_json(request, MAX_BODY_BYTES).await {
+            Ok(order) => reply(&apply(&mut self.runs.borrow_mut(), order)),
             Err(error) => error_reply(&error),
         }
     }
 
     async fn hold(&self, request: HttpRequest) -> HttpReply {
-        let body: HoldBody = match parse_json(request, BODY_LIMIT).await {
+        let body: HoldBody = match parse_json(request, MAX_BODY_BYTES).await {
             Ok(body) => body,
             Err(error) => return error_reply(&error),
         };
@@ -213,13 +223,13 @@
             return reply(&answer);
         }
         let ended = self.runs.borrow().ended();
-        let waits = (body.wait_ms / TICK.as_millis() as u64).max(1);
+        let waits = (body.wait_ms / TICK_PERIOD.as_millis() as u64).max(1);
         for _ in 0..waits {
             if self.runs.borrow().ended() > ended || body.wait_ms == 0 {
                 break;
             }
-            sleep(TICK).await;
+            sleep(TICK_PERIOD).await;
         }
-        json_reply(StatusCode::OK, &self.runs.borrow().lists())
+        json_reply(StatusCode::OK, &self.runs.borrow().hold_reply())
     }
 }
--- a/crates/wax-standin/src/worker.rs
+++ b/crates/wax-standin/src/worker.rs
@@ -1,7 +1,7 @@
-//! A worker: runs tasks under leases, as the platform would.
+//! Command `worker`: runs simulated tasks under leases, with the API of the platform's workers.
 
 use crate::args::WorkerOptions;
-use crate::worker_runs::{RunStep, RunTable};
+use crate::worker_runs::{RunAction, RunTable};
 use compio::runtime::spawn;
 use compio::time::{interval, sleep};
 use http::StatusCode;
@@ -21,15 +21,15 @@
 };
 use wax_types::{ErrorKind, ProcessClock, ShardEpoch, Step, WaxError};
 
-const BODY_LIMIT: usize = 4 << 20;
-const TICK: Duration = Duration::from_millis(5);
+const MAX_BODY_BYTES: usize = 4 << 20;
+const TICK_PERIOD: Duration = Duration::from_millis(5);
 
 struct WorkerState {
     runs: RefCell<RunTable>,
     objects: ObjectClient,
 }
 
-/// The content of a checkpoint object.
+/// Content of a checkpoint object.
 #[derive(Serialize, Deserialize)]
 struct CheckpointData {
     done_ms: f64,
@@ -43,16 +43,16 @@
         server.run().await;
         return Ok(());
     }
-    let any = SocketAddr::new(options.listen.ip(), 0);
+    let any_port = SocketAddr::new(options.listen.ip(), 0);
     for n in 1..=options.count {
-        let (_, server) = prepare(&options, format!("{}-{n}", options.id), any).await?;
+        let (_, server) = prepare(&options, format!("{}-{n}", options.id), any_port).await?;
         spawn(server.run()).detach();
     }
     println!("{}", json!({ "workers": options.count }));
     std::future::pending().await
 }
 
-/// Registers one worker with the platform.
+/// Binds the server of one worker and registers the worker with the platform.
 async fn prepare(
     options: &WorkerOptions,
     id: String,
@@ -68,9 +68,9 @@
         concurrency: 16,
     };
     let health = StoreHandle::new(&base, limits, ProcessClock::start())?;
-    let usage_every = Duration::from_millis(options.usage_ms);
+    let usage_period = Duration::from_millis(options.usage_ms);
     let state = Rc::new(WorkerState {
-        runs: RefCell::new(RunTable::new(options.capacity, usage_every)),
+        runs: RefCell::new(RunTable::new(options.capacity, usage_period)),
         objects: ObjectClient::new(health),
     });
     let info = WorkerInfo {
@@ -106,11 +106,11 @@
 }
 
 async fn advance_runs(state: Rc<WorkerState>) {
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_PERIOD);
     loop {
         ticks.tick().await;
-        let steps = state.runs.borrow_mut().advance(Instant::now());
-        for RunStep::WriteResult(mark) in steps {
+        let actions = state.runs.borrow_mut().advance(Instant::now());
+        for RunAction::WriteResult(mark) in actions {
             state.write_result(mark).await;
         }
     }
@@ -122,7 +122,7 @@
         let body = json!({ "task": mark.task, "epoch": mark.epoch, "answer": "done" });
         let bytes = serde_json::to_vec(&body).unwrap_or_default();
         if self.objects.create(&key, bytes).await.is_err() {
-            // The run stays finished but unreported; the next tick tries again.
+            // The run stays in the state `Running`; the next tick writes the result again.
             return;
         }
         let mut runs = self.runs.borrow_mut();
@@ -159,9 +159,9 @@
         Ok(data.done_ms)
     }
 
-    /// Refuses an owner that a later one has replaced.
+    /// Returns an error if an owner with a higher epoch has called this worker.
     fn check_owner(&self, owner: ShardEpoch) -> Result<(), WaxError> {
-        if self.runs.borrow_mut().take_owner(owner) {
+        if self.runs.borrow_mut().accept_owner(owner) {
             return Ok(());
         }
         let text = "a later owner has called this worker";
@@ -235,28 +235,28 @@
     async fn answer(&self, request: HttpRequest) -> Result<HttpReply, WaxError> {
         let path = request.uri().path().to_owned();
         if path == "/faults" {
-            self.runs.borrow_mut().faults = parse_json(request, BODY_LIMIT).await?;
+            self.runs.borrow_mut().faults = parse_json(request, MAX_BODY_BYTES).await?;
             return Ok(empty_reply(StatusCode::NO_CONTENT));
         }
         if path == "/audit" {
             let runs = self.runs.borrow();
-            let body = json!({ "runs": runs.audit, "worst_over": runs.worst_over });
+            let body = json!({ "runs": runs.audit, "worst_over": runs.max_overload });
             return Ok(json_reply(StatusCode::OK, &body));
         }
         if self.runs.borrow().faults.cut {
             return Ok(empty_reply(StatusCode::SERVICE_UNAVAILABLE));
         }
         match path.as_str() {
-            "/start" => self.start(parse_json(request, BODY_LIMIT).await?).await,
-            "/renew" => self.renew(&parse_json(request, BODY_LIMIT).await?),
-            "/stop" => self.stop(parse_json(request, BODY_LIMIT).await?).await,
+            "/start" => self.start(parse_json(request, MAX_BODY_BYTES).await?).await,
+            "/renew" => self.renew(&parse_json(request, MAX_BODY_BYTES).await?),
+            "/stop" => self.stop(parse_json(request, MAX_BODY_BYTES).await?).await,
             "/checkpoint" => {
-                let request: ControlRequest = parse_json(request, BODY_LIMIT).await?;
+                let request: ControlRequest = parse_json(request, MAX_BODY_BYTES).await?;
                 self.check_owner(request.owner)?;
                 self.write_checkpoint(request.run_id).await;
                 Ok(self.run_reply(request.run_id))
             }
-            "/throttle" => self.throttle(&parse_json(request, BODY_LIMIT).await?),
+            "/throttle" => self.throttle(&parse_json(request, MAX_BODY_BYTES).await?),
             _ => Ok(empty_reply(StatusCode::NOT_FOUND)),
         }
     }
--- a/crates/wax-standin/src/worker_runs.rs
+++ b/crates/wax-standin/src/worker_runs.rs
@@ -1,4 +1,4 @@
-//! The runs of tasks at one worker: progress, leases, checkpoints, usage.
+//! Runs of tasks on one worker: progress, leases, checkpoints and usage reports.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, VecDeque};
@@ -6,16 +6,19 @@
 use wax_platform::{StartReply, StartRequest, TaskReport, TaskRunId, TaskRunStatus, UsageReport};
 use wax_types::{ResourceVector, ShardEpoch, TaskEpoch, TaskId, wall_clock_ms};
 
-/// Usage reports sent in one renewal.
-const USAGE_PAGE: usize = 200;
+/// Maximum number of usage reports in one reply to a renewal.
+const MAX_USAGE_REPORTS: usize = 200;
 
-/// What the stand-in reads of a job's input.
+/// Behaviour of a task, decoded from the job's input.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub(crate) struct TaskInput {
+    /// Run time at full speed, milliseconds.
     pub(crate) work_ms: u64,
+    /// Whether the run fails immediately.
     pub(crate) fail: bool,
-    /// What the task would use if nothing held it; its reserved size if it is not said.
+    /// Processor use of the task without a limit, thousandths of a core; `None` if equal to its
+    /// reserved size.
     pub(crate) true_cpu_milli: Option<u32>,
 }
 
@@ -29,19 +32,20 @@
     }
 }
 
-/// Faults of a worker; `POST /faults` replaces all of them.
+/// Faults of a worker. `POST /faults` replaces all of them; fields that the request omits are
+/// reset.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(crate) struct WorkerFaults {
-    /// Every run fails at once.
+    /// Every run fails immediately.
     pub(crate) fail_all: bool,
-    /// Usage is reported this much later.
+    /// Delay of usage reports, milliseconds.
     pub(crate) usage_lag_ms: u64,
-    /// Usage that was acknowledged is reported again, and in reverse order.
+    /// Acknowledged usage reports are sent again, and all reports are in reverse order.
     pub(crate) usage_repeat: bool,
-    /// Calls are refused with 503, as if the worker could not be reached.
+    /// Calls are answered with 503, as if the worker were unreachable.
     pub(crate) cut: bool,
-    /// Starts are answered this much later.
+    /// Delay of start orders, milliseconds.
     pub(crate) start_delay_ms: u64,
 }
 
@@ -50,19 +54,24 @@
     pub(crate) mark: TaskRunId,
     pub(crate) size: ResourceVector,
     pub(crate) input: TaskInput,
-    /// Work done before `since`, in milliseconds.
+    /// Work done before `since`, milliseconds at full speed.
     done_ms: f64,
+    /// Time of the last change of `speed`.
     since: Instant,
+    /// Progress relative to full speed, from 0 to 1.
     speed: f64,
     lease_end: Instant,
     pub(crate) run: TaskRunStatus,
     pub(crate) checkpoint: Option<Box<str>>,
+    /// Number of the current usage interval.
     interval: u32,
     interval_start: Instant,
     interval_start_ms: u64,
 }
 
 impl RunState {
+    /// Returns the work done until `now`, milliseconds at full speed. A run makes no progress after
+    /// its lease has expired.
     pub(crate) fn progress_ms(&self, now: Instant) -> f64 {
         let live = now
             .min(self.lease_end)
@@ -77,61 +86,67 @@
     }
 }
 
-/// A task that is given less than it needs runs slower, in proportion.
-fn speed_of(request: &StartRequest, input: &TaskInput) -> f64 {
+/// Returns the speed of a run. A task whose size is below its actual use runs slower in proportion.
+fn initial_speed(request: &StartRequest, input: &TaskInput) -> f64 {
     let needed = input.true_cpu_milli.unwrap_or(request.size.cpu_milli);
     (f64::from(request.size.cpu_milli) / f64::from(needed.max(1))).min(1.0)
 }
 
-/// One line of the audit: a run began or ended at this worker.
+/// Audit record of one run on this worker.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct AuditLine {
     pub(crate) task: TaskId,
     pub(crate) epoch: TaskEpoch,
     pub(crate) start_ms: u64,
-    /// `None` while it runs.
+    /// End of the run, Unix milliseconds; `None` while the task runs.
     pub(crate) end_ms: Option<u64>,
     pub(crate) resumed_from: Option<Box<str>>,
     pub(crate) cpu_milli_seconds: u64,
 }
 
-/// What the owner of a run has to do next.
+/// Action that the caller of [`RunTable::advance`] must perform.
 #[derive(Debug, PartialEq)]
-pub(crate) enum RunStep {
-    /// Write the result object, then call `finish`.
+pub(crate) enum RunAction {
+    /// Write the result object of the run, then call [`RunTable::end`].
     WriteResult(TaskRunId),
 }
 
+/// Runs of one worker.
 #[derive(Debug)]
 pub(crate) struct RunTable {
     capacity: ResourceVector,
-    usage_every: Duration,
+    usage_period: Duration,
     runs: HashMap<TaskId, RunState>,
+    /// Usage reports that are not acknowledged, with the time from which they are sent.
     usage: VecDeque<(Instant, UsageReport)>,
+    /// Acknowledged usage reports, kept for the fault `usage_repeat`.
     acknowledged: VecDeque<UsageReport>,
     sequence: u64,
     pub(crate) faults: WorkerFaults,
     pub(crate) audit: Vec<AuditLine>,
-    pub(crate) worst_over: u64,
-    /// Epochs that were stopped before they were started.
+    /// Largest amount by which the running tasks have exceeded the capacity, in any resource.
+    pub(crate) max_overload: u64,
+    /// Highest stopped epoch of each task. Starts of this epoch and earlier ones are refused.
     fenced: HashMap<TaskId, TaskEpoch>,
     pub(crate) boot: u64,
+    /// Highest epoch of an owner that has called this worker.
     owner: ShardEpoch,
+    /// Start of the worker's clock.
     origin: Instant,
 }
 
 impl RunTable {
-    pub(crate) fn new(capacity: ResourceVector, usage_every: Duration) -> Self {
+    pub(crate) fn new(capacity: ResourceVector, usage_period: Duration) -> Self {
         Self {
             capacity,
-            usage_every,
+            usage_period,
             runs: HashMap::new(),
             usage: VecDeque::new(),
             acknowledged: VecDeque::new(),
             sequence: 0,
             faults: WorkerFaults::default(),
             audit: Vec::new(),
-            worst_over: 0,
+            max_overload: 0,
             fenced: HashMap::new(),
             boot: fastrand::u64(1..),
             owner: ShardEpoch::default(),
@@ -143,13 +158,14 @@
         now.saturating_duration_since(self.origin).as_millis() as u64
     }
 
-    /// Whether the owner is not replaced by a later one.
-    pub(crate) fn take_owner(&mut self, owner: ShardEpoch) -> bool {
+    /// Records the epoch of a calling owner. Returns whether no owner with a higher epoch has
+    /// called.
+    pub(crate) fn accept_owner(&mut self, owner: ShardEpoch) -> bool {
         self.owner = self.owner.max(owner);
         owner == self.owner
     }
 
-    /// No later start of this epoch or an earlier one has an effect.
+    /// Fences an epoch of a task: starts of this epoch or an earlier one are refused from now on.
     pub(crate) fn fence(&mut self, mark: TaskRunId) {
         let epoch = self.fenced.entry(mark.task).or_default();
         *epoch = mark.epoch.max(*epoch);
@@ -186,7 +202,7 @@
             input: input.clone(),
             done_ms,
             since: now,
-            speed: speed_of(request, &input),
+            speed: initial_speed(request, &input),
             lease_end: now + Duration::from_millis(request.lease_ms),
             run: TaskRunStatus::Running,
             checkpoint: request.checkpoint.clone(),
@@ -203,12 +219,12 @@
             cpu_milli_seconds: 0,
         });
         self.runs.insert(request.run_id.task, run);
-        self.note_load();
+        self.record_overload();
         StartReply::Started
     }
 
-    /// Records by how much the running tasks exceed the worker.
-    fn note_load(&mut self) {
+    /// Updates `max_overload` with the current overload.
+    fn record_overload(&mut self) {
         let load = self
             .runs
             .values()
@@ -218,7 +234,7 @@
             });
         let over = load.saturating_sub(self.capacity);
         let over = u64::from(over.cpu_milli.max(over.memory_mib).max(over.accelerators));
-        self.worst_over = self.worst_over.max(over);
+        self.max_overload = self.max_overload.max(over);
     }
 
     pub(crate) fn get(&self, mark: TaskRunId) -> Option<&RunState> {
@@ -265,7 +281,8 @@
             .collect()
     }
 
-    /// Ends a run, with its last usage interval.
+    /// Ends a run at `now` with an outcome, and closes its last usage interval. Does nothing if the
+    /// run is not running.
     pub(crate) fn end(&mut self, now: Instant, mark: TaskRunId, outcome: TaskRunStatus) {
         if self
             .get(mark)
@@ -274,7 +291,8 @@
             return;
         }
         self.close_interval(now, mark);
-        // A lease that lapsed while this process was frozen ended the run at that time.
+        // `now` may be in the past: a lease that expired while this process was suspended ended the
+        // run then.
         let end = wall_clock_ms() - now.elapsed().as_millis() as u64;
         if let Some(run) = self.get_mut(mark) {
             run.run = outcome;
@@ -288,24 +306,25 @@
         }
     }
 
-    /// Lets time pass: lapses leases, closes usage intervals, finds finished work.
-    pub(crate) fn advance(&mut self, now: Instant) -> Vec<RunStep> {
+    /// Advances all runs to `now`: ends runs whose lease has expired or that fail, closes usage
+    /// intervals, and returns the actions for runs that have finished their work.
+    pub(crate) fn advance(&mut self, now: Instant) -> Vec<RunAction> {
         let running: Vec<TaskRunId> = self
             .runs
             .values()
             .filter(|run| run.run == TaskRunStatus::Running)
             .map(|run| run.mark)
             .collect();
-        let mut steps = Vec::new();
+        let mut actions = Vec::new();
         for mark in running {
             let Some(run) = self.get(mark) else { continue };
-            let lapsed = now >= run.lease_end;
+            let expired = now >= run.lease_end;
             let lease_end = run.lease_end;
             let finished = run.progress_ms(now) >= run.input.work_ms as f64;
             let failed = run.input.fail || self.faults.fail_all;
-            let due = now.saturating_duration_since(run.interval_start) >= self.usage_every;
+            let due = now.saturating_duration_since(run.interval_start) >= self.usage_period;
             let checkpoint = run.checkpoint.clone();
-            if lapsed {
+            if expired {
                 self.end(lease_end, mark, TaskRunStatus::Stopped(checkpoint));
             } else if failed {
                 self.end(
@@ -314,12 +333,12 @@
                     TaskRunStatus::Failed("the task exited with status 1".into()),
                 );
             } else if finished {
-                steps.push(RunStep::WriteResult(mark));
+                actions.push(RunAction::WriteResult(mark));
             } else if due {
                 self.close_interval(now, mark);
             }
         }
-        steps
+        actions
     }
 
     fn close_interval(&mut self, now: Instant, mark: TaskRunId) {
@@ -360,7 +379,8 @@
         }
     }
 
-    /// Reports that are due, after those acknowledged are dropped.
+    /// Returns the usage reports that are due. Reports up to the sequence number `through` are
+    /// acknowledged and not returned again, except with the fault `usage_repeat`.
     pub(crate) fn take_usage(&mut self, now: Instant, through: u64) -> Vec<UsageReport> {
         while self
             .usage
@@ -371,7 +391,7 @@
                 self.acknowledged.push_back(report);
             }
         }
-        while self.acknowledged.len() > USAGE_PAGE {
+        while self.acknowledged.len() > MAX_USAGE_REPORTS {
             self.acknowledged.pop_front();
         }
         let due = self
@@ -379,7 +399,7 @@
             .iter()
             .take_while(|(due, _)| *due <= now)
             .map(|(_, report)| report.clone())
-            .take(USAGE_PAGE);
+            .take(MAX_USAGE_REPORTS);
         if self.faults.usage_repeat {
             let mut all: Vec<UsageReport> = self.acknowledged.iter().cloned().chain(due).collect();
             all.reverse();
--- a/crates/wax-trace/src/lib.rs
+++ b/crates/wax-trace/src/lib.rs
@@ -1,4 +1,4 @@
-//! Counters, log lines and trace contexts.
+//! Observability of a process: counters, latency histograms, log output and trace contexts.
 
 mod context;
 mod counter;
@@ -10,6 +10,6 @@
 pub use context::TraceContext;
 pub use counter::{Counter, count, count_many, counter_values};
 pub use exporter::MetricsExporter;
-pub use latency::{Latency, note_latency, render_latencies};
+pub use latency::{Latency, record_latency, render_latencies};
 pub use logs::{LogFormat, LogOutput, start_logs};
 pub use streak::FailureStreak;
--- a/crates/wax-trace/src/streak.rs
+++ b/crates/wax-trace/src/streak.rs
@@ -1,38 +1,39 @@
-//! Logs a dependency's failures by their first and their last, not by each.
+//! Logs the first of several consecutive failures of a dependency and its recovery, instead of each
+//! failure.
 
 use std::cell::Cell;
 use std::fmt::Display;
 
-/// Failures of one dependency in a row.
+/// Number of consecutive failures of one dependency.
 #[derive(Debug)]
 pub struct FailureStreak {
-    what: &'static str,
+    dependency: &'static str,
     failures: Cell<u64>,
 }
 
 impl FailureStreak {
-    /// Follows the dependency that `what` names.
-    pub const fn new(what: &'static str) -> Self {
+    /// Creates a record without failures. `dependency` is the name for log lines.
+    pub const fn new(dependency: &'static str) -> Self {
         Self {
-            what,
+            dependency,
             failures: Cell::new(0),
         }
     }
 
-    /// Notes a failure; the first of a row is logged.
-    pub fn fail(&self, error: &dyn Display) {
+    /// Counts a failure. Logs the error if it is the first since the last success.
+    pub fn record_failure(&self, error: &dyn Display) {
         let failures = self.failures.get();
         self.failures.set(failures + 1);
         if failures == 0 {
-            tracing::warn!(what = self.what, %error, "dependency lost");
+            tracing::warn!(what = self.dependency, %error, "dependency lost");
         }
     }
 
-    /// Notes a success; one after failures is logged with their count.
-    pub fn succeed(&self) {
+    /// Resets the count. Logs the recovery with the number of failures if there were any.
+    pub fn record_success(&self) {
         let failures = self.failures.replace(0);
         if failures > 0 {
-            tracing::info!(what = self.what, failures, "dependency regained");
+            tracing::info!(what = self.dependency, failures, "dependency regained");
         }
     }
 }
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -1,4 +1,5 @@
-//! Starts an entry, and the part that owns shards if the settings ask for it.
+//! Runs the role `entry`, including the coordinator that owns shards if the settings have a section
+//! `coordinator`.
 
 use crate::signals::shutdown_signal;
 use compio::runtime::spawn;
@@ -16,8 +17,8 @@
 use wax_trace::MetricsExporter;
 use wax_types::{ErrorKind, ProcessClock, ProcessIncarnation, SettingsVersion, Step, WaxError};
 
-/// Between two exports of the counters.
-const METRICS_PERIOD: Duration = Duration::from_secs(10);
+/// Interval between two exports of the counters.
+const METRICS_EXPORT_PERIOD: Duration = Duration::from_secs(10);
 
 pub(crate) async fn run(settings: DaemonSettings) -> Result<(), WaxError> {
     let Some(options) = settings.entry.clone() else {
@@ -41,8 +42,8 @@
     let table = TableClient::new(health.clone());
     let objects = ObjectClient::new(health.clone());
     let directory = WorkerDirectory::new(health);
-    let terms = settings.coordinator.clone().unwrap_or_default();
-    let members = member_handle(&settings, &addresses, &terms);
+    let coordinator_settings = settings.coordinator.clone().unwrap_or_default();
+    let members = member_handle(&settings, &addresses, &coordinator_settings);
     let writer = GroupWriter::start(table.clone());
     let shutdown = shutdown_signal();
     let tree = SettingsHolder::default();
@@ -67,7 +68,7 @@
         writer.clone(),
         objects.clone(),
         directory,
-        terms.shards,
+        coordinator_settings.shards,
     );
     let services = EntryServices {
         table: table.clone(),
@@ -81,23 +82,24 @@
         policy: RoutePolicy::default(),
     };
     let process = EntryProcess::new(&settings, &options, services, listeners);
-    let period = Duration::from_millis(terms.heartbeat_ms.into());
-    let gone = ShutdownSignal::default();
+    let period = Duration::from_millis(coordinator_settings.heartbeat_ms.into());
+    let membership_shutdown = ShutdownSignal::default();
     let membership = spawn(maintain_membership(
         members,
         table,
         clock,
         period,
-        gone.clone(),
+        membership_shutdown.clone(),
     ));
-    let owner = coordinator.map(|coordinator| spawn(coordinator.run(shutdown.clone())));
+    let coordinator_task = coordinator.map(|coordinator| spawn(coordinator.run(shutdown.clone())));
     println!("{}", addresses.ready_line());
     process.run(shutdown).await;
-    if let Some(owner) = owner {
-        // A handover that panicked leaves the shards to be taken when this process is gone.
-        let _ = owner.await;
+    if let Some(coordinator_task) = coordinator_task {
+        // If the coordinator panicked, other processes take over its shards once this process has
+        // ended.
+        let _ = coordinator_task.await;
     }
-    gone.raise();
+    membership_shutdown.raise();
     let _ = membership.await;
     Ok(())
 }
@@ -114,7 +116,7 @@
 fn member_handle(
     settings: &DaemonSettings,
     addresses: &ListenAddresses,
-    terms: &CoordinatorSettings,
+    coordinator_settings: &CoordinatorSettings,
 ) -> MemberHandle {
     let row = MemberRow {
         name: settings.name.clone(),
@@ -128,10 +130,13 @@
         leaving: false,
         settings: SettingsVersion::default(),
     };
-    MemberHandle::new(row, Duration::from_millis(terms.member_ttl_ms.into()))
+    MemberHandle::new(
+        row,
+        Duration::from_millis(coordinator_settings.member_ttl_ms.into()),
+    )
 }
 
-/// Where this entry listens, with the ports that were taken.
+/// Addresses on which this entry listens, with the actual ports where the settings say port 0.
 struct ListenAddresses {
     callers: Box<str>,
     operators: Box<str>,
@@ -159,7 +164,8 @@
         })
     }
 
-    /// One line of JSON, for whoever started the process.
+    /// Returns a line of JSON that tells the parent process that the entry is ready, and its
+    /// addresses.
     fn ready_line(&self) -> String {
         format!(
             "{{\"ready\":{{\"role\":\"entry\",\"callers\":\"{}\",\"operators\":\"{}\",\"peers\":\"{}\"}}}}",
@@ -168,7 +174,8 @@
     }
 }
 
-/// Sends the counters to the address in the settings, if there is one.
+/// Starts sending the counters to the StatsD address in the settings; does nothing without an
+/// address.
 pub(crate) fn export_metrics(settings: &DaemonSettings) -> Result<(), WaxError> {
     let Some(address) = settings.logs.metrics else {
         return Ok(());
@@ -183,7 +190,7 @@
     })?;
     spawn(async move {
         loop {
-            sleep(METRICS_PERIOD).await;
+            sleep(METRICS_EXPORT_PERIOD).await;
             exporter.send();
         }
     })
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! `waxwingd`: one process of the system, as an entry or as a sidecar.
+//! `waxwingd`: one process of the system, in the role that its settings file names: entry, sidecar,
+//! front or agent.
 
 mod args;
 mod entry;
@@ -14,9 +15,9 @@
 use wax_trace::{LogFormat, LogOutput, start_logs};
 use wax_types::WaxError;
 
-/// Bad arguments or settings; nothing was started.
+/// Exit code for invalid arguments or settings, and for errors that a role returns.
 const EXIT_USAGE: u8 = 2;
-/// Something failed while running.
+/// Exit code if the async runtime cannot be created.
 const EXIT_FAILURE: u8 = 1;
 
 fn main() -> ExitCode {
@@ -31,7 +32,7 @@
         }
         Ok(Command::Run(file)) => match DaemonSettings::read(&file) {
             Ok(settings) => run(settings, &file),
-            Err(error) => refuse(&error),
+            Err(error) => report_error(&error),
         },
         Err(error) => {
             eprintln!("waxwingd: {error}\n\n{}", args::USAGE);
@@ -40,7 +41,7 @@
     }
 }
 
-fn refuse(error: &WaxError) -> ExitCode {
+fn report_error(error: &WaxError) -> ExitCode {
     eprintln!("waxwingd: {error}");
     ExitCode::from(EXIT_USAGE)
 }
@@ -74,6 +75,6 @@
     });
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => refuse(&error),
+        Err(error) => report_error(&error),
     }
 }
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -1,4 +1,4 @@
-//! Starts the roles of the pool: a front, or an agent beside a worker.
+//! Runs the roles `front` and `agent` and reloads their settings file when it changes.
 
 use crate::metrics::serve_metrics;
 use crate::signals::{ignore_hangup, shutdown_signal};
@@ -19,10 +19,11 @@
 use wax_settings::{DaemonSettings, SettingsFile};
 use wax_types::WaxError;
 
-/// Longest time for a look at the owner's row.
-const LOOK_LIMIT: Duration = Duration::from_millis(600);
-/// The settings file is looked at this often: it may change with or without SIGHUP.
-const SETTINGS_PERIOD: Duration = Duration::from_millis(1_000);
+/// Timeout for reading the owner's row from the store.
+const OWNER_READ_TIMEOUT: Duration = Duration::from_millis(600);
+/// Interval at which the settings file is checked for changes. Polling is used because the file may
+/// change without a SIGHUP.
+const SETTINGS_POLL_PERIOD: Duration = Duration::from_millis(1_000);
 
 pub(crate) async fn run_front(settings: DaemonSettings, file: &Path) -> Result<(), WaxError> {
     serve_metrics(settings.pool.as_ref().and_then(|pool| pool.metrics))?;
@@ -35,10 +36,12 @@
     let pace_rules = Rc::new(Cell::new(settings.policy.pace));
     let changes = watch_settings(file);
     spawn(apply_changes(store.clone(), pace_rules.clone(), changes)).detach();
-    let directory = StoreDirectory(store);
+    let directory = StoreOwnerDirectory(store);
     wax_agent::run_agent(&settings, pace_rules, directory, shutdown_signal()).await
 }
 
+/// Applies the address of the store and the pacing rules of changed settings; an agent ignores
+/// other changes.
 async fn apply_changes(
     store: Rc<StoreClient>,
     pace_rules: Rc<Cell<PaceRules>>,
@@ -51,23 +54,24 @@
     }
 }
 
-/// Gives the settings anew whenever the file has changed; a file that does not pass changes nothing.
+/// Returns a stream of the settings after each change of the file. Invalid settings are logged and
+/// skipped.
 fn watch_settings(file: &Path) -> UnboundedReceiver<DaemonSettings> {
     ignore_hangup();
     let (sender, changes) = unbounded();
-    spawn(follow_file(file.to_owned(), sender)).detach();
+    spawn(poll_settings_file(file.to_owned(), sender)).detach();
     changes
 }
 
-async fn follow_file(path: PathBuf, sender: UnboundedSender<DaemonSettings>) {
-    let mut known = SettingsFile::read(&path).ok().map(|file| file.text);
+async fn poll_settings_file(path: PathBuf, sender: UnboundedSender<DaemonSettings>) {
+    let mut last_text = SettingsFile::read(&path).ok().map(|file| file.text);
     loop {
-        sleep(SETTINGS_PERIOD).await;
+        sleep(SETTINGS_POLL_PERIOD).await;
         let file = match SettingsFile::read(&path) {
-            Ok(file) if known.as_ref() != Some(&file.text) => file,
+            Ok(file) if last_text.as_ref() != Some(&file.text) => file,
             Ok(_) => continue,
             Err(error) => {
-                tracing::warn!(%error, "the settings file cannot be read");
+                tracing::warn!(%error, "cannot read settings file");
                 continue;
             }
         };
@@ -77,18 +81,22 @@
                     return;
                 }
             }
-            Err(error) => tracing::error!(%error, "changed settings refused; those before stay"),
+            Err(error) => tracing::error!(%error, "invalid settings file; keeping old settings"),
         }
-        known = Some(file.text);
+        last_text = Some(file.text);
     }
 }
 
-/// Finds the owner by its row in the store.
-struct StoreDirectory(Rc<StoreClient>);
+/// Reads the owner's address from its row in the store.
+struct StoreOwnerDirectory(Rc<StoreClient>);
 
-impl OwnerDirectory for StoreDirectory {
+impl OwnerDirectory for StoreOwnerDirectory {
     async fn read(&self) -> Option<SocketAddr> {
-        let row = self.0.read_row(&owner_key(), LOOK_LIMIT).await.ok()??;
+        let row = self
+            .0
+            .read_row(&owner_key(), OWNER_READ_TIMEOUT)
+            .await
+            .ok()??;
         let owner = OwnerRow::decode(&*row.value).ok()?;
         owner.address.parse().ok()
     }
