--- a/benches/plain_process.rs
+++ b/benches/bench_process.rs
@@ -7,7 +7,7 @@
 
 /// A running process.
 #[derive(Debug)]
-pub(crate) struct PlainProcess {
+pub(crate) struct BenchProcess {
     child: Child,
     ready: Value,
 }
@@ -21,7 +21,7 @@
     path
 }
 
-impl PlainProcess {
+impl BenchProcess {
     /// Starts a binary and waits for its line of addresses.
     pub(crate) fn start(name: &str, args: &[&str]) -> Self {
         let mut child = Command::new(binary(name))
@@ -53,7 +53,7 @@
     }
 }
 
-impl Drop for PlainProcess {
+impl Drop for BenchProcess {
     fn drop(&mut self) {
         // It may have ended already.
         let _ = self.child.kill();
--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -5,17 +5,17 @@
 #[allow(dead_code)]
 #[path = "../tests/proofs/support/calls.rs"]
 mod calls;
-#[path = "plain_process.rs"]
+#[path = "bench_process.rs"]
 mod process;
 
 use calls::{call, get_json, post_json};
-use process::PlainProcess;
+use process::BenchProcess;
 use serde_json::{Value, json};
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
 /// How long a state is watched for one row.
-const WATCH: Duration = Duration::from_secs(8);
+const MEASUREMENT_TIME: Duration = Duration::from_secs(8);
 
 /// What one process used while it was watched.
 #[derive(Debug, Clone, Copy)]
@@ -44,9 +44,9 @@
     kib.unwrap_or(0.0) / 1_024.0
 }
 
-async fn watch(pid: u32) -> ProcessCost {
+async fn measure(pid: u32) -> ProcessCost {
     let (start, before) = (Instant::now(), cpu_ticks(pid));
-    compio::time::sleep(WATCH).await;
+    compio::time::sleep(MEASUREMENT_TIME).await;
     let seconds = start.elapsed().as_secs_f64();
     ProcessCost {
         cpu_percent: (cpu_ticks(pid) - before) as f64 / seconds,
@@ -57,8 +57,8 @@
 /// The platform and one entry.
 struct Bench {
     folder: PathBuf,
-    platform: PlainProcess,
-    entry: PlainProcess,
+    platform: BenchProcess,
+    entry: BenchProcess,
 }
 
 impl Bench {
@@ -66,7 +66,7 @@
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("capacity-{name}"));
         std::fs::create_dir_all(&folder).expect("the folder is made");
         let platform =
-            PlainProcess::start("waxwing-standin", &["platform", "--listen", "127.0.0.1:0"]);
+            BenchProcess::start("waxwing-standin", &["platform", "--listen", "127.0.0.1:0"]);
         let text = format!(
             "role: entry\nname: entry-1\nregion: bench\nfailure_domain: domain-0\n\
              platform: {{address: '{}'}}\n\
@@ -76,7 +76,7 @@
         );
         let file = folder.join("entry.yaml");
         std::fs::write(&file, text).expect("written");
-        let entry = PlainProcess::start("waxwingd", &["--settings", &file.display().to_string()]);
+        let entry = BenchProcess::start("waxwingd", &["--settings", &file.display().to_string()]);
         let bench = Self {
             folder,
             platform,
@@ -113,7 +113,7 @@
         })
     }
 
-    async fn store(&self) -> Value {
+    async fn store_stats(&self) -> Value {
         let url = format!("http://{}/stats", self.platform.address("platform"));
         get_json(&url).await.expect("the platform answers")
     }
@@ -134,7 +134,7 @@
         assert_eq!(answer.map(|answer| answer.status), Ok(202));
     }
 
-    async fn placed(&self) -> u64 {
+    async fn placed_tasks(&self) -> u64 {
         let status = get_json(&format!("{}/v1/status", self.operators())).await;
         let shards = status.map_or(Vec::new(), |status| {
             status["shards"].as_array().cloned().unwrap_or_default()
@@ -147,7 +147,7 @@
 }
 
 /// An entry with idle sidecars.
-async fn entry_by_sidecars(count: u32) {
+async fn measure_entry_by_sidecars(count: u32) {
     let bench = Bench::start("sidecars", 1, 2_000).await;
     let text = count.to_string();
     let peers = bench.entry.address("peers");
@@ -160,21 +160,21 @@
         "--count",
         &text,
     ];
-    let _peers = PlainProcess::start("waxwing-standin", &args);
+    let _peers = BenchProcess::start("waxwing-standin", &args);
     compio::time::sleep(Duration::from_secs(2)).await;
     let before = bench.counter("links.control_bytes").await;
-    let cost = watch(bench.entry.pid()).await;
+    let cost = measure(bench.entry.pid()).await;
     let bytes = bench.counter("links.control_bytes").await - before;
     println!(
         "entry    {count:>5} sidecars                cpu {:>6.2}%  memory {:>6.1} MiB  control sent {:>8.0} B/s",
         cost.cpu_percent,
         cost.memory_mib,
-        bytes / WATCH.as_secs_f64(),
+        bytes / MEASUREMENT_TIME.as_secs_f64(),
     );
 }
 
 /// An owner of all shards, with workers that each run 27 tasks.
-async fn owner_by_workers(count: u32) {
+async fn measure_owner_by_workers(count: u32) {
     let bench = Bench::start("workers", (count / 12).max(1) as u16, 2_000).await;
     let text = count.to_string();
     let platform = bench.platform.address("platform");
@@ -199,7 +199,7 @@
         "--count",
         &text,
     ];
-    let _workers = PlainProcess::start("waxwing-standin", &args);
+    let _workers = BenchProcess::start("waxwing-standin", &args);
     let tasks = count as usize * 27;
     for part in 0..tasks.div_ceil(50) {
         let in_part = 50.min(tasks - part * 50);
@@ -208,17 +208,17 @@
             .await;
     }
     let start = Instant::now();
-    while bench.placed().await < tasks as u64 && start.elapsed() < Duration::from_secs(60) {
+    while bench.placed_tasks().await < tasks as u64 && start.elapsed() < Duration::from_secs(60) {
         compio::time::sleep(Duration::from_millis(200)).await;
     }
-    let placed = bench.placed().await;
+    let placed = bench.placed_tasks().await;
     compio::time::sleep(Duration::from_secs(3)).await;
-    let store_before = bench.store().await;
-    let cost = watch(bench.entry.pid()).await;
-    let store = bench.store().await;
+    let store_before = bench.store_stats().await;
+    let cost = measure(bench.entry.pid()).await;
+    let store = bench.store_stats().await;
     let rate = |key: &str| {
         (store[key].as_f64().unwrap_or(0.0) - store_before[key].as_f64().unwrap_or(0.0))
-            / WATCH.as_secs_f64()
+            / MEASUREMENT_TIME.as_secs_f64()
     };
     println!(
         "owner    {count:>5} workers {placed:>6} tasks   cpu {:>6.2}%  memory {:>6.1} MiB  store {:>6.1} reads/s {:>6.1} commits/s {:>6.1} rows/s",
@@ -231,7 +231,7 @@
 }
 
 /// Starts of short tasks at a steady rate.
-async fn owner_by_starts(per_second: u32) {
+async fn measure_owner_by_starts(per_second: u32) {
     let bench = Bench::start("starts", 4, 500).await;
     let platform = bench.platform.address("platform");
     let args = [
@@ -255,32 +255,37 @@
         "--count",
         "40",
     ];
-    let _workers = PlainProcess::start("waxwing-standin", &args);
+    let _workers = BenchProcess::start("waxwing-standin", &args);
     compio::time::sleep(Duration::from_secs(3)).await;
     let done_before = bench.counter("tasks.done").await;
-    let store_before = bench.store().await;
+    let store_before = bench.store_stats().await;
     let before = cpu_ticks(bench.entry.pid());
     let start = Instant::now();
-    let mut sent = 0;
-    while start.elapsed() < WATCH {
+    let mut submitted = 0;
+    while start.elapsed() < MEASUREMENT_TIME {
         let due = (start.elapsed().as_secs_f64() * f64::from(per_second)) as u64;
-        if sent < due {
+        if submitted < due {
             bench
-                .submit(sent as usize % 330, 10, 400, &format!("start-{sent}"))
+                .submit(
+                    submitted as usize % 330,
+                    10,
+                    400,
+                    &format!("start-{submitted}"),
+                )
                 .await;
-            sent += 10;
+            submitted += 10;
         } else {
             compio::time::sleep(Duration::from_millis(5)).await;
         }
     }
-    while bench.counter("tasks.done").await - done_before < sent as f64
-        && start.elapsed() < WATCH * 4
+    while bench.counter("tasks.done").await - done_before < submitted as f64
+        && start.elapsed() < MEASUREMENT_TIME * 4
     {
         compio::time::sleep(Duration::from_millis(100)).await;
     }
     let seconds = start.elapsed().as_secs_f64();
     let done = bench.counter("tasks.done").await - done_before;
-    let store = bench.store().await;
+    let store = bench.store_stats().await;
     let change =
         |key: &str| store[key].as_f64().unwrap_or(0.0) - store_before[key].as_f64().unwrap_or(0.0);
     println!(
@@ -295,9 +300,9 @@
 }
 
 /// A sidecar and its entry under quick requests.
-async fn sidecar_by_requests(rate: u32) {
+async fn measure_sidecar_by_requests(rate: u32) {
     let bench = Bench::start("requests", 1, 2_000).await;
-    let upstream = PlainProcess::start(
+    let upstream = BenchProcess::start(
         "waxwing-standin",
         &["upstream", "--listen", "127.0.0.1:0", "--service-ms", "1"],
     );
@@ -310,9 +315,12 @@
     );
     let file = bench.folder.join("sidecar.yaml");
     std::fs::write(&file, text).expect("written");
-    let sidecar = PlainProcess::start("waxwingd", &["--settings", &file.display().to_string()]);
+    let sidecar = BenchProcess::start("waxwingd", &["--settings", &file.display().to_string()]);
     compio::time::sleep(Duration::from_millis(800)).await;
-    let (rate_text, seconds) = (rate.to_string(), (WATCH.as_secs() + 2).to_string());
+    let (rate_text, seconds) = (
+        rate.to_string(),
+        (MEASUREMENT_TIME.as_secs() + 2).to_string(),
+    );
     let load = |address: String, direct: bool| {
         let mut args = vec![
             "load".to_owned(),
@@ -336,10 +344,10 @@
     let args = load(bench.entry.address("callers"), false);
     let through = std::thread::spawn(move || process::output("waxwing-standin", &args));
     compio::time::sleep(Duration::from_secs(1)).await;
-    let (entry, side) =
-        futures_util::future::join(watch(bench.entry.pid()), watch(sidecar.pid())).await;
+    let (entry, sidecar_cost) =
+        futures_util::future::join(measure(bench.entry.pid()), measure(sidecar.pid())).await;
     let through = through.join().expect("the load ends");
-    let figure = |text: &str, key: &str| {
+    let number_of = |text: &str, key: &str| {
         let value: Value = serde_json::from_str(text).unwrap_or_default();
         value[key].as_f64().unwrap_or(0.0)
     };
@@ -347,12 +355,12 @@
         "requests {rate:>5} a second              entry {:>5.1}% {:>5.1} MiB  sidecar {:>5.1}% {:>5.1} MiB  p50 {:.0} us, direct {:.0}  p99 {:.0} us, direct {:.0}",
         entry.cpu_percent,
         entry.memory_mib,
-        side.cpu_percent,
-        side.memory_mib,
-        figure(&through, "p50_us"),
-        figure(&direct, "p50_us"),
-        figure(&through, "p99_us"),
-        figure(&direct, "p99_us"),
+        sidecar_cost.cpu_percent,
+        sidecar_cost.memory_mib,
+        number_of(&through, "p50_us"),
+        number_of(&direct, "p50_us"),
+        number_of(&through, "p99_us"),
+        number_of(&direct, "p99_us"),
     );
 }
 
@@ -371,22 +379,22 @@
         .block_on(async {
             if wanted("sidecars") {
                 for count in [1, 100, 250, 400] {
-                    entry_by_sidecars(count).await;
+                    measure_entry_by_sidecars(count).await;
                 }
             }
             if wanted("workers") {
                 for count in [12, 48, 96, 144] {
-                    owner_by_workers(count).await;
+                    measure_owner_by_workers(count).await;
                 }
             }
             if wanted("starts") {
                 for rate in [20, 60, 110] {
-                    owner_by_starts(rate).await;
+                    measure_owner_by_starts(rate).await;
                 }
             }
             if wanted("requests") {
                 for rate in [100, 500, 1_000, 2_000] {
-                    sidecar_by_requests(rate).await;
+                    measure_sidecar_by_requests(rate).await;
                 }
             }
         });
--- a/benches/owner_load.rs
+++ b/benches/owner_load.rs
@@ -8,12 +8,12 @@
 #[path = "../tests/common/mod.rs"]
 #[allow(dead_code, reason = "shared with the tests, which use all of it")]
 mod common;
-#[path = "../tests/pool/relay.rs"]
-#[allow(dead_code, reason = "shared with the tests, which use all of it")]
-mod relay;
 #[path = "../tests/pool/site.rs"]
 #[allow(dead_code, reason = "shared with the tests, which use all of it")]
 mod site;
+#[path = "../tests/pool/store_proxy.rs"]
+#[allow(dead_code, reason = "shared with the tests, which use all of it")]
+mod store_proxy;
 
 use compio::net::TcpStream;
 use compio::runtime::{JoinHandle, spawn};
@@ -34,63 +34,61 @@
 };
 
 /// How long the load is watched.
-const WATCH: Duration = Duration::from_secs(10);
+const MEASUREMENT_TIME: Duration = Duration::from_secs(10);
 /// Tasks of one job.
-const TASKS: u32 = 20;
+const TASKS_PER_JOB: u32 = 20;
 /// How long each task runs.
-const TASK_TIME: Duration = Duration::from_millis(1_200);
+const TASK_DURATION: Duration = Duration::from_millis(1_200);
 /// How often an agent learns of its worker's progress.
 const HOLD_PERIOD: Duration = Duration::from_millis(250);
 /// Heartbeats until the owner says otherwise.
-const FIRST_PERIOD: Duration = Duration::from_millis(400);
+const INITIAL_PERIOD: Duration = Duration::from_millis(400);
 
 /// A worker and its agent, as far as the owner sees them.
-struct PlayedAgent {
+struct FakeAgent {
     outbox: UnboundedSender<PoolBody>,
     ends: Cell<u64>,
     running: RefCell<Vec<(RunId, Instant)>>,
-    gathered: RefCell<GatheredNews>,
+    pending_updates: RefCell<GatheredNews>,
     period: Cell<Duration>,
 }
 
-impl PlayedAgent {
-    fn tell(&self, body: PoolBody) {
+impl FakeAgent {
+    fn send(&self, body: PoolBody) {
         // The owner's end closes the link.
         let _ = self.outbox.unbounded_send(body);
     }
 
     async fn run_task(self: Rc<Self>, order: StartRun) {
-        let mark = RunId::from(&order.seat.mark);
-        self.gathered.borrow_mut().note_started(mark);
-        self.running.borrow_mut().push((mark, Instant::now()));
-        sleep(TASK_TIME).await;
-        self.running
-            .borrow_mut()
-            .retain(|(other, _)| *other != mark);
+        let run = RunId::from(&order.seat.mark);
+        self.pending_updates.borrow_mut().note_started(run);
+        self.running.borrow_mut().push((run, Instant::now()));
+        sleep(TASK_DURATION).await;
+        self.running.borrow_mut().retain(|(other, _)| *other != run);
         self.ends.set(self.ends.get() + 1);
         let end = RunEnd {
             number: self.ends.get(),
-            run_id: mark,
+            run_id: run,
             kind: RunEndKind::Done,
             checkpoint: "".into(),
         };
-        let news = RunNews {
+        let updates = RunNews {
             ends: vec![(&end).into()],
             ..Default::default()
         };
-        let news = self.gathered.borrow_mut().complete(news);
-        self.tell(PoolBody::News(news));
+        let updates = self.pending_updates.borrow_mut().complete(updates);
+        self.send(PoolBody::News(updates));
     }
 
-    async fn report(self: Rc<Self>) {
+    async fn report_progress(self: Rc<Self>) {
         loop {
             sleep(HOLD_PERIOD).await;
             let running = self.running.borrow();
-            for (mark, since) in &*running {
-                self.gathered.borrow_mut().note_going(RunReport {
-                    run_id: *mark,
+            for (run, since) in &*running {
+                self.pending_updates.borrow_mut().note_going(RunReport {
+                    run_id: *run,
                     checkpoint: "".into(),
-                    percent: (100.0 * since.elapsed().div_duration_f64(TASK_TIME)) as u32,
+                    percent: (100.0 * since.elapsed().div_duration_f64(TASK_DURATION)) as u32,
                     load_metric: 900,
                     confirmed_by_worker: true,
                 });
@@ -98,13 +96,17 @@
         }
     }
 
-    async fn ping(self: Rc<Self>) {
+    async fn send_heartbeats(self: Rc<Self>) {
         loop {
-            if let Some(news) = self.gathered.borrow_mut().take() {
-                self.tell(PoolBody::News(news));
+            if let Some(updates) = self.pending_updates.borrow_mut().take() {
+                self.send(PoolBody::News(updates));
             }
-            let ping = LinkPing::default();
-            if self.outbox.unbounded_send(PoolBody::Ping(ping)).is_err() {
+            let heartbeat = LinkPing::default();
+            if self
+                .outbox
+                .unbounded_send(PoolBody::Ping(heartbeat))
+                .is_err()
+            {
                 return;
             }
             sleep(self.period.get()).await;
@@ -112,7 +114,7 @@
     }
 }
 
-async fn open(owner: SocketAddr, hello: PoolBody) -> Option<(PoolReader, PoolWriter)> {
+async fn connect(owner: SocketAddr, hello: PoolBody) -> Option<(PoolReader, PoolWriter)> {
     let stream = TcpStream::connect(owner).await.ok()?;
     let (mut reader, mut writer): (PoolReader, PoolWriter) = split_stream(stream);
     writer.write(hello).await.ok()?;
@@ -124,44 +126,44 @@
         node: format!("side-{number}"),
         ..Default::default()
     };
-    let (mut reader, mut writer) = open(owner, PoolBody::AgentHello(hello)).await?;
+    let (mut reader, mut writer) = connect(owner, PoolBody::AgentHello(hello)).await?;
     let (outbox, mut inbox) = unbounded();
-    let writing = spawn(async move {
+    let writer_task = spawn(async move {
         // The owner's end closes the link.
         let _ = writer.drain(&mut inbox).await;
     });
-    let agent = Rc::new(PlayedAgent {
+    let agent = Rc::new(FakeAgent {
         outbox,
         ends: Cell::new(0),
         running: RefCell::default(),
-        gathered: RefCell::default(),
-        period: Cell::new(FIRST_PERIOD),
+        pending_updates: RefCell::default(),
+        period: Cell::new(INITIAL_PERIOD),
     });
-    agent.tell(worker_up(number));
+    agent.send(worker_snapshot(number));
     while !matches!(reader.read().await.ok()??, PoolBody::WorkerKept(_)) {}
-    sleep(FIRST_PERIOD.mul_f64(fastrand::f64())).await;
-    let reading = spawn({
+    sleep(INITIAL_PERIOD.mul_f64(fastrand::f64())).await;
+    let reader_task = spawn({
         let agent = agent.clone();
         async move {
             while let Ok(Some(body)) = reader.read().await {
                 match body {
                     PoolBody::Start(order) => spawn(agent.clone().run_task(order)).detach(),
-                    PoolBody::Grant(grant) => agent.period.set(grant.period(FIRST_PERIOD)),
+                    PoolBody::Grant(grant) => agent.period.set(grant.period(INITIAL_PERIOD)),
                     _ => {}
                 }
             }
         }
     });
     let tasks = vec![
-        writing,
-        reading,
-        spawn(agent.clone().ping()),
-        spawn(agent.report()),
+        writer_task,
+        reader_task,
+        spawn(agent.clone().send_heartbeats()),
+        spawn(agent.report_progress()),
     ];
     Some(tasks)
 }
 
-fn worker_up(number: usize) -> PoolBody {
+fn worker_snapshot(number: usize) -> PoolBody {
     let view = WorkerView {
         boot: format!("i-{number}").as_str().into(),
         service: "svc".into(),
@@ -187,27 +189,31 @@
         node: format!("edge-{number}"),
         address: format!("127.0.0.1:{}", 1 + number),
     };
-    let (mut reader, mut writer) = open(owner, PoolBody::EntryHello(hello)).await?;
+    let (mut reader, mut writer) = connect(owner, PoolBody::EntryHello(hello)).await?;
     let period = Rc::new(Cell::new(Duration::from_millis(200)));
-    let told = period.clone();
-    let reading = spawn(async move {
+    let granted_period = period.clone();
+    let reader_task = spawn(async move {
         while let Ok(Some(body)) = reader.read().await {
             if let PoolBody::Grant(grant) = body {
-                told.set(grant.period(Duration::from_millis(200)));
+                granted_period.set(grant.period(Duration::from_millis(200)));
             }
         }
     });
-    let pinging = spawn(async move {
-        let ping = LinkPing {
+    let heartbeat_task = spawn(async move {
+        let heartbeat = LinkPing {
             config: 3,
             fitness: 500,
             ..Default::default()
         };
-        while writer.write(PoolBody::Ping(ping.clone())).await.is_ok() {
+        while writer
+            .write(PoolBody::Ping(heartbeat.clone()))
+            .await
+            .is_ok()
+        {
             sleep(period.get()).await;
         }
     });
-    Some(vec![reading, pinging])
+    Some(vec![reader_task, heartbeat_task])
 }
 
 /// User and system seconds of a process.
@@ -236,15 +242,15 @@
     kib.unwrap_or(0.0) / 1_024.0
 }
 
-async fn hand_in(site: &Site, tasks_per_second: u32, until: Instant) -> u64 {
-    let pause = Duration::from_secs(1) * TASKS / tasks_per_second;
-    let step = json!({ "count": TASKS, "cpu": 700, "memMb": 1_400, "estimatedMs": 1_200 });
+async fn submit_jobs(site: &Site, tasks_per_second: u32, until: Instant) -> u64 {
+    let pause = Duration::from_secs(1) * TASKS_PER_JOB / tasks_per_second;
+    let step = json!({ "count": TASKS_PER_JOB, "cpu": 700, "memMb": 1_400, "estimatedMs": 1_200 });
     let body = json!({ "spec": "{}", "phases": [step] }).to_string();
     let mut jobs = 0;
     while Instant::now() < until {
         jobs += 1;
         let job = name(1_000 + jobs);
-        let answer = site.ask(0, http::Method::POST, &job, body.clone().into_bytes());
+        let answer = site.request(0, http::Method::POST, &job, body.clone().into_bytes());
         let (answer, ()) = futures_util::join!(answer, sleep(pause));
         assert_eq!(answer.map(|answer| answer.status), Ok(200));
     }
@@ -262,14 +268,14 @@
     let linked_fronts = join_all((0..fronts).map(|number| link_front(owner, number))).await;
     let linked_fronts = linked_fronts.iter().flatten().count();
     let pid = site.fronts[0].process.as_ref().expect("it runs").pid();
-    hand_in(
+    submit_jobs(
         &site,
         tasks_per_second,
         Instant::now() + Duration::from_secs(3),
     )
     .await;
     let (began, before) = (Instant::now(), cpu_seconds(pid));
-    hand_in(&site, tasks_per_second, began + WATCH).await;
+    submit_jobs(&site, tasks_per_second, began + MEASUREMENT_TIME).await;
     let after = cpu_seconds(pid);
     let seconds = began.elapsed().as_secs_f64();
     println!(
@@ -279,10 +285,10 @@
         peak_mib(pid),
         linked.as_millis(),
     );
-    if let Ok(hold) = std::env::var("OWNER_LOAD_HOLD_S") {
+    if let Ok(hold_time) = std::env::var("OWNER_LOAD_HOLD_S") {
         println!("owner {pid}");
-        let hold = Duration::from_secs(hold.parse().expect("seconds"));
-        hand_in(&site, tasks_per_second, Instant::now() + hold).await;
+        let hold_time = Duration::from_secs(hold_time.parse().expect("seconds"));
+        submit_jobs(&site, tasks_per_second, Instant::now() + hold_time).await;
     }
     drop((first, rest));
 }
--- a/tests/common/fuzz.rs
+++ b/tests/common/fuzz.rs
@@ -3,7 +3,7 @@
 use fastrand::Rng;
 
 /// Cases of each decoder in CI; `WAXWING_FUZZ` asks for more by hand.
-const CASES: u64 = 4_000;
+const DEFAULT_CASES: u64 = 4_000;
 
 /// Runs `decode` on damaged copies of the samples; a panic ends the test with the seed of its case.
 pub(crate) fn fuzz(
@@ -11,8 +11,8 @@
     damage: fn(&mut Rng, &[u8]) -> Vec<u8>,
     decode: impl Fn(&[u8]),
 ) {
-    let asked = std::env::var("WAXWING_FUZZ").ok();
-    let cases = asked.map_or(CASES, |cases| {
+    let requested = std::env::var("WAXWING_FUZZ").ok();
+    let cases = requested.map_or(DEFAULT_CASES, |cases| {
         cases.parse().expect("WAXWING_FUZZ is a number")
     });
     for seed in 0..cases {
@@ -21,7 +21,7 @@
         let damaged = damage(&mut rng, sample);
         let _case = FuzzCase {
             seed,
-            text: &damaged,
+            bytes: &damaged,
         };
         decode(&damaged);
     }
@@ -30,13 +30,13 @@
 /// Tells of the case that panics.
 struct FuzzCase<'a> {
     seed: u64,
-    text: &'a [u8],
+    bytes: &'a [u8],
 }
 
 impl Drop for FuzzCase<'_> {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            eprintln!("case {}: {}", self.seed, self.text.escape_ascii());
+            eprintln!("case {}: {}", self.seed, self.bytes.escape_ascii());
         }
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 /// A state that has not come after this time will not come: the test fails.
-const PATIENCE: Duration = Duration::from_secs(90);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(90);
 
 /// Runs a test on a runtime of its own.
 pub(crate) fn run<T>(test: impl Future<Output = T>) -> T {
@@ -13,16 +13,16 @@
 }
 
 /// Waits until `look` gives a value.
-pub(crate) async fn wait_for<T, F>(what: &str, mut look: impl FnMut() -> F) -> T
+pub(crate) async fn wait_for<T, F>(what: &str, mut poll: impl FnMut() -> F) -> T
 where
     F: Future<Output = Option<T>>,
 {
     let start = Instant::now();
     loop {
-        if let Some(value) = look().await {
+        if let Some(value) = poll().await {
             return value;
         }
-        assert!(start.elapsed() < PATIENCE, "waited in vain for: {what}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "waited in vain for: {what}");
         compio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/tests/pool/crashes.rs
+++ b/tests/pool/crashes.rs
@@ -13,10 +13,10 @@
 use std::time::{Duration, Instant};
 
 /// Three workers may end before it must be known, and two more starts may follow.
-const MOST_STARTS: usize = 5;
+const MAX_STARTS: usize = 5;
 /// A state that has not come after this time will not come.
-const PATIENCE: Duration = Duration::from_secs(90);
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
+const JOB_TIMEOUT: Duration = Duration::from_secs(90);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A job of which the first task ends every worker that starts it.
 fn crashing_job(count: u32, crash_ms: u64) -> Value {
@@ -28,65 +28,70 @@
 }
 
 /// Plays on until the job has failed; its task must not be started too often by then.
-async fn wait_given_up(
+async fn wait_until_failed(
     site: &mut Site,
     job_name: &str,
-    revive: fn(&mut Site),
-    mut at_start: impl FnMut(&mut Site, usize),
+    restart_workers: fn(&mut Site),
+    mut on_poll: impl FnMut(&mut Site, usize),
 ) {
     let task = format!("{job_name}.0.0.0");
-    let begun = Instant::now();
+    let began = Instant::now();
     loop {
-        revive(site);
-        let starts = site.starts_ordered(&task);
-        assert!(starts <= MOST_STARTS, "{task} was started {starts} times");
-        at_start(site, starts);
+        restart_workers(site);
+        let starts = site.ordered_start_count(&task);
+        assert!(starts <= MAX_STARTS, "{task} was started {starts} times");
+        on_poll(site, starts);
         if site.state(job_name).await.as_deref() == Some("failed") {
             return;
         }
-        assert!(begun.elapsed() < PATIENCE, "{job_name} is not given up");
-        sleep(LOOK_PAUSE).await;
+        assert!(began.elapsed() < JOB_TIMEOUT, "{job_name} is not given up");
+        sleep(POLL_INTERVAL).await;
     }
 }
 
 #[test]
-fn a_task_that_ends_its_workers_is_given_up_and_others_complete() {
+fn a_task_that_crashes_its_workers_fails_and_other_jobs_complete() {
     run(async {
         let mut site = Site::start("crashes", 1, 4).await;
         site.submit(&name(1), &crashing_job(3, 10)).await;
         site.submit(&name(2), &job(2, 6, 300)).await;
-        wait_given_up(&mut site, &name(1), Site::revive_workers, |_, _| {}).await;
-        site.revive_workers();
+        wait_until_failed(&mut site, &name(1), Site::replace_ended_workers, |_, _| {}).await;
+        site.replace_ended_workers();
         site.wait_state(&name(2), "completed").await;
         site.audit().await;
     });
 }
 
 #[test]
-fn a_task_that_ends_its_workers_late_is_given_up() {
+fn a_task_that_crashes_its_workers_late_fails() {
     run(async {
         let mut site = Site::start("crashes-late", 1, 3).await;
         site.submit(&name(1), &crashing_job(1, 900)).await;
-        wait_given_up(&mut site, &name(1), Site::revive_workers, |_, _| {}).await;
+        wait_until_failed(&mut site, &name(1), Site::replace_ended_workers, |_, _| {}).await;
         site.audit().await;
     });
 }
 
 #[test]
-fn an_owner_that_takes_over_knows_which_task_ended_its_workers() {
+fn a_new_owner_knows_which_task_crashed_its_workers() {
     run(async {
         let mut site = Site::start("crashes-owner", 2, 4).await;
-        site.own_by_first(&name(9)).await;
+        site.make_first_front_owner(&name(9)).await;
         site.submit(&name(1), &crashing_job(1, 10)).await;
         let mut owner = Some(0);
-        wait_given_up(&mut site, &name(1), Site::revive_workers, |site, starts| {
-            if starts >= 2
-                && let Some(owner) = owner.take()
-            {
-                site.kill_front(owner);
-                site.start_front(owner);
-            }
-        })
+        wait_until_failed(
+            &mut site,
+            &name(1),
+            Site::replace_ended_workers,
+            |site, starts| {
+                if starts >= 2
+                    && let Some(owner) = owner.take()
+                {
+                    site.kill_front(owner);
+                    site.start_front(owner);
+                }
+            },
+        )
         .await;
         site.audit().await;
     });
@@ -94,12 +99,12 @@
 
 /// A run that its worker did not outlive is listed by no boot.
 #[test]
-fn a_task_that_ends_workers_which_restart_under_their_ids_is_given_up() {
+fn a_task_that_crashes_workers_which_restart_under_their_ids_fails() {
     run(async {
         let mut site = Site::start("crashes-same-id", 1, 4).await;
         site.submit(&name(1), &crashing_job(3, 10)).await;
         site.submit(&name(2), &job(2, 6, 300)).await;
-        wait_given_up(
+        wait_until_failed(
             &mut site,
             &name(1),
             Site::restart_crashed_workers,
--- a/tests/pool/troubles.rs
+++ b/tests/pool/faults.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 
 #[test]
-fn jobs_survive_the_death_of_their_owner() {
+fn jobs_survive_a_kill_of_their_owner() {
     run(async {
         let mut site = Site::start("owner", 2, 2).await;
         for n in 1..=4 {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn jobs_survive_the_death_of_all_fronts_and_agents() {
+fn jobs_survive_a_kill_of_all_fronts_and_agents() {
     run(async {
         let mut site = Site::start("all", 2, 2).await;
         for n in 1..=3 {
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn an_agent_that_is_killed_adopts_what_runs() {
+fn a_restarted_agent_adopts_running_tasks() {
     run(async {
         let mut site = Site::start("agent", 1, 1).await;
         site.submit(&name(1), &job(1, 3, 2_500)).await;
@@ -53,13 +53,17 @@
         site.kill_agent(0);
         site.start_agent(0);
         site.wait_state(&name(1), "completed").await;
-        assert_eq!(site.starts(&name(1)).await, 3, "nothing was started again");
+        assert_eq!(
+            site.start_count(&name(1)).await,
+            3,
+            "nothing was started again"
+        );
         site.audit().await;
     });
 }
 
 #[test]
-fn tasks_of_a_worker_that_dies_run_elsewhere() {
+fn tasks_of_a_killed_worker_run_elsewhere() {
     run(async {
         let mut site = Site::start("worker", 1, 2).await;
         site.submit(&name(1), &job(1, 6, 400)).await;
@@ -72,29 +76,29 @@
 }
 
 #[test]
-fn an_agent_that_is_frozen_beyond_its_leases_starts_nothing_twice() {
+fn an_agent_frozen_beyond_its_leases_starts_nothing_twice() {
     run(async {
         let mut site = Site::start("frozen", 1, 2).await;
         site.submit(&name(1), &job(1, 8, 30_000)).await;
         let number = site.wait_running(&name(1)).await;
-        let agent = site.machines[number].agent.as_ref().expect("it runs");
+        let agent = site.vms[number].agent.as_ref().expect("it runs");
         agent.signal(libc::SIGSTOP);
         // Its worker's leases lapse, and the tasks that were there start again on the other.
         let other = 1 - number;
-        let url = format!("http://{}/history", site.machines[number].app);
+        let url = format!("http://{}/history", site.vms[number].app);
         wait_for("the leases to lapse", || async {
             let history = crate::calls::get_json(&url).await?;
-            let lapsed = history
+            let expired = history
                 .as_array()?
                 .iter()
                 .filter(|row| row["what"] == "lapsed")
                 .count();
-            (lapsed > 0).then_some(())
+            (expired > 0).then_some(())
         })
         .await;
         agent.signal(libc::SIGCONT);
         let cancelled = site
-            .ask(0, Method::DELETE, &name(1), Vec::new())
+            .request(0, Method::DELETE, &name(1), Vec::new())
             .await
             .expect("the front answers");
         assert_eq!(cancelled.status, 200);
@@ -103,7 +107,7 @@
         let _ = other;
         site.audit().await;
         assert!(
-            site.machines[number]
+            site.vms[number]
                 .agent
                 .as_mut()
                 .expect("it runs")
@@ -115,7 +119,7 @@
 /// A worker has less for a while. The owner went by what it had said first: it ordered what its agent
 /// refused for want of room, ten times a second, and would never have used what it gained.
 #[test]
-fn a_worker_that_shrinks_and_grows_is_given_what_it_has_room_for() {
+fn a_worker_whose_capacity_changes_gets_only_tasks_that_fit() {
     run(async {
         let site = Site::start("shrinks", 1, 1).await;
         site.wait_log("side-0", "worker registered").await;
@@ -136,20 +140,20 @@
 
 /// A front that the store turns away takes jobs through the owner, and says that it takes them.
 #[test]
-fn a_front_that_is_cut_off_from_the_store_takes_jobs_through_the_owner() {
+fn a_front_cut_off_from_the_store_accepts_jobs_through_the_owner() {
     run(async {
-        let site = Site::start_relayed("relay", 2, 1).await;
+        let site = Site::start_with_proxies("relay", 2, 1).await;
         site.submit(&name(1), &job(1, 2, 20)).await;
         site.wait_state(&name(1), "completed").await;
         // Either front may own the shard: each is cut off once.
         for number in 0..2 {
-            site.relays[number].cut();
+            site.store_proxies[number].cut();
             for n in 0..3 {
                 let job_name = name(10 + 10 * number as u64 + n);
                 let body = job(1, 1, 20).to_string().into_bytes();
                 wait_for("the front to take a job", || async {
                     let answer = site
-                        .ask(number, Method::POST, &job_name, body.clone())
+                        .request(number, Method::POST, &job_name, body.clone())
                         .await
                         .ok()?;
                     (answer.status == 200).then_some(())
@@ -157,14 +161,14 @@
                 .await;
                 site.wait_state(&job_name, "completed").await;
             }
-            site.relays[number].heal();
+            site.store_proxies[number].restore();
         }
         site.audit().await;
     });
 }
 
 #[test]
-fn an_owner_that_was_frozen_past_its_term_gives_way() {
+fn an_owner_frozen_past_its_term_is_superseded() {
     run(async {
         let site = Site::start("thaw", 2, 2).await;
         site.submit(&name(1), &job(3, 4, 400)).await;
@@ -177,12 +181,15 @@
             wait_for("the other front to take a job", || async {
                 let job_name = name(100 + number as u64);
                 let body = job(1, 1, 20).to_string().into_bytes();
-                let answer = site.ask(other, Method::POST, &job_name, body).await.ok()?;
-                let told = site
-                    .ask(other, Method::GET, &job_name, Vec::new())
+                let answer = site
+                    .request(other, Method::POST, &job_name, body)
+                    .await
+                    .ok()?;
+                let status = site
+                    .request(other, Method::GET, &job_name, Vec::new())
                     .await
                     .ok()?;
-                (answer.status == 200 && told.json()["state"] == "completed").then_some(())
+                (answer.status == 200 && status.json()["state"] == "completed").then_some(())
             })
             .await;
             front.signal(libc::SIGCONT);
@@ -193,7 +200,7 @@
 }
 
 #[test]
-fn lost_answers_of_the_store_lose_and_double_nothing() {
+fn lost_replies_of_the_store_lose_and_duplicate_nothing() {
     run(async {
         let site = Site::start("lost", 2, 2).await;
         site.store_faults(json!({ "lose_percent": 30 })).await;
@@ -203,14 +210,14 @@
         site.store_faults(json!({})).await;
         for n in 1..=3 {
             site.wait_state(&name(n), "completed").await;
-            assert_eq!(site.starts(&name(n)).await, 3);
+            assert_eq!(site.start_count(&name(n)).await, 3);
         }
         site.audit().await;
     });
 }
 
 #[test]
-fn a_store_that_is_down_refuses_jobs_at_once_and_loses_none() {
+fn a_store_outage_refuses_new_jobs_at_once_and_loses_no_accepted_job() {
     run(async {
         let site = Site::start("down", 1, 1).await;
         site.submit(&name(1), &job(2, 2, 300)).await;
@@ -218,31 +225,31 @@
         site.store_faults(json!({ "down": true })).await;
         let body = job(1, 1, 10).to_string().into_bytes();
         let answer = site
-            .ask(0, Method::POST, &name(2), body)
+            .request(0, Method::POST, &name(2), body)
             .await
             .expect("the front answers");
         assert_eq!(answer.status, 503);
         assert!(answer.retry_after.is_some(), "it is told when to come back");
         site.store_faults(json!({})).await;
         site.wait_state(&name(1), "completed").await;
-        let gone = site
-            .ask(0, Method::GET, &name(2), Vec::new())
+        let refused_job = site
+            .request(0, Method::GET, &name(2), Vec::new())
             .await
             .expect("the front answers");
-        assert_eq!(gone.status, 410, "what was refused is not there");
+        assert_eq!(refused_job.status, 410, "what was refused is not there");
         site.audit().await;
     });
 }
 
 /// Held until its caller gives up, a request can't be served by a front that is not cut off.
 #[test]
-fn a_front_that_is_cut_off_refuses_at_once() {
+fn a_front_without_a_path_to_the_store_refuses_at_once() {
     run(async {
         let site = Site::start("refuses", 1, 1).await;
         site.store_faults(json!({ "down": true })).await;
         let body = job(1, 1, 10).to_string().into_bytes();
         wait_for("a refusal for want of any way to the store", || async {
-            let answer = site.ask(0, Method::POST, &name(1), body.clone()).await;
+            let answer = site.request(0, Method::POST, &name(1), body.clone()).await;
             assert_eq!(answer.expect("the front answers").status, 503);
             let reason = "neither the store nor the owner can be reached";
             site.log("front-0").contains(reason).then_some(())
@@ -251,13 +258,13 @@
         site.store_faults(json!({})).await;
         site.submit(&name(1), &job(1, 1, 10)).await;
         site.wait_state(&name(1), "completed").await;
-        assert_eq!(site.starts(&name(1)).await, 1);
+        assert_eq!(site.start_count(&name(1)).await, 1);
         site.audit().await;
     });
 }
 
 #[test]
-fn a_store_that_forgets_its_history_is_read_anew() {
+fn a_store_that_drops_its_history_is_read_from_scratch() {
     run(async {
         let site = Site::start("forgets", 1, 1).await;
         for n in 1..=3 {
@@ -270,7 +277,7 @@
 }
 
 #[test]
-fn orders_that_are_carried_out_late_run_nothing_twice() {
+fn orders_executed_late_run_nothing_twice() {
     run(async {
         let site = Site::start("late", 1, 2).await;
         site.worker_faults(0, json!({ "late_percent": 60, "late_ms": 1500 }))
@@ -286,7 +293,7 @@
 }
 
 #[test]
-fn a_worker_that_fails_everything_does_not_fail_the_jobs() {
+fn a_worker_that_fails_every_task_does_not_fail_the_jobs() {
     run(async {
         let site = Site::start("grey", 1, 3).await;
         site.worker_faults(0, json!({ "fail": true })).await;
@@ -299,28 +306,28 @@
 }
 
 #[test]
-fn a_worker_that_leaves_gets_no_new_work() {
+fn a_draining_worker_gets_no_new_work() {
     run(async {
         let site = Site::start("leaves", 1, 2).await;
         site.submit(&name(1), &job(1, 8, 20)).await;
         site.wait_state(&name(1), "completed").await;
         site.worker_faults(0, json!({ "draining": true })).await;
         // The second report of a leaving worker comes after the first was taken.
-        let url = format!("http://{}/history", site.machines[0].app);
+        let url = format!("http://{}/history", site.vms[0].app);
         let starts = || async {
             let history = crate::calls::get_json(&url).await.unwrap_or_default();
             history.as_array().map_or(0, |rows| {
                 rows.iter().filter(|row| row["what"] == "start").count()
             })
         };
-        let mut quiet = 0;
+        let mut idle_rounds = 0;
         let mut n = 10;
-        while quiet < 3 {
+        while idle_rounds < 3 {
             let before = starts().await;
             site.submit(&name(n), &job(1, 4, 20)).await;
             site.wait_state(&name(n), "completed").await;
-            quiet = if starts().await == before {
-                quiet + 1
+            idle_rounds = if starts().await == before {
+                idle_rounds + 1
             } else {
                 0
             };
@@ -332,7 +339,7 @@
 }
 
 #[test]
-fn a_planned_stop_hands_the_shard_over_and_cuts_nothing() {
+fn a_planned_stop_hands_the_shard_over_and_aborts_nothing() {
     run(async {
         let mut site = Site::start("planned", 2, 2).await;
         site.submit(&name(1), &job(3, 4, 200)).await;
@@ -359,7 +366,7 @@
 }
 
 #[test]
-fn a_hangup_ends_no_process() {
+fn sighup_terminates_no_process() {
     run(async {
         let mut site = Site::start("hangup", 1, 1).await;
         site.submit(&name(1), &job(1, 1, 20)).await;
@@ -368,7 +375,7 @@
             .as_ref()
             .expect("it runs")
             .signal(libc::SIGHUP);
-        site.machines[0]
+        site.vms[0]
             .agent
             .as_ref()
             .expect("it runs")
@@ -382,18 +389,12 @@
                 .expect("it runs")
                 .is_running()
         );
-        assert!(
-            site.machines[0]
-                .agent
-                .as_mut()
-                .expect("it runs")
-                .is_running()
-        );
+        assert!(site.vms[0].agent.as_mut().expect("it runs").is_running());
     });
 }
 
 #[test]
-fn another_job_of_a_known_name_changes_nothing_even_after_a_takeover() {
+fn a_different_job_under_a_known_name_is_ignored_even_after_a_takeover() {
     run(async {
         let mut site = Site::start("renamed", 2, 2).await;
         site.submit(&name(1), &job(2, 2, 1_500)).await;
@@ -401,7 +402,7 @@
         for front in 0..2 {
             let other = job(1, 5, 10).to_string().into_bytes();
             let answer = site
-                .ask(front, Method::POST, &name(1), other)
+                .request(front, Method::POST, &name(1), other)
                 .await
                 .expect("a front answers");
             assert_eq!(answer.status, 200, "it is known");
@@ -412,7 +413,7 @@
         }
         site.wait_state(&name(1), "completed").await;
         assert_eq!(
-            site.starts(&name(1)).await,
+            site.start_count(&name(1)).await,
             4,
             "of the job that was accepted"
         );
@@ -421,23 +422,23 @@
 }
 
 #[test]
-fn a_machine_whose_worker_is_gone_holds_up_no_takeover() {
+fn an_agent_row_is_removed_with_its_worker_and_added_with_the_next() {
     run(async {
         let mut site = Site::start("gone", 2, 2).await;
         site.submit(&name(1), &job(1, 8, 50)).await;
         site.wait_state(&name(1), "completed").await;
         wait_for("both agents to be known", || async {
-            site.agent_rows().await.filter(|rows| *rows == 2)
+            site.agent_row_count().await.filter(|rows| *rows == 2)
         })
         .await;
         site.kill_worker(0).await;
         wait_for("the agent without a worker to be forgotten", || async {
-            site.agent_rows().await.filter(|rows| *rows == 1)
+            site.agent_row_count().await.filter(|rows| *rows == 1)
         })
         .await;
         site.start_worker(0);
         wait_for("the agent to be known again", || async {
-            site.agent_rows().await.filter(|rows| *rows == 2)
+            site.agent_row_count().await.filter(|rows| *rows == 2)
         })
         .await;
         site.submit(&name(2), &job(1, 8, 50)).await;
@@ -449,28 +450,28 @@
 /// An owner that only the store has left cannot know that it was replaced: its agents and the other
 /// front must leave it by themselves.
 #[test]
-fn work_goes_on_while_the_old_owner_lives_cut_off_from_the_store() {
+fn work_continues_while_the_former_owner_runs_cut_off_from_the_store() {
     run(async {
-        let mut site = Site::start_relayed("cut-off", 2, 2).await;
-        site.own_by_first(&name(1)).await;
-        site.relays[0].cut();
+        let mut site = Site::start_with_proxies("cut-off", 2, 2).await;
+        site.make_first_front_owner(&name(1)).await;
+        site.store_proxies[0].cut();
         for n in 2..=4 {
             site.submit(&name(n), &job(1, 3, 50)).await;
         }
         for n in 2..=4 {
             site.wait_state(&name(n), "completed").await;
         }
-        assert!(site.front_runs(0), "the old owner still lives");
+        assert!(site.is_front_running(0), "the old owner still lives");
         site.audit().await;
     });
 }
 
 /// A front that few requests keep busy may own alone, and gives way to one that carries the load.
 #[test]
-fn a_weak_owner_hands_over_to_a_strong_front_and_takes_over_again_when_that_is_gone() {
+fn a_weak_front_takes_over_from_a_killed_owner_and_hands_back_to_a_strong_front() {
     run(async {
         let mut site = Site::start("unequal", 1, 1).await;
-        let weak = site.add_front_of(0.05);
+        let weak = site.add_front_with_cores(0.05);
         site.start_front(weak);
         site.wait_ready(weak).await;
         site.wait_log("front-1", "linked to the owner").await;
@@ -480,7 +481,8 @@
         site.submit(&name(1), &job(2, 3, 400)).await;
         site.start_front(0);
         site.wait_log("front-1", "a front is far stronger").await;
-        site.wait_logs("front-0", "took over the shard", 2).await;
+        site.wait_log_lines("front-0", "took over the shard", 2)
+            .await;
         site.wait_state(&name(1), "completed").await;
         site.submit(&name(2), &job(1, 2, 50)).await;
         site.wait_state(&name(2), "completed").await;
@@ -491,17 +493,17 @@
 /// Else nobody would take over before the owner's row had stood still, and tasks of workers that were
 /// not heard would wait as long as that owner may have acted on.
 #[test]
-fn an_owner_that_the_store_turns_away_hands_over_through_a_front() {
+fn an_owner_cut_off_from_the_store_releases_its_term_through_a_front() {
     run(async {
-        let mut site = Site::start_relayed("handed", 2, 2).await;
-        site.own_by_first(&name(1)).await;
+        let mut site = Site::start_with_proxies("handed", 2, 2).await;
+        site.make_first_front_owner(&name(1)).await;
         site.submit(&name(2), &job(2, 3, 400)).await;
         site.wait_running(&name(2)).await;
-        site.relays[0].cut();
+        site.store_proxies[0].cut();
         site.wait_log("front-0", "let go").await;
         site.wait_log("front-1", "took over the shard").await;
         site.wait_state(&name(2), "completed").await;
-        assert!(site.front_runs(0), "the old owner still lives");
+        assert!(site.is_front_running(0), "the old owner still lives");
         site.audit().await;
     });
 }
@@ -510,9 +512,9 @@
 /// went on. It knew the old owner only, and would have looked for it until the call of its feed was given
 /// up, 11.5 s after that had begun.
 #[test]
-fn a_front_finds_the_new_owner_though_its_feed_of_owners_is_silent() {
+fn a_front_finds_the_new_owner_although_its_owner_feed_is_silent() {
     run(async {
-        let site = Site::start_relayed("silent-owner", 3, 1).await;
+        let site = Site::start_with_proxies("silent-owner", 3, 1).await;
         site.submit(&name(1), &job(1, 1, 20)).await;
         site.wait_state(&name(1), "completed").await;
         let owned = |site: &Site, front: usize| {
@@ -520,26 +522,29 @@
                 .contains("took over the shard")
         };
         let owner = (0..3).find(|front| owned(&site, *front)).expect("one owns");
-        let (next, late) = ((owner + 1) % 3, (owner + 2) % 3);
-        let late_name = format!("front-{late}");
-        for front in [next, late] {
+        let (next, resumed) = ((owner + 1) % 3, (owner + 2) % 3);
+        let resumed_name = format!("front-{resumed}");
+        for front in [next, resumed] {
             site.wait_log(&format!("front-{front}"), "linked to the owner")
                 .await;
         }
-        let linked = site.log(&late_name).matches("linked to the owner").count();
-        for front in [owner, late] {
+        let linked = site
+            .log(&resumed_name)
+            .matches("linked to the owner")
+            .count();
+        for front in [owner, resumed] {
             site.signal_front(front, libc::SIGSTOP);
         }
-        site.relays[late].silence_open();
+        site.store_proxies[resumed].silence_open_connections();
         site.wait_log(&format!("front-{next}"), "took over the shard")
             .await;
-        site.signal_front(late, libc::SIGCONT);
-        site.wait_logs(&late_name, "\"linked to the owner\"", linked + 1)
+        site.signal_front(resumed, libc::SIGCONT);
+        site.wait_log_lines(&resumed_name, "\"linked to the owner\"", linked + 1)
             .await;
-        let log = site.log(&late_name);
-        let gave_up = log.contains("\"what\":\"feed of owners\",\"error\"");
+        let log = site.log(&resumed_name);
+        let feed_call_failed = log.contains("\"what\":\"feed of owners\",\"error\"");
         assert!(
-            !gave_up,
+            !feed_call_failed,
             "it knew of the new owner only once its feed had failed"
         );
         site.audit().await;
--- a/tests/pool/jobs.rs
+++ b/tests/pool/jobs.rs
@@ -5,15 +5,15 @@
 use serde_json::json;
 
 #[test]
-fn a_job_runs_its_steps_in_turn_and_completes() {
+fn a_job_runs_its_steps_in_order_and_completes() {
     run(async {
         let site = Site::start("completes", 2, 2).await;
         site.submit(&name(1), &job(2, 6, 40)).await;
         site.wait_state(&name(1), "completed").await;
-        assert_eq!(site.starts(&name(1)).await, 12);
+        assert_eq!(site.start_count(&name(1)).await, 12);
         // A front that has no link to the owner yet refuses to tell.
         let pending = wait_for("the queue to be told", || async {
-            let answer = site.ask(1, Method::GET, "", Vec::new()).await.ok()?;
+            let answer = site.request(1, Method::GET, "", Vec::new()).await.ok()?;
             (answer.status == 200).then_some(answer)
         });
         assert_eq!(pending.await.json(), json!({ "pending": 0 }));
@@ -22,18 +22,18 @@
 }
 
 #[test]
-fn the_same_job_submitted_again_anywhere_stays_one_job() {
+fn a_job_submitted_repeatedly_at_any_front_runs_once() {
     run(async {
         let site = Site::start("again", 2, 1).await;
         let body = job(1, 3, 30);
         for front in [0, 1, 0] {
             let answer = site
-                .ask(front, Method::POST, &name(1), body.to_string().into_bytes())
+                .request(front, Method::POST, &name(1), body.to_string().into_bytes())
                 .await;
             assert_eq!(answer.expect("a front answers").status, 200);
         }
         site.wait_state(&name(1), "completed").await;
-        assert_eq!(site.starts(&name(1)).await, 3);
+        assert_eq!(site.start_count(&name(1)).await, 3);
         site.audit().await;
     });
 }
@@ -47,7 +47,7 @@
         site.submit(&name(1), &body).await;
         site.wait_state(&name(1), "failed").await;
         assert_eq!(
-            site.starts(&name(1)).await,
+            site.start_count(&name(1)).await,
             2,
             "as often as its queue allows"
         );
@@ -61,7 +61,7 @@
         site.submit(&name(1), &job(1, 2, 600_000)).await;
         site.wait_running(&name(1)).await;
         let answer = site
-            .ask(1, Method::DELETE, &name(1), Vec::new())
+            .request(1, Method::DELETE, &name(1), Vec::new())
             .await
             .expect("a front answers");
         assert_eq!(answer.status, 200);
@@ -69,11 +69,11 @@
         // Only a worker that is free again can take a job of its whole size.
         site.submit(&name(2), &job(1, 4, 10)).await;
         site.wait_state(&name(2), "completed").await;
-        let gone = site
-            .ask(0, Method::DELETE, &name(9), Vec::new())
+        let unknown_job = site
+            .request(0, Method::DELETE, &name(9), Vec::new())
             .await
             .expect("a front answers");
-        assert_eq!(gone.status, 410);
+        assert_eq!(unknown_job.status, 410);
         site.audit().await;
     });
 }
@@ -122,17 +122,17 @@
         ];
         for (job, body) in cases {
             let answer = site
-                .ask(0, Method::POST, job, body)
+                .request(0, Method::POST, job, body)
                 .await
                 .expect("a front answers");
             assert_eq!(answer.status, 400, "{}", answer.text());
             assert!(answer.text().contains("help"), "{}", answer.text());
         }
-        let gone = site
-            .ask(0, Method::GET, &name(1), Vec::new())
+        let unknown_job = site
+            .request(0, Method::GET, &name(1), Vec::new())
             .await
             .expect("a front answers");
-        assert_eq!(gone.status, 410);
+        assert_eq!(unknown_job.status, 410);
     });
 }
 
@@ -153,7 +153,7 @@
 
 /// The report of a run's own lines: what operators follow a late job by.
 #[test]
-fn the_logs_of_a_run_tell_the_life_of_each_job() {
+fn the_log_report_shows_the_history_of_each_job() {
     run(async {
         let site = Site::start("logs", 2, 2).await;
         site.submit(&name(1), &job(2, 3, 40)).await;
@@ -163,7 +163,7 @@
         site.submit(&name(2), &body).await;
         site.wait_state(&name(2), "failed").await;
         let report: serde_json::Value =
-            serde_json::from_str(&site.report(&["--json"])).expect("it is JSON");
+            serde_json::from_str(&site.log_report(&["--json"])).expect("it is JSON");
         let queue = &report["queues"][0];
         assert_eq!(queue["accepted"], 2);
         assert_eq!(queue["gone"], 1);
@@ -175,9 +175,9 @@
             .sum();
         assert_eq!(starts, 8, "six and two that failed");
         let job_name = name(1);
-        let story = site.report(&["--job", &job_name]);
-        assert!(story.contains("shown as Completed"), "{story}");
-        assert_eq!(story.matches(" starts on ").count(), 6, "{story}");
-        assert!(site.report(&["--csv"]).starts_with("from_s,"));
+        let job_report = site.log_report(&["--job", &job_name]);
+        assert!(job_report.contains("shown as Completed"), "{job_report}");
+        assert_eq!(job_report.matches(" starts on ").count(), 6, "{job_report}");
+        assert!(site.log_report(&["--csv"]).starts_with("from_s,"));
     });
 }
--- a/tests/pool/links.rs
+++ b/tests/pool/links.rs
@@ -14,17 +14,17 @@
 };
 
 /// A message that has not come by then will not come.
-const PATIENCE: Duration = Duration::from_secs(60);
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(60);
 const WORKER: &str = "i-played";
 
 /// An agent that a test plays by hand, frame by frame.
-struct PlayedAgent {
+struct FakeAgent {
     reader: PoolReader,
     outbox: UnboundedSender<PoolBody>,
-    _writing: JoinHandle<()>,
+    _writer_task: JoinHandle<()>,
 }
 
-impl PlayedAgent {
+impl FakeAgent {
     /// Links to the owner; nothing is told yet.
     async fn link(owner: SocketAddr) -> Option<Self> {
         Self::link_as(owner, "played", None).await
@@ -44,26 +44,26 @@
             return None;
         }
         let (outbox, mut inbox) = unbounded();
-        let writing = spawn(async move {
+        let writer_task = spawn(async move {
             // The owner's end closes the link.
             let _ = writer.drain(&mut inbox).await;
         });
         Some(Self {
             reader,
             outbox,
-            _writing: writing,
+            _writer_task: writer_task,
         })
     }
 
-    fn tell(&self, body: PoolBody) {
+    fn send(&self, body: PoolBody) {
         self.outbox.unbounded_send(body).expect("the link stands");
     }
 
-    fn tell_worker(&self, ends: &[RunEnd]) {
-        self.tell_boot(WORKER.into(), ends);
+    fn send_snapshot(&self, ends: &[RunEnd]) {
+        self.send_snapshot_of(WORKER.into(), ends);
     }
 
-    fn tell_boot(&self, boot: BootId, ends: &[RunEnd]) {
+    fn send_snapshot_of(&self, boot: BootId, ends: &[RunEnd]) {
         let view = WorkerView {
             boot,
             service: "svc".into(),
@@ -74,7 +74,7 @@
             },
             ..Default::default()
         };
-        self.tell(PoolBody::WorkerUp(WorkerUp {
+        self.send(PoolBody::WorkerUp(WorkerUp {
             worker: (&view).into(),
             runs: Vec::new(),
             ends: ends.iter().map(EndFrame::from).collect(),
@@ -84,9 +84,9 @@
 
     /// The next message that `pick` takes; heartbeats go on meanwhile.
     async fn next<T>(&mut self, pick: impl Fn(PoolBody) -> Option<T>) -> T {
-        timeout(PATIENCE, async {
+        timeout(MESSAGE_TIMEOUT, async {
             loop {
-                self.tell(PoolBody::Ping(LinkPing::default()));
+                self.send(PoolBody::Ping(LinkPing::default()));
                 let body = self.reader.read().await.expect("the link stands");
                 if let Some(picked) = pick(body.expect("the owner keeps the link")) {
                     return picked;
@@ -105,16 +105,16 @@
         .await
     }
 
-    async fn wait_kept(&mut self) {
+    async fn wait_accepted(&mut self) {
         self.next(|body| matches!(body, PoolBody::WorkerKept(_)).then_some(()))
             .await;
     }
 }
 
-fn done(number: u64, mark: RunId) -> RunEnd {
+fn successful_end(number: u64, run: RunId) -> RunEnd {
     RunEnd {
         number,
-        run_id: mark,
+        run_id: run,
         kind: RunEndKind::Done,
         checkpoint: "".into(),
     }
@@ -123,55 +123,58 @@
 /// Two runs end while the link is silent, so that the first of the two ends is lost with it. The second one is
 /// told on the next link before all that the worker lists.
 #[test]
-fn an_end_that_was_lost_with_its_link_is_not_passed_over_for_a_later_one() {
+fn a_run_end_lost_with_its_link_is_processed_although_a_later_end_arrives_first() {
     run(async {
         let site = Site::start("lost-end", 1, 0).await;
         let owner = site.fronts[0].peers;
-        let mut agent = wait_for("the front to own the shard", || PlayedAgent::link(owner)).await;
-        agent.tell_worker(&[]);
-        agent.wait_kept().await;
+        let mut agent = wait_for("the front to own the shard", || FakeAgent::link(owner)).await;
+        agent.send_snapshot(&[]);
+        agent.wait_accepted().await;
         site.submit(&name(1), &job(1, 2, 50)).await;
         let (first, second) = (agent.next_start().await, agent.next_start().await);
         drop(agent);
-        let mut agent = wait_for("another link", || PlayedAgent::link(owner)).await;
-        agent.tell(PoolBody::News(RunNews {
-            ends: vec![(&done(2, second)).into()],
+        let mut agent = wait_for("another link", || FakeAgent::link(owner)).await;
+        agent.send(PoolBody::News(RunNews {
+            ends: vec![(&successful_end(2, second)).into()],
             ..Default::default()
         }));
-        agent.tell_worker(&[done(1, first), done(2, second)]);
-        agent.wait_kept().await;
+        agent.send_snapshot(&[successful_end(1, first), successful_end(2, second)]);
+        agent.wait_accepted().await;
         site.wait_state(&name(1), "completed").await;
-        for mark in [first, second] {
-            let starts = site.starts_ordered(&mark.task.to_string());
-            assert_eq!(starts, 1, "{} was started again after its end", mark.task);
+        for run in [first, second] {
+            let starts = site.ordered_start_count(&run.task.to_string());
+            assert_eq!(starts, 1, "{} was started again after its end", run.task);
         }
     });
 }
 
 /// A worker dies while its agent has no link, so that the word of its end is lost.
 #[test]
-fn a_worker_that_died_between_two_links_is_not_waited_for() {
+fn a_task_of_a_worker_that_ended_between_two_links_restarts_without_lease_expiry() {
     run(async {
         let site = Site::start("dead-between", 1, 0).await;
         let owner = site.fronts[0].peers;
         let link = |node: &'static str, dead: Option<BootId>| async move {
-            let open = || PlayedAgent::link_as(owner, node, dead.clone());
+            let open = || FakeAgent::link_as(owner, node, dead.clone());
             wait_for("the front to own the shard", open).await
         };
-        let (dying, other) = (BootId::new("i-dying", Some(1)), BootId::from("i-other"));
+        let (ending_boot, other_boot) = (BootId::new("i-dying", Some(1)), BootId::from("i-other"));
         let mut agent = link("one", None).await;
-        agent.tell_boot(dying.clone(), &[]);
-        agent.wait_kept().await;
+        agent.send_snapshot_of(ending_boot.clone(), &[]);
+        agent.wait_accepted().await;
         site.submit(&name(1), &job(1, 1, 50)).await;
         let first = agent.next_start().await;
         drop(agent);
         let mut second = link("two", None).await;
-        second.tell_boot(other, &[]);
-        second.wait_kept().await;
-        let _agent = link("one", Some(dying)).await;
+        second.send_snapshot_of(other_boot, &[]);
+        second.wait_accepted().await;
+        let _agent = link("one", Some(ending_boot)).await;
         let again = second.next_start().await;
         assert_eq!(again.task, first.task);
-        let lapsed = site.log("front-0").contains("leases have lapsed");
-        assert!(!lapsed, "the task waited for leases of a dead worker");
+        let waited_for_expiry = site.log("front-0").contains("leases have lapsed");
+        assert!(
+            !waited_for_expiry,
+            "the task waited for leases of a dead worker"
+        );
     });
 }
--- a/tests/pool/many_agents.rs
+++ b/tests/pool/many_agents.rs
@@ -17,13 +17,13 @@
 /// More agents than entries of one transaction.
 const AGENTS: usize = 200;
 /// Agents whose workers leave while the store is down.
-const LEAVERS: usize = 70;
+const LEAVING_AGENTS: usize = 70;
 
 /// A link that was not served by then never will be.
-const PATIENCE: Duration = Duration::from_secs(60);
+const LINK_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Between two heartbeats, as agents send them.
-const PING_PERIOD: Duration = Duration::from_millis(400);
+const HEARTBEAT_PERIOD: Duration = Duration::from_millis(400);
 
 /// The agent's end of a link, whose worker belongs to another service: it gets no work. It ends with
 /// its tasks.
@@ -49,39 +49,39 @@
         }
         let worker = format!("i-fake-{number}");
         let (outbox, mut inbox) = unbounded();
-        let writing = spawn(async move {
+        let writer_task = spawn(async move {
             // The owner's end closes the link.
             let _ = writer.drain(&mut inbox).await;
         });
-        let pinging = spawn(ping(outbox.clone()));
-        outbox.unbounded_send(worker_up(&worker)).ok()?;
+        let heartbeat_task = spawn(send_heartbeats(outbox.clone()));
+        outbox.unbounded_send(worker_snapshot(&worker)).ok()?;
         while !matches!(reader.read().await.ok()??, PoolBody::WorkerKept(_)) {}
-        let reading = spawn(async move { while let Ok(Some(_)) = reader.read().await {} });
+        let reader_task = spawn(async move { while let Ok(Some(_)) = reader.read().await {} });
         Some(Self {
             worker,
             outbox,
-            _tasks: [writing, pinging, reading],
+            _tasks: [writer_task, heartbeat_task, reader_task],
         })
     }
 
-    fn leave(&self) {
-        let gone = WorkerGone::new(&self.worker.as_str().into(), true);
+    fn report_worker_ended(&self) {
+        let ended = WorkerGone::new(&self.worker.as_str().into(), true);
         self.outbox
-            .unbounded_send(PoolBody::WorkerGone(gone))
+            .unbounded_send(PoolBody::WorkerGone(ended))
             .expect("the link stands");
     }
 }
 
-async fn ping(outbox: UnboundedSender<PoolBody>) {
+async fn send_heartbeats(outbox: UnboundedSender<PoolBody>) {
     while outbox
         .unbounded_send(PoolBody::Ping(LinkPing::default()))
         .is_ok()
     {
-        sleep(PING_PERIOD).await;
+        sleep(HEARTBEAT_PERIOD).await;
     }
 }
 
-fn worker_up(id: &str) -> PoolBody {
+fn worker_snapshot(id: &str) -> PoolBody {
     let view = WorkerView {
         boot: id.into(),
         service: "other".into(),
@@ -110,7 +110,7 @@
     let links = numbers
         .skip(1)
         .map(|number| spawn(async move { FakeAgent::link(owner, number).await }));
-    let agents = timeout(PATIENCE, join_all(links)).await;
+    let agents = timeout(LINK_TIMEOUT, join_all(links)).await;
     let agents = agents.expect("all links are served");
     let agents = agents.into_iter().filter_map(|agent| agent.ok()?);
     std::iter::once(first).chain(agents).collect()
@@ -118,13 +118,15 @@
 
 /// With all agents' rows in one transaction the store refused it for ever, and no work began.
 #[test]
-fn many_agents_at_once_are_written_down_in_parts_that_the_store_takes() {
+fn rows_of_many_agents_are_split_into_transactions_within_the_store_limits() {
     run(async {
         let site = Site::start("many", 1, 1).await;
         let agents = link_all(site.fronts[0].peers, 0..AGENTS).await;
         assert_eq!(agents.len(), AGENTS, "all were taken over");
         wait_for("all agents to be known", || async {
-            site.agent_rows().await.filter(|rows| *rows == AGENTS + 1)
+            site.agent_row_count()
+                .await
+                .filter(|rows| *rows == AGENTS + 1)
         })
         .await;
         site.submit(&name(1), &job(1, 4, 20)).await;
@@ -136,30 +138,34 @@
 /// Workers that have said goodbye hold up nothing, though their agents are gone at the takeover and
 /// the store could not be told: their rows stand.
 #[test]
-fn workers_that_left_while_the_store_was_down_hold_up_no_takeover() {
+fn workers_that_left_during_a_store_outage_do_not_delay_a_takeover() {
     run(async {
         let mut site = Site::start("left", 2, 1).await;
-        site.own_by_first(&name(1)).await;
+        site.make_first_front_owner(&name(1)).await;
         let mut agents = link_all(site.fronts[0].peers, 0..AGENTS).await;
         wait_for("all agents to be known", || async {
-            site.agent_rows().await.filter(|rows| *rows == AGENTS + 1)
+            site.agent_row_count()
+                .await
+                .filter(|rows| *rows == AGENTS + 1)
         })
         .await;
         // A task that waits at the takeover, and may run unheard as far as the next owner knows.
         site.submit(&name(2), &job(1, 6, 2_500)).await;
         site.wait_running(&name(2)).await;
         site.store_faults(serde_json::json!({ "down": true })).await;
-        for agent in &agents[..LEAVERS] {
-            agent.leave();
+        for agent in &agents[..LEAVING_AGENTS] {
+            agent.report_worker_ended();
         }
-        site.wait_logs("front-0", "worker is gone", LEAVERS).await;
-        drop(agents.drain(..LEAVERS));
-        site.wait_logs("front-0", "agent unlinked", LEAVERS).await;
+        site.wait_log_lines("front-0", "worker is gone", LEAVING_AGENTS)
+            .await;
+        drop(agents.drain(..LEAVING_AGENTS));
+        site.wait_log_lines("front-0", "agent unlinked", LEAVING_AGENTS)
+            .await;
         site.kill_front(0);
         site.store_faults(serde_json::json!({})).await;
         drop(agents);
-        let agents = link_all(site.fronts[1].peers, LEAVERS..AGENTS).await;
-        assert_eq!(agents.len(), AGENTS - LEAVERS);
+        let agents = link_all(site.fronts[1].peers, LEAVING_AGENTS..AGENTS).await;
+        assert_eq!(agents.len(), AGENTS - LEAVING_AGENTS);
         site.wait_state(&name(2), "completed").await;
         let log = site.log("front-1");
         assert!(log.contains("all workers heard or lapsed"));
--- a/tests/pool/restarts.rs
+++ b/tests/pool/restarts.rs
@@ -1,42 +1,48 @@
 //! Workers that restart under the id that they had.
 
-use crate::site::{PROCESSOR_MILLI, RestartClock, Site, job, lasting_job, name, run, wait_for};
+use crate::site::{
+    RestartClock, Site, WORKER_CPU_MILLI, job, long_running_job, name, run, wait_for,
+};
 use serde_json::json;
 
 /// Enough tasks that every worker has ended more of them than it is given after its restart.
-const FIRST_TASKS: u32 = 24;
+const TASKS_BEFORE_RESTART: u32 = 24;
 
 /// Waits until the worker has taken an order since it started.
-async fn wait_ordered(site: &Site, number: usize) -> u64 {
-    wait_for("an order to the worker", || site.worker_token(number)).await
+async fn wait_first_order(site: &Site, number: usize) -> u64 {
+    wait_for("an order to the worker", || {
+        site.worker_fencing_token(number)
+    })
+    .await
 }
 
 /// The ends of a boot are numbered from 1 again.
-async fn end_on_restarted(test: &str, clock: RestartClock) {
+async fn ends_count_once_after_restart(test: &str, clock: RestartClock) {
     let mut site = Site::start(test, 1, 2).await;
-    site.submit(&name(1), &job(1, FIRST_TASKS, 50)).await;
+    site.submit(&name(1), &job(1, TASKS_BEFORE_RESTART, 50))
+        .await;
     site.wait_state(&name(1), "completed").await;
     site.restart_worker(0, clock).await;
-    wait_ordered(&site, 0).await;
+    wait_first_order(&site, 0).await;
     site.submit(&name(2), &job(1, 8, 300)).await;
     site.wait_state(&name(2), "completed").await;
-    assert_eq!(site.starts(&name(2)).await, 8, "starts of eight tasks");
+    assert_eq!(site.start_count(&name(2)).await, 8, "starts of eight tasks");
     site.audit().await;
 }
 
-async fn lasting_on_restarted(test: &str, clock: RestartClock) {
+async fn long_running_tasks_run_again_after_restart(test: &str, clock: RestartClock) {
     let mut site = Site::start(test, 1, 1).await;
-    site.submit(&name(1), &lasting_job(2)).await;
+    site.submit(&name(1), &long_running_job(2)).await;
     site.wait_running(&name(1)).await;
     site.restart_worker(0, clock).await;
     wait_for("both tasks to run again", || async {
-        (site.starts(&name(1)).await == 2).then_some(())
+        (site.start_count(&name(1)).await == 2).then_some(())
     })
     .await;
     site.audit().await;
 }
 
-macro_rules! restart_clocks {
+macro_rules! restart_clock_tests {
     ($($name:ident: $case:ident, $clock:ident;)*) => {
         $(
             #[test]
@@ -47,29 +53,29 @@
     };
 }
 
-restart_clocks! {
-    an_end_on_a_worker_restarted_under_its_id_counts_once: end_on_restarted, Ahead;
-    an_end_on_a_worker_whose_clock_starts_anew_counts_once: end_on_restarted, Anew;
-    a_lasting_task_runs_again_after_its_worker_restarted_under_its_id: lasting_on_restarted, Ahead;
-    a_lasting_task_runs_again_after_its_workers_clock_started_anew: lasting_on_restarted, Anew;
+restart_clock_tests! {
+    an_end_on_a_worker_restarted_under_its_id_counts_once: ends_count_once_after_restart, Ahead;
+    an_end_on_a_worker_whose_clock_starts_anew_counts_once: ends_count_once_after_restart, FromZero;
+    a_lasting_task_runs_again_after_its_worker_restarted_under_its_id: long_running_tasks_run_again_after_restart, Ahead;
+    a_lasting_task_runs_again_after_its_workers_clock_started_anew: long_running_tasks_run_again_after_restart, FromZero;
 }
 
 /// The agent sends the start when it no longer is the boot before that takes it.
 #[test]
-fn a_start_that_reaches_the_next_boot_under_the_id_does_not_run_twice() {
+fn a_start_that_reaches_the_next_boot_of_the_same_id_does_not_run_twice() {
     run(async {
         let mut site = Site::start("restart-start", 1, 2).await;
-        site.wait_logs("front-0", "worker taken over", 2).await;
+        site.wait_log_lines("front-0", "worker taken over", 2).await;
         site.signal_agent(0, libc::SIGSTOP);
         // Half of the room: what was taken for lost is started on the other worker at once.
         site.submit(&name(2), &job(1, 4, 1_500)).await;
         wait_for("all starts to be ordered", || async {
             let tasks = (0..4).map(|index| format!("{}.0.0.{index}", name(2)));
-            let ordered = tasks.filter(|task| site.starts_ordered(task) > 0);
+            let ordered = tasks.filter(|task| site.ordered_start_count(task) > 0);
             (ordered.count() == 4).then_some(())
         })
         .await;
-        site.restart_worker(0, RestartClock::Anew).await;
+        site.restart_worker(0, RestartClock::FromZero).await;
         site.wait_worker(0).await;
         // The next boot gets its orders late, so that there is time to start its runs elsewhere.
         site.store_faults(json!({ "delay_ms": 700 })).await;
@@ -81,19 +87,19 @@
 
 /// The platform may carry out an order seconds late, by then on the next boot.
 #[test]
-fn an_order_for_the_boot_before_is_fenced_off_after_a_restart_under_its_id() {
+fn an_order_for_the_previous_boot_is_fenced_after_a_restart_under_the_same_id() {
     run(async {
         let mut site = Site::start("restart-fence", 1, 1).await;
-        let before = wait_ordered(&site, 0).await;
-        site.restart_worker(0, RestartClock::Anew).await;
-        wait_ordered(&site, 0).await;
+        let before = wait_first_order(&site, 0).await;
+        site.restart_worker(0, RestartClock::FromZero).await;
+        wait_first_order(&site, 0).await;
         site.submit(&name(1), &job(1, 1, 50)).await;
         site.wait_state(&name(1), "completed").await;
         let task = format!("{}.0.0.0", name(2));
         let start = json!({ "task": task, "run": 1, "spec": "", "deadlineMs": 5_000_000, "fencingToken": before });
         let hold = json!({ "fencingToken": before, "ackCursor": 1_000 });
         for (path, order) in [("run-start", start), ("hold", hold)] {
-            let answer = site.order_worker(0, path, &order).await;
+            let answer = site.send_order(0, path, &order).await;
             let (status, reason) = (answer.status, answer.json()["reason"].clone());
             assert_eq!((status, reason), (409, json!("fence")), "{path}");
         }
@@ -101,39 +107,43 @@
 }
 
 /// A call of the boot before that comes once the next one is driven.
-async fn late_word(test: &str, call: &str, tells_start: bool) {
+async fn late_call(test: &str, call: &str, with_start_time: bool) {
     let mut site = Site::start(test, 1, 2).await;
-    site.wait_logs("front-0", "worker taken over", 2).await;
+    site.wait_log_lines("front-0", "worker taken over", 2).await;
     let before = site.worker_report(0).await;
-    site.restart_worker(0, RestartClock::Anew).await;
-    site.wait_logs("front-0", "worker taken over", 3).await;
-    site.submit(&name(1), &lasting_job(8)).await;
-    let all_run = || async { (site.starts(&name(1)).await == 8).then_some(()) };
-    wait_for("all tasks to run", all_run).await;
-    let mut word = before.clone();
-    if !tells_start {
-        word = json!({ "state": "ready", "sequence": 90 });
+    site.restart_worker(0, RestartClock::FromZero).await;
+    site.wait_log_lines("front-0", "worker taken over", 3).await;
+    site.submit(&name(1), &long_running_job(8)).await;
+    let all_running = || async { (site.start_count(&name(1)).await == 8).then_some(()) };
+    wait_for("all tasks to run", all_running).await;
+    let mut report = before.clone();
+    if !with_start_time {
+        report = json!({ "state": "ready", "sequence": 90 });
     }
-    site.tell_agent(0, call, &word).await;
+    site.call_agent(0, call, &report).await;
     // A job that is submitted later ends later than anything that the call has led to.
     site.submit(&name(2), &job(3, 4, 200)).await;
     site.wait_state(&name(2), "completed").await;
-    assert_eq!(site.starts(&name(1)).await, 8, "no task is started again");
+    assert_eq!(
+        site.start_count(&name(1)).await,
+        8,
+        "no task is started again"
+    );
     site.audit().await;
 }
 
-macro_rules! late_words {
-    ($($name:ident: $call:expr, $tells_start:expr;)*) => {
+macro_rules! late_call_tests {
+    ($($name:ident: $call:expr, $with_start_time:expr;)*) => {
         $(
             #[test]
             fn $name() {
-                run(late_word(stringify!($name), $call, $tells_start));
+                run(late_call(stringify!($name), $call, $with_start_time));
             }
         )*
     };
 }
 
-late_words! {
+late_call_tests! {
     a_late_check_in_of_the_boot_before_changes_nothing: "heartbeat", true;
     a_late_leave_of_the_boot_before_changes_nothing: "leave", true;
     a_late_leave_without_a_start_time_changes_nothing: "leave", false;
@@ -144,7 +154,7 @@
 enum RestartCase {
     Twice,
     EarlierStart,
-    LessRoom,
+    LessCapacity,
     Drained,
     OwnerKilled,
     OwnerFrozen,
@@ -155,8 +165,8 @@
 }
 
 impl RestartCase {
-    async fn play(self, site: &mut Site) {
-        let clock = RestartClock::Anew;
+    async fn apply(self, site: &mut Site) {
+        let clock = RestartClock::FromZero;
         match self {
             Self::Twice => {
                 site.restart_worker(0, clock).await;
@@ -165,11 +175,11 @@
             }
             Self::EarlierStart => {
                 site.kill_worker(0).await;
-                site.start_worker_again(0, PROCESSOR_MILLI, &["--started-ms", "1000"]);
+                site.start_worker_under_id_with(0, WORKER_CPU_MILLI, &["--started-ms", "1000"]);
             }
-            Self::LessRoom => {
+            Self::LessCapacity => {
                 site.kill_worker(0).await;
-                site.start_worker_again(0, PROCESSOR_MILLI / 4, &[]);
+                site.start_worker_under_id_with(0, WORKER_CPU_MILLI / 4, &[]);
             }
             Self::Drained => {
                 site.worker_faults(0, json!({ "draining": true })).await;
@@ -205,7 +215,7 @@
                 site.store_faults(json!({})).await;
             }
             Self::AllWorkers => {
-                for number in 0..site.machines.len() {
+                for number in 0..site.vms.len() {
                     site.restart_worker(number, clock).await;
                 }
             }
@@ -214,39 +224,39 @@
 }
 
 /// Lasting tasks and a wide job go on over a restart; nothing runs twice or beyond a worker's room.
-async fn restart_beside(test: &str, case: RestartCase) {
+async fn restart_during(test: &str, case: RestartCase) {
     let mut site = Site::start(test, 2, 3).await;
-    site.own_by_first(&name(9)).await;
-    site.submit(&name(1), &lasting_job(4)).await;
-    let all_run = || async { (site.running(&name(1)).await == 4).then_some(()) };
-    wait_for("all lasting tasks to run", all_run).await;
+    site.make_first_front_owner(&name(9)).await;
+    site.submit(&name(1), &long_running_job(4)).await;
+    let all_running = || async { (site.running_count(&name(1)).await == 4).then_some(()) };
+    wait_for("all lasting tasks to run", all_running).await;
     site.submit(&name(2), &job(2, 12, 300)).await;
     site.wait_running(&name(2)).await;
-    case.play(&mut site).await;
+    case.apply(&mut site).await;
     site.submit(&name(3), &job(1, 12, 100)).await;
     for job_name in [name(2), name(3)] {
         site.wait_state(&job_name, "completed").await;
     }
-    let all_run = || async { (site.running(&name(1)).await == 4).then_some(()) };
-    wait_for("all lasting tasks to run again", all_run).await;
+    let all_running = || async { (site.running_count(&name(1)).await == 4).then_some(()) };
+    wait_for("all lasting tasks to run again", all_running).await;
     site.audit().await;
 }
 
-macro_rules! restarts_beside {
+macro_rules! restart_case_tests {
     ($($name:ident: $case:ident;)*) => {
         $(
             #[test]
             fn $name() {
-                run(restart_beside(stringify!($name), RestartCase::$case));
+                run(restart_during(stringify!($name), RestartCase::$case));
             }
         )*
     };
 }
 
-restarts_beside! {
+restart_case_tests! {
     a_worker_restarts_twice_within_one_hold: Twice;
     a_worker_restarts_after_its_time_of_day_stepped_back: EarlierStart;
-    a_worker_restarts_with_less_room: LessRoom;
+    a_worker_restarts_with_less_room: LessCapacity;
     a_worker_restarts_after_it_said_that_it_drains: Drained;
     a_worker_restarts_while_the_owner_is_killed: OwnerKilled;
     a_worker_restarts_while_the_owner_is_frozen: OwnerFrozen;
--- a/tests/pool/site.rs
+++ b/tests/pool/site.rs
@@ -5,7 +5,7 @@
 
 use crate::calls::{Answer, call, get_json, post_json};
 pub(crate) use crate::common::{run, wait_for};
-use crate::relay::Relay;
+use crate::store_proxy::StoreProxy;
 use http::Method;
 use rustix::net::{AddressFamily, SocketFlags, SocketType, bind, socket_with, sockopt};
 use serde_json::{Value, json};
@@ -93,11 +93,11 @@
 /// Each installation of the process has addresses of its own.
 static NEXT_SITE: AtomicU8 = AtomicU8::new(2);
 /// Ports that were given out: a port that is free again until its process binds it is not given twice.
-static GIVEN_PORTS: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
+static ALLOCATED_PORTS: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
 
 /// Ports below those that the system itself gives to connections: between the look and the start of
 /// the process it gave one away, and a front found its port in use.
-const PORTS: std::ops::Range<u16> = 12_000..32_000;
+const PORT_RANGE: std::ops::Range<u16> = 12_000..32_000;
 
 /// Takes a port that nobody listens on, without listening: a process that another thread starts meanwhile holds a
 /// copy of the socket until it runs its program.
@@ -116,8 +116,8 @@
 /// A port that is free on an address and was not given out before.
 fn free_port(ip: &str) -> SocketAddr {
     loop {
-        let port = fastrand::u16(PORTS);
-        let is_new = GIVEN_PORTS
+        let port = fastrand::u16(PORT_RANGE);
+        let is_new = ALLOCATED_PORTS
             .lock()
             .expect("no test panics here")
             .insert(port);
@@ -146,13 +146,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RestartClock {
     /// It counts from its start.
-    Anew,
+    FromZero,
     /// It is further than any lease of the boot before reaches.
     Ahead,
 }
 
 /// One machine with a worker and its agent.
-pub(crate) struct Machine {
+pub(crate) struct Vm {
     pub(crate) agent: Option<SiteProcess>,
     pub(crate) worker: Option<SiteProcess>,
     settings: PathBuf,
@@ -161,9 +161,9 @@
     name: String,
     domain: &'static str,
     /// Ids that its workers had.
-    ids: u32,
+    id_count: u32,
     /// How often the worker of the last id has started again.
-    restarts: u32,
+    restart_count: u32,
 }
 
 /// The installation.
@@ -171,13 +171,13 @@
     _store: SiteProcess,
     store: SocketAddr,
     /// The way to the store of each front, where it can be cut.
-    pub(crate) relays: Vec<Relay>,
+    pub(crate) store_proxies: Vec<StoreProxy>,
     pub(crate) fronts: Vec<Front>,
-    pub(crate) machines: Vec<Machine>,
+    pub(crate) vms: Vec<Vm>,
     folder: PathBuf,
     config: u64,
     /// Histories of workers that were killed.
-    past: Vec<Value>,
+    past_histories: Vec<Value>,
     drains: Vec<DomainDrain>,
 }
 
@@ -186,9 +186,9 @@
 struct DomainDrain {
     domain: &'static str,
     /// When the store had acknowledged it.
-    acknowledged: u64,
+    acknowledged_us: u64,
     /// When it was about to be taken back.
-    taken_back: Option<u64>,
+    undrained_us: Option<u64>,
 }
 
 /// Nothing starts in a drained failure domain so long after the drain was acknowledged, or later. The
@@ -204,36 +204,36 @@
     now.map_or(0, |span| span.as_micros() as u64)
 }
 
-pub(crate) const PROCESSOR_MILLI: u32 = 4_000;
+pub(crate) const WORKER_CPU_MILLI: u32 = 4_000;
 /// How far the clock of a restarted worker is ahead, milliseconds: further than any lease reaches.
 const CLOCK_AHEAD_MS: u64 = 1_000_000;
 
 impl Site {
     /// Starts an installation and waits until its first front is ready.
-    pub(crate) async fn start(test: &str, fronts: usize, machines: usize) -> Self {
-        Self::start_with(test, fronts, machines, (false, 1)).await
+    pub(crate) async fn start(test: &str, fronts: usize, vms: usize) -> Self {
+        Self::start_with(test, fronts, vms, (false, 1)).await
     }
 
     /// The same; the machines are spread over so many failure domains.
-    pub(crate) async fn start_across(
+    pub(crate) async fn start_across_domains(
         test: &str,
         fronts: usize,
-        machines: usize,
+        vms: usize,
         domains: usize,
     ) -> Self {
-        Self::start_with(test, fronts, machines, (true, domains)).await
+        Self::start_with(test, fronts, vms, (true, domains)).await
     }
 
     /// The same, with a relay between each front and the store.
-    pub(crate) async fn start_relayed(test: &str, fronts: usize, machines: usize) -> Self {
-        Self::start_with(test, fronts, machines, (true, 1)).await
+    pub(crate) async fn start_with_proxies(test: &str, fronts: usize, vms: usize) -> Self {
+        Self::start_with(test, fronts, vms, (true, 1)).await
     }
 
     async fn start_with(
         test: &str,
         fronts: usize,
-        machines: usize,
-        (relayed, domains): (bool, usize),
+        vms: usize,
+        (proxied, domains): (bool, usize),
     ) -> Self {
         let folder =
             std::env::temp_dir().join(format!("waxwing-pool-{}-{test}", std::process::id()));
@@ -243,23 +243,23 @@
         let mut site = Self {
             _store: SiteProcess::start("waxwing-standin", &args, folder.join("store.log")),
             store,
-            relays: Vec::new(),
+            store_proxies: Vec::new(),
             fronts: Vec::new(),
-            machines: Vec::new(),
+            vms: Vec::new(),
             folder,
             config: 0,
-            past: Vec::new(),
+            past_histories: Vec::new(),
             drains: Vec::new(),
         };
-        let first_look = format!("http://{store}/v1/rows-get?table=op&part=");
-        wait_for("the store", || get_json(&first_look)).await;
+        let config_rows_url = format!("http://{store}/v1/rows-get?table=op&part=");
+        wait_for("the store", || get_json(&config_rows_url)).await;
         site.put_config(&["/g/"]).await;
         // All peers share a port, as on the platform's machines: each has an address of its own.
         let port = free_port("127.0.0.1").port();
         let base = NEXT_SITE.fetch_add(1, Ordering::Relaxed);
         for number in 0..fronts {
-            if relayed {
-                site.relays.push(Relay::start(store));
+            if proxied {
+                site.store_proxies.push(StoreProxy::start(store));
             }
             site.add_front(&format!("127.{base}.1.{}", number + 1), port, 1.0);
             site.start_front(number);
@@ -269,7 +269,7 @@
             .iter()
             .map(|front| front.callers.to_string())
             .collect();
-        for number in 0..machines {
+        for number in 0..vms {
             let domain = DOMAINS[number % domains];
             site.add_machine(
                 &format!("127.{base}.2.{}", number + 1),
@@ -285,7 +285,7 @@
     }
 
     /// Adds a front on a machine of so many cores, beside the others; it is not started.
-    pub(crate) fn add_front_of(&mut self, cores: f64) -> usize {
+    pub(crate) fn add_front_with_cores(&mut self, cores: f64) -> usize {
         let number = self.fronts.len();
         let SocketAddr::V4(first) = self.fronts[0].peers else {
             unreachable!("sites have IPv4 addresses");
@@ -300,8 +300,8 @@
         let number = self.fronts.len();
         let (callers, readiness, metrics) = (free_port(ip), free_port(ip), free_port(ip));
         let settings = self.folder.join(format!("front-{number}.yaml"));
-        let relay = self.relays.get(number);
-        let store = relay.map_or(self.store, |relay| relay.address);
+        let proxy = self.store_proxies.get(number);
+        let store = proxy.map_or(self.store, |proxy| proxy.address);
         let text = format!(
             "role: front\nname: front-{number}\nregion: r\nfailure_domain: a\nplatform:\n  address: {}\n\
              pool:\n  peers: {ip}:{port}\n  callers: {callers}\n  readiness: {readiness}\n  metrics: {metrics}\n  \
@@ -332,7 +332,7 @@
 
     /// Has the first of two fronts own the shard, whoever owned it before, and the second one linked to
     /// it; runs a job of this name.
-    pub(crate) async fn own_by_first(&mut self, job_name: &str) {
+    pub(crate) async fn make_first_front_owner(&mut self, job_name: &str) {
         self.kill_front(1);
         self.submit(job_name, &job(1, 1, 50)).await;
         self.wait_state(job_name, "completed").await;
@@ -340,17 +340,14 @@
         let before = self.log("front-1").matches(linked).count();
         self.start_front(1);
         self.wait_ready(1).await;
-        self.wait_logs("front-1", linked, before + 1).await;
+        self.wait_log_lines("front-1", linked, before + 1).await;
     }
 
     /// What the operators' tool reports of the logs of all fronts and agents.
-    pub(crate) fn report(&self, options: &[&str]) -> String {
+    pub(crate) fn log_report(&self, options: &[&str]) -> String {
         let tool = Path::new(env!("CARGO_BIN_EXE_waxwingd")).with_file_name("waxwing");
         let fronts = (0..self.fronts.len()).map(|number| format!("front-{number}.log"));
-        let agents = self
-            .machines
-            .iter()
-            .map(|machine| format!("{}.log", machine.name));
+        let agents = self.vms.iter().map(|vm| format!("{}.log", vm.name));
         let files = fronts.chain(agents).map(|file| self.folder.join(file));
         let output = Command::new(tool)
             .args(["logs", "report"])
@@ -370,11 +367,11 @@
 
     /// Waits until a process has logged a text.
     pub(crate) async fn wait_log(&self, process: &str, text: &str) {
-        self.wait_logs(process, text, 1).await;
+        self.wait_log_lines(process, text, 1).await;
     }
 
     /// Waits until a process has logged a text in so many lines.
-    pub(crate) async fn wait_logs(&self, process: &str, text: &str, lines: usize) {
+    pub(crate) async fn wait_log_lines(&self, process: &str, text: &str, lines: usize) {
         wait_for(&format!("{process} to log: {text}"), || async {
             let log = self.log(process);
             let found = log.lines().filter(|line| line.contains(text)).count();
@@ -383,7 +380,7 @@
         .await;
     }
 
-    pub(crate) fn front_runs(&mut self, number: usize) -> bool {
+    pub(crate) fn is_front_running(&mut self, number: usize) -> bool {
         let process = self.fronts[number].process.as_mut();
         process.is_some_and(SiteProcess::is_running)
     }
@@ -398,7 +395,7 @@
     }
 
     fn add_machine(&mut self, ip: &str, port: u16, seeds: &[String], domain: &'static str) {
-        let name = format!("side-{}", self.machines.len());
+        let name = format!("side-{}", self.vms.len());
         let (app, check_ins) = (free_port(ip), free_port(ip));
         let settings = self.folder.join(format!("{name}.yaml"));
         let text = format!(
@@ -410,7 +407,7 @@
             seeds.join(", ")
         );
         std::fs::write(&settings, text).expect("the settings are written");
-        self.machines.push(Machine {
+        self.vms.push(Vm {
             agent: None,
             worker: None,
             settings,
@@ -418,43 +415,40 @@
             check_ins,
             name,
             domain,
-            ids: 0,
-            restarts: 0,
+            id_count: 0,
+            restart_count: 0,
         });
-        let number = self.machines.len() - 1;
+        let number = self.vms.len() - 1;
         self.start_agent(number);
         self.start_worker(number);
     }
 
     pub(crate) fn start_agent(&mut self, number: usize) {
-        let machine = &mut self.machines[number];
-        let args = [
-            "--settings".to_owned(),
-            machine.settings.display().to_string(),
-        ];
-        let log = self.folder.join(format!("{}.log", machine.name));
-        machine.agent = Some(SiteProcess::start("waxwingd", &args, log));
+        let vm = &mut self.vms[number];
+        let args = ["--settings".to_owned(), vm.settings.display().to_string()];
+        let log = self.folder.join(format!("{}.log", vm.name));
+        vm.agent = Some(SiteProcess::start("waxwingd", &args, log));
     }
 
     pub(crate) fn signal_agent(&self, number: usize, signal: i32) {
-        let process = self.machines[number].agent.as_ref();
+        let process = self.vms[number].agent.as_ref();
         process.expect("the agent runs").signal(signal);
     }
 
     pub(crate) fn kill_agent(&mut self, number: usize) {
-        self.machines[number].agent = None;
+        self.vms[number].agent = None;
     }
 
     pub(crate) fn start_worker(&mut self, number: usize) {
-        self.start_worker_in(number, self.machines[number].domain);
+        self.start_worker_reporting_domain(number, self.vms[number].domain);
     }
 
     /// A worker that says of itself to be in this failure domain, wherever its machine is.
-    pub(crate) fn start_worker_in(&mut self, number: usize, domain: &str) {
-        let machine = &mut self.machines[number];
-        machine.ids += 1;
-        machine.restarts = 0;
-        self.spawn_worker(number, domain, PROCESSOR_MILLI, &[]);
+    pub(crate) fn start_worker_reporting_domain(&mut self, number: usize, domain: &str) {
+        let vm = &mut self.vms[number];
+        vm.id_count += 1;
+        vm.restart_count = 0;
+        self.spawn_worker(number, domain, WORKER_CPU_MILLI, &[]);
     }
 
     /// Kills a worker and starts it under the same id.
@@ -465,43 +459,48 @@
 
     /// Starts the worker that was killed under the id that it had.
     pub(crate) fn start_worker_under_id(&mut self, number: usize, clock: RestartClock) {
-        let restarts = self.machines[number].restarts + 1;
+        let restart_count = self.vms[number].restart_count + 1;
         let clock_ms = match clock {
-            RestartClock::Anew => 0,
-            RestartClock::Ahead => CLOCK_AHEAD_MS * u64::from(restarts),
+            RestartClock::FromZero => 0,
+            RestartClock::Ahead => CLOCK_AHEAD_MS * u64::from(restart_count),
         };
         let clock_ms = clock_ms.to_string();
-        self.start_worker_again(number, PROCESSOR_MILLI, &["--clock-ms", &clock_ms]);
+        self.start_worker_under_id_with(number, WORKER_CPU_MILLI, &["--clock-ms", &clock_ms]);
     }
 
     /// The same, with so many processors and other options.
-    pub(crate) fn start_worker_again(&mut self, number: usize, cpu_milli: u32, options: &[&str]) {
-        let machine = &mut self.machines[number];
-        machine.restarts += 1;
-        let domain = machine.domain;
+    pub(crate) fn start_worker_under_id_with(
+        &mut self,
+        number: usize,
+        cpu_milli: u32,
+        options: &[&str],
+    ) {
+        let vm = &mut self.vms[number];
+        vm.restart_count += 1;
+        let domain = vm.domain;
         self.spawn_worker(number, domain, cpu_milli, options);
     }
 
     pub(crate) fn worker_id(&self, number: usize) -> String {
-        let machine = &self.machines[number];
-        format!("i-{}-{}", machine.name, machine.ids)
+        let vm = &self.vms[number];
+        format!("i-{}-{}", vm.name, vm.id_count)
     }
 
     /// The highest fencing token that the worker has seen; nothing before its first order.
-    pub(crate) async fn worker_token(&self, number: usize) -> Option<u64> {
-        let url = format!("http://{}/token", self.machines[number].app);
+    pub(crate) async fn worker_fencing_token(&self, number: usize) -> Option<u64> {
+        let url = format!("http://{}/token", self.vms[number].app);
         get_json(&url).await?.as_u64().filter(|token| *token > 0)
     }
 
     fn spawn_worker(&mut self, number: usize, domain: &str, cpu_milli: u32, options: &[&str]) {
         let id = self.worker_id(number);
-        let machine = &mut self.machines[number];
+        let vm = &mut self.vms[number];
         let args = [
             "site-worker",
             "--listen",
-            &machine.app.to_string(),
+            &vm.app.to_string(),
             "--agent",
-            &machine.check_ins.to_string(),
+            &vm.check_ins.to_string(),
             "--service",
             "svc",
             "--id",
@@ -516,21 +515,21 @@
             .chain(options)
             .map(ToString::to_string)
             .collect();
-        let log = self.folder.join(format!("{}-worker.log", machine.name));
-        machine.worker = Some(SiteProcess::start("waxwing-standin", &args, log));
+        let log = self.folder.join(format!("{}-worker.log", vm.name));
+        vm.worker = Some(SiteProcess::start("waxwing-standin", &args, log));
     }
 
     pub(crate) async fn kill_worker(&mut self, number: usize) {
         self.audit_drains().await;
         let history = self.history(number).await;
-        self.machines[number].worker = None;
-        self.past.push(audit::with_deaths(&history));
+        self.vms[number].worker = None;
+        self.past_histories.push(audit::with_killed_runs(&history));
     }
 
     /// Starts workers again that have ended by themselves, as the platform does.
-    pub(crate) fn revive_workers(&mut self) {
-        for number in 0..self.machines.len() {
-            let worker = self.machines[number].worker.as_mut();
+    pub(crate) fn replace_ended_workers(&mut self) {
+        for number in 0..self.vms.len() {
+            let worker = self.vms[number].worker.as_mut();
             if !worker.is_some_and(SiteProcess::is_running) {
                 self.start_worker(number);
             }
@@ -539,16 +538,16 @@
 
     /// Starts workers again that have ended by themselves, under the ids that they had.
     pub(crate) fn restart_crashed_workers(&mut self) {
-        for number in 0..self.machines.len() {
-            let worker = self.machines[number].worker.as_mut();
+        for number in 0..self.vms.len() {
+            let worker = self.vms[number].worker.as_mut();
             if worker.is_some_and(|worker| !worker.is_running()) {
-                self.start_worker_under_id(number, RestartClock::Anew);
+                self.start_worker_under_id(number, RestartClock::FromZero);
             }
         }
     }
 
     /// How many starts of a task were ordered, by the lines of all fronts.
-    pub(crate) fn starts_ordered(&self, task: &str) -> usize {
+    pub(crate) fn ordered_start_count(&self, task: &str) -> usize {
         let task = format!("\"task\":\"{task}\"");
         let logs = (0..self.fronts.len()).map(|number| self.log(&format!("front-{number}")));
         let ordered = |line: &&str| line.contains("start ordered") && line.contains(&task);
@@ -578,7 +577,7 @@
             .collect();
         let config = json!({ "version": self.config, "routes": routes, "services": [{ "name": "svc" }], "limits": {} });
         let value = base64(config.to_string().as_bytes());
-        self.operate(
+        self.commit_as_operator(
             json!({ "writes": [{ "table": "op", "part": "", "key": "config", "value": value }] }),
         )
         .await;
@@ -589,14 +588,14 @@
         let key = format!("evacuate/{domain}");
         // What stands in the row says nothing: it may be anything.
         let value = base64(b"?");
-        self.operate(
+        self.commit_as_operator(
             json!({ "writes": [{ "table": "op", "part": "", "key": key, "value": value }] }),
         )
         .await;
         self.drains.push(DomainDrain {
             domain,
-            acknowledged: unix_us(),
-            taken_back: None,
+            acknowledged_us: unix_us(),
+            undrained_us: None,
         });
     }
 
@@ -604,15 +603,15 @@
     pub(crate) async fn undrain(&mut self, domain: &str) {
         let before = unix_us();
         let open = self.drains.iter_mut().rev();
-        let mut open = open.filter(|drain| drain.domain == domain && drain.taken_back.is_none());
-        open.next().expect("it is drained").taken_back = Some(before);
+        let mut open = open.filter(|drain| drain.domain == domain && drain.undrained_us.is_none());
+        open.next().expect("it is drained").undrained_us = Some(before);
         let key = format!("evacuate/{domain}");
-        self.operate(json!({ "remove": [{ "table": "op", "part": "", "key": key }] }))
+        self.commit_as_operator(json!({ "remove": [{ "table": "op", "part": "", "key": key }] }))
             .await;
     }
 
     /// A transaction of the operator.
-    async fn operate(&self, body: Value) {
+    async fn commit_as_operator(&self, body: Value) {
         let headers = [("content-type", "application/json"), ("x-operator", "1")];
         let url = format!("http://{}/v1/rows-tx", self.store);
         let answer = call(Method::POST, &url, &headers, body.to_string().into_bytes()).await;
@@ -625,13 +624,13 @@
     }
 
     /// How many agents the store says may have been given orders.
-    pub(crate) async fn agent_rows(&self) -> Option<usize> {
+    pub(crate) async fn agent_row_count(&self) -> Option<usize> {
         let url = format!("http://{}/v1/rows-get?table=agent&part=s0", self.store);
         Some(get_json(&url).await?["rows"].as_array()?.len())
     }
 
     pub(crate) async fn worker_faults(&self, number: usize, faults: Value) {
-        let url = format!("http://{}/faults", self.machines[number].app);
+        let url = format!("http://{}/faults", self.vms[number].app);
         let answer = wait_for("a worker", || async { post_json(&url, &faults).await.ok() }).await;
         assert_eq!(answer.status, 200);
     }
@@ -643,22 +642,22 @@
 
     /// What a worker says of itself.
     pub(crate) async fn worker_report(&self, number: usize) -> Value {
-        let url = format!("http://{}/report", self.machines[number].app);
+        let url = format!("http://{}/report", self.vms[number].app);
         wait_for("a worker's report", || get_json(&url)).await
     }
 
     /// Calls an agent as its worker would.
-    pub(crate) async fn tell_agent(&self, number: usize, call: &str, body: &Value) {
+    pub(crate) async fn call_agent(&self, number: usize, call: &str, body: &Value) {
         let id = self.worker_id(number);
-        let agent = self.machines[number].check_ins;
+        let agent = self.vms[number].check_ins;
         let url = format!("http://{agent}/v1/instances/{id}/{call}");
         let answer = post_json(&url, body).await.expect("the agent answers");
         assert_eq!(answer.status, 200);
     }
 
     /// Sends a worker an order beside its agent's.
-    pub(crate) async fn order_worker(&self, number: usize, order: &str, body: &Value) -> Answer {
-        let url = format!("http://{}/v1/{order}", self.machines[number].app);
+    pub(crate) async fn send_order(&self, number: usize, order: &str, body: &Value) -> Answer {
+        let url = format!("http://{}/v1/{order}", self.vms[number].app);
         post_json(&url, body).await.expect("the worker answers")
     }
 
@@ -666,7 +665,7 @@
         format!("http://{}/g/{job}", self.fronts[front].callers)
     }
 
-    pub(crate) async fn ask(
+    pub(crate) async fn request(
         &self,
         front: usize,
         method: Method,
@@ -683,7 +682,7 @@
     }
 
     /// Asks a front for a path of the callers' interface.
-    pub(crate) async fn ask_at(
+    pub(crate) async fn request_path(
         &self,
         front: usize,
         method: Method,
@@ -698,7 +697,7 @@
         wait_for("a job to be accepted", || async {
             for front in 0..self.fronts.len() {
                 let answer = self
-                    .ask(front, Method::POST, job, body.to_string().into_bytes())
+                    .request(front, Method::POST, job, body.to_string().into_bytes())
                     .await;
                 if answer.is_ok_and(|answer| answer.status == 200) {
                     return Some(());
@@ -712,7 +711,7 @@
     /// A job's state by any front that answers.
     pub(crate) async fn state(&self, job: &str) -> Option<String> {
         for front in 0..self.fronts.len() {
-            if let Ok(answer) = self.ask(front, Method::GET, job, Vec::new()).await
+            if let Ok(answer) = self.request(front, Method::GET, job, Vec::new()).await
                 && answer.status == 200
             {
                 return answer.json()["state"].as_str().map(Into::into);
@@ -722,7 +721,7 @@
     }
 
     /// Whether all these jobs have ended.
-    pub(crate) async fn jobs_ended(&self, jobs: &[String]) -> bool {
+    pub(crate) async fn have_jobs_ended(&self, jobs: &[String]) -> bool {
         for job in jobs {
             let state = self.state(job).await;
             if !state.is_some_and(|state| state == "completed" || state == "failed") {
@@ -780,7 +779,7 @@
 }
 
 /// A job of tasks that run until it is cancelled.
-pub(crate) fn lasting_job(count: u32) -> Value {
+pub(crate) fn long_running_job(count: u32) -> Value {
     let work = json!({ "ms": 600_000, "cpu": 500, "mem": 100 });
     let step = json!({ "count": count, "cpu": 500, "memMb": 100, "longRunning": true });
     json!({ "spec": work.to_string(), "phases": [step] })
--- a/tests/pool/site/audit.rs
+++ b/tests/pool/site/audit.rs
@@ -8,24 +8,24 @@
 
 impl Site {
     /// What workers have seen that a task has ended.
-    fn histories_of_crashed(&self) -> Vec<Value> {
-        let logs = self.machines.iter();
+    fn histories_of_crashed_workers(&self) -> Vec<Value> {
+        let logs = self.vms.iter();
         let logs: Vec<String> = logs
-            .map(|machine| self.log(&format!("{}-worker", machine.name)))
+            .map(|vm| self.log(&format!("{}-worker", vm.name)))
             .collect();
         let lines = logs.iter().flat_map(|log| log.lines());
-        let words = lines.filter_map(|line| serde_json::from_str::<Value>(line).ok());
-        let histories = words.filter_map(|word| word.get("history").cloned());
+        let records = lines.filter_map(|line| serde_json::from_str::<Value>(line).ok());
+        let histories = records.filter_map(|record| record.get("history").cloned());
         histories.collect()
     }
 
     /// What a worker has seen in its present life; nothing while it is down.
     pub(super) async fn history(&self, number: usize) -> Value {
-        if self.machines[number].worker.is_none() {
+        if self.vms[number].worker.is_none() {
             return Value::Null;
         }
-        let url = format!("http://{}/history", self.machines[number].app);
-        let log = format!("{}-worker", self.machines[number].name);
+        let url = format!("http://{}/history", self.vms[number].app);
+        let log = format!("{}-worker", self.vms[number].name);
         wait_for("a history", || async {
             let history = get_json(&url).await;
             // One that its task has ended left its history in its last line.
@@ -43,13 +43,13 @@
     /// Waits until a task of the job runs on a worker.
     pub(crate) async fn wait_running(&self, job: &str) -> usize {
         wait_for("a task to run", || async {
-            for number in 0..self.machines.len() {
-                let url = format!("http://{}/history", self.machines[number].app);
+            for number in 0..self.vms.len() {
+                let url = format!("http://{}/history", self.vms[number].app);
                 let history = get_json(&url).await.unwrap_or_default();
                 let rows = history.as_array().cloned().unwrap_or_default();
                 if rows
                     .iter()
-                    .any(|row| row["what"] == "start" && names(row, job))
+                    .any(|row| row["what"] == "start" && is_task_of(row, job))
                 {
                     return Some(number);
                 }
@@ -60,27 +60,27 @@
     }
 
     /// How many starts of a job's tasks there were.
-    pub(crate) async fn starts(&self, job: &str) -> usize {
+    pub(crate) async fn start_count(&self, job: &str) -> usize {
         let mut starts = 0;
-        for number in 0..self.machines.len() {
+        for number in 0..self.vms.len() {
             let history = self.history(number).await;
             let rows = history.as_array().cloned().unwrap_or_default();
             starts += rows
                 .iter()
-                .filter(|row| row["what"] == "start" && names(row, job))
+                .filter(|row| row["what"] == "start" && is_task_of(row, job))
                 .count();
         }
         starts
     }
 
     /// How many tasks of a job run now, by what the workers have seen.
-    pub(crate) async fn running(&self, job: &str) -> usize {
+    pub(crate) async fn running_count(&self, job: &str) -> usize {
         let mut running = 0;
-        for number in 0..self.machines.len() {
+        for number in 0..self.vms.len() {
             let history = self.history(number).await;
             let mut tasks: HashSet<&str> = HashSet::new();
             for row in history.as_array().into_iter().flatten() {
-                let Some(task) = row["task"].as_str().filter(|_| names(row, job)) else {
+                let Some(task) = row["task"].as_str().filter(|_| is_task_of(row, job)) else {
                     continue;
                 };
                 match row["what"].as_str().unwrap_or_default() {
@@ -95,14 +95,14 @@
     }
 
     /// How many starts of a job's tasks there were in a failure domain.
-    pub(crate) async fn starts_in(&self, domain: &str, job: &str) -> usize {
+    pub(crate) async fn start_count_in(&self, domain: &str, job: &str) -> usize {
         let mut starts = 0;
-        for number in 0..self.machines.len() {
-            if self.machines[number].domain == domain {
+        for number in 0..self.vms.len() {
+            if self.vms[number].domain == domain {
                 let history = self.history(number).await;
                 let rows = history.as_array().cloned().unwrap_or_default();
                 let begun = rows.iter();
-                let begun = begun.filter(|row| row["what"] == "start" && names(row, job));
+                let begun = begun.filter(|row| row["what"] == "start" && is_task_of(row, job));
                 starts += begun.count();
             }
         }
@@ -111,20 +111,20 @@
 
     /// No start in a drained failure domain beyond the bound, by what its workers have seen.
     pub(super) async fn audit_drains(&self) {
-        for number in 0..self.machines.len() {
+        for number in 0..self.vms.len() {
             let history = self.history(number).await;
             for row in history.as_array().into_iter().flatten() {
                 let at = row["at"].as_u64().unwrap_or_default();
-                let domain = self.machines[number].domain;
-                let late = self.drains.iter().find(|drain| {
+                let domain = self.vms[number].domain;
+                let violated_drain = self.drains.iter().find(|drain| {
                     drain.domain == domain
-                        && at > drain.acknowledged + DRAIN_BOUND_MS * 1_000
-                        && drain.taken_back.is_none_or(|back| at < back)
+                        && at > drain.acknowledged_us + DRAIN_BOUND_MS * 1_000
+                        && drain.undrained_us.is_none_or(|undrained| at < undrained)
                 });
                 let is_start = row["what"] == "start";
                 assert!(
-                    !is_start || late.is_none(),
-                    "a start in a drained domain: {row}, {late:?}"
+                    !is_start || violated_drain.is_none(),
+                    "a start in a drained domain: {row}, {violated_drain:?}"
                 );
             }
         }
@@ -133,10 +133,14 @@
     /// All that workers have seen, those included that have ended.
     async fn all_rows(&self) -> Vec<Value> {
         let mut rows = Vec::new();
-        for history in self.past.iter().chain(&self.histories_of_crashed()) {
+        for history in self
+            .past_histories
+            .iter()
+            .chain(&self.histories_of_crashed_workers())
+        {
             rows.extend(history.as_array().cloned().unwrap_or_default());
         }
-        for number in 0..self.machines.len() {
+        for number in 0..self.vms.len() {
             let history = self.history(number).await;
             rows.extend(history.as_array().cloned().unwrap_or_default());
         }
@@ -144,7 +148,7 @@
     }
 
     /// The jobs of which any task was ever started.
-    pub(crate) async fn started_jobs(&self) -> HashSet<String> {
+    pub(crate) async fn jobs_with_starts(&self) -> HashSet<String> {
         let rows = self.all_rows().await;
         let starts = rows.iter().filter(|row| row["what"] == "start");
         let tasks = starts.filter_map(|row| row["task"].as_str()?.split('.').next());
@@ -152,22 +156,28 @@
     }
 
     /// No task is started once the store has taken note of so many failed runs of it.
-    pub(crate) async fn audit_attempts(&self, most: usize) {
+    pub(crate) async fn audit_failed_attempts(&self, max_attempts: usize) {
         let mut rows = self.all_rows().await;
         rows.sort_by_key(|row| row["at"].as_u64());
         let mut failed: HashSet<(String, u64)> = HashSet::new();
-        let mut noted: HashMap<String, usize> = HashMap::new();
+        let mut acknowledged_failures: HashMap<String, usize> = HashMap::new();
         for row in &rows {
             let task = row["task"].as_str().unwrap_or_default().to_owned();
             let run = row["run"].as_u64().unwrap_or_default();
             match row["what"].as_str().unwrap_or_default() {
                 "failed" => drop(failed.insert((task, run))),
                 "ack" if failed.contains(&(task.clone(), run)) => {
-                    *noted.entry(task).or_default() += 1;
+                    *acknowledged_failures.entry(task).or_default() += 1;
                 }
                 "start" => {
-                    let noted = noted.get(&task).copied().unwrap_or_default();
-                    assert!(noted < most, "{task} was started after {noted} failed runs");
+                    let acknowledged_failures = acknowledged_failures
+                        .get(&task)
+                        .copied()
+                        .unwrap_or_default();
+                    assert!(
+                        acknowledged_failures < max_attempts,
+                        "{task} was started after {acknowledged_failures} failed runs"
+                    );
                 }
                 _ => {}
             }
@@ -215,9 +225,9 @@
                 "ack" => {
                     acknowledged.insert((task, run));
                 }
-                how => {
+                end => {
                     running.remove(&task);
-                    if how == "done" {
+                    if end == "done" {
                         done.insert(task, run);
                     }
                 }
@@ -226,14 +236,14 @@
     }
 }
 
-fn names(row: &Value, job: &str) -> bool {
+fn is_task_of(row: &Value, job: &str) -> bool {
     row["task"]
         .as_str()
         .is_some_and(|task| task.starts_with(job))
 }
 
 /// A history with an end of everything that ran when the worker was killed.
-pub(super) fn with_deaths(history: &Value) -> Value {
+pub(super) fn with_killed_runs(history: &Value) -> Value {
     let mut rows = history.as_array().cloned().unwrap_or_default();
     let mut running: BTreeMap<String, Value> = BTreeMap::new();
     for row in &rows {
--- a/tests/pool/soak.rs
+++ b/tests/pool/soak.rs
@@ -5,7 +5,7 @@
 //! domain gets nothing new, and no front has gone back to an older config.
 
 use crate::calls::call;
-use crate::site::{DOMAINS, Site, job, lasting_job, name, run, wait_for};
+use crate::site::{DOMAINS, Site, job, long_running_job, name, run, wait_for};
 use crate::soak_plan::{FaultTarget, PlannedFault, SoakFault, SoakSize, draw_plan};
 use compio::runtime::spawn;
 use compio::time::sleep;
@@ -19,21 +19,21 @@
 use std::time::{Duration, Instant};
 
 /// A job that has not ended after this time will not end.
-const PATIENCE: Duration = Duration::from_secs(90);
+const JOB_TIMEOUT: Duration = Duration::from_secs(90);
 /// Workers that their tasks have ended are back within this time.
-const REVIVE_PAUSE: Duration = Duration::from_millis(150);
+const RESTART_INTERVAL: Duration = Duration::from_millis(150);
 /// Between two callers, at the most.
-const CALLER_GAP_MS: u64 = 250;
+const MAX_CALLER_GAP_MS: u64 = 250;
 /// A caller gives up after so many tries, or fewer.
-const MOST_TRIES: u32 = 8;
+const MAX_TRIES: u32 = 8;
 /// No caller's job has this name.
-const LASTING_JOB: &str = "ffffffffffffffff";
+const LONG_RUNNING_JOB: &str = "ffffffffffffffff";
 /// One job in so many has tasks that always fail.
 const FAILS_ONE_IN: u32 = 10;
 /// The `maxAttempts` of the site's queues.
-const MOST_ATTEMPTS: usize = 2;
+const MAX_ATTEMPTS: usize = 2;
 /// Tasks of the job that lasts through the soak.
-const LASTING_TASKS: u32 = 3;
+const LONG_RUNNING_TASKS: u32 = 3;
 /// The first task of one job in so many ends every worker that starts it.
 const CRASHES_ONE_IN: u32 = 30;
 /// One job in so many is cancelled.
@@ -41,7 +41,7 @@
 
 /// What a caller was told at last.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum CallerWord {
+enum CallerOutcome {
     /// It is stored.
     Accepted,
     /// It is stored, and a cancel of it was acknowledged.
@@ -56,49 +56,49 @@
 #[derive(Debug)]
 struct Callers {
     fronts: Vec<SocketAddr>,
-    words: RefCell<HashMap<String, CallerWord>>,
+    outcomes: RefCell<HashMap<String, CallerOutcome>>,
     open: Cell<u32>,
     stop: Cell<bool>,
 }
 
 impl Callers {
-    async fn ask(&self, front: usize, method: Method, job: &str, body: &str) -> Option<u16> {
+    async fn request(&self, front: usize, method: Method, job: &str, body: &str) -> Option<u16> {
         let url = format!("http://{}/g/{job}", self.fronts[front]);
         let answer = call(method, &url, &[("host", "h.example")], body.into()).await;
         Some(answer.ok()?.status)
     }
 
     /// Submits a job as callers do: again at another front until the answer is final.
-    async fn submit(&self, rng: &mut Rng, job: &str, body: &str) -> CallerWord {
-        let mut word = CallerWord::Refused;
-        let tries = rng.u32(1..=MOST_TRIES);
+    async fn submit(&self, rng: &mut Rng, job: &str, body: &str) -> CallerOutcome {
+        let mut outcome = CallerOutcome::Refused;
+        let tries = rng.u32(1..=MAX_TRIES);
         for _ in 0..tries {
             let front = rng.usize(0..self.fronts.len());
-            match self.ask(front, Method::POST, job, body).await {
-                Some(200) => return CallerWord::Accepted,
+            match self.request(front, Method::POST, job, body).await {
+                Some(200) => return CallerOutcome::Accepted,
                 Some(429 | 503) => {}
                 Some(404) => panic!("front {front} says that a queue is not there that always was"),
-                _ => word = CallerWord::Unknown,
+                _ => outcome = CallerOutcome::Unknown,
             }
             sleep(Duration::from_millis(rng.u64(100..900))).await;
         }
-        word
+        outcome
     }
 
-    async fn cancel(&self, rng: &mut Rng, job: &str) -> CallerWord {
+    async fn cancel(&self, rng: &mut Rng, job: &str) -> CallerOutcome {
         sleep(Duration::from_millis(rng.u64(0..800))).await;
-        for _ in 0..MOST_TRIES {
+        for _ in 0..MAX_TRIES {
             let front = rng.usize(0..self.fronts.len());
-            if self.ask(front, Method::DELETE, job, "").await == Some(200) {
-                return CallerWord::Cancelled;
+            if self.request(front, Method::DELETE, job, "").await == Some(200) {
+                return CallerOutcome::Cancelled;
             }
             sleep(Duration::from_millis(rng.u64(100..900))).await;
         }
         // A try without an answer may have taken effect.
-        CallerWord::Unknown
+        CallerOutcome::Unknown
     }
 
-    async fn play(self: Rc<Self>, seed: u64, number: u64) {
+    async fn run_caller(self: Rc<Self>, seed: u64, number: u64) {
         let mut rng = Rng::with_seed(seed ^ (number << 20));
         let name = name(number);
         let (steps, count, ms) = (rng.u16(1..4), rng.u32(1..7), rng.u64(30..1_500));
@@ -113,45 +113,45 @@
             body["spec"] = json!(work.to_string());
         }
         let body = body.to_string();
-        let mut word = self.submit(&mut rng, &name, &body).await;
-        if word == CallerWord::Accepted && rng.u32(0..CANCEL_ONE_IN) == 0 {
-            word = self.cancel(&mut rng, &name).await;
+        let mut outcome = self.submit(&mut rng, &name, &body).await;
+        if outcome == CallerOutcome::Accepted && rng.u32(0..CANCEL_ONE_IN) == 0 {
+            outcome = self.cancel(&mut rng, &name).await;
         }
-        self.words.borrow_mut().insert(name, word);
+        self.outcomes.borrow_mut().insert(name, outcome);
         self.open.set(self.open.get() - 1);
     }
 
     /// Jobs that were accepted and not cancelled.
     fn accepted(&self) -> Vec<String> {
-        let words = self.words.borrow();
-        let accepted = words
+        let outcomes = self.outcomes.borrow();
+        let accepted = outcomes
             .iter()
-            .filter(|(_, word)| **word == CallerWord::Accepted);
+            .filter(|(_, outcome)| **outcome == CallerOutcome::Accepted);
         accepted.map(|(name, _)| name.clone()).collect()
     }
 
     /// Callers come until `stop` is set.
-    async fn come(self: Rc<Self>, seed: u64) {
+    async fn run_callers(self: Rc<Self>, seed: u64) {
         let mut rng = Rng::with_seed(seed);
         for number in 1.. {
             if self.stop.get() {
                 return;
             }
             self.open.set(self.open.get() + 1);
-            spawn(self.clone().play(seed, number)).detach();
-            sleep(Duration::from_millis(rng.u64(0..CALLER_GAP_MS))).await;
+            spawn(self.clone().run_caller(seed, number)).detach();
+            sleep(Duration::from_millis(rng.u64(0..MAX_CALLER_GAP_MS))).await;
         }
     }
 }
 
 /// Brings a fault about.
-async fn begin(site: &mut Site, planned: &PlannedFault, routes: &mut Vec<String>) {
+async fn begin_fault(site: &mut Site, planned: &PlannedFault, routes: &mut Vec<String>) {
     match (planned.target, planned.fault) {
         (FaultTarget::Front(front), SoakFault::Kill) => site.kill_front(front),
         (FaultTarget::Front(front), SoakFault::Stop) => site.signal_front(front, libc::SIGTERM),
         (FaultTarget::Front(front), _) => site.signal_front(front, libc::SIGSTOP),
-        (FaultTarget::Way(front), SoakFault::Cut) => site.relays[front].cut(),
-        (FaultTarget::Way(front), _) => site.relays[front].silence_open(),
+        (FaultTarget::StorePath(front), SoakFault::Cut) => site.store_proxies[front].cut(),
+        (FaultTarget::StorePath(front), _) => site.store_proxies[front].silence_open_connections(),
         (FaultTarget::Agent(number), SoakFault::Kill) => site.kill_agent(number),
         (FaultTarget::Agent(number), _) => site.signal_agent(number, libc::SIGSTOP),
         (FaultTarget::Worker(number), SoakFault::Kill | SoakFault::Restart(_)) => {
@@ -183,7 +183,7 @@
 }
 
 /// Ends a fault.
-async fn end(site: &mut Site, planned: &PlannedFault) {
+async fn end_fault(site: &mut Site, planned: &PlannedFault) {
     match (planned.target, planned.fault) {
         (FaultTarget::Front(front), SoakFault::Kill | SoakFault::Stop) => {
             // A stop that takes longer than its grace ends like this on the platform, too.
@@ -191,7 +191,7 @@
             site.start_front(front);
         }
         (FaultTarget::Front(front), _) => site.signal_front(front, libc::SIGCONT),
-        (FaultTarget::Way(front), _) => site.relays[front].heal(),
+        (FaultTarget::StorePath(front), _) => site.store_proxies[front].restore(),
         (FaultTarget::Agent(number), SoakFault::Kill) => site.start_agent(number),
         (FaultTarget::Agent(number), _) => site.signal_agent(number, libc::SIGCONT),
         (FaultTarget::Worker(number), SoakFault::Kill) => site.start_worker(number),
@@ -215,13 +215,13 @@
     let mut steps: Vec<(Duration, bool, &PlannedFault)> = Vec::new();
     for planned in plan {
         steps.push((planned.at, true, planned));
-        steps.push((planned.at + planned.lasts, false, planned));
+        steps.push((planned.at + planned.duration, false, planned));
     }
     steps.sort_by_key(|(at, begins, _)| (*at, !begins));
     let began = Instant::now();
     for (at, begins, planned) in steps {
         while began.elapsed() < at {
-            sleep(REVIVE_PAUSE.min(at.saturating_sub(began.elapsed()))).await;
+            sleep(RESTART_INTERVAL.min(at.saturating_sub(began.elapsed()))).await;
             site.restart_crashed_workers();
         }
         let step = if begins { "begins" } else { "ends" };
@@ -230,47 +230,47 @@
             began.elapsed().as_secs_f64()
         );
         match begins {
-            true => begin(site, planned, routes).await,
-            false => end(site, planned).await,
+            true => begin_fault(site, planned, routes).await,
+            false => end_fault(site, planned).await,
         }
     }
 }
 
 /// What holds once all faults are over.
-async fn check(site: &Site, callers: &Callers, routes: &[String]) {
+async fn check_final_state(site: &Site, callers: &Callers, routes: &[String]) {
     for front in 0..callers.fronts.len() {
         site.wait_ready(front).await;
     }
-    let words = callers.words.borrow().clone();
-    let told = |word: CallerWord| {
-        let told = words.iter().filter(move |(_, known)| **known == word);
-        told.map(|(name, _)| name)
+    let outcomes = callers.outcomes.borrow().clone();
+    let jobs_with = |outcome: CallerOutcome| {
+        let matching = outcomes.iter().filter(move |(_, known)| **known == outcome);
+        matching.map(|(name, _)| name)
     };
-    for name in told(CallerWord::Accepted) {
+    for name in jobs_with(CallerOutcome::Accepted) {
         site.wait_ended(name, &["completed", "failed"]).await;
     }
-    for name in told(CallerWord::Cancelled) {
+    for name in jobs_with(CallerOutcome::Cancelled) {
         site.wait_ended(name, &["cancelled", "completed", "failed"])
             .await;
     }
-    let started = site.started_jobs().await;
-    for name in told(CallerWord::Refused) {
+    let started = site.jobs_with_starts().await;
+    for name in jobs_with(CallerOutcome::Refused) {
         assert!(
             !started.contains(name),
             "{name} was refused at each try and ran"
         );
     }
-    let all_last = || async {
-        let running = site.running(LASTING_JOB).await;
-        (running == LASTING_TASKS as usize).then_some(())
+    let all_running = || async {
+        let running = site.running_count(LONG_RUNNING_JOB).await;
+        (running == LONG_RUNNING_TASKS as usize).then_some(())
     };
-    wait_for("all lasting tasks to run", all_last).await;
+    wait_for("all lasting tasks to run", all_running).await;
     site.audit().await;
-    site.audit_attempts(MOST_ATTEMPTS).await;
+    site.audit_failed_attempts(MAX_ATTEMPTS).await;
     let newest = routes.last().expect("there is one");
     for front in 0..callers.fronts.len() {
         wait_for("the newest route", || async {
-            let answer = site.ask_at(front, Method::GET, newest).await.ok()?;
+            let answer = site.request_path(front, Method::GET, newest).await.ok()?;
             (answer.status != 404 && answer.status != 503).then_some(())
         })
         .await;
@@ -281,45 +281,46 @@
             );
         }
     }
-    let count = |word: CallerWord| told(word).count();
+    let count = |outcome: CallerOutcome| jobs_with(outcome).count();
     println!(
         "accepted {}, cancelled {}, refused {}, unknown {}",
-        count(CallerWord::Accepted),
-        count(CallerWord::Cancelled),
-        count(CallerWord::Refused),
-        count(CallerWord::Unknown)
+        count(CallerOutcome::Accepted),
+        count(CallerOutcome::Cancelled),
+        count(CallerOutcome::Refused),
+        count(CallerOutcome::Unknown)
     );
 }
 
 async fn soak(seed: u64, size: SoakSize) {
     println!("seed {seed}, {size:?}");
     let test = format!("soak-{seed}");
-    let mut site = Site::start_across(&test, size.fronts, size.machines, DOMAINS.len()).await;
+    let mut site = Site::start_across_domains(&test, size.fronts, size.vms, DOMAINS.len()).await;
     let plan = draw_plan(seed, size, &DOMAINS);
     let callers = Rc::new(Callers {
         fronts: site.fronts.iter().map(|front| front.callers).collect(),
-        words: RefCell::default(),
+        outcomes: RefCell::default(),
         open: Cell::new(0),
         stop: Cell::new(false),
     });
-    site.submit(LASTING_JOB, &lasting_job(LASTING_TASKS)).await;
-    let coming = spawn(callers.clone().come(seed));
+    site.submit(LONG_RUNNING_JOB, &long_running_job(LONG_RUNNING_TASKS))
+        .await;
+    let callers_task = spawn(callers.clone().run_callers(seed));
     let mut routes = vec!["/g/".to_owned()];
     play_faults(&mut site, &plan, &mut routes).await;
     callers.stop.set(true);
-    coming.await.expect("callers come to the end");
-    let begun = Instant::now();
-    while callers.open.get() > 0 || !site.jobs_ended(&callers.accepted()).await {
-        assert!(begun.elapsed() < PATIENCE, "some jobs do not end");
+    callers_task.await.expect("callers come to the end");
+    let began = Instant::now();
+    while callers.open.get() > 0 || !site.have_jobs_ended(&callers.accepted()).await {
+        assert!(began.elapsed() < JOB_TIMEOUT, "some jobs do not end");
         site.restart_crashed_workers();
-        sleep(REVIVE_PAUSE).await;
+        sleep(RESTART_INTERVAL).await;
     }
-    check(&site, &callers, &routes).await;
+    check_final_state(&site, &callers, &routes).await;
 }
 
 const SHORT: SoakSize = SoakSize {
     fronts: 3,
-    machines: 3,
+    vms: 3,
     length: Duration::from_secs(10),
 };
 
@@ -349,12 +350,12 @@
         .split(',')
         .map(|number| number.parse().expect("WAXWING_SOAK has five numbers"))
         .collect();
-    let [first, last, fronts, machines, seconds] = numbers[..] else {
+    let [first, last, fronts, vms, seconds] = numbers[..] else {
         panic!("WAXWING_SOAK has five numbers");
     };
     let size = SoakSize {
         fronts: fronts as usize,
-        machines: machines as usize,
+        vms: vms as usize,
         length: Duration::from_secs(seconds),
     };
     for seed in first..=last {
--- a/tests/pool/soak_plan.rs
+++ b/tests/pool/soak_plan.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SoakSize {
     pub(crate) fronts: usize,
-    pub(crate) machines: usize,
+    pub(crate) vms: usize,
     /// How long faults go on.
     pub(crate) length: Duration,
 }
@@ -19,7 +19,7 @@
 pub(crate) enum FaultTarget {
     Front(usize),
     /// The way of a front to the store.
-    Way(usize),
+    StorePath(usize),
     Agent(usize),
     Worker(usize),
     Store,
@@ -53,7 +53,7 @@
     /// It answers late.
     Slow,
     /// A part of its answers to transactions is lost.
-    LoseAnswers,
+    LoseReplies,
     /// It drops its history.
     Forget,
     /// The operator drains the failure domain.
@@ -66,7 +66,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PlannedFault {
     pub(crate) at: Duration,
-    pub(crate) lasts: Duration,
+    pub(crate) duration: Duration,
     pub(crate) target: FaultTarget,
     pub(crate) fault: SoakFault,
 }
@@ -78,7 +78,7 @@
     let mut at = Duration::from_millis(500);
     while at < size.length {
         let (target, fault) = draw_fault(&mut rng, size, domains);
-        let lasts = Duration::from_millis(match fault {
+        let duration = Duration::from_millis(match fault {
             // Beyond the bound by which a drain holds: until then starts are allowed.
             SoakFault::Drain => rng.u64(6_000..9_000),
             // Beyond what a link may be silent, and leases last.
@@ -89,13 +89,13 @@
         });
         let busy: HashSet<FaultTarget> = plan
             .iter()
-            .filter(|planned| planned.at + planned.lasts >= at)
+            .filter(|planned| planned.at + planned.duration >= at)
             .map(|planned| planned.target)
             .collect();
         if !busy.contains(&target) {
             plan.push(PlannedFault {
                 at,
-                lasts,
+                duration,
                 target,
                 fault,
             });
@@ -107,22 +107,22 @@
 
 fn draw_fault(rng: &mut Rng, size: SoakSize, domains: &[&'static str]) -> (FaultTarget, SoakFault) {
     let front = rng.usize(0..size.fronts);
-    let machine = rng.usize(0..size.machines);
+    let vm = rng.usize(0..size.vms);
     match rng.u32(0..24) {
         0 => (FaultTarget::Front(front), SoakFault::Kill),
         1 => (FaultTarget::Front(front), SoakFault::Stop),
         2 | 3 => (FaultTarget::Front(front), SoakFault::Freeze),
-        4 | 5 => (FaultTarget::Way(front), SoakFault::Cut),
-        6 | 7 => (FaultTarget::Way(front), SoakFault::Silence),
-        8 => (FaultTarget::Agent(machine), SoakFault::Kill),
-        9 => (FaultTarget::Agent(machine), SoakFault::Freeze),
-        10 => (FaultTarget::Worker(machine), SoakFault::Kill),
-        11 => (FaultTarget::Worker(machine), SoakFault::FailAll),
-        12 => (FaultTarget::Worker(machine), SoakFault::LateStarts),
-        13 => (FaultTarget::Worker(machine), SoakFault::Shrink),
+        4 | 5 => (FaultTarget::StorePath(front), SoakFault::Cut),
+        6 | 7 => (FaultTarget::StorePath(front), SoakFault::Silence),
+        8 => (FaultTarget::Agent(vm), SoakFault::Kill),
+        9 => (FaultTarget::Agent(vm), SoakFault::Freeze),
+        10 => (FaultTarget::Worker(vm), SoakFault::Kill),
+        11 => (FaultTarget::Worker(vm), SoakFault::FailAll),
+        12 => (FaultTarget::Worker(vm), SoakFault::LateStarts),
+        13 => (FaultTarget::Worker(vm), SoakFault::Shrink),
         14 => (FaultTarget::Store, SoakFault::Down),
         15 => (FaultTarget::Store, SoakFault::Slow),
-        16 => (FaultTarget::Store, SoakFault::LoseAnswers),
+        16 => (FaultTarget::Store, SoakFault::LoseReplies),
         17 => (FaultTarget::Store, SoakFault::Forget),
         18 => {
             let domain = domains[rng.usize(0..domains.len())];
@@ -130,12 +130,12 @@
         }
         19 => (FaultTarget::Config, SoakFault::AddRoute),
         20 => (
-            FaultTarget::Worker(machine),
+            FaultTarget::Worker(vm),
             SoakFault::Restart(RestartClock::Ahead),
         ),
         _ => (
-            FaultTarget::Worker(machine),
-            SoakFault::Restart(RestartClock::Anew),
+            FaultTarget::Worker(vm),
+            SoakFault::Restart(RestartClock::FromZero),
         ),
     }
 }
--- a/tests/pool/relay.rs
+++ b/tests/pool/store_proxy.rs
@@ -6,30 +6,30 @@
 use std::sync::{Arc, Mutex};
 
 /// A way to the store that can be cut: a front behind it is refused while others are served.
-pub(crate) struct Relay {
+pub(crate) struct StoreProxy {
     pub(crate) address: SocketAddr,
     is_cut: Arc<AtomicBool>,
-    open: Arc<Mutex<Vec<RelayedStream>>>,
+    open: Arc<Mutex<Vec<ProxiedConnection>>>,
 }
 
 /// One connection through a relay.
-struct RelayedStream {
+struct ProxiedConnection {
     caller: TcpStream,
     target: TcpStream,
     /// Set when nothing passes any more, though both ends stay open.
     is_silent: Arc<AtomicBool>,
 }
 
-impl Relay {
+impl StoreProxy {
     /// Starts a way to the store at this address.
     pub(crate) fn start(store: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-        let relay = Self {
+        let proxy = Self {
             address: listener.local_addr().expect("it has an address"),
             is_cut: Arc::default(),
             open: Arc::default(),
         };
-        let (is_cut, open) = (relay.is_cut.clone(), relay.open.clone());
+        let (is_cut, open) = (proxy.is_cut.clone(), proxy.open.clone());
         std::thread::spawn(move || {
             for caller in listener.incoming().flatten() {
                 if is_cut.load(Ordering::SeqCst) {
@@ -39,15 +39,15 @@
                     continue;
                 };
                 let is_silent = Arc::default();
-                join_streams(&caller, &target, &is_silent);
-                open.lock().expect("unpoisoned").push(RelayedStream {
+                forward_both_ways(&caller, &target, &is_silent);
+                open.lock().expect("unpoisoned").push(ProxiedConnection {
                     caller,
                     target,
                     is_silent,
                 });
             }
         });
-        relay
+        proxy
     }
 
     /// Closes all connections, and each new one at once.
@@ -61,27 +61,27 @@
     }
 
     /// Nothing passes on the connections that are open now, and none of them is closed; new ones work.
-    pub(crate) fn silence_open(&self) {
+    pub(crate) fn silence_open_connections(&self) {
         for stream in &*self.open.lock().expect("unpoisoned") {
             stream.is_silent.store(true, Ordering::SeqCst);
         }
     }
 
     /// New connections pass again.
-    pub(crate) fn heal(&self) {
+    pub(crate) fn restore(&self) {
         self.is_cut.store(false, Ordering::SeqCst);
     }
 }
 
 /// Copies both ways until one end closes; what arrives after the silence began is lost.
-fn join_streams(one: &TcpStream, other: &TcpStream, is_silent: &Arc<AtomicBool>) {
+fn forward_both_ways(one: &TcpStream, other: &TcpStream, is_silent: &Arc<AtomicBool>) {
     for (from, to) in [(one, other), (other, one)] {
         let mut from = from.try_clone().expect("a stream has copies");
         let mut to = to.try_clone().expect("a stream has copies");
         let is_silent = is_silent.clone();
         std::thread::spawn(move || {
             // Either end may close at any time; then both do.
-            let _ = copy_until_silent(&mut from, &mut to, &is_silent);
+            let _ = copy_unless_silent(&mut from, &mut to, &is_silent);
             if !is_silent.load(Ordering::SeqCst) {
                 let _ = to.shutdown(Shutdown::Both);
             }
@@ -89,7 +89,7 @@
     }
 }
 
-fn copy_until_silent(
+fn copy_unless_silent(
     from: &mut TcpStream,
     to: &mut TcpStream,
     is_silent: &AtomicBool,
--- a/tests/proofs/alerts.rs
+++ b/tests/proofs/alerts.rs
@@ -20,9 +20,9 @@
 }
 
 /// A key may run once; after that nobody is told that it ran now.
-struct OnceModel;
+struct AtMostOnceModel;
 
-impl HistoryModel for OnceModel {
+impl HistoryModel for AtMostOnceModel {
     type State = bool;
     type Input = ();
     type Output = AlertOutcome;
@@ -49,7 +49,7 @@
 
 /// Sends an alert and records what its caller learned.
 async fn send(cluster: &Cluster, entry: usize, key: &str, start: Instant) -> AlertEvent {
-    ask_at(&cluster.callers(entry), key, start).await
+    send_to(&cluster.callers(entry), key, start).await
 }
 
 /// How often each key was executed at all upstreams.
@@ -69,20 +69,26 @@
     for (key, events) in histories {
         let count = executed.get(key).copied().unwrap_or(0);
         assert!(count <= 1, "{key} ran {count} times");
-        assert!(is_linearizable(&OnceModel, events), "{key}: {events:?}");
-        let told = events
+        assert!(
+            is_linearizable(&AtMostOnceModel, events),
+            "{key}: {events:?}"
+        );
+        let reported_ran = events
             .iter()
             .any(|event| event.output == Some(AlertOutcome::Ran));
-        assert!(!told || count == 1, "{key} was said to have run");
-        let all_refused = events
+        assert!(!reported_ran || count == 1, "{key} was said to have run");
+        let all_reported_not_run = events
             .iter()
             .all(|event| event.output == Some(AlertOutcome::NotRun));
-        assert!(!all_refused || count == 0, "{key} was said not to have run");
+        assert!(
+            !all_reported_not_run || count == 0,
+            "{key} was said not to have run"
+        );
     }
 }
 
 /// Asks for each key several times, at both entries at once.
-async fn ask_everywhere(
+async fn send_at_all_entries(
     cluster: &Cluster,
     keys: &[String],
     start: Instant,
@@ -101,11 +107,11 @@
 }
 
 #[test]
-fn a_key_asked_at_two_entries_runs_once() {
+fn a_key_sent_to_two_entries_runs_once() {
     run(async {
         let cluster = Cluster::start(ClusterPlan::default()).await;
         let keys: Vec<String> = (0..20).map(|n| format!("race-{n}")).collect();
-        let histories = ask_everywhere(&cluster, &keys, Instant::now()).await;
+        let histories = send_at_all_entries(&cluster, &keys, Instant::now()).await;
         let executed = executed(&cluster, 2).await;
         check(&histories, &executed);
         assert_eq!(
@@ -123,14 +129,14 @@
         let faults = json!({ "lose_replies_percent": 40, "lose_prefix": "once/" });
         cluster.faults("platform", faults).await;
         let keys: Vec<String> = (0..10).map(|n| format!("lost-{n}")).collect();
-        let histories = ask_everywhere(&cluster, &keys, Instant::now()).await;
+        let histories = send_at_all_entries(&cluster, &keys, Instant::now()).await;
         cluster.faults("platform", json!({})).await;
         check(&histories, &executed(&cluster, 2).await);
     });
 }
 
 #[test]
-fn a_store_that_answers_nothing_holds_no_caller() {
+fn an_unresponsive_store_blocks_no_caller() {
     run(async {
         let cluster = Cluster::start(ClusterPlan::default()).await;
         let faults = json!({ "lose_replies_percent": 100, "lose_prefix": "once/" });
@@ -170,7 +176,7 @@
 }
 
 #[test]
-fn entries_killed_in_between_do_not_run_a_key_twice() {
+fn entries_killed_during_requests_do_not_run_a_key_twice() {
     let mut rng = fastrand::Rng::with_seed(seed("entries_killed"));
     run(async {
         let mut cluster = Cluster::start(ClusterPlan {
@@ -185,17 +191,17 @@
             let victim = rng.usize(1..=2);
             let url = cluster.callers(victim);
             // The first asks go to the entry that is killed while they are under way.
-            let asks: Vec<_> = keys
+            let requests: Vec<_> = keys
                 .iter()
                 .map(|key| {
                     let (url, key) = (url.clone(), key.clone());
-                    compio::runtime::spawn(async move { ask_at(&url, &key, start).await })
+                    compio::runtime::spawn(async move { send_to(&url, &key, start).await })
                 })
                 .collect();
             compio::time::sleep(std::time::Duration::from_millis(rng.u64(0..30))).await;
             cluster.kill(&format!("entry-{victim}"));
-            for (key, ask) in keys.iter().zip(asks) {
-                let event = ask.await.expect("no panic");
+            for (key, request) in keys.iter().zip(requests) {
+                let event = request.await.expect("no panic");
                 histories.entry(key.clone()).or_default().push(event);
             }
             for key in &keys {
@@ -203,14 +209,14 @@
                 histories.entry(key.clone()).or_default().push(event);
             }
             cluster.restart(&format!("entry-{victim}"));
-            cluster.wait_routed(victim).await;
+            cluster.wait_until_routing(victim).await;
         }
         check(&histories, &executed(&cluster, 2).await);
     });
 }
 
 /// As [`send`], without the cluster, which is changed meanwhile.
-async fn ask_at(callers: &str, key: &str, start: Instant) -> AlertEvent {
+async fn send_to(callers: &str, key: &str, start: Instant) -> AlertEvent {
     use crate::support::calls::call;
     use crate::support::cluster::{SERVICE, TEAM};
     let url = format!("{callers}/v1/watches/{SERVICE}/seuil/alerts");
--- a/tests/proofs/answers.rs
+++ b/tests/proofs/answers.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn long_bodies_pass_whole_both_ways() {
+fn long_bodies_arrive_complete_in_both_directions() {
     run(async {
         let cluster = Cluster::start(ClusterPlan::default()).await;
         let url = format!("{}/v1/call/{SERVICE}/echo", cluster.callers(1));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_cut_answer_is_never_given_as_whole() {
+fn a_truncated_answer_is_never_delivered_as_complete() {
     run(async {
         let cluster = Cluster::start(ClusterPlan::default()).await;
         for n in 1..=2 {
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn not_run_is_true_under_overload() {
+fn not_run_is_accurate_under_overload() {
     run(async {
         let cluster = Cluster::start(ClusterPlan::default()).await;
         let answers = overload(&cluster, 250, "150").await;
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_sidecar_killed_after_dispatch_leaves_unknown() {
+fn a_sidecar_killed_after_dispatch_gives_an_unknown_outcome() {
     run(async {
         let plan = ClusterPlan {
             sidecars: 1,
--- a/tests/proofs/bad_input.rs
+++ b/tests/proofs/bad_input.rs
@@ -33,14 +33,14 @@
     run(async {
         let cluster = Cluster::start(ClusterPlan::default()).await;
         let peers = cluster.address("entry-1", "peers");
-        let hostile: [&[u8]; 5] = [
+        let malformed: [&[u8]; 5] = [
             b"GET / HTTP/1.1\r\n\r\n",
             &[0xff, 0xff, 0xff, 0xff, 1, 2, 3],
             &[0, 0, 0, 4, 0xff, 0xff, 0xff, 0xff],
             &[0, 0, 0, 0],
             &[0, 0, 0, 3, 0x0a, 0x01, 0x08],
         ];
-        for bytes in hostile {
+        for bytes in malformed {
             let peers = peers.clone();
             let bytes = bytes.to_vec();
             std::thread::spawn(move || send_raw(&peers, &bytes))
@@ -124,7 +124,7 @@
 }
 
 /// Runs the daemon on a settings file; gives its exit code and what it says.
-fn refuse_settings(name: &str, text: &str) -> (Option<i32>, String) {
+fn run_daemon_with(name: &str, text: &str) -> (Option<i32>, String) {
     let file = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.yaml"));
     std::fs::write(&file, text).expect("written");
     let output = Command::new(env!("CARGO_BIN_EXE_waxwingd"))
@@ -132,12 +132,12 @@
         .arg(&file)
         .output()
         .expect("the daemon runs");
-    let place = file.display().to_string();
-    let said = String::from_utf8_lossy(&output.stderr).replace(&place, &format!("{name}.yaml"));
-    (output.status.code(), said)
+    let path = file.display().to_string();
+    let messages = String::from_utf8_lossy(&output.stderr).replace(&path, &format!("{name}.yaml"));
+    (output.status.code(), messages)
 }
 
-const GOOD: &str = "\
+const VALID_SETTINGS: &str = "\
 role: entry
 name: entry-1
 region: here
@@ -149,31 +149,37 @@
 #[test]
 fn bad_settings_files_name_the_line_and_the_remedy() {
     let cases = [
-        ("unknown-key", format!("{GOOD}colour: blue\n")),
-        ("wrong-type", GOOD.replace("'127.0.0.1:1'", "somewhere")),
+        ("unknown-key", format!("{VALID_SETTINGS}colour: blue\n")),
+        (
+            "wrong-type",
+            VALID_SETTINGS.replace("'127.0.0.1:1'", "somewhere"),
+        ),
         (
             "out-of-range",
-            format!("{GOOD}coordinator: {{shards: 0}}\n"),
+            format!("{VALID_SETTINGS}coordinator: {{shards: 0}}\n"),
         ),
         (
             "short-lease",
-            format!("{GOOD}coordinator: {{lease_ms: 9000, renew_ms: 5000}}\n"),
+            format!("{VALID_SETTINGS}coordinator: {{lease_ms: 9000, renew_ms: 5000}}\n"),
         ),
         (
             "slow-takeover",
-            format!("{GOOD}coordinator: {{lease_ms: 6000, renew_ms: 2000}}\n"),
+            format!("{VALID_SETTINGS}coordinator: {{lease_ms: 6000, renew_ms: 2000}}\n"),
+        ),
+        (
+            "no-section",
+            VALID_SETTINGS.replace("role: entry", "role: sidecar"),
         ),
-        ("no-section", GOOD.replace("role: entry", "role: sidecar")),
         ("not-yaml", "role: [entry\n".to_owned()),
     ];
-    let mut said = String::new();
+    let mut messages = String::new();
     for (name, text) in &cases {
-        let (code, text) = refuse_settings(name, text);
+        let (code, text) = run_daemon_with(name, text);
         assert_eq!(code, Some(2), "{name}: {text}");
-        said.push_str(&text);
-        said.push('\n');
+        messages.push_str(&text);
+        messages.push('\n');
     }
-    insta::assert_snapshot!(said);
+    insta::assert_snapshot!(messages);
 }
 
 #[test]
--- a/tests/proofs/billing.rs
+++ b/tests/proofs/billing.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 
 /// The bill of the team, summed over its kinds.
-pub(crate) async fn billed(cluster: &Cluster, entry: usize) -> Option<u64> {
+pub(crate) async fn billed_cpu(cluster: &Cluster, entry: usize) -> Option<u64> {
     let url = format!("{}/v1/usage?team=barrages", cluster.operators(entry));
     let reply = get_json(&url).await?;
     let rows = reply["rows"].as_array()?;
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn the_ledger_equals_what_the_workers_ran() {
+fn the_ledger_equals_the_usage_on_the_workers() {
     run(async {
         let mut cluster = Cluster::start(ClusterPlan {
             shards: 1,
@@ -34,12 +34,12 @@
             let input = json!({ "work_ms": 1500 });
             jobs.push(
                 cluster
-                    .submit_surely("sommaire", 3, input, &format!("bill-{n}"))
+                    .submit_until_accepted("sommaire", 3, input, &format!("bill-{n}"))
                     .await,
             );
         }
         let urgent = cluster
-            .submit_surely("urgent", 2, json!({ "work_ms": 300 }), "bill-urgent")
+            .submit_until_accepted("urgent", 2, json!({ "work_ms": 300 }), "bill-urgent")
             .await;
         cluster.wait_ended(&urgent).await;
         // A takeover in the middle: reports before it are repeated to the next owner.
@@ -52,12 +52,12 @@
             runs.iter().all(|run| run.end_ms != u64::MAX),
             "all runs have ended"
         );
-        let truth: u64 = runs.iter().map(|run| run.cpu_milli_seconds).sum();
+        let used: u64 = runs.iter().map(|run| run.cpu_milli_seconds).sum();
         let bill = wait_for("late usage to be billed", || async {
-            let bill = billed(&cluster, 2).await?;
-            (bill >= truth).then_some(bill)
+            let bill = billed_cpu(&cluster, 2).await?;
+            (bill >= used).then_some(bill)
         })
         .await;
-        assert_eq!(bill, truth, "billed more than was used");
+        assert_eq!(bill, used, "billed more than was used");
     });
 }
--- a/tests/proofs/storms.rs
+++ b/tests/proofs/fault_sequences.rs
@@ -1,7 +1,7 @@
 //! Many failures together and twice: kills, freezes, outages, lost replies, in a seeded order.
 
-use crate::billing::billed;
-use crate::support::audit::{all_runs, check_one_place, check_resumed_once};
+use crate::billing::billed_cpu;
+use crate::support::audit::{all_runs, check_no_overlap, check_resumed_once};
 use crate::support::cases;
 use crate::support::cluster::{Cluster, ClusterPlan};
 use crate::support::{seed, wait_for};
@@ -11,10 +11,10 @@
 
 const JOBS: usize = 10;
 const TASKS: u32 = 3;
-const BLOWS: usize = 10;
+const FAULTS: usize = 10;
 
 /// One failure; it is undone before the next but one.
-async fn blow(cluster: &mut Cluster, rng: &mut Rng) {
+async fn inject_fault(cluster: &mut Cluster, rng: &mut Rng) {
     let pause = Duration::from_millis(rng.u64(100..1_500));
     let entry = format!("entry-{}", rng.usize(1..=3));
     let worker = format!("worker-{}", rng.usize(1..=3));
@@ -58,7 +58,7 @@
 }
 
 /// Jobs under a storm: each task ends done, once; no worker over capacity; nothing in two places.
-async fn storm(number: u64) {
+async fn run_under_faults(number: u64) {
     let seed = seed("storm").wrapping_add(number);
     let mut rng = Rng::with_seed(seed);
     let mut cluster = Cluster::start(ClusterPlan {
@@ -74,13 +74,17 @@
         let tasks = if kind == "urgent" { 1 } else { TASKS };
         let input = json!({ "work_ms": rng.u64(200..2_500) });
         let key = format!("storm-{n}");
-        jobs.push(cluster.submit_surely(kind, tasks, input, &key).await);
+        jobs.push(
+            cluster
+                .submit_until_accepted(kind, tasks, input, &key)
+                .await,
+        );
         if n % 2 == 1 {
-            blow(&mut cluster, &mut rng).await;
+            inject_fault(&mut cluster, &mut rng).await;
         }
     }
-    for _ in JOBS / 2..BLOWS {
-        blow(&mut cluster, &mut rng).await;
+    for _ in JOBS / 2..FAULTS {
+        inject_fault(&mut cluster, &mut rng).await;
     }
     for (n, job) in jobs.iter().enumerate() {
         let view = cluster.wait_ended(job).await;
@@ -98,19 +102,19 @@
             .then_some(runs)
     })
     .await;
-    check_one_place(&runs);
+    check_no_overlap(&runs);
     check_resumed_once(&runs);
     // No worker was killed, so that all usage is still reported: the bill comes out to the unit.
-    let truth: u64 = runs.iter().map(|run| run.cpu_milli_seconds).sum();
+    let used: u64 = runs.iter().map(|run| run.cpu_milli_seconds).sum();
     let bill = wait_for("late usage to be billed", || async {
-        let bill = billed(&cluster, 1).await?;
-        (bill >= truth).then_some(bill)
+        let bill = billed_cpu(&cluster, 1).await?;
+        (bill >= used).then_some(bill)
     })
     .await;
-    assert_eq!(bill, truth, "seed {seed}: billed more than was used");
+    assert_eq!(bill, used, "seed {seed}: billed more than was used");
 }
 
-cases!(storm {
-    jobs_survive_a_first_storm: 1,
-    jobs_survive_a_second_storm: 2,
+cases!(run_under_faults {
+    jobs_survive_a_first_fault_sequence: 1,
+    jobs_survive_a_second_fault_sequence: 2,
 });
--- a/tests/proofs/main.rs
+++ b/tests/proofs/main.rs
@@ -9,12 +9,12 @@
 mod billing;
 #[path = "../common/mod.rs"]
 mod common;
+mod fault_sequences;
 mod history_checks;
 mod outage;
+mod peer_protocol;
 mod placement;
-mod settings_force;
+mod settings_rollout;
 mod stops;
-mod storms;
 mod support;
 mod tool;
-mod wire_edges;
--- a/tests/proofs/outage.rs
+++ b/tests/proofs/outage.rs
@@ -1,6 +1,6 @@
 //! While the platform's store is down: quick requests go on, running tasks are not evicted.
 
-use crate::support::audit::{all_runs, check_one_place};
+use crate::support::audit::{all_runs, check_no_overlap};
 use crate::support::cluster::{Cluster, ClusterPlan};
 use crate::support::{run, wait_for};
 use serde_json::json;
@@ -17,7 +17,9 @@
         .await;
         cluster.wait_owned().await;
         let input = json!({ "work_ms": 7000 });
-        let job = cluster.submit_surely("sommaire", 3, input, "outage").await;
+        let job = cluster
+            .submit_until_accepted("sommaire", 3, input, "outage")
+            .await;
         for index in 0..3 {
             cluster.wait_running(&job, index).await;
         }
@@ -49,12 +51,12 @@
         }
         let runs = all_runs(&cluster).await;
         assert_eq!(runs.len(), 3, "{runs:?}");
-        check_one_place(&runs);
+        check_no_overlap(&runs);
     });
 }
 
 #[test]
-fn a_submission_that_was_refused_is_taken_later_under_the_same_key() {
+fn a_refused_submission_is_accepted_later_under_the_same_key() {
     run(async {
         let cluster = Cluster::start(ClusterPlan::default()).await;
         let faults = json!({ "lose_replies_percent": 100, "lose_prefix": "jobkey/" });
@@ -65,10 +67,10 @@
             .expect("an answer");
         cluster.faults("platform", json!({})).await;
         let job = cluster
-            .submit_surely("sommaire", 1, json!({ "work_ms": 50 }), "same")
+            .submit_until_accepted("sommaire", 1, json!({ "work_ms": 50 }), "same")
             .await;
         let again = cluster
-            .submit_surely("sommaire", 1, json!({ "work_ms": 50 }), "same")
+            .submit_until_accepted("sommaire", 1, json!({ "work_ms": 50 }), "same")
             .await;
         assert_eq!(job, again);
         if first.status == 202 {
@@ -79,7 +81,7 @@
 }
 
 #[test]
-fn after_an_outage_longer_than_the_grace_work_goes_on() {
+fn work_continues_after_an_outage_longer_than_the_grace() {
     run(async {
         let cluster = Cluster::start(ClusterPlan {
             shards: 1,
@@ -89,7 +91,9 @@
         .await;
         cluster.wait_owned().await;
         let input = json!({ "work_ms": 2500 });
-        let job = cluster.submit_surely("sommaire", 2, input, "long").await;
+        let job = cluster
+            .submit_until_accepted("sommaire", 2, input, "long")
+            .await;
         cluster.wait_running(&job, 0).await;
         cluster.faults("platform", json!({ "down": true })).await;
         wait_for("the owner to stop acting", || async {
@@ -105,9 +109,9 @@
         cluster.faults("platform", json!({})).await;
         cluster.wait_ended(&job).await;
         let later = cluster
-            .submit_surely("sommaire", 2, json!({ "work_ms": 100 }), "later")
+            .submit_until_accepted("sommaire", 2, json!({ "work_ms": 100 }), "later")
             .await;
         cluster.wait_ended(&later).await;
-        check_one_place(&all_runs(&cluster).await);
+        check_no_overlap(&all_runs(&cluster).await);
     });
 }
--- a/tests/proofs/wire_edges.rs
+++ b/tests/proofs/peer_protocol.rs
@@ -15,18 +15,18 @@
 const INCARNATION: u64 = 77;
 
 /// An entry that a test plays, with the sidecar that connected to it.
-struct PlayedEntry {
+struct FakeEntry {
     reader: FrameReader,
     writer: FrameWriter,
 }
 
-impl PlayedEntry {
+impl FakeEntry {
     /// Starts a sidecar that knows only this entry.
     async fn with_sidecar(cluster: &mut Cluster) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
         let address = listener.local_addr().expect("bound").to_string();
         cluster.start_upstream(9);
-        cluster.start_sidecar_for(9, &address);
+        cluster.start_sidecar_with_entry(9, &address);
         let (stream, _) = listener.accept().await.expect("the sidecar connects");
         let (reader, writer) = split_stream(stream);
         let mut entry = Self { reader, writer };
@@ -88,7 +88,7 @@
     }
 }
 
-fn refused(body: PeerBody, sequence: u64, reason: NotRunReason) {
+fn expect_not_run(body: PeerBody, sequence: u64, reason: NotRunReason) {
     match body {
         PeerBody::NotRun(answer) => {
             assert_eq!(answer.attempt, Some(attempt(sequence)));
@@ -98,7 +98,7 @@
     }
 }
 
-fn answered(body: &PeerBody, sequence: u64) {
+fn expect_response(body: &PeerBody, sequence: u64) {
     match body {
         PeerBody::Response(head) => assert_eq!(head.attempt, Some(attempt(sequence))),
         other => panic!("expected an answer: {other:?}"),
@@ -116,10 +116,10 @@
 
 /// An entry that missed the announcement sends to a sidecar that leaves, while a request runs.
 #[test]
-fn a_leaving_sidecar_refuses_and_finishes() {
+fn a_leaving_sidecar_refuses_new_requests_and_finishes_running_ones() {
     run(async {
         let mut cluster = Cluster::start(one_entry()).await;
-        let mut entry = PlayedEntry::with_sidecar(&mut cluster).await;
+        let mut entry = FakeEntry::with_sidecar(&mut cluster).await;
         entry.request(1, 1_500).await;
         cluster.wait_executed(9, "played-1").await;
         cluster.signal("sidecar-9", libc::SIGTERM);
@@ -129,9 +129,9 @@
             }
         }
         entry.request(2, 1).await;
-        refused(entry.next_answer().await, 2, NotRunReason::Leaving);
+        expect_not_run(entry.next_answer().await, 2, NotRunReason::Leaving);
         // What ran when the stop was asked for comes whole.
-        answered(&entry.next_answer().await, 1);
+        expect_response(&entry.next_answer().await, 1);
         let mut bytes = 0;
         loop {
             match entry.next_answer().await {
@@ -153,28 +153,28 @@
 }
 
 #[test]
-fn a_cancel_before_its_request_leaves_a_tombstone() {
+fn a_request_that_arrives_after_its_cancel_does_not_run() {
     run(async {
         let mut cluster = Cluster::start(one_entry()).await;
-        let mut entry = PlayedEntry::with_sidecar(&mut cluster).await;
+        let mut entry = FakeEntry::with_sidecar(&mut cluster).await;
         let cancel = CancelRequest {
             attempt: Some(attempt(5)),
         };
         entry.send(PeerBody::Cancel(cancel)).await;
         entry.request(5, 1).await;
-        refused(entry.next_answer().await, 5, NotRunReason::Cancelled);
+        expect_not_run(entry.next_answer().await, 5, NotRunReason::Cancelled);
         entry.request(6, 1).await;
-        answered(&entry.next_answer().await, 6);
+        expect_response(&entry.next_answer().await, 6);
         let record = cluster.record("upstream-9").await;
         assert!(record["keys"].get("played-5").is_none(), "{record}");
     });
 }
 
 #[test]
-fn a_cancel_of_a_queued_request_is_truly_not_run() {
+fn a_cancelled_queued_request_does_not_run() {
     run(async {
         let mut cluster = Cluster::start(one_entry()).await;
-        let mut entry = PlayedEntry::with_sidecar(&mut cluster).await;
+        let mut entry = FakeEntry::with_sidecar(&mut cluster).await;
         // Eight slots are taken; the ninth waits.
         for sequence in 1..=9 {
             entry.request(sequence, 400).await;
@@ -183,7 +183,7 @@
             attempt: Some(attempt(9)),
         };
         entry.send(PeerBody::Cancel(cancel)).await;
-        refused(entry.next_answer().await, 9, NotRunReason::Cancelled);
+        expect_not_run(entry.next_answer().await, 9, NotRunReason::Cancelled);
         for _ in 1..=8 {
             while !matches!(entry.next_answer().await, PeerBody::Chunk(chunk) if chunk.last) {}
         }
@@ -197,24 +197,24 @@
 fn a_repeated_request_frame_runs_once() {
     run(async {
         let mut cluster = Cluster::start(one_entry()).await;
-        let mut entry = PlayedEntry::with_sidecar(&mut cluster).await;
+        let mut entry = FakeEntry::with_sidecar(&mut cluster).await;
         entry.request(3, 200).await;
         entry.request(3, 200).await;
-        answered(&entry.next_answer().await, 3);
+        expect_response(&entry.next_answer().await, 3);
         let record = cluster.record("upstream-9").await;
         assert_eq!(record["keys"]["played-3"], 1, "{record}");
     });
 }
 
 /// A sidecar that a test plays; its service is its own.
-struct PlayedSidecar {
+struct FakeSidecar {
     reader: FrameReader,
     writer: FrameWriter,
 }
 
-const PLAYED_SERVICE: &str = "played";
+const FAKE_SERVICE: &str = "played";
 
-impl PlayedSidecar {
+impl FakeSidecar {
     async fn connect(cluster: &Cluster) -> Self {
         let address = cluster.address("entry-1", "peers");
         let stream = TcpStream::connect(address).await.expect("connected");
@@ -225,7 +225,7 @@
             incarnation: 5,
             name: "played-sidecar".into(),
             failure_domain: "domain-1".into(),
-            service: PLAYED_SERVICE.into(),
+            service: FAKE_SERVICE.into(),
             slots: 8,
         };
         sidecar.send(PeerBody::Hello(hello)).await;
@@ -268,7 +268,7 @@
 }
 
 /// Declares the played service, and asks for it.
-async fn declare_played(cluster: &Cluster) {
+async fn declare_fake_service(cluster: &Cluster) {
     let url = format!("{}/v1/settings", cluster.operators(1));
     let edit = json!({ "path": "/barrages/played", "key": "weight", "value": 100 });
     let body = json!({ "author": "test", "edits": [edit] });
@@ -278,12 +278,12 @@
     assert_eq!(answer.status, 200, "{}", answer.text());
 }
 
-fn ask(
+fn send_call(
     cluster: &Cluster,
     method: Method,
     path: &str,
 ) -> compio::runtime::JoinHandle<Result<Answer, String>> {
-    let url = format!("{}/v1/call/{PLAYED_SERVICE}{path}", cluster.callers(1));
+    let url = format!("{}/v1/call/{FAKE_SERVICE}{path}", cluster.callers(1));
     compio::runtime::spawn(async move {
         let headers = [("waxwing-team", TEAM), ("waxwing-deadline-ms", "15000")];
         call(method, &url, &headers, Vec::new()).await
@@ -294,11 +294,11 @@
 fn reordered_and_repeated_answers_reach_their_own_requests() {
     run(async {
         let cluster = Cluster::start(one_entry()).await;
-        declare_played(&cluster).await;
-        let mut sidecar = PlayedSidecar::connect(&cluster).await;
-        let first = ask(&cluster, Method::POST, "/first");
+        declare_fake_service(&cluster).await;
+        let mut sidecar = FakeSidecar::connect(&cluster).await;
+        let first = send_call(&cluster, Method::POST, "/first");
         let first_id = sidecar.next_request().await;
-        let second = ask(&cluster, Method::POST, "/second");
+        let second = send_call(&cluster, Method::POST, "/second");
         let second_id = sidecar.next_request().await;
         sidecar.answer(second_id, "second", 6).await;
         sidecar.answer(second_id, "again!", 6).await;
@@ -313,12 +313,12 @@
 }
 
 #[test]
-fn an_answer_of_an_earlier_incarnation_reaches_nobody() {
+fn an_answer_for_another_incarnation_is_dropped() {
     run(async {
         let cluster = Cluster::start(one_entry()).await;
-        declare_played(&cluster).await;
-        let mut sidecar = PlayedSidecar::connect(&cluster).await;
-        let asked = ask(&cluster, Method::POST, "/now");
+        declare_fake_service(&cluster).await;
+        let mut sidecar = FakeSidecar::connect(&cluster).await;
+        let pending = send_call(&cluster, Method::POST, "/now");
         let id = sidecar.next_request().await;
         let earlier = AttemptId {
             incarnation: id.incarnation ^ 1,
@@ -326,35 +326,35 @@
         };
         sidecar.answer(earlier, "of another run", 14).await;
         sidecar.answer(id, "mine", 4).await;
-        let answer = asked.await.expect("no panic").expect("an answer");
+        let answer = pending.await.expect("no panic").expect("an answer");
         assert_eq!(answer.text(), "mine");
     });
 }
 
 #[test]
-fn an_answer_whose_parts_do_not_add_up_is_not_given() {
+fn an_answer_of_the_wrong_length_is_not_delivered() {
     run(async {
         let cluster = Cluster::start(one_entry()).await;
-        declare_played(&cluster).await;
-        let mut sidecar = PlayedSidecar::connect(&cluster).await;
-        let asked = ask(&cluster, Method::POST, "/cut");
+        declare_fake_service(&cluster).await;
+        let mut sidecar = FakeSidecar::connect(&cluster).await;
+        let pending = send_call(&cluster, Method::POST, "/cut");
         let id = sidecar.next_request().await;
         sidecar.answer(id, "half", 8).await;
-        let answer = asked.await.expect("no panic").expect("a final answer");
+        let answer = pending.await.expect("no panic").expect("a final answer");
         assert_eq!((answer.status, answer.outcome.as_str()), (502, "unknown"));
     });
 }
 
 #[test]
-fn a_sidecar_lost_with_a_request_leaves_unknown_and_other_services_go_on() {
+fn a_lost_sidecar_gives_an_unknown_outcome_and_other_services_continue() {
     run(async {
         let cluster = Cluster::start(one_entry()).await;
-        declare_played(&cluster).await;
-        let mut sidecar = PlayedSidecar::connect(&cluster).await;
-        let asked = ask(&cluster, Method::POST, "/lost");
+        declare_fake_service(&cluster).await;
+        let mut sidecar = FakeSidecar::connect(&cluster).await;
+        let pending = send_call(&cluster, Method::POST, "/lost");
         sidecar.next_request().await;
         drop(sidecar);
-        let answer = asked.await.expect("no panic").expect("a final answer");
+        let answer = pending.await.expect("no panic").expect("a final answer");
         assert_eq!((answer.status, answer.outcome.as_str()), (502, "unknown"));
         let other = cluster.request(1, "/other", &[]).await.expect("an answer");
         assert_eq!((other.outcome.as_str(), SERVICE), ("ran", SERVICE));
@@ -363,11 +363,11 @@
 
 /// Old settings that come late do not replace newer ones, in either direction.
 #[test]
-fn settings_that_come_late_revert_nothing() {
+fn stale_settings_do_not_replace_newer_ones() {
     run(async {
         let cluster = Cluster::start(one_entry()).await;
-        declare_played(&cluster).await;
-        let mut sidecar = PlayedSidecar::connect(&cluster).await;
+        declare_fake_service(&cluster).await;
+        let mut sidecar = FakeSidecar::connect(&cluster).await;
         let status = || async {
             let url = format!("{}/v1/status", cluster.operators(1));
             crate::support::calls::get_json(&url).await
@@ -381,11 +381,11 @@
         };
         sidecar.send(PeerBody::Settings(push)).await;
         // The answer to a request that is sent after the push shows that the push was taken.
-        let asked = ask(&cluster, Method::POST, "/after");
+        let pending = send_call(&cluster, Method::POST, "/after");
         let id = sidecar.next_request().await;
         sidecar.answer(id, "ok", 2).await;
         assert_eq!(
-            asked.await.expect("no panic").expect("an answer").status,
+            pending.await.expect("no panic").expect("an answer").status,
             200
         );
         let after = status().await.expect("a status")["settings"]["version"].as_u64();
--- a/tests/proofs/placement.rs
+++ b/tests/proofs/placement.rs
@@ -1,6 +1,6 @@
 //! No worker is given more than it has; a task never runs in two places; it resumes once.
 
-use crate::support::audit::{all_runs, check_one_place, check_resumed_once};
+use crate::support::audit::{all_runs, check_no_overlap, check_resumed_once};
 use crate::support::calls::get_json;
 use crate::support::cases;
 use crate::support::cluster::{Cluster, ClusterPlan};
@@ -17,7 +17,7 @@
 }
 
 /// The entry that owns a shard, by number.
-async fn owner(cluster: &Cluster) -> usize {
+async fn owner_of_shard(cluster: &Cluster) -> usize {
     wait_for("an owner", || async {
         for n in 1..=2 {
             let status = get_json(&format!("{}/v1/status", cluster.operators(n))).await?;
@@ -43,12 +43,12 @@
     cluster.wait_owned().await;
     let input = json!({ "work_ms": 6000 });
     let job = cluster
-        .submit_surely("sommaire", 3, input, "takeover")
+        .submit_until_accepted("sommaire", 3, input, "takeover")
         .await;
     for index in 0..3 {
         cluster.wait_running(&job, index).await;
     }
-    let first = owner(&cluster).await;
+    let first = owner_of_shard(&cluster).await;
     let name = format!("entry-{first}");
     match fault {
         OwnerFault::Kill => cluster.kill(&name),
@@ -69,7 +69,7 @@
         assert!(task["state"]["done"].is_string(), "{task}");
     }
     let runs = all_runs(&cluster).await;
-    check_one_place(&runs);
+    check_no_overlap(&runs);
     check_resumed_once(&runs);
     if !matches!(fault, OwnerFault::Freeze) {
         assert_eq!(
@@ -82,7 +82,7 @@
 
 cases!(takeover {
     a_killed_owner_is_replaced_without_an_eviction: OwnerFault::Kill,
-    a_frozen_owner_finds_out_before_it_acts: OwnerFault::Freeze,
+    a_frozen_owner_detects_its_replacement_before_it_acts: OwnerFault::Freeze,
     a_drained_owner_hands_over_without_an_eviction: OwnerFault::Drain,
 });
 
@@ -91,7 +91,9 @@
     let mut cluster = Cluster::start(one_shard()).await;
     cluster.wait_owned().await;
     let input = json!({ "work_ms": 3000 });
-    let job = cluster.submit_surely("sommaire", 1, input, "lost").await;
+    let job = cluster
+        .submit_until_accepted("sommaire", 1, input, "lost")
+        .await;
     let worker = cluster.wait_running(&job, 0).await;
     if freeze {
         cluster.freeze(&worker);
@@ -112,7 +114,7 @@
     }
     let view = cluster.wait_ended(&job).await;
     assert!(view["tasks"][0]["state"]["done"].is_string(), "{view}");
-    check_one_place(&all_runs(&cluster).await);
+    check_no_overlap(&all_runs(&cluster).await);
 }
 
 cases!(lost_worker {
@@ -126,7 +128,9 @@
         let cluster = Cluster::start(one_shard()).await;
         cluster.wait_owned().await;
         let input = json!({ "work_ms": 9000 });
-        let job = cluster.submit_surely("sommaire", 1, input, "cut").await;
+        let job = cluster
+            .submit_until_accepted("sommaire", 1, input, "cut")
+            .await;
         let worker = cluster.wait_running(&job, 0).await;
         // The worker answers no call of ours, at once, and goes on until its lease lapses.
         cluster.faults(&worker, json!({ "cut": true })).await;
@@ -137,12 +141,12 @@
         .await;
         cluster.faults(&worker, json!({})).await;
         cluster.wait_ended(&job).await;
-        check_one_place(&all_runs(&cluster).await);
+        check_no_overlap(&all_runs(&cluster).await);
     });
 }
 
 #[test]
-fn a_lowered_quota_stops_new_starts_and_a_raised_one_lets_them_go() {
+fn a_lowered_quota_blocks_new_starts_and_a_raised_one_allows_them() {
     crate::support::run(async {
         let cluster = Cluster::start(ClusterPlan::default()).await;
         cluster.wait_owned().await;
@@ -161,22 +165,27 @@
         set(4000).await;
         let input = json!({ "work_ms": 1000 });
         let job = cluster
-            .submit_surely("sommaire", 8, input.clone(), "quota")
+            .submit_until_accepted("sommaire", 8, input.clone(), "quota")
             .await;
         cluster.wait_ended(&job).await;
         let mut runs = all_runs(&cluster).await;
         runs.sort_by_key(|run| run.start_ms);
         for run in &runs {
-            let beside = runs
+            let concurrent = runs
                 .iter()
                 .filter(|other| other.start_ms <= run.start_ms && run.start_ms < other.end_ms);
-            assert!(beside.count() <= 2, "4000 hold two tasks of 2000: {runs:?}");
+            assert!(
+                concurrent.count() <= 2,
+                "4000 hold two tasks of 2000: {runs:?}"
+            );
         }
         set(0).await;
-        let held = cluster.submit_surely("sommaire", 2, input, "held").await;
+        let queued = cluster
+            .submit_until_accepted("sommaire", 2, input, "held")
+            .await;
         let explained = wait_for("the reason", || async {
             for n in 1..=2 {
-                let url = format!("{}/v1/explain?job={held}", cluster.operators(n));
+                let url = format!("{}/v1/explain?job={queued}", cluster.operators(n));
                 let reasons = get_json(&url).await?;
                 let reason = reasons[0]["reason"].as_str().unwrap_or_default().to_owned();
                 if reason.contains("quota") {
@@ -191,7 +200,7 @@
             "{explained}"
         );
         set(100_000).await;
-        cluster.wait_ended(&held).await;
+        cluster.wait_ended(&queued).await;
     });
 }
 
@@ -204,14 +213,16 @@
     .await;
     cluster.wait_owned().await;
     let input = json!({ "work_ms": 3000 });
-    let job = cluster.submit_surely("sommaire", 4, input, "batch").await;
+    let job = cluster
+        .submit_until_accepted("sommaire", 4, input, "batch")
+        .await;
     for index in 0..4 {
         cluster.wait_running(&job, index).await;
     }
     let faults = json!({ "lose_replies_percent": lost_replies, "lose_prefix": "alloc/" });
     cluster.faults("platform", faults).await;
     let urgent = cluster
-        .submit_surely("urgent", 1, json!({ "work_ms": 200 }), "urgent")
+        .submit_until_accepted("urgent", 1, json!({ "work_ms": 200 }), "urgent")
         .await;
     let view = cluster.wait_ended(&urgent).await;
     assert!(view["tasks"][0]["state"]["done"].is_string(), "{view}");
@@ -227,7 +238,7 @@
         .filter(|task| task["evictions"].as_u64() > Some(0));
     assert!(evicted.count() >= 2, "6000 of 8000 are needed: {view}");
     let runs = all_runs(&cluster).await;
-    check_one_place(&runs);
+    check_no_overlap(&runs);
     check_resumed_once(&runs);
     let resumed = runs.iter().filter(|run| run.resumed_from.is_some()).count();
     assert!(
@@ -269,11 +280,11 @@
 }
 
 #[test]
-fn a_task_that_always_fails_is_given_up_with_the_reason() {
+fn a_task_that_always_fails_ends_as_failed_with_the_reason() {
     crate::support::run(async {
         let cluster = Cluster::start(one_shard()).await;
         let job = cluster
-            .submit_surely("sommaire", 1, json!({ "fail": true }), "fails")
+            .submit_until_accepted("sommaire", 1, json!({ "fail": true }), "fails")
             .await;
         let view = cluster.wait_ended(&job).await;
         let reason = view["tasks"][0]["state"]["failed"]
@@ -296,7 +307,7 @@
             let input = json!({ "work_ms": 100 });
             jobs.push(
                 cluster
-                    .submit_surely("sommaire", 2, input, &format!("bad-{n}"))
+                    .submit_until_accepted("sommaire", 2, input, &format!("bad-{n}"))
                     .await,
             );
         }
@@ -315,7 +326,7 @@
         let cluster = Cluster::start(one_shard()).await;
         let input = json!({ "work_ms": 60_000 });
         let job = cluster
-            .submit_surely("sommaire", 20, input, "cancelled")
+            .submit_until_accepted("sommaire", 20, input, "cancelled")
             .await;
         cluster.wait_running(&job, 0).await;
         let url = format!("{}/v1/jobs/{job}", cluster.callers(2));
--- a/tests/proofs/settings_force.rs
+++ b/tests/proofs/settings_rollout.rs
@@ -66,7 +66,7 @@
 }
 
 /// Sends a change and records what its operator learned.
-async fn recorded(
+async fn change_with_event(
     cluster: &Cluster,
     entry: usize,
     value: u64,
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn of_two_operators_one_wins_and_the_other_is_told() {
+fn of_concurrent_changes_one_wins_and_the_others_get_a_conflict() {
     run(async {
         let cluster = Cluster::start(ClusterPlan::default()).await;
         let begin = version(&cluster, 1).await.expect("a version");
@@ -101,8 +101,8 @@
             let calls = (1..=2).flat_map(|entry| {
                 (0..2).map(move |n| (entry, 200 + round * 10 + entry as u64 * 3 + n))
             });
-            let calls =
-                calls.map(|(entry, value)| recorded(&cluster, entry, value, expected, start));
+            let calls = calls
+                .map(|(entry, value)| change_with_event(&cluster, entry, value, expected, start));
             for (event, answer) in join_all(calls).await {
                 let answer = answer.expect("an answer");
                 if answer.status == 409 {
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_lost_reply_to_the_commit_is_settled() {
+fn a_lost_reply_to_the_commit_is_resolved() {
     run(async {
         let cluster = Cluster::start(ClusterPlan::default()).await;
         let begin = version(&cluster, 1).await.expect("a version");
@@ -185,7 +185,7 @@
         for round in 0..4 {
             let expected = version(&cluster, 1).await.expect("a version");
             let calls = (1..=2).map(|entry| {
-                recorded(
+                change_with_event(
                     &cluster,
                     entry,
                     400 + round * 2 + entry as u64,
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn an_entry_started_in_an_outage_takes_the_settings_from_its_peers() {
+fn an_entry_started_in_an_outage_gets_the_settings_from_its_peers() {
     run(async {
         let mut cluster = Cluster::start(ClusterPlan::default()).await;
         let before = version(&cluster, 2).await.expect("a version");
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn a_bad_change_is_refused_with_the_reason() {
+fn an_invalid_change_is_refused_with_the_reason() {
     run(async {
         let cluster = Cluster::start(ClusterPlan::default()).await;
         let before = version(&cluster, 1).await;
--- a/tests/proofs/stops.rs
+++ b/tests/proofs/stops.rs
@@ -47,7 +47,7 @@
     }
 
     /// Waits for so many answers.
-    async fn reach(&self, count: usize) {
+    async fn wait_answers(&self, count: usize) {
         wait_for("answers under load", || async {
             (self.answers.borrow().len() >= count).then_some(())
         })
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_drained_sidecar_cuts_nothing_off() {
+fn a_drained_sidecar_aborts_no_request() {
     run(async {
         let mut cluster = Cluster::start(ClusterPlan {
             service_ms: 20,
@@ -72,11 +72,11 @@
         })
         .await;
         let load = SteadyLoad::start(10, vec![cluster.callers(1), cluster.callers(2)]);
-        load.reach(50).await;
+        load.wait_answers(50).await;
         assert_eq!(cluster.drain("sidecar-1").await, Some(0));
         let executed = cluster.record("upstream-1").await["executed"].clone();
         let seen = load.answers.borrow().len();
-        load.reach(seen + 100).await;
+        load.wait_answers(seen + 100).await;
         let later = cluster.record("upstream-1").await["executed"].clone();
         assert_eq!(executed, later, "a leaving upstream got new work");
         for answer in load.stop().await {
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn all_daemons_rolled_in_turn_cut_nothing_off() {
+fn a_rolling_restart_of_all_daemons_aborts_no_request() {
     run(async {
         let mut cluster = Cluster::start(ClusterPlan {
             entries: 2,
@@ -108,14 +108,14 @@
                 .map(|n| cluster.callers(n))
                 .collect();
             let load = SteadyLoad::start(6, entries);
-            load.reach(30).await;
+            load.wait_answers(30).await;
             assert_eq!(cluster.drain(name).await, Some(0), "{name}");
             cluster.restart(name);
             for n in 1..=2 {
-                cluster.wait_routed(n).await;
+                cluster.wait_until_routing(n).await;
             }
             let seen = load.answers.borrow().len();
-            load.reach(seen + 30).await;
+            load.wait_answers(seen + 30).await;
             for answer in load.stop().await {
                 let answer = answer.unwrap_or_else(|error| panic!("{name}: {error}"));
                 assert_eq!(answer.outcome, "ran", "{name}: {}", answer.text());
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn an_entry_drains_a_long_answer() {
+fn a_drained_entry_finishes_a_long_answer() {
     run(async {
         let mut cluster = Cluster::start(ClusterPlan::default()).await;
         let url = format!("{}/v1/call/{SERVICE}/long", cluster.callers(1));
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_sidecar_frozen_while_it_leaves_gets_nothing_new() {
+fn a_sidecar_frozen_while_it_drains_gets_no_new_requests() {
     run(async {
         let cluster = Cluster::start(ClusterPlan::default()).await;
         cluster.signal("sidecar-1", libc::SIGTERM);
@@ -191,7 +191,7 @@
 
 /// CI failed once as the port of a killed entry was somebody else's when it was started again.
 #[test]
-fn a_killed_process_starts_again_though_its_port_was_used_elsewhere() {
+fn a_killed_process_restarts_although_its_port_is_used_on_another_address() {
     run(async {
         let mut cluster = Cluster::start(ClusterPlan::default()).await;
         let callers = cluster.callers(1);
@@ -201,6 +201,6 @@
         // As an outgoing connection or another test would take it.
         let _other = std::net::TcpListener::bind(("127.0.0.1", port)).expect("it is free here");
         cluster.restart("entry-1");
-        cluster.wait_routed(1).await;
+        cluster.wait_until_routing(1).await;
     });
 }
--- a/tests/proofs/support/audit.rs
+++ b/tests/proofs/support/audit.rs
@@ -43,7 +43,7 @@
 }
 
 /// Panics if a task ever ran in two places at once, or an epoch ran twice.
-pub(crate) fn check_one_place(runs: &[RunRecord]) {
+pub(crate) fn check_no_overlap(runs: &[RunRecord]) {
     let mut by_task: BTreeMap<&str, Vec<&RunRecord>> = BTreeMap::new();
     for run in runs {
         by_task.entry(&run.task).or_default().push(run);
--- a/tests/proofs/support/calls.rs
+++ b/tests/proofs/support/calls.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// A call that takes longer is given up.
-const CALL_LIMIT: Duration = Duration::from_secs(20);
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// An answer.
 #[derive(Debug, Clone)]
@@ -52,7 +52,7 @@
         let body = response.bytes().await?.to_vec();
         Ok::<_, cyper::Error>((status, headers, body))
     };
-    let (status, headers, body) = compio::time::timeout(CALL_LIMIT, exchange)
+    let (status, headers, body) = compio::time::timeout(CALL_TIMEOUT, exchange)
         .await
         .map_err(|_| "no answer".to_owned())?
         .map_err(|error| error.to_string())?;
--- a/tests/proofs/support/cluster.rs
+++ b/tests/proofs/support/cluster.rs
@@ -14,11 +14,11 @@
 pub(crate) const SERVICE: &str = "niveau-service";
 
 /// Looks at a job, and the pause between two, before its end is given up.
-const JOB_LOOKS: u32 = 900;
-const JOB_PAUSE: Duration = Duration::from_millis(100);
+const MAX_JOB_POLLS: u32 = 900;
+const JOB_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A loopback address that no other cluster of this test run, nor most likely of another run, has.
-fn own_ip(cluster: u32) -> String {
+fn cluster_ip(cluster: u32) -> String {
     format!(
         "127.{}.{}.1",
         100 + std::process::id() % 100,
@@ -26,7 +26,7 @@
     )
 }
 
-static CLUSTERS: AtomicU32 = AtomicU32::new(0);
+static NEXT_CLUSTER: AtomicU32 = AtomicU32::new(0);
 
 /// What a cluster consists of.
 #[derive(Debug, Clone, Copy)]
@@ -71,14 +71,14 @@
 impl Cluster {
     /// Starts everything and commits a settings tree.
     pub(crate) async fn start(plan: ClusterPlan) -> Self {
-        let number = CLUSTERS.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_CLUSTER.fetch_add(1, Ordering::Relaxed);
         let name = format!("cluster-{}-{number}", std::process::id());
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
         std::fs::create_dir_all(&folder).expect("the folder is made");
         let mut cluster = Self {
             plan,
             folder,
-            ip: own_ip(number),
+            ip: cluster_ip(number),
             platform: String::new(),
             processes: BTreeMap::new(),
             addresses: BTreeMap::new(),
@@ -104,7 +104,7 @@
         let mut args: Vec<String> = args.iter().map(|arg| (*arg).to_owned()).collect();
         args.extend([
             "--listen".into(),
-            self.listen_address(name, name_kind(name)),
+            self.listen_address(name, standin_kind(name)),
         ]);
         self.spawn(name, "waxwing-standin", &args);
     }
@@ -190,15 +190,15 @@
         let entries: Vec<String> = (1..=self.plan.entries)
             .map(|n| format!("'{}'", self.address(&format!("entry-{n}"), "peers")))
             .collect();
-        self.start_sidecar_of(n, &entries.join(", "));
+        self.start_sidecar_with_entries(n, &entries.join(", "));
     }
 
     /// Starts a sidecar that knows only one entry.
-    pub(crate) fn start_sidecar_for(&mut self, n: usize, entry: &str) {
-        self.start_sidecar_of(n, &format!("'{entry}'"));
+    pub(crate) fn start_sidecar_with_entry(&mut self, n: usize, entry: &str) {
+        self.start_sidecar_with_entries(n, &format!("'{entry}'"));
     }
 
-    fn start_sidecar_of(&mut self, n: usize, entries: &str) {
+    fn start_sidecar_with_entries(&mut self, n: usize, entries: &str) {
         let name = format!("sidecar-{n}");
         let text = format!(
             "role: sidecar\nname: {name}\nregion: test\nfailure_domain: domain-{n}\n\
@@ -281,14 +281,14 @@
 
     /// Sets the faults of the platform or of a stand-in.
     pub(crate) async fn faults(&self, name: &str, faults: Value) {
-        let url = format!("http://{}/faults", self.address(name, name_kind(name)));
+        let url = format!("http://{}/faults", self.address(name, standin_kind(name)));
         let answer = post_json(&url, &faults).await.expect("faults are set");
         assert!(answer.status < 300, "faults: {}", answer.text());
     }
 
     /// The record of a stand-in.
     pub(crate) async fn record(&self, name: &str) -> Value {
-        let url = format!("http://{}/audit", self.address(name, name_kind(name)));
+        let url = format!("http://{}/audit", self.address(name, standin_kind(name)));
         get_json(&url).await.expect("the stand-in answers")
     }
 
@@ -329,7 +329,7 @@
     }
 
     /// Waits until an entry serves quick requests.
-    pub(crate) async fn wait_routed(&self, entry: usize) {
+    pub(crate) async fn wait_until_routing(&self, entry: usize) {
         wait_for("an entry to route", || async {
             let answer = self.request(entry, "/routed", &[]).await.ok()?;
             (answer.outcome == "ran").then_some(())
@@ -389,17 +389,17 @@
     }
 
     /// Submits a job at whichever entry takes it, with the same key until it is taken.
-    pub(crate) async fn submit_surely(
+    pub(crate) async fn submit_until_accepted(
         &self,
         kind: &str,
         tasks: u32,
         input: Value,
         key: &str,
     ) -> String {
-        let mut turn = 0;
+        let mut attempt = 0;
         wait_for("a submission to be taken", || {
-            turn += 1;
-            let entry = turn % self.plan.entries + 1;
+            attempt += 1;
+            let entry = attempt % self.plan.entries + 1;
             let input = input.clone();
             async move {
                 let answer = self.submit(entry, kind, tasks, input, key).await.ok()?;
@@ -424,14 +424,14 @@
     /// Waits until all tasks of a job have ended.
     pub(crate) async fn wait_ended(&self, job: &str) -> Value {
         let mut last = Value::Null;
-        for _ in 0..JOB_LOOKS {
+        for _ in 0..MAX_JOB_POLLS {
             if let Some(view) = self.job(job).await {
                 if view["ended"] == true {
                     return view;
                 }
                 last = view;
             }
-            compio::time::sleep(JOB_PAUSE).await;
+            compio::time::sleep(JOB_POLL_INTERVAL).await;
         }
         panic!("waited in vain for a job to end: {last}");
     }
@@ -453,6 +453,6 @@
 }
 
 /// The key of a stand-in's address in its ready line.
-fn name_kind(name: &str) -> &str {
+fn standin_kind(name: &str) -> &str {
     name.split('-').next().unwrap_or(name)
 }
--- a/tests/proofs/support/history.rs
+++ b/tests/proofs/support/history.rs
@@ -54,18 +54,18 @@
     seen: &mut HashSet<(u64, M::State)>,
 ) -> bool {
     let open = |index: usize| done & (1 << index) == 0;
-    let known_left = events
+    let has_known_outcome_left = events
         .iter()
         .enumerate()
         .any(|(index, event)| open(index) && event.output.is_some());
-    if !known_left {
+    if !has_known_outcome_left {
         return true;
     }
     if !seen.insert((done, state.clone())) {
         return false;
     }
     // An operation may come first only if no other open one returned before it was called.
-    let horizon = events
+    let earliest_return = events
         .iter()
         .enumerate()
         .filter(|(index, event)| open(*index) && event.output.is_some())
@@ -73,7 +73,7 @@
         .min()
         .unwrap_or(u64::MAX);
     for (index, event) in events.iter().enumerate() {
-        if !open(index) || event.called > horizon {
+        if !open(index) || event.called > earliest_return {
             continue;
         }
         let next = match &event.output {
--- a/tests/proofs/tool.rs
+++ b/tests/proofs/tool.rs
@@ -1,6 +1,6 @@
 //! The operators' tool against a running system.
 
-use crate::support::audit::{all_runs, check_one_place};
+use crate::support::audit::{all_runs, check_no_overlap};
 use crate::support::calls::{get_json, post_json};
 use crate::support::cluster::{Cluster, ClusterPlan};
 use crate::support::{run, wait_for};
@@ -21,22 +21,23 @@
     (output.status.code(), text)
 }
 
-fn example(firm: &str) -> String {
-    format!("{}/examples/{firm}/tree", env!("CARGO_MANIFEST_DIR"))
+fn example_tree(customer: &str) -> String {
+    format!("{}/examples/{customer}/tree", env!("CARGO_MANIFEST_DIR"))
 }
 
 #[test]
 fn an_exported_tree_applies_without_a_change() {
     run(async {
         let cluster = Cluster::start(ClusterPlan::default()).await;
-        for firm in ["riveneige", "mares-patentes"] {
+        for customer in ["riveneige", "mares-patentes"] {
             let (code, text) = waxwing(
                 &cluster,
-                &["settings", "apply", &example(firm), "--wait", "60"],
+                &["settings", "apply", &example_tree(customer), "--wait", "60"],
             );
             assert_eq!(code, Some(0), "{text}");
             assert!(text.contains("in force at 4 of 4"), "{text}");
-            let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("export-{firm}"));
+            let folder =
+                PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("export-{customer}"));
             let folder = folder.display().to_string();
             let (code, text) = waxwing(&cluster, &["settings", "export", &folder]);
             assert_eq!(code, Some(0), "{text}");
@@ -57,7 +58,7 @@
     run(async {
         let cluster = Cluster::start(ClusterPlan::default()).await;
         let (_, before) = waxwing(&cluster, &["settings", "get"]);
-        let folder = example("riveneige");
+        let folder = example_tree("riveneige");
         let (code, text) = waxwing(&cluster, &["settings", "apply", &folder, "--dry-run"]);
         assert_eq!(code, Some(0), "{text}");
         assert!(
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn a_conflict_names_the_winner_and_the_exit_code_says_refused() {
+fn a_conflict_names_the_winner_and_exits_with_code_1() {
     run(async {
         let cluster = Cluster::start(ClusterPlan::default()).await;
         let set = [
@@ -109,7 +110,9 @@
 /// A job that takes all three workers, if it may; its tasks have ended when this returns.
 async fn run_wide_job(cluster: &Cluster, key: &str) {
     let input = json!({ "work_ms": 100 });
-    let job = cluster.submit_surely("sommaire", 12, input, key).await;
+    let job = cluster
+        .submit_until_accepted("sommaire", 12, input, key)
+        .await;
     let view = cluster.wait_ended(&job).await;
     for task in view["tasks"].as_array().into_iter().flatten() {
         assert!(task["state"]["done"].is_string(), "{task}");
@@ -131,7 +134,7 @@
 }
 
 #[test]
-fn a_drained_domain_gets_nothing_until_it_is_taken_back() {
+fn a_drained_domain_gets_no_runs_until_it_is_undrained() {
     run(async {
         let plan = ClusterPlan {
             shards: 1,
@@ -161,13 +164,13 @@
             (runs_on(&cluster, "worker-1").await > 0).then_some(())
         })
         .await;
-        check_one_place(&all_runs(&cluster).await);
+        check_no_overlap(&all_runs(&cluster).await);
     });
 }
 
 /// A row that cannot be read hides no other, and counts as a drain: what is not certain is kept out.
 #[test]
-fn a_damaged_row_of_a_drain_hides_no_other() {
+fn a_damaged_drain_row_hides_no_other() {
     run(async {
         let cluster = Cluster::start(ClusterPlan::default()).await;
         let key = "drain/domain-9";
@@ -188,7 +191,7 @@
 }
 
 #[test]
-fn a_domain_without_a_proper_name_is_refused() {
+fn a_domain_with_an_invalid_name_is_refused() {
     run(async {
         let cluster = Cluster::start(ClusterPlan::default()).await;
         let long = "x".repeat(101);
