--- a/benches/bench_process.rs
+++ b/benches/bench_process.rs
@@ -1,4 +1,4 @@
-//! A process for a measurement; it ends with its owner.
+//! Process that a benchmark starts and that is killed when the value is dropped.
 
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
@@ -22,7 +22,7 @@
 }
 
 impl BenchProcess {
-    /// Starts a binary and waits for its line of addresses.
+    /// Starts a binary and waits until it prints its addresses as a line of JSON.
     pub(crate) fn start(name: &str, args: &[&str]) -> Self {
         let mut child = Command::new(binary(name))
             .args(args)
@@ -38,7 +38,7 @@
         Self { child, ready }
     }
 
-    /// An address that it printed.
+    /// Returns the address that the process printed under this key.
     pub(crate) fn address(&self, key: &str) -> String {
         let value = self.ready.get("ready").unwrap_or(&self.ready);
         value[key]
@@ -47,7 +47,6 @@
             .to_owned()
     }
 
-    /// Its id.
     pub(crate) fn pid(&self) -> u32 {
         self.child.id()
     }
@@ -55,17 +54,17 @@
 
 impl Drop for BenchProcess {
     fn drop(&mut self) {
-        // It may have ended already.
+        // An error means that the process has already ended.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// Runs a binary to its end; gives what it printed.
+/// Runs a binary to its end; returns its standard output.
 pub(crate) fn output(name: &str, args: &[String]) -> String {
     let output = Command::new(binary(name))
         .args(args)
         .output()
-        .expect("it runs");
+        .expect("the binary must run");
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -1,6 +1,7 @@
-//! Slopes of what each role costs, measured on real processes with small stand-ins.
+//! Measures the CPU, memory and store load of each role at several sizes, with real processes and stand-ins.
 //!
-//! `cargo build --release --workspace && cargo bench --bench capacity`. Each row is one run.
+//! Run with `cargo build --release --workspace && cargo bench --bench capacity`. Each printed row is one run.
+//! Arguments select the measurements: `sidecars`, `workers`, `starts`, `requests`.
 
 #[allow(dead_code)]
 #[path = "../tests/proofs/support/calls.rs"]
@@ -14,17 +15,17 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// How long a state is watched for one row.
+/// Duration of the measurement for one row.
 const MEASUREMENT_TIME: Duration = Duration::from_secs(8);
 
-/// What one process used while it was watched.
+/// CPU and memory that a process used during a measurement.
 #[derive(Debug, Clone, Copy)]
 struct ProcessCost {
     cpu_percent: f64,
     memory_mib: f64,
 }
 
-/// Reads the processor time of a process, in clock ticks of a hundredth of a second.
+/// Returns the user and system CPU time of a process, in clock ticks of 10 ms.
 fn cpu_ticks(pid: u32) -> u64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let fields: Vec<&str> = stat
@@ -54,7 +55,7 @@
     }
 }
 
-/// The platform and one entry.
+/// Running platform and one entry.
 struct Bench {
     folder: PathBuf,
     platform: BenchProcess,
@@ -64,7 +65,7 @@
 impl Bench {
     async fn start(name: &str, shards: u16, renew_ms: u32) -> Self {
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("capacity-{name}"));
-        std::fs::create_dir_all(&folder).expect("the folder is made");
+        std::fs::create_dir_all(&folder).expect("the folder must be created");
         let platform =
             BenchProcess::start("waxwing-standin", &["platform", "--listen", "127.0.0.1:0"]);
         let text = format!(
@@ -75,7 +76,7 @@
             platform.address("platform")
         );
         let file = folder.join("entry.yaml");
-        std::fs::write(&file, text).expect("written");
+        std::fs::write(&file, text).expect("the file must be written");
         let entry = BenchProcess::start("waxwingd", &["--settings", &file.display().to_string()]);
         let bench = Self {
             folder,
@@ -146,7 +147,7 @@
     }
 }
 
-/// An entry with idle sidecars.
+/// Measures an entry with idle sidecars.
 async fn measure_entry_by_sidecars(count: u32) {
     let bench = Bench::start("sidecars", 1, 2_000).await;
     let text = count.to_string();
@@ -173,7 +174,7 @@
     );
 }
 
-/// An owner of all shards, with workers that each run 27 tasks.
+/// Measures an entry that owns all shards, with workers that each run 27 tasks.
 async fn measure_owner_by_workers(count: u32) {
     let bench = Bench::start("workers", (count / 12).max(1) as u16, 2_000).await;
     let text = count.to_string();
@@ -230,7 +231,7 @@
     );
 }
 
-/// Starts of short tasks at a steady rate.
+/// Measures an entry that starts short tasks at a constant rate.
 async fn measure_owner_by_starts(per_second: u32) {
     let bench = Bench::start("starts", 4, 500).await;
     let platform = bench.platform.address("platform");
@@ -289,7 +290,7 @@
     let change =
         |key: &str| store[key].as_f64().unwrap_or(0.0) - store_before[key].as_f64().unwrap_or(0.0);
     println!(
-        "starts   {per_second:>5} a second asked          {:>6.1} tasks/s done in {seconds:.1} s, cpu {:>6.2}%  rows/task {:>5.2}  commits/task {:>5.2}  {} processes' rows/s {:>6.1}",
+        "starts   {per_second:>5} tasks/s requested       {:>6.1} tasks/s done in {seconds:.1} s, cpu {:>6.2}%  rows/task {:>5.2}  commits/task {:>5.2}  {} processes' rows/s {:>6.1}",
         done / seconds,
         (cpu_ticks(bench.entry.pid()) - before) as f64 / seconds,
         change("rows_written") / done.max(1.0),
@@ -299,7 +300,7 @@
     );
 }
 
-/// A sidecar and its entry under quick requests.
+/// Measures a sidecar and its entry at a constant rate of quick requests.
 async fn measure_sidecar_by_requests(rate: u32) {
     let bench = Bench::start("requests", 1, 2_000).await;
     let upstream = BenchProcess::start(
@@ -314,7 +315,7 @@
         bench.entry.address("peers"),
     );
     let file = bench.folder.join("sidecar.yaml");
-    std::fs::write(&file, text).expect("written");
+    std::fs::write(&file, text).expect("the file must be written");
     let sidecar = BenchProcess::start("waxwingd", &["--settings", &file.display().to_string()]);
     compio::time::sleep(Duration::from_millis(800)).await;
     let (rate_text, seconds) = (
@@ -346,7 +347,7 @@
     compio::time::sleep(Duration::from_secs(1)).await;
     let (entry, sidecar_cost) =
         futures_util::future::join(measure(bench.entry.pid()), measure(sidecar.pid())).await;
-    let through = through.join().expect("the load ends");
+    let through = through.join().expect("the load generator must not panic");
     let number_of = |text: &str, key: &str| {
         let value: Value = serde_json::from_str(text).unwrap_or_default();
         value[key].as_f64().unwrap_or(0.0)
@@ -365,7 +366,7 @@
 }
 
 fn main() {
-    // `cargo test --benches` must not start a measurement.
+    // `cargo test --benches` passes `--test` and must not start a measurement.
     if std::env::args().any(|arg| arg == "--test") {
         return;
     }
--- a/benches/owner_load.rs
+++ b/benches/owner_load.rs
@@ -1,18 +1,20 @@
-//! What a front that owns costs, by the size of its pool: a real front, with agents and fronts played here.
+//! Measures the CPU and memory of a front that owns a shard, by the size of its pool. The front is a real
+//! process; agents and other fronts are simulated by the benchmark.
 //!
-//! `cargo build --release --workspace && cargo bench --bench owner_load -- AGENTS FRONTS TASKS_PER_SECOND`.
+//! Run with `cargo build --release --workspace && cargo bench --bench owner_load -- AGENTS FRONTS TASKS_PER_SECOND`.
+//! `OWNER_LOAD_HOLD_S` continues the load for this number of seconds after the measurement.
 
 #[path = "../tests/proofs/support/calls.rs"]
-#[allow(dead_code, reason = "shared with the proofs, which use all of it")]
+#[allow(dead_code, reason = "shared with the test target `proofs`")]
 mod calls;
 #[path = "../tests/common/mod.rs"]
-#[allow(dead_code, reason = "shared with the tests, which use all of it")]
+#[allow(dead_code, reason = "shared with the test target `pool`")]
 mod common;
 #[path = "../tests/pool/site.rs"]
-#[allow(dead_code, reason = "shared with the tests, which use all of it")]
+#[allow(dead_code, reason = "shared with the test target `pool`")]
 mod site;
 #[path = "../tests/pool/store_proxy.rs"]
-#[allow(dead_code, reason = "shared with the tests, which use all of it")]
+#[allow(dead_code, reason = "shared with the test target `pool`")]
 mod store_proxy;
 
 use compio::net::TcpStream;
@@ -33,18 +35,18 @@
     WorkerUp, split_stream,
 };
 
-/// How long the load is watched.
+/// Duration of the measurement.
 const MEASUREMENT_TIME: Duration = Duration::from_secs(10);
-/// Tasks of one job.
+/// Number of tasks of one job.
 const TASKS_PER_JOB: u32 = 20;
-/// How long each task runs.
+/// Run time of each task.
 const TASK_DURATION: Duration = Duration::from_millis(1_200);
-/// How often an agent learns of its worker's progress.
+/// Interval at which an agent gets its worker's progress.
 const HOLD_PERIOD: Duration = Duration::from_millis(250);
-/// Heartbeats until the owner says otherwise.
+/// Heartbeat interval until the owner requests another one.
 const INITIAL_PERIOD: Duration = Duration::from_millis(400);
 
-/// A worker and its agent, as far as the owner sees them.
+/// Simulates a worker and its agent on a link to the owner.
 struct FakeAgent {
     outbox: UnboundedSender<PoolBody>,
     ends: Cell<u64>,
@@ -55,7 +57,7 @@
 
 impl FakeAgent {
     fn send(&self, body: PoolBody) {
-        // The owner's end closes the link.
+        // An error means that the owner has closed the link.
         let _ = self.outbox.unbounded_send(body);
     }
 
@@ -129,7 +131,7 @@
     let (mut reader, mut writer) = connect(owner, PoolBody::AgentHello(hello)).await?;
     let (outbox, mut inbox) = unbounded();
     let writer_task = spawn(async move {
-        // The owner's end closes the link.
+        // An error means that the owner has closed the link.
         let _ = writer.drain(&mut inbox).await;
     });
     let agent = Rc::new(FakeAgent {
@@ -216,7 +218,7 @@
     Some(vec![reader_task, heartbeat_task])
 }
 
-/// User and system seconds of a process.
+/// Returns the user and system CPU time of a process, in seconds.
 fn cpu_seconds(pid: u32) -> (f64, f64) {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let fields: Vec<&str> = stat
@@ -260,7 +262,7 @@
 async fn measure(agents: usize, fronts: usize, tasks_per_second: u32) {
     let site = Site::start("owner-load", 1, 0).await;
     let owner = site.fronts[0].peers;
-    let first = wait_for("the front to own the shard", || link_agent(owner, 0)).await;
+    let first = wait_for("the front to take over the shard", || link_agent(owner, 0)).await;
     let began = Instant::now();
     let rest = join_all((1..agents).map(|number| link_agent(owner, number))).await;
     let linked = began.elapsed();
@@ -287,14 +289,18 @@
     );
     if let Ok(hold_time) = std::env::var("OWNER_LOAD_HOLD_S") {
         println!("owner {pid}");
-        let hold_time = Duration::from_secs(hold_time.parse().expect("seconds"));
+        let hold_time = Duration::from_secs(
+            hold_time
+                .parse()
+                .expect("OWNER_LOAD_HOLD_S must be a number of seconds"),
+        );
         submit_jobs(&site, tasks_per_second, Instant::now() + hold_time).await;
     }
     drop((first, rest));
 }
 
 fn main() {
-    // `cargo test --benches` must not start a measurement.
+    // `cargo test --benches` passes `--test` and must not start a measurement.
     if std::env::args().any(|arg| arg == "--test") {
         return;
     }
--- a/deploy/weak-fronts.sh
+++ b/deploy/weak-fronts.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Writes a copy of an installation's sheet in which all fronts have the least that any front there has: the pool
-# must hold with its strong machines lost or never bought.
+# Writes a copy of an installation's sheet in which every front VM has the smallest value of each resource that any
+# front VM of the sheet has. The pool must also work without its strong VMs, whether they fail or were never bought.
 #
-# Usage: deploy/weak-fronts.sh SHEET FOLDER, which gets the copy and the files that it names.
+# Usage: deploy/weak-fronts.sh SHEET FOLDER. The script writes the copy and the files that it refers to into FOLDER.
 set -euo pipefail
 
 sheet=$1
@@ -10,7 +10,7 @@
 mkdir -p "$folder"
 cp "$(dirname "$sheet")/wire.json" "$folder/"
 
-# The least value of one field over all fronts of the sheet's list of machines.
+# least FIELD: prints the smallest value of a field over all fronts in the sheet's list of machines.
 least() {
   grep -E '^  \{ class = "front"' "$sheet" | grep -oE "$1 = [0-9.]+" | grep -oE '[0-9.]+$' | sort -g | head -1
 }
--- a/examples/tour.sh
+++ b/examples/tour.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Builds the system, runs it in separate processes on free loopback ports, and shows each of its
-# promises once. Needs nothing but Rust and bash. Exits 0, or 1 with the step that failed.
+# Builds the system, runs it in separate processes on free loopback ports, and demonstrates each of its guarantees
+# once. Requires only Rust and bash. Exits with 0, or with 1 after printing the step that failed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 cargo build --workspace --locked --quiet
@@ -26,12 +26,12 @@
 
 now_ms() { echo $((($(date +%s%N) - began) / 1000000)); }
 
-# record WHAT OUTCOME: one row of the closing table.
+# record WHAT OUTCOME: adds a row to the table that is printed at the end.
 record() { printf '%6s ms  %-44s %s\n' "$(now_ms)" "$1" "$2" >>"$table"; }
 
 fail() { echo "tour: $step: $1" >&2; exit 1; }
 
-# run NAME COMMAND...: starts a process; its first line of output holds its addresses.
+# run NAME COMMAND...: starts a process and waits for its first line of output, which contains its addresses.
 run() {
   local name=$1
   shift
@@ -40,18 +40,18 @@
   eval "pid_${name//-/_}=$!"
   for _ in $(seq 200); do
     [ -s "$work/$name.out" ] && return 0
-    kill -0 "${pids[-1]}" 2>/dev/null || fail "$name ended: $(cat "$work/$name.log")"
+    kill -0 "${pids[-1]}" 2>/dev/null || fail "$name terminated: $(cat "$work/$name.log")"
     sleep 0.05
   done
-  fail "$name does not get ready"
+  fail "$name is not ready after 10 s"
 }
 
-# address NAME KEY: an address that a process printed.
+# address NAME KEY: prints an address that a process reported when it was ready.
 address() { sed -n "s/.*\"$2\":\"\([^\"]*\)\".*/\1/p" "$work/$1.out" | head -n 1; }
 
 fetch() { "$bin/waxwing-standin" fetch "$@"; }
 
-# wait_for TEXT COMMAND...: repeats a command until its output holds the text.
+# wait_for TEXT COMMAND...: repeats a command until its output contains the text; fails after 300 attempts.
 wait_for() {
   local text=$1
   shift
@@ -59,7 +59,7 @@
     if "$@" 2>/dev/null | grep -q -- "$text"; then return 0; fi
     sleep 0.1
   done
-  fail "no \"$text\" from: $*"
+  fail "timed out waiting for \"$text\" from: $*"
 }
 
 step="the platform and three workers"
@@ -119,9 +119,9 @@
 step="quick requests"
 for n in $(seq 20); do
   answer=$(fetch GET "http://$callers_1/v1/call/niveau-service/jauge/$n" --header waxwing-team:barrages)
-  case $answer in "200 ran"*"/jauge/$n"*) ;; *) fail "got: $answer" ;; esac
+  case $answer in "200 ran"*"/jauge/$n"*) ;; *) fail "unexpected answer: $answer" ;; esac
 done
-record "20 quick requests" "each got its own whole answer"
+record "20 quick requests" "each got the complete answer to its own request"
 load=$("$bin/waxwing-standin" load --entry "$callers_2" --team barrages --service niveau-service \
   --rate 200 --seconds 2 --deadline-ms 1000)
 record "400 requests at 200/s" "$(echo "$load" | sed 's/.*"outcomes"://; s/,"p50.*//')"
@@ -134,10 +134,10 @@
 job=$(cat "$work/job-1")
 again=$("$bin/waxwing" submit barrages niveau-service sommaire-bassin --tasks 2 \
   --input '{"work_ms": 4000}' --key summary-1)
-[ "$again" = "$job" ] || fail "the same key gave another job"
+[ "$again" = "$job" ] || fail "the same idempotency key created another job"
 placed() { "$bin/waxwing" --json status | tr -d ' \n'; }
 wait_for '"placed":6' placed
-record "3 summaries of 2 tasks" "placed on 3 workers; the same key gave the same job"
+record "3 summaries of 2 tasks" "placed on 3 workers; the same key returned the same job"
 urgent=$("$bin/waxwing" submit barrages niveau-service jauge-urgente --input '{"work_ms": 300}')
 urgent_began=$(now_ms)
 wait_for done "$bin/waxwing" job show "$urgent"
@@ -148,19 +148,19 @@
   "$bin/waxwing" job show "$(cat "$work/job-$n")" >"$work/shown-$n"
   if awk 'NR > 2 && $NF > 0' "$work/shown-$n" | grep -q done; then evicted=$(cat "$work/job-$n"); fi
 done
-[ -n "$evicted" ] || fail "nothing was evicted"
-"$bin/waxwing" job result "$evicted" | grep -q '"answer":"done"' || fail "no result"
+[ -n "$evicted" ] || fail "no task was evicted"
+"$bin/waxwing" job result "$evicted" | grep -q '"answer":"done"' || fail "the evicted job has no result"
 record "the evicted summary" "resumed from its checkpoint; its result is in the object store"
 
-step="an alert, twice"
+step="an alert sent twice"
 alert() {
   fetch POST "http://$1/v1/watches/niveau-service/seuil-deversoir/alerts" \
     --header waxwing-team:barrages --header idempotency-key:alert-77 --body '{"level": 4.2}'
 }
 first=$(alert "$callers_1")
-case $first in "200 ran"*) ;; *) fail "first: $first" ;; esac
+case $first in "200 ran"*) ;; *) fail "first alert: $first" ;; esac
 second=$(alert "$callers_2")
-case $second in "409 "*) ;; *) fail "second: $second" ;; esac
+case $second in "409 "*) ;; *) fail "second alert: $second" ;; esac
 ran=0
 for n in 1 2 3; do
   count=$(fetch GET "http://$(address "upstream-$n" upstream)/audit" |
@@ -168,9 +168,9 @@
   ran=$((ran + ${count:-0}))
 done
 [ "$ran" = 1 ] || fail "the alert ran $ran times"
-record "one alert sent at two entries" "ran once; the second was told so"
+record "one alert sent at two entries" "ran once; the second got status 409"
 
-step="a changed setting"
+step="a change of a setting"
 changed=$("$bin/waxwing" settings set /barrages/niveau-service deadline_ms 300 --wait 5 | tail -n 1)
 record "settings set deadline_ms 300" "$changed"
 
@@ -181,10 +181,10 @@
 sleep 1
 # shellcheck disable=SC2154
 kill -TERM "$pid_sidecar_2"
-wait "$pid_sidecar_2" || fail "the sidecar exited $?"
+wait "$pid_sidecar_2" || fail "the sidecar exited with $?"
 wait "$load_pid"
 outcomes=$(sed 's/.*"outcomes"://; s/,"p50.*//' "$work/drain")
-[ "$outcomes" = '{"200 ran":600}' ] || fail "outcomes under the drain: $outcomes"
+[ "$outcomes" = '{"200 ran":600}' ] || fail "outcomes during the drain: $outcomes"
 record "sidecar-2 drained under 200 requests/s" "exit 0; $outcomes"
 
 step="billing"
@@ -195,7 +195,7 @@
 step="the drain of an entry"
 # shellcheck disable=SC2154
 kill -TERM "$pid_entry_2"
-wait "$pid_entry_2" || fail "the entry exited $?"
+wait "$pid_entry_2" || fail "the entry exited with $?"
 record "entry-2 drained" "exit 0"
 
 step="the pool on the users' platform: a store, a front, an agent and its worker"
@@ -238,8 +238,8 @@
 record "a job of two steps at a front" "completed"
 # shellcheck disable=SC2154
 kill -TERM "$pid_front"
-wait "$pid_front" || fail "the front exited $?"
-record "the front stopped as planned" "exit 0; its shard was let go"
+wait "$pid_front" || fail "the front exited with $?"
+record "the front stopped as planned" "exit 0; it released its shard"
 
 echo
 cat "$table"
--- a/tests/common/fuzz.rs
+++ b/tests/common/fuzz.rs
@@ -1,11 +1,12 @@
-//! Damages what another process writes: seeded, so that a failing case can be played again.
+//! Feeds damaged copies of valid messages to decoders. Each case has a seed, so that a failure can be reproduced.
 
 use fastrand::Rng;
 
-/// Cases of each decoder in CI; `WAXWING_FUZZ` asks for more by hand.
+/// Number of cases for each decoder unless the environment variable `WAXWING_FUZZ` sets another.
 const DEFAULT_CASES: u64 = 4_000;
 
-/// Runs `decode` on damaged copies of the samples; a panic ends the test with the seed of its case.
+/// Runs `decode` on damaged copies of the samples. If `decode` panics, the seed and the bytes of the case are
+/// printed.
 pub(crate) fn fuzz(
     samples: &[Vec<u8>],
     damage: fn(&mut Rng, &[u8]) -> Vec<u8>,
@@ -13,7 +14,7 @@
 ) {
     let requested = std::env::var("WAXWING_FUZZ").ok();
     let cases = requested.map_or(DEFAULT_CASES, |cases| {
-        cases.parse().expect("WAXWING_FUZZ is a number")
+        cases.parse().expect("WAXWING_FUZZ must be a number")
     });
     for seed in 0..cases {
         let mut rng = Rng::with_seed(seed);
@@ -27,7 +28,7 @@
     }
 }
 
-/// Tells of the case that panics.
+/// Prints the case when it is dropped during a panic.
 struct FuzzCase<'a> {
     seed: u64,
     bytes: &'a [u8],
@@ -41,7 +42,7 @@
     }
 }
 
-/// Flips, drops, doubles and inserts bytes, and cuts the end off.
+/// Applies one to five random changes: flips a bit, removes, inserts or repeats bytes, or truncates the sample.
 pub(crate) fn damage_bytes(rng: &mut Rng, sample: &[u8]) -> Vec<u8> {
     let mut bytes = sample.to_vec();
     for _ in 0..rng.usize(1..6) {
--- a/tests/pool/config.rs
+++ b/tests/pool/config.rs
@@ -1,21 +1,21 @@
-//! Changes of the config: in force in time, also when what tells of them has gone silent.
+//! Config changes take effect within their bound, also while the connections that announce them are silent.
 
 use crate::site::{Site, name, run, wait_for};
 use http::Method;
 
-/// A route was added and acknowledged, and a front answered 404 for it for seconds. All open connections had
-/// gone silent without being closed: at once every agent wrote "the owner is silent", 1.8 s after the last
-/// it had heard, and found the same owner again. A front followed the config by a call that the store
-/// may hold for 8 s, and took its silence for a store in which nothing changes: "dependency lost", "feed of
-/// the config", "no answer in time" came 9.5 s after that call had begun, though the store answered new
-/// calls all the while. Played again, 18 versions of the config went by before the next was in force
-/// ("unheard_ms": 10542). Now what is known is read again, on other connections, before it is too old.
+/// Guards against a front that answers 404 for seconds for a route that was added and acknowledged.
+///
+/// All open connections go silent without being closed, while the store still answers new calls. Agents notice
+/// missing heartbeats of their owner after 1.8 s and reconnect. A front follows the config by a long poll that
+/// the store may hold for 8 s, and cannot distinguish a silent connection from a store without changes: the call
+/// times out only 9.5 s after it began. In a reproduction a front missed 18 versions of the config for 10.5 s.
+/// Fronts therefore also read the config on other connections before their copy becomes older than the bound.
 #[test]
 fn a_config_change_is_in_force_although_open_connections_are_silent() {
     run(async {
         let mut site = Site::start_with_proxies("silent-config", 2, 1).await;
         site.make_first_front_owner(&name(1)).await;
-        // Calls of the feed that have just begun: they are given up 9.5 s from now.
+        // The feed's calls begin now and would time out 9.5 s later.
         site.put_config(&["/g/", "/first/"]).await;
         let version_line = "\"config in force\",\"version\":6,";
         for front in ["front-0", "front-1"] {
@@ -31,17 +31,17 @@
                 (answer.status != 404).then_some(())
             })
             .await;
-            // A call of the feed may take several times the bound: a front that learned of the change only
-            // when it gave that call up was late.
+            // A call of the feed may take several times the bound. A front that found the change only after
+            // that call had timed out was late.
             let log = site.log(&format!("front-{front}"));
             let feed_call_failed = log.contains("\"what\":\"feed of the config\",\"error\"");
             assert!(
                 !feed_call_failed,
-                "front {front} went by its old config until its feed had failed"
+                "front {front} used its old config until its feed call timed out"
             );
         }
-        // The call that was silent was given up with that: changes are told at once again, but for one that a
-        // reading happens to meet first.
+        // The front has also replaced the silent call of the feed, so the feed announces changes again. A
+        // periodic read may find one of them first, so one of three versions is enough.
         let mut pushed_to_all = false;
         for version in [12, 15, 18] {
             site.put_config(&["/g/"]).await;
@@ -53,27 +53,27 @@
             pushed_to_all |=
                 (0..2).all(|front| site.log(&format!("front-{front}")).contains(&pushed_line));
         }
-        assert!(pushed_to_all, "no change was told by the feed");
+        assert!(pushed_to_all, "the feed announced no change to both fronts");
         site.audit().await;
     });
 }
 
-/// A front that hears neither of the store nor of an owner keeps its config. That a route is missing in
-/// it is no reason for a 404 then: a 404 is final for a caller, and the route may be there by now.
+/// A front that reaches neither the store nor an owner keeps its config. It must not answer 404 for a route
+/// that this config lacks: a 404 is final for a caller, and the route may have been added since.
 #[test]
 fn a_front_with_a_possibly_stale_config_answers_503_for_an_unknown_route() {
     run(async {
         let site = Site::start_with_proxies("old-config", 1, 1).await;
         let answer = site.request_path(0, Method::GET, "/unknown/").await;
-        assert_eq!(answer.expect("the front answers").status, 404);
+        assert_eq!(answer.expect("the front must answer").status, 404);
         site.store_proxies[0].cut();
-        wait_for("the front to be unsure", || async {
+        wait_for("503 for a route missing in a stale config", || async {
             let answer = site.request_path(0, Method::GET, "/unknown/").await.ok()?;
             (answer.status == 503 && answer.retry_after.is_some()).then_some(())
         })
         .await;
         site.store_proxies[0].restore();
-        wait_for("the front to be sure again", || async {
+        wait_for("404 after the config is fresh again", || async {
             let answer = site.request_path(0, Method::GET, "/unknown/").await.ok()?;
             (answer.status == 404).then_some(())
         })
--- a/tests/pool/crashes.rs
+++ b/tests/pool/crashes.rs
@@ -1,24 +1,22 @@
-//! Tasks that take their workers with them.
+//! Tasks that crash their workers.
 //!
-//! On a day with a few such tasks among some hundred, each was started again and again: its worker
-//! ended 10 ms after the start and was back 3 s later, the owner took the run as lost, and ordered the
-//! next one within 3 ms of hearing it ("worker is gone" at 24.715 s, "start ordered" run 6 at 24.718 s;
-//! 27.927 s, run 7 at 27.930 s; 271 workers started within that day). A run that no worker lists as
-//! ended was not an end: nothing counted it, so that nothing bounded its repeats, and with each one all
-//! that ran beside it was lost as well.
+//! These tests guard against endless restarts of such a task. A run whose worker crashed is reported as ended
+//! by no worker. When only reported ends counted as attempts, the owner ordered the next run within 3 ms of
+//! the crash, the worker crashed 10 ms after each start and was back 3 s later, and each crash also lost
+//! all other runs on that worker: a few such tasks among some hundred caused 271 starts of workers.
 
 use crate::site::{Site, job, name, run};
 use compio::time::sleep;
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
-/// Three workers may end before it must be known, and two more starts may follow.
+/// Limit of starts: the owner may need three crashes to identify the task, and two more starts may follow.
 const MAX_STARTS: usize = 5;
-/// A state that has not come after this time will not come.
+/// Time within which the job must have failed.
 const JOB_TIMEOUT: Duration = Duration::from_secs(90);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A job of which the first task ends every worker that starts it.
+/// A job whose first task crashes every worker that starts it, `crash_ms` after the start.
 fn crashing_job(count: u32, crash_ms: u64) -> Value {
     let mut body = job(1, count, 200);
     let work =
@@ -27,7 +25,7 @@
     body
 }
 
-/// Plays on until the job has failed; its task must not be started too often by then.
+/// Restarts workers until the job has failed; panics if its first task is started more than [`MAX_STARTS`] times.
 async fn wait_until_failed(
     site: &mut Site,
     job_name: &str,
@@ -44,7 +42,10 @@
         if site.state(job_name).await.as_deref() == Some("failed") {
             return;
         }
-        assert!(began.elapsed() < JOB_TIMEOUT, "{job_name} is not given up");
+        assert!(
+            began.elapsed() < JOB_TIMEOUT,
+            "{job_name} has not failed in time"
+        );
         sleep(POLL_INTERVAL).await;
     }
 }
@@ -97,7 +98,7 @@
     });
 }
 
-/// A run that its worker did not outlive is listed by no boot.
+/// The crashed worker restarts under the same id, and its new boot does not list the crashed run.
 #[test]
 fn a_task_that_crashes_workers_which_restart_under_their_ids_fails() {
     run(async {
--- a/tests/pool/drains.rs
+++ b/tests/pool/drains.rs
@@ -1,15 +1,15 @@
-//! Failure domains that the operator drains: nothing starts there until they are taken back.
+//! Failure domains that the operator drains: nothing starts there until they are undrained.
 
 use crate::site::{Site, job, name, run, wait_for};
 use serde_json::{Value, json};
 
-/// Jobs as wide as two workers: each takes all machines that there are.
+/// Number of tasks of a step that fills two workers, so that a job of it uses both workers of a site of two VMs.
 const TASKS_FOR_ALL_VMS: u32 = 8;
 
-/// Submits jobs one after the other until one has run without the drained domain; returns the next number.
+/// Submits jobs one after the other until one starts nothing in the drained domain; returns the next job number.
 async fn run_jobs_until_domain_unused(site: &Site, domain: &str, first: u64) -> u64 {
     let next = std::cell::Cell::new(first);
-    wait_for("a job to keep out of the drained domain", || async {
+    wait_for("a job without starts in the drained domain", || async {
         let n = next.replace(next.get() + 1);
         site.submit(&name(n), &job(1, TASKS_FOR_ALL_VMS, 50)).await;
         site.wait_state(&name(n), "completed").await;
@@ -19,7 +19,7 @@
     next.get()
 }
 
-/// Submits jobs one after the other until one has run in the domain too; returns the next number.
+/// Submits jobs one after the other until one starts tasks in the domain too; returns the next job number.
 async fn run_jobs_until_domain_used(site: &Site, domain: &str, first: u64) -> u64 {
     let next = std::cell::Cell::new(first);
     wait_for("a job to use the domain again", || async {
@@ -32,7 +32,7 @@
     next.get()
 }
 
-/// Runs some more jobs, none of which may start anything in the domain.
+/// Runs four more jobs, none of which may start anything in the domain; returns the next job number.
 async fn run_jobs_outside(site: &Site, domain: &str, first: u64) -> u64 {
     for n in first..first + 4 {
         site.submit(&name(n), &job(1, TASKS_FOR_ALL_VMS, 50)).await;
@@ -59,13 +59,13 @@
     });
 }
 
-/// The owner dies right after the drain: the next one knows of it before its first start.
+/// The owner is killed right after the drain: the next owner must read the drain before it orders a start.
 #[test]
 fn a_new_owner_starts_nothing_in_a_drained_domain() {
     run(async {
         let mut site = Site::start_across_domains("drain-owner", 2, 4, 2).await;
         site.make_first_front_owner(&name(1)).await;
-        // A chain of steps, so that there is something to start at every moment.
+        // A chain of steps, so that starts are due at all times.
         site.submit(&name(2), &job(12, TASKS_FOR_ALL_VMS, 100))
             .await;
         site.wait_running(&name(2)).await;
@@ -79,7 +79,7 @@
     });
 }
 
-/// The owner does not hear of the drain, as the store refuses it; a front that hears takes over.
+/// The owner cannot read the drain because it is cut off from the store; the other front takes over.
 #[test]
 fn an_owner_cut_off_from_the_store_starts_nothing_in_a_drained_domain_beyond_the_bound() {
     run(async {
@@ -98,7 +98,7 @@
     });
 }
 
-/// Nobody hears of the drain: starts end before the bound, everywhere, and go on once it is known.
+/// No front can read the drains: all starts stop before the bound, and resume once the drains are read again.
 #[test]
 fn nothing_starts_while_the_drains_cannot_be_read() {
     run(async {
@@ -118,7 +118,7 @@
     });
 }
 
-/// The drain is taken back while nobody hears, and the store forgets the history that tells of it.
+/// The domain is undrained while the owner is cut off, and the store drops the history that contains the change.
 #[test]
 fn an_undrain_that_the_owner_missed_takes_effect_after_the_outage() {
     run(async {
@@ -134,7 +134,7 @@
     });
 }
 
-/// Four lasting tasks, at most two on a worker where there are others.
+/// A job of four long-running tasks, at most two on one worker while other workers have capacity.
 fn long_running_job() -> Value {
     let spec = json!({ "ms": 600_000, "cpu": 500, "mem": 100 }).to_string();
     let step =
@@ -142,13 +142,13 @@
     json!({ "spec": spec, "phases": [step] })
 }
 
-/// A lasting task that fails in a drained domain is back elsewhere; those that run there are left alone.
+/// A drain leaves long-running tasks running. When their worker is killed, they restart in another domain.
 #[test]
 fn long_running_tasks_stay_in_a_drained_domain_until_they_end() {
     run(async {
         let mut site = Site::start_across_domains("drain-lasting", 1, 3, 3).await;
         site.submit(&name(1), &long_running_job()).await;
-        let fully_used = wait_for("all four to run, two on a worker", || async {
+        let fully_used = wait_for("four running tasks, two on each of two workers", || async {
             let mut fully_used_vms = Vec::new();
             for (number, domain) in ["a", "b", "c"].into_iter().enumerate() {
                 let starts = site.start_count_in(domain, &name(1)).await;
@@ -164,7 +164,7 @@
         assert_eq!(
             site.start_count(&name(1)).await,
             4,
-            "none was started again"
+            "the drain must not restart a task"
         );
         site.kill_worker(vm).await;
         site.start_worker(vm);
@@ -175,13 +175,13 @@
         assert_eq!(
             site.start_count_in(domain, &name(1)).await,
             0,
-            "its worker is new"
+            "the new worker in the drained domain must get no task"
         );
         site.audit().await;
     });
 }
 
-/// What a worker says of its failure domain may be missing, or another's: its machine's counts as well.
+/// A worker may report no failure domain, or a wrong one: the domain of its VM counts as well.
 macro_rules! reported_domain_tests {
     ($($name:ident: $test:literal, $reported:literal,)*) => {
         $(
--- a/tests/pool/faults.rs
+++ b/tests/pool/faults.rs
@@ -1,4 +1,4 @@
-//! Jobs under kills, freezes, outages and lost answers.
+//! Jobs under kills, freezes, outages and lost replies.
 
 use crate::site::{Site, job, name, run, wait_for};
 use http::Method;
@@ -83,10 +83,10 @@
         let number = site.wait_running(&name(1)).await;
         let agent = site.vms[number].agent.as_ref().expect("it runs");
         agent.signal(libc::SIGSTOP);
-        // Its worker's leases lapse, and the tasks that were there start again on the other.
+        // The leases of this agent's worker expire, and its tasks restart on the other worker.
         let other = 1 - number;
         let url = format!("http://{}/history", site.vms[number].app);
-        wait_for("the leases to lapse", || async {
+        wait_for("the leases to expire", || async {
             let history = crate::calls::get_json(&url).await?;
             let expired = history
                 .as_array()?
@@ -100,7 +100,7 @@
         let cancelled = site
             .request(0, Method::DELETE, &name(1), Vec::new())
             .await
-            .expect("the front answers");
+            .expect("the front must answer");
         assert_eq!(cancelled.status, 200);
         site.submit(&name(2), &job(1, 8, 20)).await;
         site.wait_state(&name(2), "completed").await;
@@ -116,8 +116,8 @@
     });
 }
 
-/// A worker has less for a while. The owner went by what it had said first: it ordered what its agent
-/// refused for want of room, ten times a second, and would never have used what it gained.
+/// The capacity of a worker shrinks for a while. An owner that keeps using the capacity reported first orders
+/// starts that the agent refuses for lack of capacity, ten times a second, and never uses capacity that is added.
 #[test]
 fn a_worker_whose_capacity_changes_gets_only_tasks_that_fit() {
     run(async {
@@ -138,20 +138,20 @@
     });
 }
 
-/// A front that the store turns away takes jobs through the owner, and says that it takes them.
+/// A front that cannot reach the store relays the transaction of a submission through the owner and accepts the job.
 #[test]
 fn a_front_cut_off_from_the_store_accepts_jobs_through_the_owner() {
     run(async {
         let site = Site::start_with_proxies("relay", 2, 1).await;
         site.submit(&name(1), &job(1, 2, 20)).await;
         site.wait_state(&name(1), "completed").await;
-        // Either front may own the shard: each is cut off once.
+        // Either front may own the shard, so each is cut off once.
         for number in 0..2 {
             site.store_proxies[number].cut();
             for n in 0..3 {
                 let job_name = name(10 + 10 * number as u64 + n);
                 let body = job(1, 1, 20).to_string().into_bytes();
-                wait_for("the front to take a job", || async {
+                wait_for("the front to accept a job", || async {
                     let answer = site
                         .request(number, Method::POST, &job_name, body.clone())
                         .await
@@ -173,12 +173,12 @@
         let site = Site::start("thaw", 2, 2).await;
         site.submit(&name(1), &job(3, 4, 400)).await;
         site.wait_running(&name(1)).await;
-        // Either front may own the shard: each is frozen once.
+        // Either front may own the shard, so each is frozen once.
         for number in 0..2 {
             let front = site.fronts[number].process.as_ref().expect("it runs");
             front.signal(libc::SIGSTOP);
             let other = 1 - number;
-            wait_for("the other front to take a job", || async {
+            wait_for("the other front to accept and complete a job", || async {
                 let job_name = name(100 + number as u64);
                 let body = job(1, 1, 20).to_string().into_bytes();
                 let answer = site
@@ -227,33 +227,40 @@
         let answer = site
             .request(0, Method::POST, &name(2), body)
             .await
-            .expect("the front answers");
+            .expect("the front must answer");
         assert_eq!(answer.status, 503);
-        assert!(answer.retry_after.is_some(), "it is told when to come back");
+        assert!(
+            answer.retry_after.is_some(),
+            "the refusal must have a retry-after"
+        );
         site.store_faults(json!({})).await;
         site.wait_state(&name(1), "completed").await;
         let refused_job = site
             .request(0, Method::GET, &name(2), Vec::new())
             .await
-            .expect("the front answers");
-        assert_eq!(refused_job.status, 410, "what was refused is not there");
+            .expect("the front must answer");
+        assert_eq!(refused_job.status, 410, "a refused job must be unknown");
         site.audit().await;
     });
 }
 
-/// Held until its caller gives up, a request can't be served by a front that is not cut off.
+/// A front without any path to the store must refuse at once. If it held the request until the caller gives up, the
+/// caller could not try another front.
 #[test]
 fn a_front_without_a_path_to_the_store_refuses_at_once() {
     run(async {
         let site = Site::start("refuses", 1, 1).await;
         site.store_faults(json!({ "down": true })).await;
         let body = job(1, 1, 10).to_string().into_bytes();
-        wait_for("a refusal for want of any way to the store", || async {
-            let answer = site.request(0, Method::POST, &name(1), body.clone()).await;
-            assert_eq!(answer.expect("the front answers").status, 503);
-            let reason = "neither the store nor the owner can be reached";
-            site.log("front-0").contains(reason).then_some(())
-        })
+        wait_for(
+            "a refusal because there is no path to the store",
+            || async {
+                let answer = site.request(0, Method::POST, &name(1), body.clone()).await;
+                assert_eq!(answer.expect("the front must answer").status, 503);
+                let reason = "neither the store nor the owner can be reached";
+                site.log("front-0").contains(reason).then_some(())
+            },
+        )
         .await;
         site.store_faults(json!({})).await;
         site.submit(&name(1), &job(1, 1, 10)).await;
@@ -312,7 +319,8 @@
         site.submit(&name(1), &job(1, 8, 20)).await;
         site.wait_state(&name(1), "completed").await;
         site.worker_faults(0, json!({ "draining": true })).await;
-        // The second report of a leaving worker comes after the first was taken.
+        // The worker may get tasks until its agent has processed its report. Three jobs in a row without a
+        // start on it show that it no longer gets any.
         let url = format!("http://{}/history", site.vms[0].app);
         let starts = || async {
             let history = crate::calls::get_json(&url).await.unwrap_or_default();
@@ -332,7 +340,7 @@
                 0
             };
             n += 1;
-            assert!(n < 200, "it still gets work");
+            assert!(n < 200, "the draining worker still gets tasks");
         }
         site.audit().await;
     });
@@ -355,8 +363,11 @@
         for n in 1..=4 {
             site.wait_state(&name(n), "completed").await;
         }
-        let front = site.fronts[0].process.as_mut().expect("it was started");
-        wait_for("the front to end", || {
+        let front = site.fronts[0]
+            .process
+            .as_mut()
+            .expect("the front was started");
+        wait_for("the front to terminate", || {
             let ended = !front.is_running();
             async move { ended.then_some(()) }
         })
@@ -404,8 +415,8 @@
             let answer = site
                 .request(front, Method::POST, &name(1), other)
                 .await
-                .expect("a front answers");
-            assert_eq!(answer.status, 200, "it is known");
+                .expect("a front must answer");
+            assert_eq!(answer.status, 200, "the name is already accepted");
         }
         for number in 0..2 {
             site.kill_front(number);
@@ -415,7 +426,7 @@
         assert_eq!(
             site.start_count(&name(1)).await,
             4,
-            "of the job that was accepted"
+            "the starts of the job that was accepted first"
         );
         site.audit().await;
     });
@@ -427,17 +438,18 @@
         let mut site = Site::start("gone", 2, 2).await;
         site.submit(&name(1), &job(1, 8, 50)).await;
         site.wait_state(&name(1), "completed").await;
-        wait_for("both agents to be known", || async {
+        wait_for("rows of both agents", || async {
             site.agent_row_count().await.filter(|rows| *rows == 2)
         })
         .await;
         site.kill_worker(0).await;
-        wait_for("the agent without a worker to be forgotten", || async {
-            site.agent_row_count().await.filter(|rows| *rows == 1)
-        })
+        wait_for(
+            "the removal of the row of the agent without a worker",
+            || async { site.agent_row_count().await.filter(|rows| *rows == 1) },
+        )
         .await;
         site.start_worker(0);
-        wait_for("the agent to be known again", || async {
+        wait_for("the agent's row after a new worker has started", || async {
             site.agent_row_count().await.filter(|rows| *rows == 2)
         })
         .await;
@@ -447,8 +459,8 @@
     });
 }
 
-/// An owner that only the store has left cannot know that it was replaced: its agents and the other
-/// front must leave it by themselves.
+/// An owner that is cut off from the store alone cannot notice that it was replaced. Its agents and the other
+/// front must switch to the new owner without its help.
 #[test]
 fn work_continues_while_the_former_owner_runs_cut_off_from_the_store() {
     run(async {
@@ -461,12 +473,12 @@
         for n in 2..=4 {
             site.wait_state(&name(n), "completed").await;
         }
-        assert!(site.is_front_running(0), "the old owner still lives");
+        assert!(site.is_front_running(0), "the former owner must still run");
         site.audit().await;
     });
 }
 
-/// A front that few requests keep busy may own alone, and gives way to one that carries the load.
+/// A weak front may own the shard when it is the only front, and hands over when a much stronger front is linked.
 #[test]
 fn a_weak_front_takes_over_from_a_killed_owner_and_hands_back_to_a_strong_front() {
     run(async {
@@ -475,7 +487,7 @@
         site.start_front(weak);
         site.wait_ready(weak).await;
         site.wait_log("front-1", "linked to the owner").await;
-        // Nobody else is left: the weak one owns.
+        // The weak front is the only one left and takes over.
         site.kill_front(0);
         site.wait_log("front-1", "took over the shard").await;
         site.submit(&name(1), &job(2, 3, 400)).await;
@@ -490,8 +502,9 @@
     });
 }
 
-/// Else nobody would take over before the owner's row had stood still, and tasks of workers that were
-/// not heard would wait as long as that owner may have acted on.
+/// An owner that is cut off from the store writes its release through another front. Without the release, a
+/// takeover would wait until the owner's row has been unchanged for the takeover timeout, and tasks on workers
+/// that have not reported would wait until the former owner's term can no longer be valid.
 #[test]
 fn an_owner_cut_off_from_the_store_releases_its_term_through_a_front() {
     run(async {
@@ -503,14 +516,14 @@
         site.wait_log("front-0", "let go").await;
         site.wait_log("front-1", "took over the shard").await;
         site.wait_state(&name(2), "completed").await;
-        assert!(site.is_front_running(0), "the old owner still lives");
+        assert!(site.is_front_running(0), "the former owner must still run");
         site.audit().await;
     });
 }
 
-/// A front was stopped while another took over, and its connections to the store had gone silent by the time it
-/// went on. It knew the old owner only, and would have looked for it until the call of its feed was given
-/// up, 11.5 s after that had begun.
+/// A front is suspended while another one takes over, and its connections to the store are silent when it resumes.
+/// It knows only the former owner. Guards against a front that learns of the new owner only when the call of its
+/// owner feed times out, 11.5 s after the call began.
 #[test]
 fn a_front_finds_the_new_owner_although_its_owner_feed_is_silent() {
     run(async {
@@ -521,7 +534,9 @@
             site.log(&format!("front-{front}"))
                 .contains("took over the shard")
         };
-        let owner = (0..3).find(|front| owned(&site, *front)).expect("one owns");
+        let owner = (0..3)
+            .find(|front| owned(&site, *front))
+            .expect("one front owns the shard");
         let (next, resumed) = ((owner + 1) % 3, (owner + 2) % 3);
         let resumed_name = format!("front-{resumed}");
         for front in [next, resumed] {
@@ -545,7 +560,7 @@
         let feed_call_failed = log.contains("\"what\":\"feed of owners\",\"error\"");
         assert!(
             !feed_call_failed,
-            "it knew of the new owner only once its feed had failed"
+            "the front found the new owner only after its feed call had timed out"
         );
         site.audit().await;
     });
--- a/tests/pool/jobs.rs
+++ b/tests/pool/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs from their submission to their end, without troubles.
+//! Jobs from submission to end, without injected faults.
 
 use crate::site::{Site, job, name, run, wait_for};
 use http::Method;
@@ -11,8 +11,8 @@
         site.submit(&name(1), &job(2, 6, 40)).await;
         site.wait_state(&name(1), "completed").await;
         assert_eq!(site.start_count(&name(1)).await, 12);
-        // A front that has no link to the owner yet refuses to tell.
-        let pending = wait_for("the queue to be told", || async {
+        // A front that has no link to the owner yet refuses the query.
+        let pending = wait_for("an answer to the queue query", || async {
             let answer = site.request(1, Method::GET, "", Vec::new()).await.ok()?;
             (answer.status == 200).then_some(answer)
         });
@@ -30,7 +30,7 @@
             let answer = site
                 .request(front, Method::POST, &name(1), body.to_string().into_bytes())
                 .await;
-            assert_eq!(answer.expect("a front answers").status, 200);
+            assert_eq!(answer.expect("a front must answer").status, 200);
         }
         site.wait_state(&name(1), "completed").await;
         assert_eq!(site.start_count(&name(1)).await, 3);
@@ -49,7 +49,7 @@
         assert_eq!(
             site.start_count(&name(1)).await,
             2,
-            "as often as its queue allows"
+            "the `maxAttempts` of the queue"
         );
     });
 }
@@ -63,16 +63,16 @@
         let answer = site
             .request(1, Method::DELETE, &name(1), Vec::new())
             .await
-            .expect("a front answers");
+            .expect("a front must answer");
         assert_eq!(answer.status, 200);
         site.wait_state(&name(1), "cancelled").await;
-        // Only a worker that is free again can take a job of its whole size.
+        // The second job needs the whole worker, so it completes only if the cancelled tasks have ended.
         site.submit(&name(2), &job(1, 4, 10)).await;
         site.wait_state(&name(2), "completed").await;
         let unknown_job = site
             .request(0, Method::DELETE, &name(9), Vec::new())
             .await
-            .expect("a front answers");
+            .expect("a front must answer");
         assert_eq!(unknown_job.status, 410);
         site.audit().await;
     });
@@ -88,7 +88,7 @@
             let answer =
                 crate::calls::call(Method::POST, &url, &[("host", "h.example")], body.clone())
                     .await;
-            assert_eq!(answer.expect("a front answers").status, 404);
+            assert_eq!(answer.expect("a front must answer").status, 404);
         }
         site.put_config(&["/g/", "/new/"]).await;
         for front in 0..2 {
@@ -124,14 +124,14 @@
             let answer = site
                 .request(0, Method::POST, job, body)
                 .await
-                .expect("a front answers");
+                .expect("a front must answer");
             assert_eq!(answer.status, 400, "{}", answer.text());
             assert!(answer.text().contains("help"), "{}", answer.text());
         }
         let unknown_job = site
             .request(0, Method::GET, &name(1), Vec::new())
             .await
-            .expect("a front answers");
+            .expect("a front must answer");
         assert_eq!(unknown_job.status, 410);
     });
 }
@@ -144,14 +144,14 @@
         let url = format!("http://{}/metrics", site.fronts[0].metrics);
         let text = crate::calls::call(Method::GET, &url, &[], Vec::new())
             .await
-            .expect("metrics")
+            .expect("the metrics must be served")
             .text();
         assert!(text.contains("waxwing_jobs_accepted 1"), "{text}");
         assert!(text.contains("waxwing_accept_job_ms_count 1"), "{text}");
     });
 }
 
-/// The report of a run's own lines: what operators follow a late job by.
+/// Checks the report of `waxwing logs` on the log files of this site, which operators use to investigate late jobs.
 #[test]
 fn the_log_report_shows_the_history_of_each_job() {
     run(async {
@@ -163,7 +163,7 @@
         site.submit(&name(2), &body).await;
         site.wait_state(&name(2), "failed").await;
         let report: serde_json::Value =
-            serde_json::from_str(&site.log_report(&["--json"])).expect("it is JSON");
+            serde_json::from_str(&site.log_report(&["--json"])).expect("the report must be JSON");
         let queue = &report["queues"][0];
         assert_eq!(queue["accepted"], 2);
         assert_eq!(queue["gone"], 1);
@@ -173,7 +173,10 @@
             .flatten()
             .filter_map(|row| row["starts"].as_u64())
             .sum();
-        assert_eq!(starts, 8, "six and two that failed");
+        assert_eq!(
+            starts, 8,
+            "six starts of the first job and two of the failed one"
+        );
         let job_name = name(1);
         let job_report = site.log_report(&["--job", &job_name]);
         assert!(job_report.contains("shown as Completed"), "{job_report}");
--- a/tests/pool/links.rs
+++ b/tests/pool/links.rs
@@ -1,4 +1,4 @@
-//! What an owner takes from an agent's link, before and after the agent has told what is on its worker.
+//! How an owner processes messages of an agent's link before and after the agent has sent its worker's snapshot.
 
 use crate::site::{Site, job, name, run, wait_for};
 use compio::net::TcpStream;
@@ -13,11 +13,11 @@
     split_stream,
 };
 
-/// A message that has not come by then will not come.
+/// Time within which an expected message must arrive.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(60);
 const WORKER: &str = "i-played";
 
-/// An agent that a test plays by hand, frame by frame.
+/// Agent's end of a link, which a test drives frame by frame.
 struct FakeAgent {
     reader: PoolReader,
     outbox: UnboundedSender<PoolBody>,
@@ -25,12 +25,12 @@
 }
 
 impl FakeAgent {
-    /// Links to the owner; nothing is told yet.
+    /// Links to the owner without sending a snapshot; `None` if the front does not own the shard.
     async fn link(owner: SocketAddr) -> Option<Self> {
         Self::link_as(owner, "played", None).await
     }
 
-    /// Links to the owner as the agent of a machine; says that this boot is dead.
+    /// Links to the owner as the agent `node`, and reports the boot `dead` as ended.
     async fn link_as(owner: SocketAddr, node: &str, dead: Option<BootId>) -> Option<Self> {
         let stream = TcpStream::connect(owner).await.ok()?;
         let (mut reader, mut writer): (PoolReader, PoolWriter) = split_stream(stream);
@@ -45,7 +45,7 @@
         }
         let (outbox, mut inbox) = unbounded();
         let writer_task = spawn(async move {
-            // The owner's end closes the link.
+            // An error means that the owner has closed the link.
             let _ = writer.drain(&mut inbox).await;
         });
         Some(Self {
@@ -56,7 +56,9 @@
     }
 
     fn send(&self, body: PoolBody) {
-        self.outbox.unbounded_send(body).expect("the link stands");
+        self.outbox
+            .unbounded_send(body)
+            .expect("the link must be open");
     }
 
     fn send_snapshot(&self, ends: &[RunEnd]) {
@@ -82,19 +84,19 @@
         }));
     }
 
-    /// The next message that `pick` takes; heartbeats go on meanwhile.
+    /// Returns the first value that `pick` takes from a message. Sends a heartbeat before each read.
     async fn next<T>(&mut self, pick: impl Fn(PoolBody) -> Option<T>) -> T {
         timeout(MESSAGE_TIMEOUT, async {
             loop {
                 self.send(PoolBody::Ping(LinkPing::default()));
-                let body = self.reader.read().await.expect("the link stands");
-                if let Some(picked) = pick(body.expect("the owner keeps the link")) {
+                let body = self.reader.read().await.expect("the link must be open");
+                if let Some(picked) = pick(body.expect("the owner must keep the link open")) {
                     return picked;
                 }
             }
         })
         .await
-        .expect("the message comes")
+        .expect("the message must arrive in time")
     }
 
     async fn next_start(&mut self) -> RunId {
@@ -120,8 +122,8 @@
     }
 }
 
-/// Two runs end while the link is silent, so that the first of the two ends is lost with it. The second one is
-/// told on the next link before all that the worker lists.
+/// Two runs end while the link is silent, so the first end is lost with the link. The agent reports the second
+/// end on the next link before it sends the snapshot with all ends. The owner must not skip the first end.
 #[test]
 fn a_run_end_lost_with_its_link_is_processed_although_a_later_end_arrives_first() {
     run(async {
@@ -133,7 +135,7 @@
         site.submit(&name(1), &job(1, 2, 50)).await;
         let (first, second) = (agent.next_start().await, agent.next_start().await);
         drop(agent);
-        let mut agent = wait_for("another link", || FakeAgent::link(owner)).await;
+        let mut agent = wait_for("the second link", || FakeAgent::link(owner)).await;
         agent.send(PoolBody::News(RunNews {
             ends: vec![(&successful_end(2, second)).into()],
             ..Default::default()
@@ -148,7 +150,8 @@
     });
 }
 
-/// A worker dies while its agent has no link, so that the word of its end is lost.
+/// A worker ends while its agent has no link, so the message about its end is lost. The agent's next hello lists the
+/// ended boot, so the owner restarts the task without waiting for leases to expire.
 #[test]
 fn a_task_of_a_worker_that_ended_between_two_links_restarts_without_lease_expiry() {
     run(async {
@@ -174,7 +177,7 @@
         let waited_for_expiry = site.log("front-0").contains("leases have lapsed");
         assert!(
             !waited_for_expiry,
-            "the task waited for leases of a dead worker"
+            "the task waited for the leases of an ended worker"
         );
     });
 }
--- a/tests/pool/main.rs
+++ b/tests/pool/main.rs
@@ -1,9 +1,9 @@
-//! The roles of the pool on real processes, against stand-ins of the users' platform.
+//! Tests the roles of the pool as real processes against stand-ins for the users' platform.
 //!
-//! Tests wait for states, never for times. After each, the workers' own histories are audited.
+//! Tests wait for states, never for fixed times. At its end a test audits what the workers recorded.
 
 #[path = "../proofs/support/calls.rs"]
-#[allow(dead_code, reason = "shared with the proofs, which use all of it")]
+#[allow(dead_code, reason = "shared with the test target `proofs`")]
 mod calls;
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/pool/many_agents.rs
+++ b/tests/pool/many_agents.rs
@@ -1,4 +1,4 @@
-//! An owner with more agents than one transaction, page or message holds.
+//! An owner with more agents than one transaction, page or message can hold.
 
 use crate::site::{Site, job, name, run, wait_for};
 use compio::net::TcpStream;
@@ -14,19 +14,19 @@
     AgentHello, LinkPing, PoolBody, PoolReader, PoolWriter, WorkerGone, WorkerUp, split_stream,
 };
 
-/// More agents than entries of one transaction.
+/// More agents than a transaction may have entries.
 const AGENTS: usize = 200;
-/// Agents whose workers leave while the store is down.
+/// Number of agents whose workers end while the store is down.
 const LEAVING_AGENTS: usize = 70;
 
-/// A link that was not served by then never will be.
+/// Time within which the owner must have accepted all links.
 const LINK_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Between two heartbeats, as agents send them.
+/// Interval between two heartbeats of an agent.
 const HEARTBEAT_PERIOD: Duration = Duration::from_millis(400);
 
-/// The agent's end of a link, whose worker belongs to another service: it gets no work. It ends with
-/// its tasks.
+/// Agent's end of a link. Its worker belongs to another service and therefore gets no tasks. The link closes
+/// when the value is dropped.
 struct FakeAgent {
     worker: String,
     outbox: UnboundedSender<PoolBody>,
@@ -34,7 +34,7 @@
 }
 
 impl FakeAgent {
-    /// Links to the owner, tells the worker's runs, none, and waits until they were taken over.
+    /// Links to the owner, sends a snapshot without runs, and waits until the owner accepts it.
     async fn link(owner: SocketAddr, number: usize) -> Option<Self> {
         let stream = TcpStream::connect(owner).await.ok()?;
         let (mut reader, mut writer): (PoolReader, PoolWriter) = split_stream(stream);
@@ -50,7 +50,7 @@
         let worker = format!("i-fake-{number}");
         let (outbox, mut inbox) = unbounded();
         let writer_task = spawn(async move {
-            // The owner's end closes the link.
+            // An error means that the owner has closed the link.
             let _ = writer.drain(&mut inbox).await;
         });
         let heartbeat_task = spawn(send_heartbeats(outbox.clone()));
@@ -68,7 +68,7 @@
         let ended = WorkerGone::new(&self.worker.as_str().into(), true);
         self.outbox
             .unbounded_send(PoolBody::WorkerGone(ended))
-            .expect("the link stands");
+            .expect("the link must be open");
     }
 }
 
@@ -100,7 +100,7 @@
     })
 }
 
-/// Links agents of these numbers to the owner, at once.
+/// Links the agents with these numbers to the owner concurrently.
 async fn link_all(owner: SocketAddr, numbers: Range<usize>) -> Vec<FakeAgent> {
     let first = numbers.start;
     let first = wait_for("the front to own the shard", || async {
@@ -111,19 +111,20 @@
         .skip(1)
         .map(|number| spawn(async move { FakeAgent::link(owner, number).await }));
     let agents = timeout(LINK_TIMEOUT, join_all(links)).await;
-    let agents = agents.expect("all links are served");
+    let agents = agents.expect("all links must be accepted in time");
     let agents = agents.into_iter().filter_map(|agent| agent.ok()?);
     std::iter::once(first).chain(agents).collect()
 }
 
-/// With all agents' rows in one transaction the store refused it for ever, and no work began.
+/// Guards against an owner that writes the rows of all agents in one transaction: the store refuses a transaction
+/// beyond its limits each time, so no task would ever start.
 #[test]
 fn rows_of_many_agents_are_split_into_transactions_within_the_store_limits() {
     run(async {
         let site = Site::start("many", 1, 1).await;
         let agents = link_all(site.fronts[0].peers, 0..AGENTS).await;
-        assert_eq!(agents.len(), AGENTS, "all were taken over");
-        wait_for("all agents to be known", || async {
+        assert_eq!(agents.len(), AGENTS, "the owner must accept all links");
+        wait_for("rows of all agents", || async {
             site.agent_row_count()
                 .await
                 .filter(|rows| *rows == AGENTS + 1)
@@ -135,21 +136,22 @@
     });
 }
 
-/// Workers that have said goodbye hold up nothing, though their agents are gone at the takeover and
-/// the store could not be told: their rows stand.
+/// Workers that have ended must not delay a takeover, although the store was down and still holds the rows of
+/// their agents, and these agents have terminated before the takeover.
 #[test]
 fn workers_that_left_during_a_store_outage_do_not_delay_a_takeover() {
     run(async {
         let mut site = Site::start("left", 2, 1).await;
         site.make_first_front_owner(&name(1)).await;
         let mut agents = link_all(site.fronts[0].peers, 0..AGENTS).await;
-        wait_for("all agents to be known", || async {
+        wait_for("rows of all agents", || async {
             site.agent_row_count()
                 .await
                 .filter(|rows| *rows == AGENTS + 1)
         })
         .await;
-        // A task that waits at the takeover, and may run unheard as far as the next owner knows.
+        // Some tasks still wait at the takeover. The next owner cannot exclude that they run on a worker that has not
+        // reported yet.
         site.submit(&name(2), &job(1, 6, 2_500)).await;
         site.wait_running(&name(2)).await;
         site.store_faults(serde_json::json!({ "down": true })).await;
@@ -171,7 +173,7 @@
         assert!(log.contains("all workers heard or lapsed"));
         assert!(
             !log.contains("leases have lapsed unheard"),
-            "nobody was waited for"
+            "the new owner must not wait for leases to expire"
         );
         site.audit().await;
     });
--- a/tests/pool/restarts.rs
+++ b/tests/pool/restarts.rs
@@ -1,14 +1,14 @@
-//! Workers that restart under the id that they had.
+//! Workers that restart under their previous id.
 
 use crate::site::{
     RestartClock, Site, WORKER_CPU_MILLI, job, long_running_job, name, run, wait_for,
 };
 use serde_json::json;
 
-/// Enough tasks that every worker has ended more of them than it is given after its restart.
+/// Enough tasks that every worker ends more of them before its restart than it gets afterwards.
 const TASKS_BEFORE_RESTART: u32 = 24;
 
-/// Waits until the worker has taken an order since it started.
+/// Waits until the worker has received an order since its start; returns the fencing token of that order.
 async fn wait_first_order(site: &Site, number: usize) -> u64 {
     wait_for("an order to the worker", || {
         site.worker_fencing_token(number)
@@ -16,7 +16,8 @@
     .await
 }
 
-/// The ends of a boot are numbered from 1 again.
+/// Each boot numbers its ends from 1, so the end numbers after the restart are lower than those that the owner
+/// has seen. The owner must still process each of them once.
 async fn ends_count_once_after_restart(test: &str, clock: RestartClock) {
     let mut site = Site::start(test, 1, 2).await;
     site.submit(&name(1), &job(1, TASKS_BEFORE_RESTART, 50))
@@ -35,7 +36,7 @@
     site.submit(&name(1), &long_running_job(2)).await;
     site.wait_running(&name(1)).await;
     site.restart_worker(0, clock).await;
-    wait_for("both tasks to run again", || async {
+    wait_for("starts of both tasks on the restarted worker", || async {
         (site.start_count(&name(1)).await == 2).then_some(())
     })
     .await;
@@ -60,14 +61,14 @@
     a_lasting_task_runs_again_after_its_workers_clock_started_anew: long_running_tasks_run_again_after_restart, FromZero;
 }
 
-/// The agent sends the start when it no longer is the boot before that takes it.
+/// The agent sends a start while the boot that it is meant for is replaced by the next one under the same id.
 #[test]
 fn a_start_that_reaches_the_next_boot_of_the_same_id_does_not_run_twice() {
     run(async {
         let mut site = Site::start("restart-start", 1, 2).await;
         site.wait_log_lines("front-0", "worker taken over", 2).await;
         site.signal_agent(0, libc::SIGSTOP);
-        // Half of the room: what was taken for lost is started on the other worker at once.
+        // The job needs half of the capacity, so runs that count as lost restart on the other worker at once.
         site.submit(&name(2), &job(1, 4, 1_500)).await;
         wait_for("all starts to be ordered", || async {
             let tasks = (0..4).map(|index| format!("{}.0.0.{index}", name(2)));
@@ -77,7 +78,7 @@
         .await;
         site.restart_worker(0, RestartClock::FromZero).await;
         site.wait_worker(0).await;
-        // The next boot gets its orders late, so that there is time to start its runs elsewhere.
+        // The slow store delays orders to the next boot, so that its runs could be started elsewhere meanwhile.
         site.store_faults(json!({ "delay_ms": 700 })).await;
         site.signal_agent(0, libc::SIGCONT);
         site.wait_state(&name(2), "completed").await;
@@ -85,7 +86,7 @@
     });
 }
 
-/// The platform may carry out an order seconds late, by then on the next boot.
+/// The platform may execute an order seconds late, when the next boot has already started.
 #[test]
 fn an_order_for_the_previous_boot_is_fenced_after_a_restart_under_the_same_id() {
     run(async {
@@ -106,7 +107,8 @@
     });
 }
 
-/// A call of the boot before that comes once the next one is driven.
+/// The agent receives a call of the previous boot after the next boot has become active. With `with_start_time`
+/// the body is the report of the previous boot; without, it lacks the start time that identifies a boot.
 async fn late_call(test: &str, call: &str, with_start_time: bool) {
     let mut site = Site::start(test, 1, 2).await;
     site.wait_log_lines("front-0", "worker taken over", 2).await;
@@ -121,13 +123,13 @@
         report = json!({ "state": "ready", "sequence": 90 });
     }
     site.call_agent(0, call, &report).await;
-    // A job that is submitted later ends later than anything that the call has led to.
+    // This job is submitted after the call, so it ends after any effect of the call.
     site.submit(&name(2), &job(3, 4, 200)).await;
     site.wait_state(&name(2), "completed").await;
     assert_eq!(
         site.start_count(&name(1)).await,
         8,
-        "no task is started again"
+        "no task must be started again"
     );
     site.audit().await;
 }
@@ -149,7 +151,7 @@
     a_late_leave_without_a_start_time_changes_nothing: "leave", false;
 }
 
-/// What happens beside a restart of the first worker.
+/// What happens together with the restart of the first worker.
 #[derive(Debug, Clone, Copy)]
 enum RestartCase {
     Twice,
@@ -223,13 +225,14 @@
     }
 }
 
-/// Lasting tasks and a wide job go on over a restart; nothing runs twice or beyond a worker's room.
+/// Long-running tasks and a job that fills all workers survive a restart. The audit checks that no task runs
+/// twice and that no worker gets more than its capacity.
 async fn restart_during(test: &str, case: RestartCase) {
     let mut site = Site::start(test, 2, 3).await;
     site.make_first_front_owner(&name(9)).await;
     site.submit(&name(1), &long_running_job(4)).await;
     let all_running = || async { (site.running_count(&name(1)).await == 4).then_some(()) };
-    wait_for("all lasting tasks to run", all_running).await;
+    wait_for("all long-running tasks to run", all_running).await;
     site.submit(&name(2), &job(2, 12, 300)).await;
     site.wait_running(&name(2)).await;
     case.apply(&mut site).await;
@@ -238,7 +241,7 @@
         site.wait_state(&job_name, "completed").await;
     }
     let all_running = || async { (site.running_count(&name(1)).await == 4).then_some(()) };
-    wait_for("all lasting tasks to run again", all_running).await;
+    wait_for("all long-running tasks to run again", all_running).await;
     site.audit().await;
 }
 
--- a/tests/pool/site.rs
+++ b/tests/pool/site.rs
@@ -1,4 +1,4 @@
-//! A small installation: a store, fronts, agents and their workers.
+//! Starts a small installation for a test: a store, fronts, agents and their workers.
 
 #[path = "site/audit.rs"]
 mod audit;
@@ -19,7 +19,7 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU8, Ordering};
 
-/// A process that a test started; it ends with the test.
+/// Process that a test has started; it is killed when the value is dropped.
 pub(crate) struct SiteProcess {
     child: Child,
     log: PathBuf,
@@ -37,8 +37,8 @@
             .create(true)
             .append(true)
             .open(&log)
-            .expect("the log opens");
-        let errors = output.try_clone().expect("the log opens twice");
+            .expect("the log file must open");
+        let errors = output.try_clone().expect("the log file must be cloned");
         let child = Command::new(path)
             .args(args)
             .stdin(Stdio::null())
@@ -49,15 +49,14 @@
         Self { child, log }
     }
 
-    /// Its process id.
-    #[allow(dead_code, reason = "used where processes are measured")]
+    #[allow(dead_code, reason = "used by the benchmark `owner_load` only")]
     pub(crate) fn pid(&self) -> u32 {
         self.child.id()
     }
 
     pub(crate) fn signal(&self, signal: i32) {
         let pid = self.child.id() as i32;
-        // SAFETY: `kill` takes plain numbers; the process is our own child, not yet waited for.
+        // SAFETY: `kill` takes only integers, and the pid belongs to our child, which has not been waited for.
         let result = unsafe { libc::kill(pid, signal) };
         assert_eq!(result, 0, "signal {signal} to {pid}");
     }
@@ -70,7 +69,7 @@
     }
 
     fn end(&mut self) {
-        // It may have ended already.
+        // An error means that the process has already ended.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -90,21 +89,21 @@
     }
 }
 
-/// Each installation of the process has addresses of its own.
+/// Number of the next site; it is part of the site's loopback addresses, so that two sites share none.
 static NEXT_SITE: AtomicU8 = AtomicU8::new(2);
-/// Ports that were given out: a port that is free again until its process binds it is not given twice.
+/// Ports that were handed out. A port stays free until its process binds it, and must not be handed out twice.
 static ALLOCATED_PORTS: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
 
-/// Ports below those that the system itself gives to connections: between the look and the start of
-/// the process it gave one away, and a front found its port in use.
+/// Ports below the system's ephemeral range. Between the probe and the start of the process, the system could
+/// give an ephemeral port to an outgoing connection, and the process would find its port in use.
 const PORT_RANGE: std::ops::Range<u16> = 12_000..32_000;
 
-/// Takes a port that nobody listens on, without listening: a process that another thread starts meanwhile holds a
-/// copy of the socket until it runs its program.
+/// Binds a socket to the address without listening. It does not listen because a process that another thread
+/// starts meanwhile holds a copy of the socket until it executes its program.
 ///
 /// # Errors
 ///
-/// Somebody listens there.
+/// Returns an error if another socket listens on the address.
 pub(crate) fn probe_port(address: SocketAddr) -> io::Result<OwnedFd> {
     let flags = SocketFlags::CLOEXEC;
     let socket = socket_with(AddressFamily::INET, SocketType::STREAM, flags, None)?;
@@ -113,45 +112,45 @@
     Ok(socket)
 }
 
-/// A port that is free on an address and was not given out before.
+/// Returns a port that is free on this IP address and was not handed out before.
 fn free_port(ip: &str) -> SocketAddr {
     loop {
         let port = fastrand::u16(PORT_RANGE);
         let is_new = ALLOCATED_PORTS
             .lock()
-            .expect("no test panics here")
+            .expect("no thread panics while it holds the lock")
             .insert(port);
         if !is_new {
             continue;
         }
-        let address = SocketAddr::new(ip.parse().expect("an address"), port);
+        let address = SocketAddr::new(ip.parse().expect("the address must be valid"), port);
         if probe_port(address).is_ok() {
             return address;
         }
     }
 }
 
-/// One front.
+/// Front of a site, with the addresses that it listens on.
 pub(crate) struct Front {
     pub(crate) process: Option<SiteProcess>,
     settings: PathBuf,
     pub(crate) callers: SocketAddr,
     pub(crate) readiness: SocketAddr,
     pub(crate) metrics: SocketAddr,
-    /// Where agents and other fronts link to it.
+    /// Address for links of agents and other fronts.
     pub(crate) peers: SocketAddr,
 }
 
-/// What the clock of a restarted worker shows.
+/// Reading of a worker's clock after its restart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RestartClock {
-    /// It counts from its start.
+    /// The clock starts at zero.
     FromZero,
-    /// It is further than any lease of the boot before reaches.
+    /// The clock is past the expiry of every lease of the previous boot.
     Ahead,
 }
 
-/// One machine with a worker and its agent.
+/// VM with a worker and its agent. The processes are `None` while they are killed.
 pub(crate) struct Vm {
     pub(crate) agent: Option<SiteProcess>,
     pub(crate) worker: Option<SiteProcess>,
@@ -160,43 +159,45 @@
     check_ins: SocketAddr,
     name: String,
     domain: &'static str,
-    /// Ids that its workers had.
+    /// Number of ids that workers of this VM have had.
     id_count: u32,
-    /// How often the worker of the last id has started again.
+    /// Number of restarts under the latest id.
     restart_count: u32,
 }
 
-/// The installation.
+/// Running installation.
 pub(crate) struct Site {
     _store: SiteProcess,
     store: SocketAddr,
-    /// The way to the store of each front, where it can be cut.
+    /// Proxy to the store for each front; empty if the fronts connect directly.
     pub(crate) store_proxies: Vec<StoreProxy>,
     pub(crate) fronts: Vec<Front>,
     pub(crate) vms: Vec<Vm>,
     folder: PathBuf,
+    /// Version of the config that was written last.
     config: u64,
-    /// Histories of workers that were killed.
+    /// Histories of workers that the test has killed.
     past_histories: Vec<Value>,
     drains: Vec<DomainDrain>,
 }
 
-/// A drain of a failure domain by the operator, Unix microseconds.
+/// Drain of a failure domain by the operator. Times are Unix microseconds.
 #[derive(Debug)]
 struct DomainDrain {
     domain: &'static str,
-    /// When the store had acknowledged it.
+    /// Time at which the store had acknowledged the drain.
     acknowledged_us: u64,
-    /// When it was about to be taken back.
+    /// Time just before the undrain was sent; `None` while the domain is drained.
     undrained_us: Option<u64>,
 }
 
-/// Nothing starts in a drained failure domain so long after the drain was acknowledged, or later. The
-/// users' `evacuateMs`.
+/// Time after the acknowledgement of a drain from which nothing may start in the failure domain. The platform
+/// calls it `evacuateMs`.
 const DRAIN_BOUND_MS: u64 = 5_000;
-/// A change of the config is in force so long after its acknowledgement. The users' `configApplyMs`.
+/// Time after its acknowledgement within which a config change must be in force. The platform calls it
+/// `configApplyMs`.
 const CONFIG_BOUND_MS: u64 = 2_000;
-/// Failure domains of the machines, by turns.
+/// Failure domains, assigned to the VMs in turn.
 pub(crate) const DOMAINS: [&str; 3] = ["a", "b", "c"];
 
 fn unix_us() -> u64 {
@@ -204,17 +205,19 @@
     now.map_or(0, |span| span.as_micros() as u64)
 }
 
+/// CPU capacity of a worker, in thousandths of a core.
 pub(crate) const WORKER_CPU_MILLI: u32 = 4_000;
-/// How far the clock of a restarted worker is ahead, milliseconds: further than any lease reaches.
+/// Milliseconds by which the clock of a restarted worker jumps ahead; longer than any lease.
 const CLOCK_AHEAD_MS: u64 = 1_000_000;
 
 impl Site {
-    /// Starts an installation and waits until its first front is ready.
+    /// Starts a site in one failure domain and waits until all its fronts are ready.
     pub(crate) async fn start(test: &str, fronts: usize, vms: usize) -> Self {
         Self::start_with(test, fronts, vms, (false, 1)).await
     }
 
-    /// The same; the machines are spread over so many failure domains.
+    /// Starts a site whose VMs are spread over this number of failure domains, with a proxy between each front
+    /// and the store.
     pub(crate) async fn start_across_domains(
         test: &str,
         fronts: usize,
@@ -224,7 +227,7 @@
         Self::start_with(test, fronts, vms, (true, domains)).await
     }
 
-    /// The same, with a relay between each front and the store.
+    /// Starts a site in one failure domain, with a proxy between each front and the store.
     pub(crate) async fn start_with_proxies(test: &str, fronts: usize, vms: usize) -> Self {
         Self::start_with(test, fronts, vms, (true, 1)).await
     }
@@ -237,7 +240,7 @@
     ) -> Self {
         let folder =
             std::env::temp_dir().join(format!("waxwing-pool-{}-{test}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("the folder is made");
+        std::fs::create_dir_all(&folder).expect("the folder must be created");
         let store = free_port("127.0.0.1");
         let args = ["site", "--listen", &store.to_string()].map(String::from);
         let mut site = Self {
@@ -254,7 +257,7 @@
         let config_rows_url = format!("http://{store}/v1/rows-get?table=op&part=");
         wait_for("the store", || get_json(&config_rows_url)).await;
         site.put_config(&["/g/"]).await;
-        // All peers share a port, as on the platform's machines: each has an address of its own.
+        // All peers use the same port on different IP addresses, as on the platform's VMs.
         let port = free_port("127.0.0.1").port();
         let base = NEXT_SITE.fetch_add(1, Ordering::Relaxed);
         for number in 0..fronts {
@@ -284,7 +287,7 @@
         site
     }
 
-    /// Adds a front on a machine of so many cores, beside the others; it is not started.
+    /// Adds a front on a VM with this number of cores, without starting it; returns the number of the front.
     pub(crate) fn add_front_with_cores(&mut self, cores: f64) -> usize {
         let number = self.fronts.len();
         let SocketAddr::V4(first) = self.fronts[0].peers else {
@@ -316,7 +319,7 @@
             callers,
             readiness,
             metrics,
-            peers: SocketAddr::new(ip.parse().expect("an address"), port),
+            peers: SocketAddr::new(ip.parse().expect("the address must be valid"), port),
         });
     }
 
@@ -330,8 +333,8 @@
         front.process = Some(SiteProcess::start("waxwingd", &args, log));
     }
 
-    /// Has the first of two fronts own the shard, whoever owned it before, and the second one linked to
-    /// it; runs a job of this name.
+    /// Makes the first of two fronts the owner of the shard and waits until the second one is linked to it. Runs a
+    /// job of this name in between.
     pub(crate) async fn make_first_front_owner(&mut self, job_name: &str) {
         self.kill_front(1);
         self.submit(job_name, &job(1, 1, 50)).await;
@@ -343,7 +346,7 @@
         self.wait_log_lines("front-1", linked, before + 1).await;
     }
 
-    /// What the operators' tool reports of the logs of all fronts and agents.
+    /// Returns the output of `waxwing logs report` for the logs of all fronts and agents.
     pub(crate) fn log_report(&self, options: &[&str]) -> String {
         let tool = Path::new(env!("CARGO_BIN_EXE_waxwingd")).with_file_name("waxwing");
         let fronts = (0..self.fronts.len()).map(|number| format!("front-{number}.log"));
@@ -360,17 +363,17 @@
         String::from_utf8_lossy(&output.stdout).into_owned()
     }
 
-    /// All that a process has logged.
+    /// Returns the log of a process; empty if the process has logged nothing.
     pub(crate) fn log(&self, process: &str) -> String {
         std::fs::read_to_string(self.folder.join(format!("{process}.log"))).unwrap_or_default()
     }
 
-    /// Waits until a process has logged a text.
+    /// Waits until a line of the process's log contains the text.
     pub(crate) async fn wait_log(&self, process: &str, text: &str) {
         self.wait_log_lines(process, text, 1).await;
     }
 
-    /// Waits until a process has logged a text in so many lines.
+    /// Waits until this number of lines of the process's log contain the text.
     pub(crate) async fn wait_log_lines(&self, process: &str, text: &str, lines: usize) {
         wait_for(&format!("{process} to log: {text}"), || async {
             let log = self.log(process);
@@ -443,7 +446,7 @@
         self.start_worker_reporting_domain(number, self.vms[number].domain);
     }
 
-    /// A worker that says of itself to be in this failure domain, wherever its machine is.
+    /// Starts a worker under a new id. The worker reports this failure domain, which may differ from that of its VM.
     pub(crate) fn start_worker_reporting_domain(&mut self, number: usize, domain: &str) {
         let vm = &mut self.vms[number];
         vm.id_count += 1;
@@ -457,7 +460,7 @@
         self.start_worker_under_id(number, clock);
     }
 
-    /// Starts the worker that was killed under the id that it had.
+    /// Starts a worker that has ended under its previous id.
     pub(crate) fn start_worker_under_id(&mut self, number: usize, clock: RestartClock) {
         let restart_count = self.vms[number].restart_count + 1;
         let clock_ms = match clock {
@@ -468,7 +471,7 @@
         self.start_worker_under_id_with(number, WORKER_CPU_MILLI, &["--clock-ms", &clock_ms]);
     }
 
-    /// The same, with so many processors and other options.
+    /// Starts a worker that has ended under its previous id, with this CPU capacity and further command-line options.
     pub(crate) fn start_worker_under_id_with(
         &mut self,
         number: usize,
@@ -486,7 +489,7 @@
         format!("i-{}-{}", vm.name, vm.id_count)
     }
 
-    /// The highest fencing token that the worker has seen; nothing before its first order.
+    /// Returns the highest fencing token that the worker has seen; `None` before its first order.
     pub(crate) async fn worker_fencing_token(&self, number: usize) -> Option<u64> {
         let url = format!("http://{}/token", self.vms[number].app);
         get_json(&url).await?.as_u64().filter(|token| *token > 0)
@@ -526,7 +529,7 @@
         self.past_histories.push(audit::with_killed_runs(&history));
     }
 
-    /// Starts workers again that have ended by themselves, as the platform does.
+    /// Replaces workers that have ended by workers with new ids, as the platform does.
     pub(crate) fn replace_ended_workers(&mut self) {
         for number in 0..self.vms.len() {
             let worker = self.vms[number].worker.as_mut();
@@ -536,7 +539,7 @@
         }
     }
 
-    /// Starts workers again that have ended by themselves, under the ids that they had.
+    /// Restarts workers that have crashed, under their previous ids.
     pub(crate) fn restart_crashed_workers(&mut self) {
         for number in 0..self.vms.len() {
             let worker = self.vms[number].worker.as_mut();
@@ -546,7 +549,7 @@
         }
     }
 
-    /// How many starts of a task were ordered, by the lines of all fronts.
+    /// Returns how many starts of a task were ordered, by the logs of all fronts.
     pub(crate) fn ordered_start_count(&self, task: &str) -> usize {
         let task = format!("\"task\":\"{task}\"");
         let logs = (0..self.fronts.len()).map(|number| self.log(&format!("front-{number}")));
@@ -556,7 +559,7 @@
 
     pub(crate) async fn wait_ready(&self, front: usize) {
         let url = format!("http://{}/v1/ready", self.fronts[front].readiness);
-        wait_for("a front to be ready", || async {
+        wait_for("a front to report readiness", || async {
             call(Method::GET, &url, &[], Vec::new())
                 .await
                 .ok()
@@ -583,10 +586,10 @@
         .await;
     }
 
-    /// The operator drains a failure domain; returns once the store has acknowledged it.
+    /// Drains a failure domain as the operator; returns once the store has acknowledged the drain.
     pub(crate) async fn drain(&mut self, domain: &'static str) {
         let key = format!("evacuate/{domain}");
-        // What stands in the row says nothing: it may be anything.
+        // The row's value has no meaning and may be anything.
         let value = base64(b"?");
         self.commit_as_operator(
             json!({ "writes": [{ "table": "op", "part": "", "key": key, "value": value }] }),
@@ -599,18 +602,20 @@
         });
     }
 
-    /// The operator takes the drain of a failure domain back.
+    /// Undrains a failure domain as the operator.
     pub(crate) async fn undrain(&mut self, domain: &str) {
         let before = unix_us();
         let open = self.drains.iter_mut().rev();
         let mut open = open.filter(|drain| drain.domain == domain && drain.undrained_us.is_none());
-        open.next().expect("it is drained").undrained_us = Some(before);
+        open.next()
+            .expect("the domain must be drained")
+            .undrained_us = Some(before);
         let key = format!("evacuate/{domain}");
         self.commit_as_operator(json!({ "remove": [{ "table": "op", "part": "", "key": key }] }))
             .await;
     }
 
-    /// A transaction of the operator.
+    /// Commits a transaction to the store as the operator.
     async fn commit_as_operator(&self, body: Value) {
         let headers = [("content-type", "application/json"), ("x-operator", "1")];
         let url = format!("http://{}/v1/rows-tx", self.store);
@@ -623,7 +628,7 @@
         assert_eq!(answer.expect("the store answers").status, 200);
     }
 
-    /// How many agents the store says may have been given orders.
+    /// Returns the number of agent rows in the store, one for each agent that may have received orders.
     pub(crate) async fn agent_row_count(&self) -> Option<usize> {
         let url = format!("http://{}/v1/rows-get?table=agent&part=s0", self.store);
         Some(get_json(&url).await?["rows"].as_array()?.len())
@@ -631,22 +636,25 @@
 
     pub(crate) async fn worker_faults(&self, number: usize, faults: Value) {
         let url = format!("http://{}/faults", self.vms[number].app);
-        let answer = wait_for("a worker", || async { post_json(&url, &faults).await.ok() }).await;
+        let answer = wait_for("a worker to accept its faults", || async {
+            post_json(&url, &faults).await.ok()
+        })
+        .await;
         assert_eq!(answer.status, 200);
     }
 
-    /// Waits until a worker's process takes calls.
+    /// Waits until a worker answers calls.
     pub(crate) async fn wait_worker(&self, number: usize) {
         self.history(number).await;
     }
 
-    /// What a worker says of itself.
+    /// Returns the report that a worker sends in its check-ins.
     pub(crate) async fn worker_report(&self, number: usize) -> Value {
         let url = format!("http://{}/report", self.vms[number].app);
         wait_for("a worker's report", || get_json(&url)).await
     }
 
-    /// Calls an agent as its worker would.
+    /// Sends an agent a call as its worker does.
     pub(crate) async fn call_agent(&self, number: usize, call: &str, body: &Value) {
         let id = self.worker_id(number);
         let agent = self.vms[number].check_ins;
@@ -655,7 +663,7 @@
         assert_eq!(answer.status, 200);
     }
 
-    /// Sends a worker an order beside its agent's.
+    /// Sends an order to a worker directly, bypassing its agent.
     pub(crate) async fn send_order(&self, number: usize, order: &str, body: &Value) -> Answer {
         let url = format!("http://{}/v1/{order}", self.vms[number].app);
         post_json(&url, body).await.expect("the worker answers")
@@ -665,6 +673,7 @@
         format!("http://{}/g/{job}", self.fronts[front].callers)
     }
 
+    /// Sends a request about a job to a front's interface for callers.
     pub(crate) async fn request(
         &self,
         front: usize,
@@ -681,7 +690,7 @@
         .await
     }
 
-    /// Asks a front for a path of the callers' interface.
+    /// Sends a request for any path to a front's interface for callers.
     pub(crate) async fn request_path(
         &self,
         front: usize,
@@ -692,7 +701,7 @@
         call(method, &url, &[("host", "h.example")], Vec::new()).await
     }
 
-    /// Submits a job until a front answers for good.
+    /// Submits a job at one front after the other until one accepts it.
     pub(crate) async fn submit(&self, job: &str, body: &Value) {
         wait_for("a job to be accepted", || async {
             for front in 0..self.fronts.len() {
@@ -708,7 +717,7 @@
         .await;
     }
 
-    /// A job's state by any front that answers.
+    /// Returns the state of a job from the first front that answers; `None` if no front does.
     pub(crate) async fn state(&self, job: &str) -> Option<String> {
         for front in 0..self.fronts.len() {
             if let Ok(answer) = self.request(front, Method::GET, job, Vec::new()).await
@@ -720,7 +729,7 @@
         None
     }
 
-    /// Whether all these jobs have ended.
+    /// Returns whether all these jobs have completed or failed.
     pub(crate) async fn have_jobs_ended(&self, jobs: &[String]) -> bool {
         for job in jobs {
             let state = self.state(job).await;
@@ -751,7 +760,7 @@
 impl Drop for Site {
     fn drop(&mut self) {
         if !std::thread::panicking() {
-            // The folder is in the system's own place for such; what is left there does no harm.
+            // The folder is in the system's temporary directory, so leftover files do no harm.
             let _ = std::fs::remove_dir_all(&self.folder);
         }
     }
@@ -762,7 +771,7 @@
     base64::engine::general_purpose::STANDARD.encode(bytes)
 }
 
-/// A job of `steps` steps in a row, each of `count` tasks that work `ms` milliseconds.
+/// Returns a job of `steps` sequential steps, each of `count` tasks that run for `ms` milliseconds.
 pub(crate) fn job(steps: u16, count: u32, ms: u64) -> Value {
     let phases: Vec<Value> = (0..steps)
         .map(|step| {
@@ -778,14 +787,14 @@
     json!({ "spec": spec, "phases": phases })
 }
 
-/// A job of tasks that run until it is cancelled.
+/// Returns a job of `count` long-running tasks.
 pub(crate) fn long_running_job(count: u32) -> Value {
     let work = json!({ "ms": 600_000, "cpu": 500, "mem": 100 });
     let step = json!({ "count": count, "cpu": 500, "memMb": 100, "longRunning": true });
     json!({ "spec": work.to_string(), "phases": [step] })
 }
 
-/// The name of the `n`-th job of a test.
+/// Returns the name of the `n`-th job of a test.
 pub(crate) fn name(n: u64) -> String {
     format!("{n:016x}")
 }
--- a/tests/pool/site/audit.rs
+++ b/tests/pool/site/audit.rs
@@ -1,4 +1,4 @@
-//! What the workers of a played site have seen, and what holds by it.
+//! Checks the guarantees of a site against the histories that its workers recorded.
 
 use super::{DRAIN_BOUND_MS, Site, unix_us};
 use crate::calls::get_json;
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 impl Site {
-    /// What workers have seen that a task has ended.
+    /// Returns the histories of workers that a task has crashed, from the workers' logs.
     fn histories_of_crashed_workers(&self) -> Vec<Value> {
         let logs = self.vms.iter();
         let logs: Vec<String> = logs
@@ -19,16 +19,16 @@
         histories.collect()
     }
 
-    /// What a worker has seen in its present life; nothing while it is down.
+    /// Returns the history of a worker's current boot; `Null` while the worker is down.
     pub(super) async fn history(&self, number: usize) -> Value {
         if self.vms[number].worker.is_none() {
             return Value::Null;
         }
         let url = format!("http://{}/history", self.vms[number].app);
         let log = format!("{}-worker", self.vms[number].name);
-        wait_for("a history", || async {
+        wait_for("a worker's history", || async {
             let history = get_json(&url).await;
-            // One that its task has ended left its history in its last line.
+            // A worker that was crashed by a task writes its history as its last log line.
             let is_crashed = || {
                 let log = self.log(&log);
                 log.lines()
@@ -40,7 +40,7 @@
         .await
     }
 
-    /// Waits until a task of the job runs on a worker.
+    /// Waits until a task of the job has started on a worker; returns the number of that worker's VM.
     pub(crate) async fn wait_running(&self, job: &str) -> usize {
         wait_for("a task to run", || async {
             for number in 0..self.vms.len() {
@@ -59,7 +59,7 @@
         .await
     }
 
-    /// How many starts of a job's tasks there were.
+    /// Returns the number of starts of a job's tasks on the current boots.
     pub(crate) async fn start_count(&self, job: &str) -> usize {
         let mut starts = 0;
         for number in 0..self.vms.len() {
@@ -73,7 +73,7 @@
         starts
     }
 
-    /// How many tasks of a job run now, by what the workers have seen.
+    /// Returns the number of a job's tasks that run now, by the workers' histories.
     pub(crate) async fn running_count(&self, job: &str) -> usize {
         let mut running = 0;
         for number in 0..self.vms.len() {
@@ -94,7 +94,7 @@
         running
     }
 
-    /// How many starts of a job's tasks there were in a failure domain.
+    /// Returns the number of starts of a job's tasks in a failure domain on the current boots.
     pub(crate) async fn start_count_in(&self, domain: &str, job: &str) -> usize {
         let mut starts = 0;
         for number in 0..self.vms.len() {
@@ -109,7 +109,7 @@
         starts
     }
 
-    /// No start in a drained failure domain beyond the bound, by what its workers have seen.
+    /// Panics if a worker in a drained failure domain recorded a start later than the bound.
     pub(super) async fn audit_drains(&self) {
         for number in 0..self.vms.len() {
             let history = self.history(number).await;
@@ -124,13 +124,13 @@
                 let is_start = row["what"] == "start";
                 assert!(
                     !is_start || violated_drain.is_none(),
-                    "a start in a drained domain: {row}, {violated_drain:?}"
+                    "a task started in a drained domain: {row}, {violated_drain:?}"
                 );
             }
         }
     }
 
-    /// All that workers have seen, those included that have ended.
+    /// Returns the history rows of all workers, including those that have ended.
     async fn all_rows(&self) -> Vec<Value> {
         let mut rows = Vec::new();
         for history in self
@@ -147,7 +147,7 @@
         rows
     }
 
-    /// The jobs of which any task was ever started.
+    /// Returns the names of all jobs of which a task was started.
     pub(crate) async fn jobs_with_starts(&self) -> HashSet<String> {
         let rows = self.all_rows().await;
         let starts = rows.iter().filter(|row| row["what"] == "start");
@@ -155,7 +155,7 @@
         tasks.map(Into::into).collect()
     }
 
-    /// No task is started once the store has taken note of so many failed runs of it.
+    /// Panics if a task was started after `max_attempts` of its failed runs had been acknowledged.
     pub(crate) async fn audit_failed_attempts(&self, max_attempts: usize) {
         let mut rows = self.all_rows().await;
         rows.sort_by_key(|row| row["at"].as_u64());
@@ -184,7 +184,7 @@
         }
     }
 
-    /// The versions of the config that a front has put in force, a list for each of its boots.
+    /// Returns the config versions that a front has put in force, as one list for each start of its process.
     pub(crate) fn config_versions(&self, front: usize) -> Vec<Vec<u64>> {
         let mut boots = vec![Vec::new()];
         for line in self.log(&format!("front-{front}")).lines() {
@@ -192,7 +192,7 @@
             match line["message"].as_str() {
                 Some("front started") => boots.push(Vec::new()),
                 Some("config in force") => {
-                    let boot = boots.last_mut().expect("there is one");
+                    let boot = boots.last_mut().expect("the list starts with one element");
                     boot.extend(line["version"].as_u64());
                 }
                 _ => {}
@@ -201,7 +201,8 @@
         boots
     }
 
-    /// Checks the promises against what the workers themselves have seen.
+    /// Panics if the workers' histories show a start in a drained domain, a worker over its capacity, a task
+    /// that runs twice at the same time, or a start after the acknowledged successful end of a task.
     pub(crate) async fn audit(&self) {
         self.audit_drains().await;
         let mut rows = self.all_rows().await;
@@ -213,14 +214,17 @@
             let task = row["task"].as_str().unwrap_or_default().to_owned();
             let run = row["run"].as_u64().unwrap_or_default();
             match row["what"].as_str().unwrap_or_default() {
-                "over" => panic!("a worker was given more than it has: {row}"),
+                "over" => panic!("a worker got more than its capacity: {row}"),
                 "start" => {
                     let other = running.insert(task.clone(), run);
                     assert!(other.is_none(), "{task} runs twice: {other:?} and {run}");
                     let ended = done
                         .get(&task)
                         .is_some_and(|run| acknowledged.contains(&(task.clone(), *run)));
-                    assert!(!ended, "{task} was started after its end was taken note of");
+                    assert!(
+                        !ended,
+                        "{task} was started after its end had been acknowledged"
+                    );
                 }
                 "ack" => {
                     acknowledged.insert((task, run));
@@ -242,7 +246,7 @@
         .is_some_and(|task| task.starts_with(job))
 }
 
-/// A history with an end of everything that ran when the worker was killed.
+/// Returns the history with an additional end of every task that ran when the worker was killed.
 pub(super) fn with_killed_runs(history: &Value) -> Value {
     let mut rows = history.as_array().cloned().unwrap_or_default();
     let mut running: BTreeMap<String, Value> = BTreeMap::new();
--- a/tests/pool/soak.rs
+++ b/tests/pool/soak.rs
@@ -1,8 +1,8 @@
-//! Faults in series and overlapping, drawn from a seed, beside callers that come all the while.
+//! Soak test: injects consecutive and overlapping faults, drawn from a seed, while callers submit jobs.
 //!
-//! After the faults are over, what callers were told and what workers have seen is compared: every accepted
-//! job ends, every task of a lasting job runs, nothing that was refused has run, no task runs twice or over a worker's capacity, a drained failure
-//! domain gets nothing new, and no front has gone back to an older config.
+//! After the faults it compares the answers that callers received with the histories of the workers: every
+//! accepted job has ended, all long-running tasks run, no refused job has run, no task runs twice, no worker is
+//! over its capacity, nothing starts in a drained failure domain, and no front went back to an older config.
 
 use crate::calls::call;
 use crate::site::{DOMAINS, Site, job, long_running_job, name, run, wait_for};
@@ -18,41 +18,41 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A job that has not ended after this time will not end.
+/// Time within which all jobs must end after the last fault.
 const JOB_TIMEOUT: Duration = Duration::from_secs(90);
-/// Workers that their tasks have ended are back within this time.
+/// Interval at which crashed workers are restarted.
 const RESTART_INTERVAL: Duration = Duration::from_millis(150);
-/// Between two callers, at the most.
+/// Greatest time between two callers.
 const MAX_CALLER_GAP_MS: u64 = 250;
-/// A caller gives up after so many tries, or fewer.
+/// Greatest number of tries of a caller.
 const MAX_TRIES: u32 = 8;
-/// No caller's job has this name.
+/// Name of the long-running job; differs from the names of all callers' jobs.
 const LONG_RUNNING_JOB: &str = "ffffffffffffffff";
-/// One job in so many has tasks that always fail.
+/// On average, one job in this number has tasks that always fail.
 const FAILS_ONE_IN: u32 = 10;
-/// The `maxAttempts` of the site's queues.
+/// `maxAttempts` of the site's queues.
 const MAX_ATTEMPTS: usize = 2;
-/// Tasks of the job that lasts through the soak.
+/// Number of tasks of the job that runs during the whole soak.
 const LONG_RUNNING_TASKS: u32 = 3;
-/// The first task of one job in so many ends every worker that starts it.
+/// On average, one job in this number has a first task that crashes every worker that starts it.
 const CRASHES_ONE_IN: u32 = 30;
-/// One job in so many is cancelled.
+/// On average, one job in this number is cancelled.
 const CANCEL_ONE_IN: u32 = 8;
 
-/// What a caller was told at last.
+/// Final result of a job as its caller knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CallerOutcome {
-    /// It is stored.
+    /// The submission was acknowledged.
     Accepted,
-    /// It is stored, and a cancel of it was acknowledged.
+    /// The submission and a cancel were acknowledged.
     Cancelled,
-    /// Each try was refused: it never runs.
+    /// Every try was refused, so the job must never run.
     Refused,
-    /// A try had no answer that tells.
+    /// The answer to a try was missing or inconclusive.
     Unknown,
 }
 
-/// What all callers of a soak share.
+/// State shared by all callers of a soak.
 #[derive(Debug)]
 struct Callers {
     fronts: Vec<SocketAddr>,
@@ -68,7 +68,7 @@
         Some(answer.ok()?.status)
     }
 
-    /// Submits a job as callers do: again at another front until the answer is final.
+    /// Submits a job as callers do: tries again at a random front until an answer is final or the tries are used up.
     async fn submit(&self, rng: &mut Rng, job: &str, body: &str) -> CallerOutcome {
         let mut outcome = CallerOutcome::Refused;
         let tries = rng.u32(1..=MAX_TRIES);
@@ -77,7 +77,7 @@
             match self.request(front, Method::POST, job, body).await {
                 Some(200) => return CallerOutcome::Accepted,
                 Some(429 | 503) => {}
-                Some(404) => panic!("front {front} says that a queue is not there that always was"),
+                Some(404) => panic!("front {front} answered 404 for a queue that exists"),
                 _ => outcome = CallerOutcome::Unknown,
             }
             sleep(Duration::from_millis(rng.u64(100..900))).await;
@@ -98,6 +98,7 @@
         CallerOutcome::Unknown
     }
 
+    /// Submits a random job, cancels it in some cases, and records the outcome.
     async fn run_caller(self: Rc<Self>, seed: u64, number: u64) {
         let mut rng = Rng::with_seed(seed ^ (number << 20));
         let name = name(number);
@@ -121,7 +122,7 @@
         self.open.set(self.open.get() - 1);
     }
 
-    /// Jobs that were accepted and not cancelled.
+    /// Returns the jobs that were accepted and not cancelled.
     fn accepted(&self) -> Vec<String> {
         let outcomes = self.outcomes.borrow();
         let accepted = outcomes
@@ -130,7 +131,7 @@
         accepted.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Callers come until `stop` is set.
+    /// Starts callers at random intervals until `stop` is set.
     async fn run_callers(self: Rc<Self>, seed: u64) {
         let mut rng = Rng::with_seed(seed);
         for number in 1.. {
@@ -144,7 +145,7 @@
     }
 }
 
-/// Brings a fault about.
+/// Begins a fault.
 async fn begin_fault(site: &mut Site, planned: &PlannedFault, routes: &mut Vec<String>) {
     match (planned.target, planned.fault) {
         (FaultTarget::Front(front), SoakFault::Kill) => site.kill_front(front),
@@ -186,7 +187,7 @@
 async fn end_fault(site: &mut Site, planned: &PlannedFault) {
     match (planned.target, planned.fault) {
         (FaultTarget::Front(front), SoakFault::Kill | SoakFault::Stop) => {
-            // A stop that takes longer than its grace ends like this on the platform, too.
+            // The platform also kills a process that takes longer to stop than its grace period.
             site.kill_front(front);
             site.start_front(front);
         }
@@ -210,7 +211,7 @@
     site.put_config(&prefixes).await;
 }
 
-/// Goes through the plan: beginnings and ends in the order of their times.
+/// Executes the plan: begins and ends faults in the order of their times, and restarts crashed workers meanwhile.
 async fn play_faults(site: &mut Site, plan: &[PlannedFault], routes: &mut Vec<String>) {
     let mut steps: Vec<(Duration, bool, &PlannedFault)> = Vec::new();
     for planned in plan {
@@ -236,7 +237,7 @@
     }
 }
 
-/// What holds once all faults are over.
+/// Checks the guarantees after all faults have ended.
 async fn check_final_state(site: &Site, callers: &Callers, routes: &[String]) {
     for front in 0..callers.fronts.len() {
         site.wait_ready(front).await;
@@ -257,19 +258,19 @@
     for name in jobs_with(CallerOutcome::Refused) {
         assert!(
             !started.contains(name),
-            "{name} was refused at each try and ran"
+            "{name} ran although every try was refused"
         );
     }
     let all_running = || async {
         let running = site.running_count(LONG_RUNNING_JOB).await;
         (running == LONG_RUNNING_TASKS as usize).then_some(())
     };
-    wait_for("all lasting tasks to run", all_running).await;
+    wait_for("all long-running tasks to run", all_running).await;
     site.audit().await;
     site.audit_failed_attempts(MAX_ATTEMPTS).await;
-    let newest = routes.last().expect("there is one");
+    let newest = routes.last().expect("the plan starts with one route");
     for front in 0..callers.fronts.len() {
-        wait_for("the newest route", || async {
+        wait_for("the newest route to be in force", || async {
             let answer = site.request_path(front, Method::GET, newest).await.ok()?;
             (answer.status != 404 && answer.status != 503).then_some(())
         })
@@ -308,10 +309,15 @@
     let mut routes = vec!["/g/".to_owned()];
     play_faults(&mut site, &plan, &mut routes).await;
     callers.stop.set(true);
-    callers_task.await.expect("callers come to the end");
+    callers_task
+        .await
+        .expect("the task of the callers must not panic");
     let began = Instant::now();
     while callers.open.get() > 0 || !site.have_jobs_ended(&callers.accepted()).await {
-        assert!(began.elapsed() < JOB_TIMEOUT, "some jobs do not end");
+        assert!(
+            began.elapsed() < JOB_TIMEOUT,
+            "some jobs have not ended in time"
+        );
         site.restart_crashed_workers();
         sleep(RESTART_INTERVAL).await;
     }
@@ -340,7 +346,8 @@
     a_short_soak_of_seed_2: 2;
 }
 
-/// By hand: `WAXWING_SOAK=FIRST,LAST,FRONTS,MACHINES,SECONDS cargo test --test pool soaks_by_hand`.
+/// Runs the soak for a range of seeds. Does nothing unless `WAXWING_SOAK` is set:
+/// `WAXWING_SOAK=FIRST,LAST,FRONTS,VMS,SECONDS cargo test --test pool soaks_by_hand`.
 #[test]
 fn soaks_by_hand() {
     let Ok(text) = std::env::var("WAXWING_SOAK") else {
@@ -348,10 +355,10 @@
     };
     let numbers: Vec<u64> = text
         .split(',')
-        .map(|number| number.parse().expect("WAXWING_SOAK has five numbers"))
+        .map(|number| number.parse().expect("WAXWING_SOAK must have five numbers"))
         .collect();
     let [first, last, fronts, vms, seconds] = numbers[..] else {
-        panic!("WAXWING_SOAK has five numbers");
+        panic!("WAXWING_SOAK must have five numbers");
     };
     let size = SoakSize {
         fronts: fronts as usize,
--- a/tests/pool/soak_plan.rs
+++ b/tests/pool/soak_plan.rs
@@ -1,24 +1,24 @@
-//! Which faults a soak brings about, and when: drawn from a seed alone.
+//! Draws the faults of a soak and their times from a seed.
 
 use crate::site::RestartClock;
 use fastrand::Rng;
 use std::collections::HashSet;
 use std::time::Duration;
 
-/// How many processes a soak has.
+/// Number of processes of a soak, and its duration.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SoakSize {
     pub(crate) fronts: usize,
     pub(crate) vms: usize,
-    /// How long faults go on.
+    /// Time during which faults begin.
     pub(crate) length: Duration,
 }
 
-/// What a fault is brought about on.
+/// Process, connection or setting that a fault affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum FaultTarget {
     Front(usize),
-    /// The way of a front to the store.
+    /// Proxy between a front and the store.
     StorePath(usize),
     Agent(usize),
     Worker(usize),
@@ -27,42 +27,42 @@
     Config,
 }
 
-/// A fault, or planned work.
+/// Fault, or planned operation such as a drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SoakFault {
-    /// SIGKILL, and a start at the end.
+    /// SIGKILL at the beginning, a new start at the end.
     Kill,
-    /// SIGKILL of a worker, and a start under its id at the end.
+    /// SIGKILL of a worker at the beginning, a start under the same id at the end.
     Restart(RestartClock),
-    /// SIGTERM, and a start at the end.
+    /// SIGTERM at the beginning, a new start at the end.
     Stop,
-    /// SIGSTOP, and SIGCONT at the end.
+    /// SIGSTOP at the beginning, SIGCONT at the end.
     Freeze,
-    /// Connections are refused.
+    /// The proxy refuses connections.
     Cut,
     /// Open connections go silent without being closed.
     Silence,
-    /// The worker fails all that it runs.
+    /// The worker fails every task.
     FailAll,
-    /// A part of its starts is carried out late and not answered.
+    /// The worker executes some start orders late and does not answer them.
     LateStarts,
-    /// It has less than it said.
+    /// The worker has less CPU capacity than before.
     Shrink,
     /// The store refuses all calls.
     Down,
-    /// It answers late.
+    /// The store answers late.
     Slow,
-    /// A part of its answers to transactions is lost.
+    /// Some replies of the store to transactions are lost.
     LoseReplies,
-    /// It drops its history.
+    /// The store drops its history.
     Forget,
     /// The operator drains the failure domain.
     Drain,
-    /// A route is added.
+    /// The operator adds a route.
     AddRoute,
 }
 
-/// A fault with its span.
+/// Fault with its start, relative to the start of the soak, and its duration.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PlannedFault {
     pub(crate) at: Duration,
@@ -71,7 +71,7 @@
     pub(crate) fault: SoakFault,
 }
 
-/// Faults in the order of their beginnings.
+/// Draws a plan from the seed. Faults are in the order of their start, and no target has two faults at a time.
 pub(crate) fn draw_plan(seed: u64, size: SoakSize, domains: &[&'static str]) -> Vec<PlannedFault> {
     let mut rng = Rng::with_seed(seed);
     let mut plan: Vec<PlannedFault> = Vec::new();
@@ -79,11 +79,11 @@
     while at < size.length {
         let (target, fault) = draw_fault(&mut rng, size, domains);
         let duration = Duration::from_millis(match fault {
-            // Beyond the bound by which a drain holds: until then starts are allowed.
+            // Longer than the bound of a drain, up to which starts are still allowed.
             SoakFault::Drain => rng.u64(6_000..9_000),
-            // Beyond what a link may be silent, and leases last.
+            // Some freezes are longer than the heartbeat timeout of a link and the duration of a lease.
             SoakFault::Freeze => rng.u64(300..6_000),
-            // From within one hold of the agent to beyond the room that leases leave.
+            // From less than one hold of the agent to longer than the remaining validity of leases.
             SoakFault::Restart(_) => rng.u64(0..1_500),
             _ => rng.u64(300..3_500),
         });
--- a/tests/pool/store_proxy.rs
+++ b/tests/pool/store_proxy.rs
@@ -1,31 +1,33 @@
-//! Ways to the store of a played site that can be cut, or go silent.
+//! TCP proxy between a front and the store, which can refuse connections or let them go silent.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// A way to the store that can be cut: a front behind it is refused while others are served.
+/// TCP proxy to the store for one front. While it is cut, that front cannot reach the store and other fronts can.
 pub(crate) struct StoreProxy {
     pub(crate) address: SocketAddr,
     is_cut: Arc<AtomicBool>,
     open: Arc<Mutex<Vec<ProxiedConnection>>>,
 }
 
-/// One connection through a relay.
+/// One connection through the proxy.
 struct ProxiedConnection {
     caller: TcpStream,
     target: TcpStream,
-    /// Set when nothing passes any more, though both ends stay open.
+    /// Set when data is no longer forwarded although both ends stay open.
     is_silent: Arc<AtomicBool>,
 }
 
 impl StoreProxy {
-    /// Starts a way to the store at this address.
+    /// Starts a proxy to the store at this address.
     pub(crate) fn start(store: SocketAddr) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("binding to port 0 must succeed");
         let proxy = Self {
-            address: listener.local_addr().expect("it has an address"),
+            address: listener
+                .local_addr()
+                .expect("a bound socket has an address"),
             is_cut: Arc::default(),
             open: Arc::default(),
         };
@@ -40,47 +42,54 @@
                 };
                 let is_silent = Arc::default();
                 forward_both_ways(&caller, &target, &is_silent);
-                open.lock().expect("unpoisoned").push(ProxiedConnection {
-                    caller,
-                    target,
-                    is_silent,
-                });
+                open.lock()
+                    .expect("the lock must not be poisoned")
+                    .push(ProxiedConnection {
+                        caller,
+                        target,
+                        is_silent,
+                    });
             }
         });
         proxy
     }
 
-    /// Closes all connections, and each new one at once.
+    /// Closes all connections, and closes each new one at once.
     pub(crate) fn cut(&self) {
         self.is_cut.store(true, Ordering::SeqCst);
-        for stream in self.open.lock().expect("unpoisoned").drain(..) {
-            // Streams that are closed already need nothing.
+        for stream in self
+            .open
+            .lock()
+            .expect("the lock must not be poisoned")
+            .drain(..)
+        {
+            // Errors mean that the stream is closed already.
             let _ = stream.caller.shutdown(Shutdown::Both);
             let _ = stream.target.shutdown(Shutdown::Both);
         }
     }
 
-    /// Nothing passes on the connections that are open now, and none of them is closed; new ones work.
+    /// Stops forwarding on all connections that are open now, without closing them. New connections work.
     pub(crate) fn silence_open_connections(&self) {
-        for stream in &*self.open.lock().expect("unpoisoned") {
+        for stream in &*self.open.lock().expect("the lock must not be poisoned") {
             stream.is_silent.store(true, Ordering::SeqCst);
         }
     }
 
-    /// New connections pass again.
+    /// Accepts new connections again after [`Self::cut`].
     pub(crate) fn restore(&self) {
         self.is_cut.store(false, Ordering::SeqCst);
     }
 }
 
-/// Copies both ways until one end closes; what arrives after the silence began is lost.
+/// Forwards both directions until one end closes. Data that arrives while the connection is silent is dropped.
 fn forward_both_ways(one: &TcpStream, other: &TcpStream, is_silent: &Arc<AtomicBool>) {
     for (from, to) in [(one, other), (other, one)] {
-        let mut from = from.try_clone().expect("a stream has copies");
-        let mut to = to.try_clone().expect("a stream has copies");
+        let mut from = from.try_clone().expect("the stream must be cloned");
+        let mut to = to.try_clone().expect("the stream must be cloned");
         let is_silent = is_silent.clone();
         std::thread::spawn(move || {
-            // Either end may close at any time; then both do.
+            // An error means that an end has closed; the other end is closed as well.
             let _ = copy_unless_silent(&mut from, &mut to, &is_silent);
             if !is_silent.load(Ordering::SeqCst) {
                 let _ = to.shutdown(Shutdown::Both);
--- a/tests/proofs/alerts.rs
+++ b/tests/proofs/alerts.rs
@@ -1,4 +1,4 @@
-//! A non-idempotent request runs at most once.
+//! A request with an idempotency key runs at most once.
 
 use crate::support::cluster::{Cluster, ClusterPlan};
 use crate::support::history::{HistoryEvent, HistoryModel, is_linearizable};
@@ -8,18 +8,18 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// What a caller was told about one key.
+/// Outcome of one request as reported to its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AlertOutcome {
-    /// It ran now, and this is its answer.
+    /// The request ran, and the caller got its answer.
     Ran,
-    /// It did not run now, nor will it.
+    /// The request did not run and will not run.
     NotRun,
-    /// It ran before.
+    /// An earlier request with the same key ran.
     RanBefore,
 }
 
-/// A key may run once; after that nobody is told that it ran now.
+/// Model of one key: at most one request runs, and no other request is reported as [`AlertOutcome::Ran`].
 struct AtMostOnceModel;
 
 impl HistoryModel for AtMostOnceModel {
@@ -47,12 +47,12 @@
 
 type AlertEvent = HistoryEvent<(), AlertOutcome>;
 
-/// Sends an alert and records what its caller learned.
+/// Sends an alert and records its outcome.
 async fn send(cluster: &Cluster, entry: usize, key: &str, start: Instant) -> AlertEvent {
     send_to(&cluster.callers(entry), key, start).await
 }
 
-/// How often each key was executed at all upstreams.
+/// Returns how often each key was executed on all upstreams together.
 async fn executed(cluster: &Cluster, upstreams: usize) -> BTreeMap<String, u64> {
     let mut counts = BTreeMap::new();
     for n in 1..=upstreams {
@@ -64,7 +64,7 @@
     counts
 }
 
-/// Checks the histories of all keys against what the upstreams executed.
+/// Checks the reported outcomes of all keys against the executions on the upstreams.
 fn check(histories: &BTreeMap<String, Vec<AlertEvent>>, executed: &BTreeMap<String, u64>) {
     for (key, events) in histories {
         let count = executed.get(key).copied().unwrap_or(0);
@@ -76,18 +76,21 @@
         let reported_ran = events
             .iter()
             .any(|event| event.output == Some(AlertOutcome::Ran));
-        assert!(!reported_ran || count == 1, "{key} was said to have run");
+        assert!(
+            !reported_ran || count == 1,
+            "{key} was reported as run but did not run"
+        );
         let all_reported_not_run = events
             .iter()
             .all(|event| event.output == Some(AlertOutcome::NotRun));
         assert!(
             !all_reported_not_run || count == 0,
-            "{key} was said not to have run"
+            "{key} was reported as not run but ran"
         );
     }
 }
 
-/// Asks for each key several times, at both entries at once.
+/// Sends each key four times, concurrently at both entries.
 async fn send_at_all_entries(
     cluster: &Cluster,
     keys: &[String],
@@ -117,7 +120,7 @@
         assert_eq!(
             executed.len(),
             keys.len(),
-            "every key runs where nothing fails"
+            "every key must run if nothing fails"
         );
     });
 }
@@ -145,7 +148,7 @@
         let start = Instant::now();
         let calls = keys.iter().map(|key| send(&cluster, 1, key, start));
         for event in join_all(calls).await {
-            // No final answer within the patience of a caller would be an unknown outcome.
+            // A call without a final answer before its timeout would have an unknown outcome.
             assert_eq!(event.output, Some(AlertOutcome::NotRun));
         }
         assert!(
@@ -164,7 +167,7 @@
         let first = send(&cluster, 1, "outage", start).await;
         assert_eq!(first.output, Some(AlertOutcome::NotRun));
         cluster.faults("platform", json!({})).await;
-        // The key may be held for a moment by the attempt whose fate was open.
+        // The first attempt's write may be indeterminate and lock the key for a moment.
         wait_for("the key to run", || async {
             let event = send(&cluster, 2, "outage", start).await;
             (event.output == Some(AlertOutcome::Ran)).then_some(())
@@ -190,7 +193,7 @@
             let keys: Vec<String> = (0..4).map(|n| format!("kill-{round}-{n}")).collect();
             let victim = rng.usize(1..=2);
             let url = cluster.callers(victim);
-            // The first asks go to the entry that is killed while they are under way.
+            // The first requests go to the entry that is killed while they are in flight.
             let requests: Vec<_> = keys
                 .iter()
                 .map(|key| {
@@ -201,7 +204,7 @@
             compio::time::sleep(std::time::Duration::from_millis(rng.u64(0..30))).await;
             cluster.kill(&format!("entry-{victim}"));
             for (key, request) in keys.iter().zip(requests) {
-                let event = request.await.expect("no panic");
+                let event = request.await.expect("the task must not panic");
                 histories.entry(key.clone()).or_default().push(event);
             }
             for key in &keys {
@@ -215,7 +218,7 @@
     });
 }
 
-/// As [`send`], without the cluster, which is changed meanwhile.
+/// Sends an alert to an entry's address; for tests that change the cluster during the call.
 async fn send_to(callers: &str, key: &str, start: Instant) -> AlertEvent {
     use crate::support::calls::call;
     use crate::support::cluster::{SERVICE, TEAM};
--- a/tests/proofs/answers.rs
+++ b/tests/proofs/answers.rs
@@ -1,4 +1,4 @@
-//! Every caller receives the whole answer to its own request; "not run" is true.
+//! Every caller receives the complete answer to its own request, and the outcome "not-run" is accurate.
 
 use crate::support::calls::{Answer, call};
 use crate::support::cluster::{Cluster, ClusterPlan, SERVICE, TEAM};
@@ -8,7 +8,7 @@
 use serde_json::json;
 use std::collections::BTreeSet;
 
-/// More than a window of the connection between entry and sidecar.
+/// Body length that exceeds the flow-control window between entry and sidecar.
 const LONG_BYTES: usize = 3 << 20;
 
 #[test]
@@ -30,7 +30,7 @@
         }))
         .await;
         for ((n, ..), answer) in calls.iter().zip(answers) {
-            let answer = answer.expect("an answer comes");
+            let answer = answer.expect("the call must be answered");
             assert_eq!(
                 (answer.status, answer.outcome.as_str()),
                 (200, "ran"),
@@ -51,7 +51,7 @@
         let headers = [("waxwing-team", TEAM), ("waxwing-deadline-ms", "30000")];
         let answer = call(Method::POST, &url, &headers, body.clone())
             .await
-            .expect("whole");
+            .expect("the answer must be complete");
         assert_eq!(
             answer.status,
             200,
@@ -61,7 +61,7 @@
         let echo = answer.json()["echo"].as_str().map(str::to_owned);
         assert!(
             echo.is_some_and(|echo| echo.as_bytes() == body),
-            "the body came back changed"
+            "the echoed body differs"
         );
     });
 }
@@ -78,7 +78,7 @@
         let short = cluster
             .request(1, "/short", &[])
             .await
-            .expect("a final answer");
+            .expect("the call must get a final answer");
         assert_eq!((short.status, short.outcome.as_str()), (502, "unknown"));
         let bytes = LONG_BYTES.to_string();
         let long = cluster
@@ -86,7 +86,7 @@
             .await;
         assert!(
             long.is_err(),
-            "a cut answer came as whole: {:?}",
+            "a truncated answer was delivered as complete: {:?}",
             long.map(|answer| answer.status)
         );
     });
@@ -100,14 +100,16 @@
         let answer = cluster
             .request(1, "/traced", &[("traceparent", trace)])
             .await
-            .expect("an answer");
-        let seen = answer.traceparent.expect("the upstream saw a trace");
-        assert_eq!(seen[..36], trace[..36], "another trace");
-        assert_ne!(seen, trace, "each hop has a span of its own");
+            .expect("the call must be answered");
+        let seen = answer
+            .traceparent
+            .expect("the upstream must receive a traceparent");
+        assert_eq!(seen[..36], trace[..36], "the trace id must be unchanged");
+        assert_ne!(seen, trace, "each hop must create its own span");
     });
 }
 
-/// Sends requests that change something, each under its own key, far beyond the slots.
+/// Sends non-idempotent requests concurrently, each under its own key and far more than the upstreams have slots.
 async fn overload(cluster: &Cluster, requests: usize, deadline_ms: &str) -> Vec<(String, Answer)> {
     let calls = (0..requests).map(|n| {
         let key = format!("key-{n}");
@@ -120,7 +122,10 @@
                 ("x-service-ms", "40"),
             ];
             let answer = call(Method::POST, &url, &headers, Vec::new()).await;
-            (key.clone(), answer.expect("a final answer"))
+            (
+                key.clone(),
+                answer.expect("the call must get a final answer"),
+            )
         }
     });
     join_all(calls).await
@@ -136,11 +141,11 @@
             let record = cluster.record(&format!("upstream-{n}")).await;
             assert!(
                 record["most_running"].as_u64() <= Some(8),
-                "more than 8 slots: {record}"
+                "more than 8 requests ran at a time: {record}"
             );
             assert!(
                 record["most_connections"].as_u64() <= Some(65),
-                "too many: {record}"
+                "too many connections: {record}"
             );
             let keys = record["keys"].as_object().cloned().unwrap_or_default();
             for (key, count) in keys {
@@ -154,22 +159,25 @@
                 refused += 1;
                 assert!(
                     !executed.contains(key),
-                    "{key} was said not to have run, and ran"
+                    "{key} was reported as not run but ran"
                 );
                 assert!(
                     answer.retry_after.is_some(),
-                    "no time to come back: {}",
+                    "the refusal has no retry-after: {}",
                     answer.text()
                 );
             }
             if answer.outcome == "ran" {
-                assert!(executed.contains(key), "{key} was said to have run");
+                assert!(
+                    executed.contains(key),
+                    "{key} was reported as run but did not run"
+                );
             }
         }
-        assert!(refused > 0, "the overload refused nobody");
+        assert!(refused > 0, "the overload must cause refusals");
         assert!(
             answers.iter().any(|(_, answer)| answer.outcome == "ran"),
-            "nobody was served"
+            "some requests must run"
         );
     });
 }
@@ -192,13 +200,16 @@
             ];
             call(Method::POST, &url, &headers, Vec::new()).await
         });
-        wait_for("the dispatch", || async {
+        wait_for("the dispatch of the request", || async {
             let record = cluster.record("upstream-1").await;
             record["keys"].get("killed").map(|_| ())
         })
         .await;
         cluster.kill("sidecar-1");
-        let answer = waiting.await.expect("no panic").expect("a final answer");
+        let answer = waiting
+            .await
+            .expect("the task must not panic")
+            .expect("the call must get a final answer");
         assert_eq!((answer.status, answer.outcome.as_str()), (502, "unknown"));
     });
 }
@@ -215,7 +226,7 @@
         let answer = cluster
             .request(1, "/nobody", &[])
             .await
-            .expect("a final answer");
+            .expect("the call must get a final answer");
         assert_eq!((answer.status, answer.outcome.as_str()), (503, "not-run"));
         assert!(answer.retry_after.is_some());
     });
--- a/tests/proofs/bad_input.rs
+++ b/tests/proofs/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input gets a clear error; the process stays up and serves others.
+//! Invalid input gets a clear error, and the process continues to serve other requests.
 
 use crate::support::calls::call;
 use crate::support::cluster::{Cluster, ClusterPlan, SERVICE, TEAM};
@@ -9,13 +9,13 @@
 use std::process::Command;
 use std::time::Duration;
 
-/// Sends raw bytes and reads until the other side closes or a second has passed.
+/// Sends raw bytes and reads until the other side closes, sends nothing for 5 s, or has sent more than 1 MiB.
 fn send_raw(address: &str, bytes: &[u8]) -> Vec<u8> {
-    let mut stream = TcpStream::connect(address).expect("connected");
+    let mut stream = TcpStream::connect(address).expect("the connection must succeed");
     stream
         .set_read_timeout(Some(Duration::from_secs(5)))
-        .expect("the limit is set");
-    // The other side may close before all is written.
+        .expect("the read timeout must be set");
+    // An error means that the other side closed before everything was written.
     let _ = stream.write_all(bytes);
     let mut answer = Vec::new();
     let mut buffer = [0; 4096];
@@ -50,12 +50,12 @@
         let answer = cluster
             .request(1, "/still-there", &[])
             .await
-            .expect("an answer");
+            .expect("the call must be answered");
         assert_eq!(answer.outcome, "ran");
     });
 }
 
-/// Header fields of a request, the status that it gets, and a part of the reason.
+/// Header fields of a request, the expected status, and a part of the expected error text.
 type HeaderCase<'a> = (&'a [(&'a str, &'a str)], u16, &'a str);
 
 #[test]
@@ -85,7 +85,7 @@
         for (headers, status, text) in cases {
             let answer = call(Method::GET, &url, headers, Vec::new())
                 .await
-                .expect("an answer");
+                .expect("the call must be answered");
             assert_eq!(answer.status, status, "{}", answer.text());
             assert_eq!(answer.outcome, "not-run");
             assert!(answer.text().contains(text), "{}", answer.text());
@@ -93,7 +93,7 @@
         let answer = cluster
             .request(1, "/still-there", &[])
             .await
-            .expect("an answer");
+            .expect("the call must be answered");
         assert_eq!(answer.outcome, "ran");
     });
 }
@@ -107,26 +107,26 @@
         request.extend(std::iter::repeat_n(b'a', 200_000));
         let answer = std::thread::spawn(move || send_raw(&callers, &request))
             .join()
-            .expect("an answer");
+            .expect("the call must be answered");
         let text = String::from_utf8_lossy(&answer);
         assert!(text.is_empty() || text.contains(" 4"), "{text}");
         let url = format!("{}/v1/jobs", cluster.callers(1));
         let headers = [("waxwing-team", TEAM), ("idempotency-key", "long")];
         let answer = call(Method::POST, &url, &headers, vec![b' '; 3 << 20]).await;
-        // The entry may close the connection before it has read all.
+        // The entry may close the connection before it has read the whole body.
         assert!(answer.is_err() || answer.is_ok_and(|answer| answer.status == 400));
         let answer = cluster
             .request(1, "/still-there", &[])
             .await
-            .expect("an answer");
+            .expect("the call must be answered");
         assert_eq!(answer.outcome, "ran");
     });
 }
 
-/// Runs the daemon on a settings file; gives its exit code and what it says.
+/// Runs the daemon with a settings file; returns its exit code and its standard error with the file's path shortened.
 fn run_daemon_with(name: &str, text: &str) -> (Option<i32>, String) {
     let file = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.yaml"));
-    std::fs::write(&file, text).expect("written");
+    std::fs::write(&file, text).expect("the file must be written");
     let output = Command::new(env!("CARGO_BIN_EXE_waxwingd"))
         .arg("--settings")
         .arg(&file)
--- a/tests/proofs/billing.rs
+++ b/tests/proofs/billing.rs
@@ -1,4 +1,4 @@
-//! Each team is billed for what it used, to the unit.
+//! The usage that a team is billed for equals the usage that the workers recorded, exactly.
 
 use crate::support::audit::all_runs;
 use crate::support::calls::get_json;
@@ -6,7 +6,8 @@
 use crate::support::{run, wait_for};
 use serde_json::json;
 
-/// The bill of the team, summed over its kinds.
+/// Returns the CPU usage that the team is billed for, summed over its task kinds, in thousandths of a core
+/// times seconds. `None` if the entry does not answer.
 pub(crate) async fn billed_cpu(cluster: &Cluster, entry: usize) -> Option<u64> {
     let url = format!("{}/v1/usage?team=barrages", cluster.operators(entry));
     let reply = get_json(&url).await?;
@@ -42,7 +43,7 @@
             .submit_until_accepted("urgent", 2, json!({ "work_ms": 300 }), "bill-urgent")
             .await;
         cluster.wait_ended(&urgent).await;
-        // A takeover in the middle: reports before it are repeated to the next owner.
+        // Usage reports from before the takeover are repeated to the next owner and must not be billed twice.
         cluster.kill("entry-1");
         for job in &jobs {
             cluster.wait_ended(job).await;
@@ -50,10 +51,10 @@
         let runs = all_runs(&cluster).await;
         assert!(
             runs.iter().all(|run| run.end_ms != u64::MAX),
-            "all runs have ended"
+            "all runs must have ended"
         );
         let used: u64 = runs.iter().map(|run| run.cpu_milli_seconds).sum();
-        let bill = wait_for("late usage to be billed", || async {
+        let bill = wait_for("the billing of late usage reports", || async {
             let bill = billed_cpu(&cluster, 2).await?;
             (bill >= used).then_some(bill)
         })
--- a/tests/proofs/fault_sequences.rs
+++ b/tests/proofs/fault_sequences.rs
@@ -1,4 +1,4 @@
-//! Many failures together and twice: kills, freezes, outages, lost replies, in a seeded order.
+//! Jobs under sequences of kills, freezes, outages and lost replies, drawn from a seed.
 
 use crate::billing::billed_cpu;
 use crate::support::audit::{all_runs, check_no_overlap, check_resumed_once};
@@ -13,7 +13,7 @@
 const TASKS: u32 = 3;
 const FAULTS: usize = 10;
 
-/// One failure; it is undone before the next but one.
+/// Injects one random fault, waits for a random time, and undoes the fault.
 async fn inject_fault(cluster: &mut Cluster, rng: &mut Rng) {
     let pause = Duration::from_millis(rng.u64(100..1_500));
     let entry = format!("entry-{}", rng.usize(1..=3));
@@ -57,7 +57,8 @@
     }
 }
 
-/// Jobs under a storm: each task ends done, once; no worker over capacity; nothing in two places.
+/// Runs jobs during a sequence of faults. Every task must succeed once, no worker may get more than its
+/// capacity, no task may run in two places, and the bill must equal the usage.
 async fn run_under_faults(number: u64) {
     let seed = seed("storm").wrapping_add(number);
     let mut rng = Rng::with_seed(seed);
@@ -104,9 +105,9 @@
     .await;
     check_no_overlap(&runs);
     check_resumed_once(&runs);
-    // No worker was killed, so that all usage is still reported: the bill comes out to the unit.
+    // No worker is killed, so all usage is reported in the end and the bill must be exact.
     let used: u64 = runs.iter().map(|run| run.cpu_milli_seconds).sum();
-    let bill = wait_for("late usage to be billed", || async {
+    let bill = wait_for("the billing of late usage reports", || async {
         let bill = billed_cpu(&cluster, 1).await?;
         (bill >= used).then_some(bill)
     })
--- a/tests/proofs/history_checks.rs
+++ b/tests/proofs/history_checks.rs
@@ -1,8 +1,8 @@
-//! The checker of histories rejects what it must reject.
+//! Tests of the linearizability checker in `support::history`.
 
 use crate::support::history::{HistoryEvent, HistoryModel, is_linearizable};
 
-/// A register that is changed by compare-and-set.
+/// Register with a compare-and-set operation.
 struct CasRegister;
 
 impl HistoryModel for CasRegister {
--- a/tests/proofs/main.rs
+++ b/tests/proofs/main.rs
@@ -1,7 +1,7 @@
-//! The users' promises, proved on real processes under failures.
+//! Tests of the guarantees to users on real processes under failures.
 //!
-//! Each file holds one group of promises. Tests wait for states, never for times; random choices
-//! come from a seed that is printed, and `WAXWING_SEED` sets it.
+//! Each file covers one group of guarantees. Tests wait for states, never for fixed times. Random choices come
+//! from a seed that is printed and that `WAXWING_SEED` sets.
 
 mod alerts;
 mod answers;
--- a/tests/proofs/outage.rs
+++ b/tests/proofs/outage.rs
@@ -1,4 +1,4 @@
-//! While the platform's store is down: quick requests go on, running tasks are not evicted.
+//! While the platform's store is down, quick requests are served and running tasks are not evicted.
 
 use crate::support::audit::{all_runs, check_no_overlap};
 use crate::support::cluster::{Cluster, ClusterPlan};
@@ -24,9 +24,12 @@
             cluster.wait_running(&job, index).await;
         }
         cluster.faults("platform", json!({ "down": true })).await;
-        // Past several leases: what is waited for is work that a lapsed lease would have ended.
+        // The outage lasts 5 s, which is longer than the leases of 1.7 s. Tasks with expired leases would have ended.
         wait_for("quick requests through the outage", || async {
-            let answer = cluster.request(1, "/quick", &[]).await.expect("an answer");
+            let answer = cluster
+                .request(1, "/quick", &[])
+                .await
+                .expect("the call must be answered");
             assert_eq!(answer.outcome, "ran", "{}", answer.text());
             let runs = all_runs(&cluster).await;
             let start = runs.iter().map(|run| run.start_ms).min()?;
@@ -40,7 +43,7 @@
         let answer = cluster
             .submit(1, "sommaire", 1, json!({}), "refused")
             .await
-            .expect("an answer");
+            .expect("the call must be answered");
         assert_eq!(answer.status, 503, "{}", answer.text());
         assert!(answer.retry_after.is_some());
         cluster.faults("platform", json!({})).await;
@@ -64,7 +67,7 @@
         let first = cluster
             .submit(1, "sommaire", 1, json!({ "work_ms": 50 }), "same")
             .await
-            .expect("an answer");
+            .expect("the call must be answered");
         cluster.faults("platform", json!({})).await;
         let job = cluster
             .submit_until_accepted("sommaire", 1, json!({ "work_ms": 50 }), "same")
--- a/tests/proofs/peer_protocol.rs
+++ b/tests/proofs/peer_protocol.rs
@@ -1,4 +1,4 @@
-//! The two ends of the peer connection against a peer that a test plays.
+//! Tests both ends of the connection between entry and sidecar against a fake peer.
 
 use crate::support::calls::{Answer, call};
 use crate::support::cluster::{Cluster, ClusterPlan, SERVICE, TEAM};
@@ -11,20 +11,25 @@
     PeerBody, PeerHello, RequestHead, ResponseHead, split_stream,
 };
 
-/// The run of the entry that a test plays.
+/// Incarnation of the fake entry.
 const INCARNATION: u64 = 77;
 
-/// An entry that a test plays, with the sidecar that connected to it.
+/// Fake entry on its connection to a real sidecar.
 struct FakeEntry {
     reader: FrameReader,
     writer: FrameWriter,
 }
 
 impl FakeEntry {
-    /// Starts a sidecar that knows only this entry.
+    /// Starts a sidecar that connects to this entry alone, and exchanges the hello messages.
     async fn with_sidecar(cluster: &mut Cluster) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
-        let address = listener.local_addr().expect("bound").to_string();
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("binding must succeed");
+        let address = listener
+            .local_addr()
+            .expect("binding must succeed")
+            .to_string();
         cluster.start_upstream(9);
         cluster.start_sidecar_with_entry(9, &address);
         let (stream, _) = listener.accept().await.expect("the sidecar connects");
@@ -43,14 +48,21 @@
     }
 
     async fn send(&mut self, body: PeerBody) {
-        self.writer.write(body).await.expect("sent");
+        self.writer
+            .write(body)
+            .await
+            .expect("the frame must be sent");
     }
 
     async fn next(&mut self) -> PeerBody {
-        self.reader.read().await.expect("read").expect("a frame")
+        self.reader
+            .read()
+            .await
+            .expect("the frame must be read")
+            .expect("the connection must be open")
     }
 
-    /// The next frame that is about an attempt.
+    /// Reads the next frame that is neither a load report nor an acknowledgement of settings.
     async fn next_answer(&mut self) -> PeerBody {
         loop {
             match self.next().await {
@@ -94,14 +106,14 @@
             assert_eq!(answer.attempt, Some(attempt(sequence)));
             assert_eq!(answer.reason(), reason);
         }
-        other => panic!("expected a refusal: {other:?}"),
+        other => panic!("expected a frame `NotRun`: {other:?}"),
     }
 }
 
 fn expect_response(body: &PeerBody, sequence: u64) {
     match body {
         PeerBody::Response(head) => assert_eq!(head.attempt, Some(attempt(sequence))),
-        other => panic!("expected an answer: {other:?}"),
+        other => panic!("expected a frame `Response`: {other:?}"),
     }
 }
 
@@ -114,7 +126,7 @@
     }
 }
 
-/// An entry that missed the announcement sends to a sidecar that leaves, while a request runs.
+/// An entry that missed the leaving flag sends a request to a leaving sidecar while another request runs.
 #[test]
 fn a_leaving_sidecar_refuses_new_requests_and_finishes_running_ones() {
     run(async {
@@ -130,7 +142,7 @@
         }
         entry.request(2, 1).await;
         expect_not_run(entry.next_answer().await, 2, NotRunReason::Leaving);
-        // What ran when the stop was asked for comes whole.
+        // The request that ran at the time of SIGTERM gets its complete answer.
         expect_response(&entry.next_answer().await, 1);
         let mut bytes = 0;
         loop {
@@ -140,7 +152,7 @@
                     break;
                 }
                 PeerBody::Chunk(chunk) => bytes += chunk.data.len() as u64,
-                other => panic!("expected the body: {other:?}"),
+                other => panic!("expected a frame `Chunk`: {other:?}"),
             }
         }
         let record = cluster.record("upstream-9").await;
@@ -175,7 +187,7 @@
     run(async {
         let mut cluster = Cluster::start(one_entry()).await;
         let mut entry = FakeEntry::with_sidecar(&mut cluster).await;
-        // Eight slots are taken; the ninth waits.
+        // Eight requests take all slots; the ninth is queued.
         for sequence in 1..=9 {
             entry.request(sequence, 400).await;
         }
@@ -206,7 +218,7 @@
     });
 }
 
-/// A sidecar that a test plays; its service is its own.
+/// Fake sidecar of the service [`FAKE_SERVICE`] on its connection to a real entry.
 struct FakeSidecar {
     reader: FrameReader,
     writer: FrameWriter,
@@ -217,7 +229,9 @@
 impl FakeSidecar {
     async fn connect(cluster: &Cluster) -> Self {
         let address = cluster.address("entry-1", "peers");
-        let stream = TcpStream::connect(address).await.expect("connected");
+        let stream = TcpStream::connect(address)
+            .await
+            .expect("the connection must succeed");
         let (reader, writer) = split_stream(stream);
         let mut sidecar = Self { reader, writer };
         let hello = PeerHello {
@@ -238,14 +252,22 @@
     }
 
     async fn send(&mut self, body: PeerBody) {
-        self.writer.write(body).await.expect("sent");
+        self.writer
+            .write(body)
+            .await
+            .expect("the frame must be sent");
     }
 
     async fn next_request(&mut self) -> AttemptId {
         loop {
-            let body = self.reader.read().await.expect("read").expect("a frame");
+            let body = self
+                .reader
+                .read()
+                .await
+                .expect("the frame must be read")
+                .expect("the connection must be open");
             if let PeerBody::Request(head) = body {
-                return head.attempt.expect("a request has a key");
+                return head.attempt.expect("a request must have an attempt id");
             }
         }
     }
@@ -267,14 +289,14 @@
     }
 }
 
-/// Declares the played service, and asks for it.
+/// Declares the service of the fake sidecar in the settings.
 async fn declare_fake_service(cluster: &Cluster) {
     let url = format!("{}/v1/settings", cluster.operators(1));
     let edit = json!({ "path": "/barrages/played", "key": "weight", "value": 100 });
     let body = json!({ "author": "test", "edits": [edit] });
     let answer = crate::support::calls::post_json(&url, &body)
         .await
-        .expect("an answer");
+        .expect("the call must be answered");
     assert_eq!(answer.status, 200, "{}", answer.text());
 }
 
@@ -303,8 +325,14 @@
         sidecar.answer(second_id, "second", 6).await;
         sidecar.answer(second_id, "again!", 6).await;
         sidecar.answer(first_id, "first", 5).await;
-        let first = first.await.expect("no panic").expect("an answer");
-        let second = second.await.expect("no panic").expect("an answer");
+        let first = first
+            .await
+            .expect("the task must not panic")
+            .expect("the call must be answered");
+        let second = second
+            .await
+            .expect("the task must not panic")
+            .expect("the call must be answered");
         assert_eq!(
             (first.text().as_str(), second.text().as_str()),
             ("first", "second")
@@ -326,7 +354,10 @@
         };
         sidecar.answer(earlier, "of another run", 14).await;
         sidecar.answer(id, "mine", 4).await;
-        let answer = pending.await.expect("no panic").expect("an answer");
+        let answer = pending
+            .await
+            .expect("the task must not panic")
+            .expect("the call must be answered");
         assert_eq!(answer.text(), "mine");
     });
 }
@@ -340,7 +371,10 @@
         let pending = send_call(&cluster, Method::POST, "/cut");
         let id = sidecar.next_request().await;
         sidecar.answer(id, "half", 8).await;
-        let answer = pending.await.expect("no panic").expect("a final answer");
+        let answer = pending
+            .await
+            .expect("the task must not panic")
+            .expect("the call must get a final answer");
         assert_eq!((answer.status, answer.outcome.as_str()), (502, "unknown"));
     });
 }
@@ -354,14 +388,21 @@
         let pending = send_call(&cluster, Method::POST, "/lost");
         sidecar.next_request().await;
         drop(sidecar);
-        let answer = pending.await.expect("no panic").expect("a final answer");
+        let answer = pending
+            .await
+            .expect("the task must not panic")
+            .expect("the call must get a final answer");
         assert_eq!((answer.status, answer.outcome.as_str()), (502, "unknown"));
-        let other = cluster.request(1, "/other", &[]).await.expect("an answer");
+        let other = cluster
+            .request(1, "/other", &[])
+            .await
+            .expect("the call must be answered");
         assert_eq!((other.outcome.as_str(), SERVICE), ("ran", SERVICE));
     });
 }
 
-/// Old settings that come late do not replace newer ones, in either direction.
+/// A sidecar sends the entry a version of the settings that is older than the entry's own. The entry must keep
+/// the newer version.
 #[test]
 fn stale_settings_do_not_replace_newer_ones() {
     run(async {
@@ -372,7 +413,9 @@
             let url = format!("{}/v1/status", cluster.operators(1));
             crate::support::calls::get_json(&url).await
         };
-        let before = status().await.expect("a status")["settings"]["version"].as_u64();
+        let before =
+            status().await.expect("the entry must report its status")["settings"]["version"]
+                .as_u64();
         let old = json!({ "version": 1, "nodes": {} });
         let push = wax_wire::SettingsPush {
             version: 1,
@@ -380,15 +423,21 @@
             delta: Default::default(),
         };
         sidecar.send(PeerBody::Settings(push)).await;
-        // The answer to a request that is sent after the push shows that the push was taken.
+        // The answer follows the push on the same connection, so once it arrives the entry has processed the push.
         let pending = send_call(&cluster, Method::POST, "/after");
         let id = sidecar.next_request().await;
         sidecar.answer(id, "ok", 2).await;
         assert_eq!(
-            pending.await.expect("no panic").expect("an answer").status,
+            pending
+                .await
+                .expect("the task must not panic")
+                .expect("the call must be answered")
+                .status,
             200
         );
-        let after = status().await.expect("a status")["settings"]["version"].as_u64();
+        let after =
+            status().await.expect("the entry must report its status")["settings"]["version"]
+                .as_u64();
         assert_eq!(before, after);
     });
 }
--- a/tests/proofs/placement.rs
+++ b/tests/proofs/placement.rs
@@ -1,4 +1,4 @@
-//! No worker is given more than it has; a task never runs in two places; it resumes once.
+//! No worker gets more than its capacity, a task never runs in two places, and a checkpoint is resumed once.
 
 use crate::support::audit::{all_runs, check_no_overlap, check_resumed_once};
 use crate::support::calls::get_json;
@@ -7,16 +7,16 @@
 use crate::support::wait_for;
 use serde_json::{Value, json};
 
-/// What is done to the owner of a running task.
+/// Fault of the entry that owns the shard of a running task.
 #[derive(Debug, Clone, Copy)]
 enum OwnerFault {
     Kill,
-    /// Stopped past its lease and grace, then continued.
+    /// The entry is suspended until another entry owns the shard, then resumed.
     Freeze,
     Drain,
 }
 
-/// The entry that owns a shard, by number.
+/// Waits until an entry owns a shard; returns the number of the entry.
 async fn owner_of_shard(cluster: &Cluster) -> usize {
     wait_for("an owner", || async {
         for n in 1..=2 {
@@ -37,7 +37,7 @@
     }
 }
 
-/// A takeover adopts what runs: no new epoch, no eviction, one result.
+/// A takeover adopts running tasks: without a new epoch, without an eviction, and with one result for each task.
 async fn takeover(fault: OwnerFault) {
     let mut cluster = Cluster::start(one_shard()).await;
     cluster.wait_owned().await;
@@ -75,7 +75,7 @@
         assert_eq!(
             runs.len(),
             3,
-            "a takeover must adopt, not start anew: {runs:?}"
+            "a takeover must adopt running tasks instead of starting them again: {runs:?}"
         );
     }
 }
@@ -86,7 +86,7 @@
     a_drained_owner_hands_over_without_an_eviction: OwnerFault::Drain,
 });
 
-/// A worker that dies or freezes loses its tasks only once their leases have surely lapsed.
+/// Tasks of a killed or frozen worker are placed elsewhere only when their leases are known to have expired.
 async fn lost_worker(freeze: bool) {
     let mut cluster = Cluster::start(one_shard()).await;
     cluster.wait_owned().await;
@@ -132,7 +132,7 @@
             .submit_until_accepted("sommaire", 1, input, "cut")
             .await;
         let worker = cluster.wait_running(&job, 0).await;
-        // The worker answers no call of ours, at once, and goes on until its lease lapses.
+        // The worker answers no call from now on, and runs its task until the lease expires.
         cluster.faults(&worker, json!({ "cut": true })).await;
         wait_for("the task to run elsewhere", || async {
             let view = cluster.job(&job).await?;
@@ -176,14 +176,14 @@
                 .filter(|other| other.start_ms <= run.start_ms && run.start_ms < other.end_ms);
             assert!(
                 concurrent.count() <= 2,
-                "4000 hold two tasks of 2000: {runs:?}"
+                "a quota of 4000 allows two tasks of 2000: {runs:?}"
             );
         }
         set(0).await;
         let queued = cluster
             .submit_until_accepted("sommaire", 2, input, "held")
             .await;
-        let explained = wait_for("the reason", || async {
+        let explained = wait_for("the explanation with the quota as the reason", || async {
             for n in 1..=2 {
                 let url = format!("{}/v1/explain?job={queued}", cluster.operators(n));
                 let reasons = get_json(&url).await?;
@@ -204,7 +204,7 @@
     });
 }
 
-/// An urgent task evicts batch tasks; those resume from their checkpoints, once.
+/// An urgent task evicts batch tasks, and each of them resumes from its checkpoint once.
 async fn eviction(lost_replies: u32) {
     let cluster = Cluster::start(ClusterPlan {
         workers: 1,
@@ -236,14 +236,17 @@
     let evicted = tasks
         .iter()
         .filter(|task| task["evictions"].as_u64() > Some(0));
-    assert!(evicted.count() >= 2, "6000 of 8000 are needed: {view}");
+    assert!(
+        evicted.count() >= 2,
+        "the urgent task needs 6000 of 8000, so at least two tasks must be evicted: {view}"
+    );
     let runs = all_runs(&cluster).await;
     check_no_overlap(&runs);
     check_resumed_once(&runs);
     let resumed = runs.iter().filter(|run| run.resumed_from.is_some()).count();
     assert!(
         resumed >= 2,
-        "evicted tasks resume from their checkpoints: {runs:?}"
+        "evicted tasks must resume from their checkpoints: {runs:?}"
     );
 }
 
@@ -269,7 +272,7 @@
             body.to_string().into_bytes(),
         )
         .await
-        .expect("an answer");
+        .expect("the call must be answered");
         assert_eq!(answer.status, 400);
         assert!(
             answer.text().contains("cpu_milli exceeds"),
--- a/tests/proofs/settings_rollout.rs
+++ b/tests/proofs/settings_rollout.rs
@@ -1,4 +1,4 @@
-//! An accepted settings change is in force everywhere and never reverts.
+//! An accepted settings change takes effect on all processes and is never reverted.
 
 use crate::support::calls::{Answer, get_json, post_json};
 use crate::support::cluster::{Cluster, ClusterPlan};
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 use std::time::Instant;
 
-/// The head of the tree: a change made for a version is accepted only at that version.
+/// Model of the settings version: a change with an expected version is accepted only at that version.
 struct HeadModel {
     start: u64,
 }
@@ -16,7 +16,7 @@
 impl HistoryModel for HeadModel {
     type State = u64;
     type Input = u64;
-    /// The version that an accepted change made; `None` for a conflict.
+    /// Version that an accepted change created; `None` for a conflict.
     type Output = Option<u64>;
 
     fn start(&self) -> u64 {
@@ -65,7 +65,7 @@
     get_json(&url).await?["nodes"]["/barrages"]["weight"].as_u64()
 }
 
-/// Sends a change and records what its operator learned.
+/// Sends a change; returns its event for the history checker, and the answer if there was one.
 async fn change_with_event(
     cluster: &Cluster,
     entry: usize,
@@ -93,7 +93,9 @@
 fn of_concurrent_changes_one_wins_and_the_others_get_a_conflict() {
     run(async {
         let cluster = Cluster::start(ClusterPlan::default()).await;
-        let begin = version(&cluster, 1).await.expect("a version");
+        let begin = version(&cluster, 1)
+            .await
+            .expect("the entry must report a version");
         let start = Instant::now();
         let mut events = Vec::new();
         for round in 0..5 {
@@ -104,12 +106,12 @@
             let calls = calls
                 .map(|(entry, value)| change_with_event(&cluster, entry, value, expected, start));
             for (event, answer) in join_all(calls).await {
-                let answer = answer.expect("an answer");
+                let answer = answer.expect("the call must be answered");
                 if answer.status == 409 {
                     let text = answer.text();
                     assert!(
                         text.contains("by operator-"),
-                        "the winner is not named: {text}"
+                        "the conflict does not name the winner: {text}"
                     );
                 }
                 events.push(event);
@@ -119,7 +121,7 @@
             .iter()
             .filter(|event| matches!(event.output, Some(Some(_))))
             .count();
-        assert_eq!(winners, 5, "one winner a round: {events:?}");
+        assert_eq!(winners, 5, "each round must have one winner: {events:?}");
         assert!(
             is_linearizable(&HeadModel { start: begin }, &events),
             "{events:?}"
@@ -137,7 +139,9 @@
             "edits": [{ "path": "/barrages", "key": "weight", "value": 321 }],
             "wait_ms": 60_000,
         });
-        let answer = post_json(&url, &body).await.expect("an answer");
+        let answer = post_json(&url, &body)
+            .await
+            .expect("the call must be answered");
         let force = &answer.json()["force"];
         assert_eq!(force["in_force"], force["processes"], "{}", answer.text());
         assert_eq!(force["processes"], 4);
@@ -153,7 +157,9 @@
         let cluster = Cluster::start(ClusterPlan::default()).await;
         let before = version(&cluster, 1).await;
         cluster.faults("platform", json!({ "down": true })).await;
-        let answer = change(&cluster, 1, 777, None).await.expect("an answer");
+        let answer = change(&cluster, 1, 777, None)
+            .await
+            .expect("the call must be answered");
         assert_eq!(answer.status, 503, "{}", answer.text());
         assert!(answer.retry_after.is_some());
         cluster.faults("platform", json!({})).await;
@@ -168,7 +174,7 @@
             })
             .await;
             let seen = weight(&cluster, entry).await;
-            assert_eq!(seen, Some(778), "a refused change was kept");
+            assert_eq!(seen, Some(778), "a refused change took effect");
         }
     });
 }
@@ -177,13 +183,17 @@
 fn a_lost_reply_to_the_commit_is_resolved() {
     run(async {
         let cluster = Cluster::start(ClusterPlan::default()).await;
-        let begin = version(&cluster, 1).await.expect("a version");
+        let begin = version(&cluster, 1)
+            .await
+            .expect("the entry must report a version");
         let faults = json!({ "lose_replies_percent": 60, "lose_prefix": "settings/head" });
         cluster.faults("platform", faults).await;
         let start = Instant::now();
         let mut events = Vec::new();
         for round in 0..4 {
-            let expected = version(&cluster, 1).await.expect("a version");
+            let expected = version(&cluster, 1)
+                .await
+                .expect("the entry must report a version");
             let calls = (1..=2).map(|entry| {
                 change_with_event(
                     &cluster,
@@ -204,7 +214,7 @@
             .iter()
             .filter(|event| matches!(event.output, Some(Some(_))))
             .count();
-        assert!(accepted > 0, "nothing was accepted: {events:?}");
+        assert!(accepted > 0, "no change was accepted: {events:?}");
     });
 }
 
@@ -212,7 +222,9 @@
 fn an_entry_started_in_an_outage_gets_the_settings_from_its_peers() {
     run(async {
         let mut cluster = Cluster::start(ClusterPlan::default()).await;
-        let before = version(&cluster, 2).await.expect("a version");
+        let before = version(&cluster, 2)
+            .await
+            .expect("the entry must report a version");
         cluster.kill("entry-1");
         cluster.faults("platform", json!({ "down": true })).await;
         cluster.restart("entry-1");
@@ -255,7 +267,9 @@
         ];
         for (edit, reason) in edits {
             let body = json!({ "author": "test", "edits": [edit] });
-            let answer = post_json(&url, &body).await.expect("an answer");
+            let answer = post_json(&url, &body)
+                .await
+                .expect("the call must be answered");
             assert_eq!(answer.status, 400, "{}", answer.text());
             assert!(answer.text().contains(reason), "{}", answer.text());
         }
--- a/tests/proofs/stops.rs
+++ b/tests/proofs/stops.rs
@@ -1,4 +1,4 @@
-//! A leaving upstream gets nothing new; a planned stop cuts nothing off.
+//! An upstream whose sidecar drains gets no new requests, and a planned stop aborts no request in flight.
 
 use crate::support::calls::{Answer, call, get_json};
 use crate::support::cluster::{Cluster, ClusterPlan, SERVICE, TEAM};
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A steady load in the background, until it is stopped.
+/// Callers that send requests in the background until they are stopped.
 struct SteadyLoad {
     stopped: Rc<Cell<bool>>,
     answers: Rc<RefCell<Vec<Result<Answer, String>>>>,
@@ -16,7 +16,7 @@
 }
 
 impl SteadyLoad {
-    /// Several callers, each one request after another, over the given entries in turn.
+    /// Starts callers that each send one request after another, at the given entries in turn.
     fn start(callers: usize, entries: Vec<String>) -> Self {
         let stopped = Rc::new(Cell::new(false));
         let answers = Rc::new(RefCell::new(Vec::new()));
@@ -33,7 +33,7 @@
                         let headers = [("waxwing-team", TEAM), ("waxwing-deadline-ms", "15000")];
                         let answer = call(Method::POST, &url, &headers, b"x".to_vec()).await;
                         answers.borrow_mut().push(answer);
-                        // A balancer would not use a new connection for each request so fast.
+                        // Each call opens a connection; a load balancer would not open them faster.
                         compio::time::sleep(Duration::from_millis(2)).await;
                     }
                 })
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Waits for so many answers.
+    /// Waits until this number of answers has arrived.
     async fn wait_answers(&self, count: usize) {
         wait_for("answers under load", || async {
             (self.answers.borrow().len() >= count).then_some(())
@@ -57,7 +57,7 @@
     async fn stop(self) -> Vec<Result<Answer, String>> {
         self.stopped.set(true);
         for task in self.tasks {
-            task.await.expect("no panic");
+            task.await.expect("the task must not panic");
         }
         self.answers.take()
     }
@@ -78,9 +78,12 @@
         let seen = load.answers.borrow().len();
         load.wait_answers(seen + 100).await;
         let later = cluster.record("upstream-1").await["executed"].clone();
-        assert_eq!(executed, later, "a leaving upstream got new work");
+        assert_eq!(
+            executed, later,
+            "the upstream of a draining sidecar got a new request"
+        );
         for answer in load.stop().await {
-            let answer = answer.expect("an answer");
+            let answer = answer.expect("the call must be answered");
             assert_eq!(
                 (answer.status, answer.outcome.as_str()),
                 (200, "ran"),
@@ -102,7 +105,7 @@
         })
         .await;
         for name in ["sidecar-1", "sidecar-2", "sidecar-3", "entry-1", "entry-2"] {
-            // The balancer keeps callers away from an entry that is about to stop.
+            // The load balancer sends no callers to an entry that is about to stop.
             let entries = (1..=2)
                 .filter(|n| name != format!("entry-{n}"))
                 .map(|n| cluster.callers(n))
@@ -138,7 +141,7 @@
             ];
             call(Method::GET, &url, &headers, Vec::new()).await
         });
-        wait_for("the dispatch", || async {
+        wait_for("the dispatch of the request", || async {
             let mut executed = 0;
             for n in 1..=2 {
                 let record = cluster.record(&format!("upstream-{n}")).await;
@@ -148,7 +151,10 @@
         })
         .await;
         assert_eq!(cluster.drain("entry-1").await, Some(0));
-        let answer = waiting.await.expect("no panic").expect("the whole answer");
+        let answer = waiting
+            .await
+            .expect("the task must not panic")
+            .expect("the answer must be complete");
         assert_eq!((answer.status, answer.body.len()), (200, 6_000_000));
     });
 }
@@ -159,9 +165,9 @@
         let cluster = Cluster::start(ClusterPlan::default()).await;
         cluster.signal("sidecar-1", libc::SIGTERM);
         cluster.freeze("sidecar-1");
-        // The entries drop it for its silence; from then on every request goes elsewhere.
+        // The entries remove the sidecar because it is silent. Later requests use the other upstream alone.
         let url = format!("{}/v1/status", cluster.operators(1));
-        wait_for("the silence to be noticed", || async {
+        wait_for("the removal of the silent sidecar", || async {
             let status = get_json(&url).await?;
             let members = status["members"].as_array()?;
             let listed = members.iter().any(|member| member["name"] == "sidecar-1");
@@ -172,7 +178,7 @@
             let answer = cluster
                 .request(1, "/elsewhere", &[])
                 .await
-                .expect("an answer");
+                .expect("the call must be answered");
             assert_eq!(answer.outcome, "ran");
         }
         let before = cluster.record("upstream-1").await["executed"].clone();
@@ -181,25 +187,33 @@
             let answer = cluster
                 .request(1, "/elsewhere", &[])
                 .await
-                .expect("an answer");
+                .expect("the call must be answered");
             assert_eq!(answer.outcome, "ran");
         }
         let after = cluster.record("upstream-1").await["executed"].clone();
-        assert_eq!(before, after, "a leaving upstream got new work");
+        assert_eq!(
+            before, after,
+            "the upstream of a draining sidecar got a new request"
+        );
     });
 }
 
-/// CI failed once as the port of a killed entry was somebody else's when it was started again.
+/// Guards against a failure seen in CI: another process had taken the port of a killed entry before the entry was
+/// restarted. Each cluster therefore listens on its own loopback address.
 #[test]
 fn a_killed_process_restarts_although_its_port_is_used_on_another_address() {
     run(async {
         let mut cluster = Cluster::start(ClusterPlan::default()).await;
         let callers = cluster.callers(1);
-        let port = callers.rsplit(':').next().expect("it has a port");
+        let port = callers
+            .rsplit(':')
+            .next()
+            .expect("the address must have a port");
         let port: u16 = port.parse().expect("a port is a number");
         cluster.kill("entry-1");
-        // As an outgoing connection or another test would take it.
-        let _other = std::net::TcpListener::bind(("127.0.0.1", port)).expect("it is free here");
+        // An outgoing connection or another test may take the port on another address.
+        let _other = std::net::TcpListener::bind(("127.0.0.1", port))
+            .expect("the port must be free on this address");
         cluster.restart("entry-1");
         cluster.wait_until_routing(1).await;
     });
--- a/tests/proofs/support/audit.rs
+++ b/tests/proofs/support/audit.rs
@@ -1,10 +1,10 @@
-//! Checks what the workers truly ran against the promises.
+//! Checks the runs that the workers recorded against the guarantees.
 
 use super::cluster::Cluster;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// One run of a task, as a worker recorded it.
+/// Run of a task as recorded by a worker. `end_ms` is `u64::MAX` while the task runs.
 #[derive(Debug, Clone)]
 pub(crate) struct RunRecord {
     pub(crate) task: String,
@@ -15,14 +15,14 @@
     pub(crate) cpu_milli_seconds: u64,
 }
 
-/// The runs that all living workers recorded.
+/// Returns the runs that all workers of the cluster recorded; panics if a worker got more than its capacity.
 pub(crate) async fn all_runs(cluster: &Cluster) -> Vec<RunRecord> {
     let mut runs = Vec::new();
     for worker in cluster.worker_names() {
         let record = cluster.record(&worker).await;
         assert_eq!(
             record["worst_over"], 0,
-            "{worker} was given more than it has"
+            "{worker} got more than its capacity"
         );
         for run in record["runs"].as_array().into_iter().flatten() {
             runs.push(read_run(run));
@@ -42,7 +42,7 @@
     }
 }
 
-/// Panics if a task ever ran in two places at once, or an epoch ran twice.
+/// Panics if two runs of a task overlap in time, or if the epochs of successive runs do not increase.
 pub(crate) fn check_no_overlap(runs: &[RunRecord]) {
     let mut by_task: BTreeMap<&str, Vec<&RunRecord>> = BTreeMap::new();
     for run in runs {
@@ -63,7 +63,7 @@
     }
 }
 
-/// Panics if a checkpoint was resumed from more than once.
+/// Panics if two overlapping runs resumed from the same checkpoint.
 pub(crate) fn check_resumed_once(runs: &[RunRecord]) {
     let mut resumed: BTreeMap<&str, &RunRecord> = BTreeMap::new();
     for run in runs {
@@ -71,10 +71,10 @@
             continue;
         };
         if let Some(other) = resumed.insert(checkpoint, run) {
-            // The checkpoint stays the newest one where a run was lost before it wrote its own.
+            // A later run may use the same checkpoint if the first one was lost before it wrote a new checkpoint.
             assert!(
                 other.end_ms <= run.start_ms || run.end_ms <= other.start_ms,
-                "a checkpoint was resumed twice at once: {other:?} {run:?}"
+                "two overlapping runs resumed from one checkpoint: {other:?} {run:?}"
             );
         }
     }
--- a/tests/proofs/support/calls.rs
+++ b/tests/proofs/support/calls.rs
@@ -1,18 +1,18 @@
-//! HTTP calls of a test.
+//! HTTP client of the tests.
 
 use cyper::Client;
 use http::Method;
 use serde_json::Value;
 use std::time::Duration;
 
-/// A call that takes longer is given up.
+/// Timeout of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An answer.
+/// HTTP response. Fields of missing headers are `None` or empty.
 #[derive(Debug, Clone)]
 pub(crate) struct Answer {
     pub(crate) status: u16,
-    /// The field `waxwing-outcome`.
+    /// Header field `waxwing-outcome`.
     pub(crate) outcome: String,
     pub(crate) retry_after: Option<String>,
     pub(crate) traceparent: Option<String>,
@@ -29,7 +29,7 @@
     }
 }
 
-/// Makes one call on a connection of its own; `Err` where no whole answer came.
+/// Makes one call on a new connection; returns `Err` if no complete response arrives in time.
 pub(crate) async fn call(
     method: Method,
     url: &str,
@@ -54,7 +54,7 @@
     };
     let (status, headers, body) = compio::time::timeout(CALL_TIMEOUT, exchange)
         .await
-        .map_err(|_| "no answer".to_owned())?
+        .map_err(|_| "no answer within the call timeout".to_owned())?
         .map_err(|error| error.to_string())?;
     let text = |name: &str| {
         let value = headers.get(name)?.to_str().ok()?;
@@ -69,7 +69,7 @@
     })
 }
 
-/// Gets a JSON document; `None` where it cannot be had.
+/// Gets a JSON document; returns `None` without a complete response of status 200.
 pub(crate) async fn get_json(url: &str) -> Option<Value> {
     let answer = call(Method::GET, url, &[], Vec::new()).await.ok()?;
     (answer.status == 200).then(|| answer.json())
--- a/tests/proofs/support/cluster.rs
+++ b/tests/proofs/support/cluster.rs
@@ -1,4 +1,4 @@
-//! A whole system in processes on loopback.
+//! Starts a complete system of processes on a loopback address.
 
 use super::calls::{Answer, call, get_json, post_json};
 use super::process::TestProcess;
@@ -13,11 +13,12 @@
 pub(crate) const TEAM: &str = "barrages";
 pub(crate) const SERVICE: &str = "niveau-service";
 
-/// Looks at a job, and the pause between two, before its end is given up.
+/// Number of polls, and the interval between them, within which a job must end.
 const MAX_JOB_POLLS: u32 = 900;
 const JOB_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A loopback address that no other cluster of this test run, nor most likely of another run, has.
+/// Returns a loopback address that no other cluster of this process uses, and that a cluster of another process is
+/// unlikely to use.
 fn cluster_ip(cluster: u32) -> String {
     format!(
         "127.{}.{}.1",
@@ -28,7 +29,7 @@
 
 static NEXT_CLUSTER: AtomicU32 = AtomicU32::new(0);
 
-/// What a cluster consists of.
+/// Size and settings of a cluster.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ClusterPlan {
     pub(crate) entries: usize,
@@ -54,27 +55,27 @@
     }
 }
 
-/// The processes of a cluster, by name.
+/// Running cluster; its processes are identified by name, such as `entry-1`.
 #[derive(Debug)]
 pub(crate) struct Cluster {
     plan: ClusterPlan,
     folder: PathBuf,
-    /// All processes listen on it. No other cluster does, and nothing outgoing has it as its source,
-    /// so that a port is still free when a killed process is started again.
+    /// Address on which all processes listen. Neither other clusters nor outgoing connections use it, so the port of
+    /// a killed process is still free when the process is restarted.
     ip: String,
     platform: String,
     processes: BTreeMap<String, TestProcess>,
-    /// Settings files and, after the first start, fixed addresses.
+    /// Addresses that each process printed at its first start, by process name and key. Restarts reuse them.
     addresses: BTreeMap<String, BTreeMap<String, String>>,
 }
 
 impl Cluster {
-    /// Starts everything and commits a settings tree.
+    /// Starts all processes, commits a settings tree and waits until all processes apply it.
     pub(crate) async fn start(plan: ClusterPlan) -> Self {
         let number = NEXT_CLUSTER.fetch_add(1, Ordering::Relaxed);
         let name = format!("cluster-{}-{number}", std::process::id());
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-        std::fs::create_dir_all(&folder).expect("the folder is made");
+        std::fs::create_dir_all(&folder).expect("the folder must be created");
         let mut cluster = Self {
             plan,
             folder,
@@ -109,7 +110,7 @@
         self.spawn(name, "waxwing-standin", &args);
     }
 
-    /// The address that a process had before, or a free port.
+    /// Returns the address that a process had before, or port 0 for a free port.
     fn listen_address(&self, name: &str, key: &str) -> String {
         self.addresses
             .get(name)
@@ -193,7 +194,7 @@
         self.start_sidecar_with_entries(n, &entries.join(", "));
     }
 
-    /// Starts a sidecar that knows only one entry.
+    /// Starts a sidecar that connects to a single entry at this address.
     pub(crate) fn start_sidecar_with_entry(&mut self, n: usize, entry: &str) {
         self.start_sidecar_with_entries(n, &format!("'{entry}'"));
     }
@@ -217,7 +218,7 @@
         self.spawn(name, "waxwingd", &args);
     }
 
-    /// Starts a process again that was killed, at its old addresses.
+    /// Restarts a process that has ended, at its previous addresses.
     pub(crate) fn restart(&mut self, name: &str) {
         let (kind, n) = name.split_once('-').expect("names have a number");
         let n = n.parse().expect("names have a number");
@@ -226,7 +227,7 @@
             "sidecar" => self.start_sidecar(n),
             "worker" => self.start_worker(n),
             "upstream" => self.start_upstream(n),
-            _ => panic!("{name} cannot be started again"),
+            _ => panic!("{name} cannot be restarted"),
         }
     }
 
@@ -246,7 +247,7 @@
         self.signal(name, libc::SIGCONT);
     }
 
-    /// Asks a process to drain; gives its exit code.
+    /// Drains a process with SIGTERM and waits for its end; returns its exit code.
     pub(crate) async fn drain(&mut self, name: &str) -> Option<i32> {
         self.signal(name, libc::SIGTERM);
         let mut process = self.processes.remove(name).expect("it runs");
@@ -268,7 +269,7 @@
         )
     }
 
-    /// The platform's own interface.
+    /// Returns the URL of the platform.
     pub(crate) fn platform_url(&self) -> String {
         format!("http://{}", self.platform)
     }
@@ -286,13 +287,13 @@
         assert!(answer.status < 300, "faults: {}", answer.text());
     }
 
-    /// The record of a stand-in.
+    /// Returns what a stand-in has recorded, such as its runs or requests.
     pub(crate) async fn record(&self, name: &str) -> Value {
         let url = format!("http://{}/audit", self.address(name, standin_kind(name)));
         get_json(&url).await.expect("the stand-in answers")
     }
 
-    /// Commits the tree that the tests use.
+    /// Commits the settings tree that the tests use.
     async fn apply_tree(&self) {
         let tree = json!({ "nodes": {
             "/": { "deadline_ms": 2000 },
@@ -337,7 +338,7 @@
         .await;
     }
 
-    /// Waits until an upstream has begun to execute a key.
+    /// Waits until an upstream has started a request with this key.
     pub(crate) async fn wait_executed(&self, upstream: usize, key: &str) {
         wait_for("a key to be executed", || async {
             let record = self.record(&format!("upstream-{upstream}")).await;
@@ -348,7 +349,7 @@
 
     /// Waits until every shard has an owner.
     pub(crate) async fn wait_owned(&self) {
-        wait_for("every shard to be owned", || async {
+        wait_for("an owner of every shard", || async {
             let mut owned = 0;
             for n in 1..=self.plan.entries {
                 let url = format!("{}/v1/status", self.operators(n));
@@ -360,7 +361,7 @@
         .await;
     }
 
-    /// A quick request.
+    /// Sends a quick request.
     pub(crate) async fn request(
         &self,
         entry: usize,
@@ -373,7 +374,7 @@
         call(Method::GET, &url, &all, Vec::new()).await
     }
 
-    /// Submits a job.
+    /// Submits a job at one entry.
     pub(crate) async fn submit(
         &self,
         entry: usize,
@@ -388,7 +389,7 @@
         call(Method::POST, &url, &headers, body.to_string().into_bytes()).await
     }
 
-    /// Submits a job at whichever entry takes it, with the same key until it is taken.
+    /// Submits a job under one key at the entries in turn until one accepts it; returns the job's id.
     pub(crate) async fn submit_until_accepted(
         &self,
         kind: &str,
@@ -397,7 +398,7 @@
         key: &str,
     ) -> String {
         let mut attempt = 0;
-        wait_for("a submission to be taken", || {
+        wait_for("a submission to be accepted", || {
             attempt += 1;
             let entry = attempt % self.plan.entries + 1;
             let input = input.clone();
@@ -410,7 +411,7 @@
         .await
     }
 
-    /// Shows a job, at whichever entry answers.
+    /// Returns the view of a job from the first entry that answers.
     pub(crate) async fn job(&self, job: &str) -> Option<Value> {
         for n in 1..=self.plan.entries {
             let url = format!("{}/v1/jobs/{job}", self.callers(n));
@@ -421,7 +422,7 @@
         None
     }
 
-    /// Waits until all tasks of a job have ended.
+    /// Waits until all tasks of a job have ended; returns the view of the job.
     pub(crate) async fn wait_ended(&self, job: &str) -> Value {
         let mut last = Value::Null;
         for _ in 0..MAX_JOB_POLLS {
@@ -433,10 +434,10 @@
             }
             compio::time::sleep(JOB_POLL_INTERVAL).await;
         }
-        panic!("waited in vain for a job to end: {last}");
+        panic!("timed out waiting for a job to end: {last}");
     }
 
-    /// Waits until a task of a job is placed and runs; gives its worker.
+    /// Waits until a task of a job runs; returns the name of its worker.
     pub(crate) async fn wait_running(&self, job: &str, index: usize) -> String {
         wait_for("a task to run", || async {
             let view = self.job(job).await?;
@@ -452,7 +453,7 @@
     }
 }
 
-/// The key of a stand-in's address in its ready line.
+/// Returns the key of a stand-in's address in its ready line, such as `worker` for `worker-1`.
 fn standin_kind(name: &str) -> &str {
     name.split('-').next().unwrap_or(name)
 }
--- a/tests/proofs/support/history.rs
+++ b/tests/proofs/support/history.rs
@@ -1,22 +1,23 @@
-//! A small checker of histories: is there an order of the operations, each between its call and
-//! its return, that the model allows? After Wing and Gong, with memory of states seen.
+//! Linearizability checker: searches for an order of the operations, each between its call and its return, that a
+//! sequential model allows. Algorithm of Wing and Gong with memoization of visited states.
 
 use std::collections::HashSet;
 use std::hash::Hash;
 
-/// One operation as its caller saw it.
+/// Operation as observed by its caller.
 #[derive(Debug, Clone)]
 pub(crate) struct HistoryEvent<I, O> {
     pub(crate) input: I,
-    /// `None` where the caller does not know the outcome: it may have taken effect at any later
-    /// time, or never.
+    /// Output of the operation. `None` if the caller does not know the outcome: the operation may have taken
+    /// effect at any time after the call, or never.
     pub(crate) output: Option<O>,
-    /// Microseconds.
+    /// Time of the call, in microseconds since the start of the test.
     pub(crate) called: u64,
+    /// Time of the return, in the same unit.
     pub(crate) returned: u64,
 }
 
-/// What an operation may do to a state.
+/// Sequential model of an object.
 pub(crate) trait HistoryModel {
     type State: Clone + Eq + Hash;
     type Input;
@@ -24,7 +25,7 @@
 
     fn start(&self) -> Self::State;
 
-    /// The state after the operation if it may give this output in this state.
+    /// Returns the next state, or `None` if the operation cannot have this output in this state.
     fn step(
         &self,
         state: &Self::State,
@@ -32,11 +33,11 @@
         output: &Self::Output,
     ) -> Option<Self::State>;
 
-    /// The states after an operation whose outcome is not known.
+    /// Returns the possible states after an operation whose outcome is unknown.
     fn step_unknown(&self, state: &Self::State, input: &Self::Input) -> Vec<Self::State>;
 }
 
-/// Whether the model allows the history.
+/// Returns whether the history is linearizable with respect to the model.
 pub(crate) fn is_linearizable<M: HistoryModel>(
     model: &M,
     events: &[HistoryEvent<M::Input, M::Output>],
@@ -64,7 +65,7 @@
     if !seen.insert((done, state.clone())) {
         return false;
     }
-    // An operation may come first only if no other open one returned before it was called.
+    // An operation may come next only if no other remaining operation returned before it was called.
     let earliest_return = events
         .iter()
         .enumerate()
--- a/tests/proofs/support/mod.rs
+++ b/tests/proofs/support/mod.rs
@@ -1,4 +1,4 @@
-//! Starts the system in real processes and talks to it.
+//! Starts the system as real processes and sends requests to it.
 
 pub(crate) mod audit;
 pub(crate) mod calls;
@@ -8,7 +8,7 @@
 
 pub(crate) use crate::common::{run, wait_for};
 
-/// The seed of a test's random choices, printed so that a failure can be repeated.
+/// Returns the seed of a test's random choices and prints it, so that a failure can be reproduced.
 pub(crate) fn seed(test: &str) -> u64 {
     let seed = std::env::var("WAXWING_SEED")
         .ok()
@@ -18,7 +18,7 @@
     seed
 }
 
-/// Names each case of a test: `cases!(function { name: argument, ... })`.
+/// Defines one test for each case of a function: `cases!(function { name: argument, ... })`.
 macro_rules! cases {
     ($run:ident { $($name:ident: $argument:expr),* $(,)? }) => {
         $(
--- a/tests/proofs/support/process.rs
+++ b/tests/proofs/support/process.rs
@@ -1,4 +1,4 @@
-//! One process that a test started; it ends with the test.
+//! Process that a test starts and that is killed at the end of the test.
 
 use serde_json::Value;
 use std::fs::File;
@@ -10,12 +10,12 @@
 #[derive(Debug)]
 pub(crate) struct TestProcess {
     child: Child,
-    /// The line of JSON that it printed when it was ready.
+    /// JSON document that the process printed when it was ready.
     pub(crate) ready: Value,
     log: PathBuf,
 }
 
-/// The folder of the binaries under test.
+/// Returns the path of a binary under test.
 fn binary(name: &str) -> PathBuf {
     let daemon = Path::new(env!("CARGO_BIN_EXE_waxwingd"));
     let path = daemon.with_file_name(name);
@@ -27,13 +27,13 @@
 }
 
 impl TestProcess {
-    /// Starts a binary and waits until it says that it is ready.
+    /// Starts a binary and waits for its ready line on standard output.
     pub(crate) fn start(name: &str, args: &[String], log: &Path) -> Self {
         let log_file = File::options()
             .create(true)
             .append(true)
             .open(log)
-            .expect("the log opens");
+            .expect("the log file must open");
         let mut child = Command::new(binary(name))
             .args(args)
             .stdin(Stdio::null())
@@ -57,20 +57,19 @@
         }
     }
 
-    /// Sends a signal.
     pub(crate) fn signal(&self, signal: i32) {
         let pid = self.child.id() as i32;
-        // SAFETY: `kill` takes plain numbers; the process is our own child, not yet waited for.
+        // SAFETY: `kill` takes only integers, and the pid belongs to our child, which has not been waited for.
         let result = unsafe { libc::kill(pid, signal) };
         assert_eq!(result, 0, "signal {signal} to {pid}");
     }
 
-    /// Kills it at once.
+    /// Kills the process and waits for its end.
     pub(crate) fn kill(mut self) {
         self.end();
     }
 
-    /// Waits until it ends by itself.
+    /// Waits until the process terminates without a further signal.
     pub(crate) async fn wait(&mut self) -> ExitStatus {
         super::wait_for("the end of a process", || {
             let status = self
@@ -83,7 +82,7 @@
     }
 
     fn end(&mut self) {
-        // It may have ended already.
+        // An error means that the process has already ended.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/tests/proofs/tool.rs
+++ b/tests/proofs/tool.rs
@@ -1,4 +1,4 @@
-//! The operators' tool against a running system.
+//! Tests of the operators' tool `waxwing` against a running system.
 
 use crate::support::audit::{all_runs, check_no_overlap};
 use crate::support::calls::{get_json, post_json};
@@ -8,7 +8,8 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// Runs the tool; gives its exit code and all that it printed.
+/// Runs the tool against the first entry; returns its exit code and its standard output followed by its
+/// standard error.
 fn waxwing(cluster: &Cluster, args: &[&str]) -> (Option<i32>, String) {
     let tool = Path::new(env!("CARGO_BIN_EXE_waxwingd")).with_file_name("waxwing");
     let output = Command::new(tool)
@@ -45,10 +46,7 @@
             let (code, text) = waxwing(&cluster, &["settings", "apply", &folder]);
             assert_eq!(code, Some(0), "{text}");
             let (_, after) = waxwing(&cluster, &["settings", "get"]);
-            assert_eq!(
-                before, after,
-                "an export changes something when it is applied"
-            );
+            assert_eq!(before, after, "applying an export must not change the tree");
         }
     });
 }
@@ -101,13 +99,13 @@
     });
 }
 
-/// How many runs a worker has recorded.
+/// Returns the number of runs that a worker has recorded.
 async fn runs_on(cluster: &Cluster, worker: &str) -> usize {
     let record = cluster.record(worker).await;
     record["runs"].as_array().map_or(0, Vec::len)
 }
 
-/// A job that takes all three workers, if it may; its tasks have ended when this returns.
+/// Runs a job that is large enough for all three workers, and waits until its tasks have succeeded.
 async fn run_wide_job(cluster: &Cluster, key: &str) {
     let input = json!({ "work_ms": 100 });
     let job = cluster
@@ -121,7 +119,7 @@
 
 /// Waits until every entry shows these failure domains as drained.
 async fn wait_drained(cluster: &Cluster, expected: Value) {
-    wait_for("all entries to know the drains", || async {
+    wait_for("the expected drained domains on all entries", || async {
         for n in 1..=2 {
             let status = get_json(&format!("{}/v1/status", cluster.operators(n))).await?;
             if status["drained"] != expected {
@@ -142,7 +140,7 @@
         };
         let cluster = Cluster::start(plan).await;
         cluster.wait_owned().await;
-        // The first worker is in it.
+        // The first worker is in this failure domain.
         for _ in 0..2 {
             let (code, text) = waxwing(&cluster, &["domain", "drain", "domain-2"]);
             assert_eq!(code, Some(0), "{text}");
@@ -168,7 +166,7 @@
     });
 }
 
-/// A row that cannot be read hides no other, and counts as a drain: what is not certain is kept out.
+/// A drain row that cannot be decoded counts as a drain of its domain, to be safe, and does not affect other drains.
 #[test]
 fn a_damaged_drain_row_hides_no_other() {
     run(async {
@@ -204,6 +202,6 @@
             );
         }
         let status = get_json(&format!("{}/v1/status", cluster.operators(1))).await;
-        assert_eq!(status.expect("it answers")["drained"], json!([]));
+        assert_eq!(status.expect("the entry must answer")["drained"], json!([]));
     });
 }
