--- a/tests/pool/drains.rs
+++ b/tests/pool/drains.rs
@@ -4,14 +4,15 @@
 use serde_json::{Value, json};
 
 /// Number of tasks of a step that fills two workers, so that a job of it uses both workers of a site of two VMs.
-const TASKS_FOR_ALL_VMS: u32 = 8;
+const TASKS_FOR_TWO_WORKERS: u32 = 8;
 
 /// Submits jobs one after the other until one starts nothing in the drained domain; returns the next job number.
 async fn run_jobs_until_domain_unused(site: &Site, domain: &str, first: u64) -> u64 {
     let next = std::cell::Cell::new(first);
     wait_for("a job without starts in the drained domain", || async {
         let n = next.replace(next.get() + 1);
-        site.submit(&name(n), &job(1, TASKS_FOR_ALL_VMS, 50)).await;
+        site.submit(&name(n), &job(1, TASKS_FOR_TWO_WORKERS, 50))
+            .await;
         site.wait_state(&name(n), "completed").await;
         (site.start_count_in(domain, &name(n)).await == 0).then_some(())
     })
@@ -24,7 +25,8 @@
     let next = std::cell::Cell::new(first);
     wait_for("a job to use the domain again", || async {
         let n = next.replace(next.get() + 1);
-        site.submit(&name(n), &job(1, TASKS_FOR_ALL_VMS, 50)).await;
+        site.submit(&name(n), &job(1, TASKS_FOR_TWO_WORKERS, 50))
+            .await;
         site.wait_state(&name(n), "completed").await;
         (site.start_count_in(domain, &name(n)).await > 0).then_some(())
     })
@@ -35,7 +37,8 @@
 /// Runs four more jobs, none of which may start anything in the domain; returns the next job number.
 async fn run_jobs_outside(site: &Site, domain: &str, first: u64) -> u64 {
     for n in first..first + 4 {
-        site.submit(&name(n), &job(1, TASKS_FOR_ALL_VMS, 50)).await;
+        site.submit(&name(n), &job(1, TASKS_FOR_TWO_WORKERS, 50))
+            .await;
         site.wait_state(&name(n), "completed").await;
         let starts = site.start_count_in(domain, &name(n)).await;
         assert_eq!(starts, 0, "job {n} started in a drained domain");
@@ -66,7 +69,7 @@
         let mut site = Site::start_across_domains("drain-owner", 2, 4, 2).await;
         site.make_first_front_owner(&name(1)).await;
         // A chain of steps, so that starts are due at all times.
-        site.submit(&name(2), &job(12, TASKS_FOR_ALL_VMS, 100))
+        site.submit(&name(2), &job(12, TASKS_FOR_TWO_WORKERS, 100))
             .await;
         site.wait_running(&name(2)).await;
         site.drain("b").await;
@@ -85,7 +88,7 @@
     run(async {
         let mut site = Site::start_across_domains("drain-cut", 2, 4, 2).await;
         site.make_first_front_owner(&name(1)).await;
-        site.submit(&name(2), &job(60, TASKS_FOR_ALL_VMS, 100))
+        site.submit(&name(2), &job(60, TASKS_FOR_TWO_WORKERS, 100))
             .await;
         site.wait_running(&name(2)).await;
         site.store_proxies[0].cut();
@@ -103,7 +106,7 @@
 fn nothing_starts_while_the_drains_cannot_be_read() {
     run(async {
         let mut site = Site::start_across_domains("drain-deaf", 1, 2, 2).await;
-        site.submit(&name(1), &job(90, TASKS_FOR_ALL_VMS, 100))
+        site.submit(&name(1), &job(90, TASKS_FOR_TWO_WORKERS, 100))
             .await;
         site.wait_running(&name(1)).await;
         site.store_proxies[0].cut();
--- a/tests/pool/links.rs
+++ b/tests/pool/links.rs
@@ -30,13 +30,13 @@
         Self::link_as(owner, "played", None).await
     }
 
-    /// Links to the owner as the agent `node`, and reports the boot `dead` as ended.
-    async fn link_as(owner: SocketAddr, node: &str, dead: Option<BootId>) -> Option<Self> {
+    /// Links to the owner as the agent `node`, and reports the boot `ended` as ended.
+    async fn link_as(owner: SocketAddr, node: &str, ended: Option<BootId>) -> Option<Self> {
         let stream = TcpStream::connect(owner).await.ok()?;
         let (mut reader, mut writer): (PoolReader, PoolWriter) = split_stream(stream);
         let hello = AgentHello {
             node: node.into(),
-            dead: dead.iter().map(Into::into).collect(),
+            dead: ended.iter().map(Into::into).collect(),
         };
         writer.write(PoolBody::AgentHello(hello)).await.ok()?;
         let answer = reader.read().await.ok()??;
@@ -157,8 +157,8 @@
     run(async {
         let site = Site::start("dead-between", 1, 0).await;
         let owner = site.fronts[0].peers;
-        let link = |node: &'static str, dead: Option<BootId>| async move {
-            let open = || FakeAgent::link_as(owner, node, dead.clone());
+        let link = |node: &'static str, ended: Option<BootId>| async move {
+            let open = || FakeAgent::link_as(owner, node, ended.clone());
             wait_for("the front to own the shard", open).await
         };
         let (ending_boot, other_boot) = (BootId::new("i-dying", Some(1)), BootId::from("i-other"));
