--- a/tests/pool/faults.rs
+++ b/tests/pool/faults.rs
@@ -81,7 +81,10 @@
         let mut site = Site::start("frozen", 1, 2).await;
         site.submit(&name(1), &job(1, 8, 30_000)).await;
         let number = site.wait_running(&name(1)).await;
-        let agent = site.vms[number].agent.as_ref().expect("it runs");
+        let agent = site.vms[number]
+            .agent
+            .as_ref()
+            .expect("the process must be running");
         agent.signal(libc::SIGSTOP);
         // The leases of this agent's worker expire, and its tasks restart on the other worker.
         let other = 1 - number;
@@ -110,7 +113,7 @@
             site.vms[number]
                 .agent
                 .as_mut()
-                .expect("it runs")
+                .expect("the process must be running")
                 .is_running()
         );
     });
@@ -175,7 +178,10 @@
         site.wait_running(&name(1)).await;
         // Either front may own the shard, so each is frozen once.
         for number in 0..2 {
-            let front = site.fronts[number].process.as_ref().expect("it runs");
+            let front = site.fronts[number]
+                .process
+                .as_ref()
+                .expect("the process must be running");
             front.signal(libc::SIGSTOP);
             let other = 1 - number;
             wait_for("the other front to accept and complete a job", || async {
@@ -355,7 +361,7 @@
         site.fronts[0]
             .process
             .as_ref()
-            .expect("it runs")
+            .expect("the process must be running")
             .signal(libc::SIGTERM);
         for n in 2..=4 {
             site.submit(&name(n), &job(1, 2, 50)).await;
@@ -384,12 +390,12 @@
         site.fronts[0]
             .process
             .as_ref()
-            .expect("it runs")
+            .expect("the process must be running")
             .signal(libc::SIGHUP);
         site.vms[0]
             .agent
             .as_ref()
-            .expect("it runs")
+            .expect("the process must be running")
             .signal(libc::SIGHUP);
         site.submit(&name(2), &job(1, 1, 20)).await;
         site.wait_state(&name(2), "completed").await;
@@ -397,10 +403,16 @@
             site.fronts[0]
                 .process
                 .as_mut()
-                .expect("it runs")
+                .expect("the process must be running")
+                .is_running()
+        );
+        assert!(
+            site.vms[0]
+                .agent
+                .as_mut()
+                .expect("the process must be running")
                 .is_running()
         );
-        assert!(site.vms[0].agent.as_mut().expect("it runs").is_running());
     });
 }
 
--- a/tests/proofs/support/cluster.rs
+++ b/tests/proofs/support/cluster.rs
@@ -232,7 +232,10 @@
     }
 
     pub(crate) fn kill(&mut self, name: &str) {
-        self.processes.remove(name).expect("it runs").kill();
+        self.processes
+            .remove(name)
+            .expect("the process must be running")
+            .kill();
     }
 
     pub(crate) fn signal(&self, name: &str, signal: i32) {
@@ -250,7 +253,10 @@
     /// Drains a process with SIGTERM and waits for its end; returns its exit code.
     pub(crate) async fn drain(&mut self, name: &str) -> Option<i32> {
         self.signal(name, libc::SIGTERM);
-        let mut process = self.processes.remove(name).expect("it runs");
+        let mut process = self
+            .processes
+            .remove(name)
+            .expect("the process must be running");
         process.wait().await.code()
     }
 
