--- a/tests/pool/site/audit.rs
+++ b/tests/pool/site/audit.rs
@@ -101,9 +101,10 @@
             if self.vms[number].domain == domain {
                 let history = self.history(number).await;
                 let rows = history.as_array().cloned().unwrap_or_default();
-                let begun = rows.iter();
-                let begun = begun.filter(|row| row["what"] == "start" && is_task_of(row, job));
-                starts += begun.count();
+                let task_starts = rows.iter();
+                let task_starts =
+                    task_starts.filter(|row| row["what"] == "start" && is_task_of(row, job));
+                starts += task_starts.count();
             }
         }
         starts
