--- a/tests/pool/site.rs
+++ b/tests/pool/site.rs
@@ -155,7 +155,9 @@
     pub(crate) agent: Option<SiteProcess>,
     pub(crate) worker: Option<SiteProcess>,
     settings: PathBuf,
+    /// Address on which the worker takes orders and queries of the test.
     pub(crate) app: SocketAddr,
+    /// Address on which the agent takes the worker's check-ins.
     check_ins: SocketAddr,
     name: String,
     domain: &'static str,
