--- a/tests/common/fuzz.rs
+++ b/tests/common/fuzz.rs
@@ -1,19 +1,20 @@
-//! Damages what another process writes: seeded, so that a failing case can be played again.
+//! Feeds damaged copies of valid messages to decoders. Each case has a seed, so that a failure can be reproduced.
 
 use fastrand::Rng;
 
-/// Cases of each decoder in CI; `WAXWING_FUZZ` asks for more by hand.
-const CASES: u64 = 4_000;
+/// Number of cases for each decoder unless the environment variable `WAXWING_FUZZ` sets another.
+const DEFAULT_CASES: u64 = 4_000;
 
-/// Runs `decode` on damaged copies of the samples; a panic ends the test with the seed of its case.
+/// Runs `decode` on damaged copies of the samples. If `decode` panics, the seed and the bytes of the case are
+/// printed.
 pub(crate) fn fuzz(
     samples: &[Vec<u8>],
     damage: fn(&mut Rng, &[u8]) -> Vec<u8>,
     decode: impl Fn(&[u8]),
 ) {
-    let asked = std::env::var("WAXWING_FUZZ").ok();
-    let cases = asked.map_or(CASES, |cases| {
-        cases.parse().expect("WAXWING_FUZZ is a number")
+    let requested = std::env::var("WAXWING_FUZZ").ok();
+    let cases = requested.map_or(DEFAULT_CASES, |cases| {
+        cases.parse().expect("WAXWING_FUZZ must be a number")
     });
     for seed in 0..cases {
         let mut rng = Rng::with_seed(seed);
@@ -21,27 +22,27 @@
         let damaged = damage(&mut rng, sample);
         let _case = FuzzCase {
             seed,
-            text: &damaged,
+            bytes: &damaged,
         };
         decode(&damaged);
     }
 }
 
-/// Tells of the case that panics.
+/// Prints the case when it is dropped during a panic.
 struct FuzzCase<'a> {
     seed: u64,
-    text: &'a [u8],
+    bytes: &'a [u8],
 }
 
 impl Drop for FuzzCase<'_> {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            eprintln!("case {}: {}", self.seed, self.text.escape_ascii());
+            eprintln!("case {}: {}", self.seed, self.bytes.escape_ascii());
         }
     }
 }
 
-/// Flips, drops, doubles and inserts bytes, and cuts the end off.
+/// Applies one to five random changes: flips a bit, removes, inserts or repeats bytes, or truncates the sample.
 pub(crate) fn damage_bytes(rng: &mut Rng, sample: &[u8]) -> Vec<u8> {
     let mut bytes = sample.to_vec();
     for _ in 0..rng.usize(1..6) {
--- a/tests/pool/links.rs
+++ b/tests/pool/links.rs
@@ -1,4 +1,4 @@
-//! What an owner takes from an agent's link, before and after the agent has told what is on its worker.
+//! How an owner processes messages of an agent's link before and after the agent has sent its worker's snapshot.
 
 use crate::site::{Site, job, name, run, wait_for};
 use compio::net::TcpStream;
@@ -13,30 +13,30 @@
     WorkerSnapshot, split_stream,
 };
 
-/// A message that has not come by then will not come.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Time within which an expected message must arrive.
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(60);
 const WORKER: &str = "i-played";
 
-/// An agent that a test plays by hand, frame by frame.
-struct PlayedAgent {
+/// Agent's end of a link, which a test drives frame by frame.
+struct FakeAgent {
     reader: PoolReader,
     outbox: UnboundedSender<PoolBody>,
-    _writing: JoinHandle<()>,
+    _writer_task: JoinHandle<()>,
 }
 
-impl PlayedAgent {
-    /// Links to the owner; nothing is told yet.
+impl FakeAgent {
+    /// Links to the owner without sending a snapshot; `None` if the front does not own the shard.
     async fn link(owner: SocketAddr) -> Option<Self> {
         Self::link_as(owner, "played", None).await
     }
 
-    /// Links to the owner as the agent of a machine; says that this boot is dead.
-    async fn link_as(owner: SocketAddr, node: &str, dead: Option<BootId>) -> Option<Self> {
+    /// Links to the owner as the agent `node`, and reports the boot `ended` as ended.
+    async fn link_as(owner: SocketAddr, node: &str, ended: Option<BootId>) -> Option<Self> {
         let stream = TcpStream::connect(owner).await.ok()?;
         let (mut reader, mut writer): (PoolReader, PoolWriter) = split_stream(stream);
         let hello = AgentHello {
             node: node.into(),
-            ended_boots: dead.iter().map(Into::into).collect(),
+            ended_boots: ended.iter().map(Into::into).collect(),
         };
         writer.write(PoolBody::AgentHello(hello)).await.ok()?;
         let answer = reader.read().await.ok()??;
@@ -44,26 +44,28 @@
             return None;
         }
         let (outbox, mut inbox) = unbounded();
-        let writing = spawn(async move {
-            // The owner's end closes the link.
+        let writer_task = spawn(async move {
+            // An error means that the owner has closed the link.
             let _ = writer.forward(&mut inbox).await;
         });
         Some(Self {
             reader,
             outbox,
-            _writing: writing,
+            _writer_task: writer_task,
         })
     }
 
-    fn tell(&self, body: PoolBody) {
-        self.outbox.unbounded_send(body).expect("the link stands");
+    fn send(&self, body: PoolBody) {
+        self.outbox
+            .unbounded_send(body)
+            .expect("the link must be open");
     }
 
-    fn tell_worker(&self, ends: &[RunEnd]) {
-        self.tell_boot(WORKER.into(), ends);
+    fn send_snapshot(&self, ends: &[RunEnd]) {
+        self.send_snapshot_of(WORKER.into(), ends);
     }
 
-    fn tell_boot(&self, boot: BootId, ends: &[RunEnd]) {
+    fn send_snapshot_of(&self, boot: BootId, ends: &[RunEnd]) {
         let view = WorkerView {
             boot,
             service: "svc".into(),
@@ -74,7 +76,7 @@
             },
             ..Default::default()
         };
-        self.tell(PoolBody::WorkerSnapshot(WorkerSnapshot {
+        self.send(PoolBody::WorkerSnapshot(WorkerSnapshot {
             worker: (&view).into(),
             runs: Vec::new(),
             ends: ends.iter().map(RunEndFrame::from).collect(),
@@ -82,19 +84,19 @@
         }));
     }
 
-    /// The next message that `pick` takes; heartbeats go on meanwhile.
+    /// Returns the first value that `pick` takes from a message. Sends a heartbeat before each read.
     async fn next<T>(&mut self, pick: impl Fn(PoolBody) -> Option<T>) -> T {
-        timeout(PATIENCE, async {
+        timeout(MESSAGE_TIMEOUT, async {
             loop {
-                self.tell(PoolBody::Heartbeat(LinkHeartbeat::default()));
-                let body = self.reader.read().await.expect("the link stands");
-                if let Some(picked) = pick(body.expect("the owner keeps the link")) {
+                self.send(PoolBody::Heartbeat(LinkHeartbeat::default()));
+                let body = self.reader.read().await.expect("the link must be open");
+                if let Some(picked) = pick(body.expect("the owner must keep the link open")) {
                     return picked;
                 }
             }
         })
         .await
-        .expect("the message comes")
+        .expect("the message must arrive in time")
     }
 
     async fn next_start(&mut self) -> RunId {
@@ -105,73 +107,77 @@
         .await
     }
 
-    async fn wait_kept(&mut self) {
+    async fn wait_accepted(&mut self) {
         self.next(|body| matches!(body, PoolBody::WorkerAccepted(_)).then_some(()))
             .await;
     }
 }
 
-fn done(number: u64, mark: RunId) -> RunEnd {
+fn successful_end(number: u64, run: RunId) -> RunEnd {
     RunEnd {
         number,
-        run_id: mark,
+        run_id: run,
         kind: RunEndKind::Done,
         checkpoint: "".into(),
     }
 }
 
-/// Two runs end while the link is silent, so that the first of the two ends is lost with it. The second one is
-/// told on the next link before all that the worker lists.
+/// Two runs end while the link is silent, so the first end is lost with the link. The agent reports the second
+/// end on the next link before it sends the snapshot with all ends. The owner must not skip the first end.
 #[test]
-fn an_end_that_was_lost_with_its_link_is_not_passed_over_for_a_later_one() {
+fn a_run_end_lost_with_its_link_is_processed_although_a_later_end_arrives_first() {
     run(async {
         let site = Site::start("lost-end", 1, 0).await;
         let owner = site.fronts[0].peers;
-        let mut agent = wait_for("the front to own the shard", || PlayedAgent::link(owner)).await;
-        agent.tell_worker(&[]);
-        agent.wait_kept().await;
+        let mut agent = wait_for("the front to own the shard", || FakeAgent::link(owner)).await;
+        agent.send_snapshot(&[]);
+        agent.wait_accepted().await;
         site.submit(&name(1), &job(1, 2, 50)).await;
         let (first, second) = (agent.next_start().await, agent.next_start().await);
         drop(agent);
-        let mut agent = wait_for("another link", || PlayedAgent::link(owner)).await;
-        agent.tell(PoolBody::RunUpdates(RunUpdates {
-            ends: vec![(&done(2, second)).into()],
+        let mut agent = wait_for("the second link", || FakeAgent::link(owner)).await;
+        agent.send(PoolBody::RunUpdates(RunUpdates {
+            ends: vec![(&successful_end(2, second)).into()],
             ..Default::default()
         }));
-        agent.tell_worker(&[done(1, first), done(2, second)]);
-        agent.wait_kept().await;
+        agent.send_snapshot(&[successful_end(1, first), successful_end(2, second)]);
+        agent.wait_accepted().await;
         site.wait_state(&name(1), "completed").await;
-        for mark in [first, second] {
-            let starts = site.starts_ordered(&mark.task.to_string());
-            assert_eq!(starts, 1, "{} was started again after its end", mark.task);
+        for run in [first, second] {
+            let starts = site.ordered_start_count(&run.task.to_string());
+            assert_eq!(starts, 1, "{} was started again after its end", run.task);
         }
     });
 }
 
-/// A worker dies while its agent has no link, so that the word of its end is lost.
+/// A worker ends while its agent has no link, so the message about its end is lost. The agent's next hello lists the
+/// ended boot, so the owner restarts the task without waiting for leases to expire.
 #[test]
-fn a_worker_that_died_between_two_links_is_not_waited_for() {
+fn a_task_of_a_worker_that_ended_between_two_links_restarts_without_lease_expiry() {
     run(async {
         let site = Site::start("dead-between", 1, 0).await;
         let owner = site.fronts[0].peers;
-        let link = |node: &'static str, dead: Option<BootId>| async move {
-            let open = || PlayedAgent::link_as(owner, node, dead.clone());
+        let link = |node: &'static str, ended: Option<BootId>| async move {
+            let open = || FakeAgent::link_as(owner, node, ended.clone());
             wait_for("the front to own the shard", open).await
         };
-        let (dying, other) = (BootId::new("i-dying", Some(1)), BootId::from("i-other"));
+        let (ending_boot, other_boot) = (BootId::new("i-dying", Some(1)), BootId::from("i-other"));
         let mut agent = link("one", None).await;
-        agent.tell_boot(dying.clone(), &[]);
-        agent.wait_kept().await;
+        agent.send_snapshot_of(ending_boot.clone(), &[]);
+        agent.wait_accepted().await;
         site.submit(&name(1), &job(1, 1, 50)).await;
         let first = agent.next_start().await;
         drop(agent);
         let mut second = link("two", None).await;
-        second.tell_boot(other, &[]);
-        second.wait_kept().await;
-        let _agent = link("one", Some(dying)).await;
+        second.send_snapshot_of(other_boot, &[]);
+        second.wait_accepted().await;
+        let _agent = link("one", Some(ending_boot)).await;
         let again = second.next_start().await;
         assert_eq!(again.task, first.task);
-        let lapsed = site.log("front-0").contains("leases have lapsed");
-        assert!(!lapsed, "the task waited for leases of a dead worker");
+        let waited_for_expiry = site.log("front-0").contains("leases have lapsed");
+        assert!(
+            !waited_for_expiry,
+            "the task waited for the leases of an ended worker"
+        );
     });
 }
--- a/tests/pool/many_agents.rs
+++ b/tests/pool/many_agents.rs
@@ -1,4 +1,4 @@
-//! An owner with more agents than one transaction, page or message holds.
+//! An owner with more agents than one transaction, page or message can hold.
 
 use crate::site::{Site, job, name, run, wait_for};
 use compio::net::TcpStream;
@@ -15,19 +15,19 @@
     split_stream,
 };
 
-/// More agents than entries of one transaction.
+/// More agents than a transaction may have entries.
 const AGENTS: usize = 200;
-/// Agents whose workers leave while the store is down.
-const LEAVERS: usize = 70;
+/// Number of agents whose workers end while the store is down.
+const LEAVING_AGENTS: usize = 70;
 
-/// A link that was not served by then never will be.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Time within which the owner must have accepted all links.
+const LINK_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Between two heartbeats, as agents send them.
-const PING_PERIOD: Duration = Duration::from_millis(400);
+/// Interval between two heartbeats of an agent.
+const HEARTBEAT_PERIOD: Duration = Duration::from_millis(400);
 
-/// The agent's end of a link, whose worker belongs to another service: it gets no work. It ends with
-/// its tasks.
+/// Agent's end of a link. Its worker belongs to another service and therefore gets no tasks. The link closes
+/// when the value is dropped.
 struct FakeAgent {
     worker: String,
     outbox: UnboundedSender<PoolBody>,
@@ -35,7 +35,7 @@
 }
 
 impl FakeAgent {
-    /// Links to the owner, tells the worker's runs, none, and waits until they were taken over.
+    /// Links to the owner, sends a snapshot without runs, and waits until the owner accepts it.
     async fn link(owner: SocketAddr, number: usize) -> Option<Self> {
         let stream = TcpStream::connect(owner).await.ok()?;
         let (mut reader, mut writer): (PoolReader, PoolWriter) = split_stream(stream);
@@ -50,39 +50,39 @@
         }
         let worker = format!("i-fake-{number}");
         let (outbox, mut inbox) = unbounded();
-        let writing = spawn(async move {
-            // The owner's end closes the link.
+        let writer_task = spawn(async move {
+            // An error means that the owner has closed the link.
             let _ = writer.forward(&mut inbox).await;
         });
-        let pinging = spawn(ping(outbox.clone()));
-        outbox.unbounded_send(worker_up(&worker)).ok()?;
+        let heartbeat_task = spawn(send_heartbeats(outbox.clone()));
+        outbox.unbounded_send(worker_snapshot(&worker)).ok()?;
         while !matches!(reader.read().await.ok()??, PoolBody::WorkerAccepted(_)) {}
-        let reading = spawn(async move { while let Ok(Some(_)) = reader.read().await {} });
+        let reader_task = spawn(async move { while let Ok(Some(_)) = reader.read().await {} });
         Some(Self {
             worker,
             outbox,
-            _tasks: [writing, pinging, reading],
+            _tasks: [writer_task, heartbeat_task, reader_task],
         })
     }
 
-    fn leave(&self) {
-        let gone = AllRunsEnded::new(&self.worker.as_str().into(), true);
+    fn report_worker_ended(&self) {
+        let ended = AllRunsEnded::new(&self.worker.as_str().into(), true);
         self.outbox
-            .unbounded_send(PoolBody::AllRunsEnded(gone))
-            .expect("the link stands");
+            .unbounded_send(PoolBody::AllRunsEnded(ended))
+            .expect("the link must be open");
     }
 }
 
-async fn ping(outbox: UnboundedSender<PoolBody>) {
+async fn send_heartbeats(outbox: UnboundedSender<PoolBody>) {
     while outbox
         .unbounded_send(PoolBody::Heartbeat(LinkHeartbeat::default()))
         .is_ok()
     {
-        sleep(PING_PERIOD).await;
+        sleep(HEARTBEAT_PERIOD).await;
     }
 }
 
-fn worker_up(id: &str) -> PoolBody {
+fn worker_snapshot(id: &str) -> PoolBody {
     let view = WorkerView {
         boot: id.into(),
         service: "other".into(),
@@ -101,7 +101,7 @@
     })
 }
 
-/// Links agents of these numbers to the owner, at once.
+/// Links the agents with these numbers to the owner concurrently.
 async fn link_all(owner: SocketAddr, numbers: Range<usize>) -> Vec<FakeAgent> {
     let first = numbers.start;
     let first = wait_for("the front to own the shard", || async {
@@ -111,21 +111,24 @@
     let links = numbers
         .skip(1)
         .map(|number| spawn(async move { FakeAgent::link(owner, number).await }));
-    let agents = timeout(PATIENCE, join_all(links)).await;
-    let agents = agents.expect("all links are served");
+    let agents = timeout(LINK_TIMEOUT, join_all(links)).await;
+    let agents = agents.expect("all links must be accepted in time");
     let agents = agents.into_iter().filter_map(|agent| agent.ok()?);
     std::iter::once(first).chain(agents).collect()
 }
 
-/// With all agents' rows in one transaction the store refused it for ever, and no work began.
+/// Guards against an owner that writes the rows of all agents in one transaction: the store refuses a transaction
+/// beyond its limits each time, so no task would ever start.
 #[test]
-fn many_agents_at_once_are_written_down_in_parts_that_the_store_takes() {
+fn rows_of_many_agents_are_split_into_transactions_within_the_store_limits() {
     run(async {
         let site = Site::start("many", 1, 1).await;
         let agents = link_all(site.fronts[0].peers, 0..AGENTS).await;
-        assert_eq!(agents.len(), AGENTS, "all were taken over");
-        wait_for("all agents to be known", || async {
-            site.agent_rows().await.filter(|rows| *rows == AGENTS + 1)
+        assert_eq!(agents.len(), AGENTS, "the owner must accept all links");
+        wait_for("rows of all agents", || async {
+            site.agent_row_count()
+                .await
+                .filter(|rows| *rows == AGENTS + 1)
         })
         .await;
         site.submit(&name(1), &job(1, 4, 20)).await;
@@ -134,39 +137,44 @@
     });
 }
 
-/// Workers that have said goodbye hold up nothing, though their agents are gone at the takeover and
-/// the store could not be told: their rows stand.
+/// Workers that have ended must not delay a takeover, although the store was down and still holds the rows of
+/// their agents, and these agents have terminated before the takeover.
 #[test]
-fn workers_that_left_while_the_store_was_down_hold_up_no_takeover() {
+fn workers_that_left_during_a_store_outage_do_not_delay_a_takeover() {
     run(async {
         let mut site = Site::start("left", 2, 1).await;
-        site.own_by_first(&name(1)).await;
+        site.make_first_front_owner(&name(1)).await;
         let mut agents = link_all(site.fronts[0].peers, 0..AGENTS).await;
-        wait_for("all agents to be known", || async {
-            site.agent_rows().await.filter(|rows| *rows == AGENTS + 1)
+        wait_for("rows of all agents", || async {
+            site.agent_row_count()
+                .await
+                .filter(|rows| *rows == AGENTS + 1)
         })
         .await;
-        // A task that waits at the takeover, and may run unheard as far as the next owner knows.
+        // Some tasks still wait at the takeover. The next owner cannot exclude that they run on a worker that has not
+        // reported yet.
         site.submit(&name(2), &job(1, 6, 2_500)).await;
         site.wait_running(&name(2)).await;
         site.store_faults(serde_json::json!({ "down": true })).await;
-        for agent in &agents[..LEAVERS] {
-            agent.leave();
+        for agent in &agents[..LEAVING_AGENTS] {
+            agent.report_worker_ended();
         }
-        site.wait_logs("front-0", "worker is gone", LEAVERS).await;
-        drop(agents.drain(..LEAVERS));
-        site.wait_logs("front-0", "agent unlinked", LEAVERS).await;
+        site.wait_log_lines("front-0", "worker is gone", LEAVING_AGENTS)
+            .await;
+        drop(agents.drain(..LEAVING_AGENTS));
+        site.wait_log_lines("front-0", "agent unlinked", LEAVING_AGENTS)
+            .await;
         site.kill_front(0);
         site.store_faults(serde_json::json!({})).await;
         drop(agents);
-        let agents = link_all(site.fronts[1].peers, LEAVERS..AGENTS).await;
-        assert_eq!(agents.len(), AGENTS - LEAVERS);
+        let agents = link_all(site.fronts[1].peers, LEAVING_AGENTS..AGENTS).await;
+        assert_eq!(agents.len(), AGENTS - LEAVING_AGENTS);
         site.wait_state(&name(2), "completed").await;
         let log = site.log("front-1");
         assert!(log.contains("all workers heard or lapsed"));
         assert!(
             !log.contains("leases have lapsed unheard"),
-            "nobody was waited for"
+            "the new owner must not wait for leases to expire"
         );
         site.audit().await;
     });
--- a/tests/pool/soak_plan.rs
+++ b/tests/pool/soak_plan.rs
@@ -1,25 +1,25 @@
-//! Which faults a soak brings about, and when: drawn from a seed alone.
+//! Draws the faults of a soak and their times from a seed.
 
 use crate::site::RestartClock;
 use fastrand::Rng;
 use std::collections::HashSet;
 use std::time::Duration;
 
-/// How many processes a soak has.
+/// Number of processes of a soak, and its duration.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SoakSize {
     pub(crate) fronts: usize,
-    pub(crate) machines: usize,
-    /// How long faults go on.
+    pub(crate) vms: usize,
+    /// Time during which faults begin.
     pub(crate) length: Duration,
 }
 
-/// What a fault is brought about on.
+/// Process, connection or setting that a fault affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum FaultTarget {
     Front(usize),
-    /// The way of a front to the store.
-    Way(usize),
+    /// Proxy between a front and the store.
+    StorePath(usize),
     Agent(usize),
     Worker(usize),
     Store,
@@ -27,75 +27,75 @@
     Config,
 }
 
-/// A fault, or planned work.
+/// Fault, or planned operation such as a drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SoakFault {
-    /// SIGKILL, and a start at the end.
+    /// SIGKILL at the beginning, a new start at the end.
     Kill,
-    /// SIGKILL of a worker, and a start under its id at the end.
+    /// SIGKILL of a worker at the beginning, a start under the same id at the end.
     Restart(RestartClock),
-    /// SIGTERM, and a start at the end.
+    /// SIGTERM at the beginning, a new start at the end.
     Stop,
-    /// SIGSTOP, and SIGCONT at the end.
+    /// SIGSTOP at the beginning, SIGCONT at the end.
     Freeze,
-    /// Connections are refused.
+    /// The proxy refuses connections.
     Cut,
     /// Open connections go silent without being closed.
     Silence,
-    /// The worker fails all that it runs.
+    /// The worker fails every task.
     FailAll,
-    /// A part of its starts is carried out late and not answered.
+    /// The worker executes some start orders late and does not answer them.
     LateStarts,
-    /// It has less than it said.
+    /// The worker has less CPU capacity than before.
     Shrink,
     /// The store refuses all calls.
     Down,
-    /// It answers late.
+    /// The store answers late.
     Slow,
-    /// A part of its answers to transactions is lost.
-    LoseAnswers,
-    /// It drops its history.
+    /// Some replies of the store to transactions are lost.
+    LoseReplies,
+    /// The store drops its history.
     Forget,
     /// The operator drains the failure domain.
     Drain,
-    /// A route is added.
+    /// The operator adds a route.
     AddRoute,
 }
 
-/// A fault with its span.
+/// Fault with its start, relative to the start of the soak, and its duration.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PlannedFault {
     pub(crate) at: Duration,
-    pub(crate) lasts: Duration,
+    pub(crate) duration: Duration,
     pub(crate) target: FaultTarget,
     pub(crate) fault: SoakFault,
 }
 
-/// Faults in the order of their beginnings.
+/// Draws a plan from the seed. Faults are in the order of their start, and no target has two faults at a time.
 pub(crate) fn draw_plan(seed: u64, size: SoakSize, domains: &[&'static str]) -> Vec<PlannedFault> {
     let mut rng = Rng::with_seed(seed);
     let mut plan: Vec<PlannedFault> = Vec::new();
     let mut at = Duration::from_millis(500);
     while at < size.length {
         let (target, fault) = draw_fault(&mut rng, size, domains);
-        let lasts = Duration::from_millis(match fault {
-            // Beyond the bound by which a drain holds: until then starts are allowed.
+        let duration = Duration::from_millis(match fault {
+            // Longer than the bound of a drain, up to which starts are still allowed.
             SoakFault::Drain => rng.u64(6_000..9_000),
-            // Beyond what a link may be silent, and leases last.
+            // Some freezes are longer than the heartbeat timeout of a link and the duration of a lease.
             SoakFault::Freeze => rng.u64(300..6_000),
-            // From within one hold of the agent to beyond the room that leases leave.
+            // From less than one hold of the agent to longer than the remaining validity of leases.
             SoakFault::Restart(_) => rng.u64(0..1_500),
             _ => rng.u64(300..3_500),
         });
         let busy: HashSet<FaultTarget> = plan
             .iter()
-            .filter(|planned| planned.at + planned.lasts >= at)
+            .filter(|planned| planned.at + planned.duration >= at)
             .map(|planned| planned.target)
             .collect();
         if !busy.contains(&target) {
             plan.push(PlannedFault {
                 at,
-                lasts,
+                duration,
                 target,
                 fault,
             });
@@ -107,22 +107,22 @@
 
 fn draw_fault(rng: &mut Rng, size: SoakSize, domains: &[&'static str]) -> (FaultTarget, SoakFault) {
     let front = rng.usize(0..size.fronts);
-    let machine = rng.usize(0..size.machines);
+    let vm = rng.usize(0..size.vms);
     match rng.u32(0..24) {
         0 => (FaultTarget::Front(front), SoakFault::Kill),
         1 => (FaultTarget::Front(front), SoakFault::Stop),
         2 | 3 => (FaultTarget::Front(front), SoakFault::Freeze),
-        4 | 5 => (FaultTarget::Way(front), SoakFault::Cut),
-        6 | 7 => (FaultTarget::Way(front), SoakFault::Silence),
-        8 => (FaultTarget::Agent(machine), SoakFault::Kill),
-        9 => (FaultTarget::Agent(machine), SoakFault::Freeze),
-        10 => (FaultTarget::Worker(machine), SoakFault::Kill),
-        11 => (FaultTarget::Worker(machine), SoakFault::FailAll),
-        12 => (FaultTarget::Worker(machine), SoakFault::LateStarts),
-        13 => (FaultTarget::Worker(machine), SoakFault::Shrink),
+        4 | 5 => (FaultTarget::StorePath(front), SoakFault::Cut),
+        6 | 7 => (FaultTarget::StorePath(front), SoakFault::Silence),
+        8 => (FaultTarget::Agent(vm), SoakFault::Kill),
+        9 => (FaultTarget::Agent(vm), SoakFault::Freeze),
+        10 => (FaultTarget::Worker(vm), SoakFault::Kill),
+        11 => (FaultTarget::Worker(vm), SoakFault::FailAll),
+        12 => (FaultTarget::Worker(vm), SoakFault::LateStarts),
+        13 => (FaultTarget::Worker(vm), SoakFault::Shrink),
         14 => (FaultTarget::Store, SoakFault::Down),
         15 => (FaultTarget::Store, SoakFault::Slow),
-        16 => (FaultTarget::Store, SoakFault::LoseAnswers),
+        16 => (FaultTarget::Store, SoakFault::LoseReplies),
         17 => (FaultTarget::Store, SoakFault::Forget),
         18 => {
             let domain = domains[rng.usize(0..domains.len())];
@@ -130,12 +130,12 @@
         }
         19 => (FaultTarget::Config, SoakFault::AddRoute),
         20 => (
-            FaultTarget::Worker(machine),
+            FaultTarget::Worker(vm),
             SoakFault::Restart(RestartClock::Ahead),
         ),
         _ => (
-            FaultTarget::Worker(machine),
-            SoakFault::Restart(RestartClock::Anew),
+            FaultTarget::Worker(vm),
+            SoakFault::Restart(RestartClock::FromZero),
         ),
     }
 }
--- a/tests/proofs/tool.rs
+++ b/tests/proofs/tool.rs
@@ -1,6 +1,6 @@
-//! The operators' tool against a running system.
+//! Tests of the operators' tool `waxwing` against a running system.
 
-use crate::support::audit::{all_runs, check_one_place};
+use crate::support::audit::{all_runs, check_no_overlap};
 use crate::support::calls::{get_json, post_json};
 use crate::support::cluster::{Cluster, ClusterPlan};
 use crate::support::{run, wait_for};
@@ -8,7 +8,8 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// Runs the tool; gives its exit code and all that it printed.
+/// Runs the tool against the first entry; returns its exit code and its standard output followed by its
+/// standard error.
 fn waxwing(cluster: &Cluster, args: &[&str]) -> (Option<i32>, String) {
     let tool = Path::new(env!("CARGO_BIN_EXE_waxwingd")).with_file_name("waxwing");
     let output = Command::new(tool)
@@ -21,22 +22,23 @@
     (output.status.code(), text)
 }
 
-fn example(firm: &str) -> String {
-    format!("{}/examples/{firm}/tree", env!("CARGO_MANIFEST_DIR"))
+fn example_tree(customer: &str) -> String {
+    format!("{}/examples/{customer}/tree", env!("CARGO_MANIFEST_DIR"))
 }
 
 #[test]
 fn an_exported_tree_applies_without_a_change() {
     run(async {
         let cluster = Cluster::start(ClusterPlan::default()).await;
-        for firm in ["riveneige", "mares-patentes"] {
+        for customer in ["riveneige", "mares-patentes"] {
             let (code, text) = waxwing(
                 &cluster,
-                &["settings", "apply", &example(firm), "--wait", "60"],
+                &["settings", "apply", &example_tree(customer), "--wait", "60"],
             );
             assert_eq!(code, Some(0), "{text}");
             assert!(text.contains("in force at 4 of 4"), "{text}");
-            let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("export-{firm}"));
+            let folder =
+                PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("export-{customer}"));
             let folder = folder.display().to_string();
             let (code, text) = waxwing(&cluster, &["settings", "export", &folder]);
             assert_eq!(code, Some(0), "{text}");
@@ -44,10 +46,7 @@
             let (code, text) = waxwing(&cluster, &["settings", "apply", &folder]);
             assert_eq!(code, Some(0), "{text}");
             let (_, after) = waxwing(&cluster, &["settings", "get"]);
-            assert_eq!(
-                before, after,
-                "an export changes something when it is applied"
-            );
+            assert_eq!(before, after, "applying an export must not change the tree");
         }
     });
 }
@@ -57,7 +56,7 @@
     run(async {
         let cluster = Cluster::start(ClusterPlan::default()).await;
         let (_, before) = waxwing(&cluster, &["settings", "get"]);
-        let folder = example("riveneige");
+        let folder = example_tree("riveneige");
         let (code, text) = waxwing(&cluster, &["settings", "apply", &folder, "--dry-run"]);
         assert_eq!(code, Some(0), "{text}");
         assert!(
@@ -70,7 +69,7 @@
 }
 
 #[test]
-fn a_conflict_names_the_winner_and_the_exit_code_says_refused() {
+fn a_conflict_names_the_winner_and_exits_with_code_1() {
     run(async {
         let cluster = Cluster::start(ClusterPlan::default()).await;
         let set = [
@@ -100,16 +99,18 @@
     });
 }
 
-/// How many runs a worker has recorded.
+/// Returns the number of runs that a worker has recorded.
 async fn runs_on(cluster: &Cluster, worker: &str) -> usize {
     let record = cluster.record(worker).await;
     record["runs"].as_array().map_or(0, Vec::len)
 }
 
-/// A job that takes all three workers, if it may; its tasks have ended when this returns.
+/// Runs a job that is large enough for all three workers, and waits until its tasks have succeeded.
 async fn run_wide_job(cluster: &Cluster, key: &str) {
     let input = json!({ "work_ms": 100 });
-    let job = cluster.submit_surely("sommaire", 12, input, key).await;
+    let job = cluster
+        .submit_until_accepted("sommaire", 12, input, key)
+        .await;
     let view = cluster.wait_ended(&job).await;
     for task in view["tasks"].as_array().into_iter().flatten() {
         assert!(task["state"]["done"].is_string(), "{task}");
@@ -118,7 +119,7 @@
 
 /// Waits until every entry shows these failure domains as drained.
 async fn wait_drained(cluster: &Cluster, expected: Value) {
-    wait_for("all entries to know the drains", || async {
+    wait_for("the expected drained domains on all entries", || async {
         for n in 1..=2 {
             let status = get_json(&format!("{}/v1/status", cluster.operators(n))).await?;
             if status["drained"] != expected {
@@ -131,7 +132,7 @@
 }
 
 #[test]
-fn a_drained_domain_gets_nothing_until_it_is_taken_back() {
+fn a_drained_domain_gets_no_runs_until_it_is_undrained() {
     run(async {
         let plan = ClusterPlan {
             shards: 1,
@@ -139,7 +140,7 @@
         };
         let cluster = Cluster::start(plan).await;
         cluster.wait_owned().await;
-        // The first worker is in it.
+        // The first worker is in this failure domain.
         for _ in 0..2 {
             let (code, text) = waxwing(&cluster, &["domain", "drain", "domain-2"]);
             assert_eq!(code, Some(0), "{text}");
@@ -161,13 +162,13 @@
             (runs_on(&cluster, "worker-1").await > 0).then_some(())
         })
         .await;
-        check_one_place(&all_runs(&cluster).await);
+        check_no_overlap(&all_runs(&cluster).await);
     });
 }
 
-/// A row that cannot be read hides no other, and counts as a drain: what is not certain is kept out.
+/// A drain row that cannot be decoded counts as a drain of its domain, to be safe, and does not affect other drains.
 #[test]
-fn a_damaged_row_of_a_drain_hides_no_other() {
+fn a_damaged_drain_row_hides_no_other() {
     run(async {
         let cluster = Cluster::start(ClusterPlan::default()).await;
         let key = "drain/domain-9";
@@ -188,7 +189,7 @@
 }
 
 #[test]
-fn a_domain_without_a_proper_name_is_refused() {
+fn a_domain_with_an_invalid_name_is_refused() {
     run(async {
         let cluster = Cluster::start(ClusterPlan::default()).await;
         let long = "x".repeat(101);
@@ -201,6 +202,6 @@
             );
         }
         let status = get_json(&format!("{}/v1/status", cluster.operators(1))).await;
-        assert_eq!(status.expect("it answers")["drained"], json!([]));
+        assert_eq!(status.expect("the entry must answer")["drained"], json!([]));
     });
 }
