--- a/crates/wax-member/src/heartbeat.rs
+++ b/crates/wax-member/src/heartbeat.rs
@@ -178,7 +178,7 @@
 ) {
     let stale: Vec<_> = handle.with_watch(|watch| {
         watch
-            .stale(now, handle.ttl() * TTLS_BEFORE_DELETION)
+            .stale_members(now, handle.ttl() * TTLS_BEFORE_DELETION)
             .map(|state| {
                 (
                     member_key(&state.row.name),
--- a/crates/wax-member/src/watch.rs
+++ b/crates/wax-member/src/watch.rs
@@ -61,7 +61,11 @@
     }
 
     /// Returns the members whose rows have not changed for `min_age` or longer.
-    pub fn stale(&self, now: TimePoint, min_age: Duration) -> impl Iterator<Item = &MemberState> {
+    pub fn stale_members(
+        &self,
+        now: TimePoint,
+        min_age: Duration,
+    ) -> impl Iterator<Item = &MemberState> {
         self.members
             .values()
             .filter(move |state| now.since(state.changed_at) >= min_age)
--- a/crates/wax-route/src/callers.rs
+++ b/crates/wax-route/src/callers.rs
@@ -53,7 +53,9 @@
     async fn handle_call(&self, request: HttpRequest, target: CallTarget) -> HttpReply {
         count(Counter::EntryRequests);
         match self.prepare(request, target).await {
-            Ok((parts, admission, settings)) => self.execute(parts, admission, &settings).await,
+            Ok((upstream_request, admission, settings)) => {
+                self.execute(upstream_request, admission, &settings).await
+            }
             Err(error) => {
                 count(Counter::EntryRefused);
                 error_reply_with_outcome(&error, RunOutcome::NotRun, None)
@@ -90,7 +92,7 @@
             Some(parent) => parent.child(),
             None => TraceContext::start(shared.trace_one_in),
         };
-        let parts = UpstreamRequest {
+        let upstream_request = UpstreamRequest {
             caller,
             service: target.service,
             method,
@@ -103,7 +105,7 @@
             deadline,
             trace: context,
         };
-        Ok((parts, admission, settings))
+        Ok((upstream_request, admission, settings))
     }
 
     fn resolve_settings(&self, team: &str, service: &str) -> Result<EffectiveSettings, WaxError> {
@@ -154,20 +156,22 @@
 
     async fn execute(
         &self,
-        parts: UpstreamRequest,
+        upstream_request: UpstreamRequest,
         admission: AdmissionGuard,
         settings: &EffectiveSettings,
     ) -> HttpReply {
-        let span = parts.trace.hop_span("entry", parts.caller.trace);
+        let span = upstream_request
+            .trace
+            .hop_span("entry", upstream_request.caller.trace);
         let _ = settings;
-        let response = match parts.caller.retry_safety {
+        let response = match upstream_request.caller.retry_safety {
             RetrySafety::AtMostOnceByKey => {
-                self.execute_once(parts, admission)
+                self.execute_once(upstream_request, admission)
                     .instrument(span.clone())
                     .await
             }
             _ => {
-                let flow = RequestFlow::new(self.shared.clone(), parts, admission);
+                let flow = RequestFlow::new(self.shared.clone(), upstream_request, admission);
                 flow.run().instrument(span.clone()).await
             }
         };
@@ -178,16 +182,27 @@
     /// Reserves the idempotency key, runs the request and records its outcome.
     async fn execute_once(
         &self,
-        parts: UpstreamRequest,
+        upstream_request: UpstreamRequest,
         admission: AdmissionGuard,
     ) -> FinalResponse {
-        let key = parts.caller.idempotency_key.clone().unwrap_or_default();
-        let team = parts.caller.team.clone();
-        let service = parts.service.clone();
-        let choice = reserve_key(&self.shared, &team, &service, &key, parts.deadline).await;
-        match choice {
+        let key = upstream_request
+            .caller
+            .idempotency_key
+            .clone()
+            .unwrap_or_default();
+        let team = upstream_request.caller.team.clone();
+        let service = upstream_request.service.clone();
+        let result = reserve_key(
+            &self.shared,
+            &team,
+            &service,
+            &key,
+            upstream_request.deadline,
+        )
+        .await;
+        match result {
             ReserveResult::Acquired(lock) => {
-                let flow = RequestFlow::new(self.shared.clone(), parts, admission);
+                let flow = RequestFlow::new(self.shared.clone(), upstream_request, admission);
                 let response = flow.run().await;
                 lock.record(&self.shared, response.outcome);
                 response
--- a/crates/wax-route/src/idempotency.rs
+++ b/crates/wax-route/src/idempotency.rs
@@ -117,8 +117,8 @@
 }
 
 fn unavailable_error(error: WaxError) -> WaxError {
-    let after = error.retry_after().unwrap_or(Duration::from_secs(1));
-    let kind = ErrorKind::Unavailable(after);
+    let retry_after = error.retry_after().unwrap_or(Duration::from_secs(1));
+    let kind = ErrorKind::Unavailable(retry_after);
     WaxError::new(kind, Step::ReserveKey, "table", error.label)
         .with_help("ask again with the same key")
 }
@@ -161,8 +161,8 @@
 /// Releases a reservation whose commit is indeterminate, if it took effect. Its request was not sent
 /// to an upstream, so the key may be reserved again.
 async fn release_indeterminate(shared: Rc<EntryShared>, (key, row): (Box<str>, IdempotencyRow)) {
-    let end = shared.clock.now() + RECORD_TIMEOUT;
-    while shared.clock.now() < end {
+    let deadline = shared.clock.now() + RECORD_TIMEOUT;
+    while shared.clock.now() < deadline {
         compio::time::sleep(Duration::from_secs(1)).await;
         if let Ok(Some(found)) = shared.table.read::<IdempotencyRow>(&key).await {
             if found.value.nonce == row.nonce && found.value.state == IdempotencyState::Reserved {
--- a/crates/wax-route/src/operators.rs
+++ b/crates/wax-route/src/operators.rs
@@ -82,8 +82,8 @@
             .parse()
             .map_err(|error| WaxError::new(ErrorKind::Invalid, Step::ReadJob, text, error))?;
         let now = self.shared.clock.now();
-        let reasons = self.shared.coordinator.explain(now, job);
-        Ok(json_reply(StatusCode::OK, &reasons))
+        let explanations = self.shared.coordinator.explain(now, job);
+        Ok(json_reply(StatusCode::OK, &explanations))
     }
 
     /// Drains a failure domain (`POST /v1/domains/NAME/drain`) or ends its drain (`DELETE`).
--- a/crates/wax-route/src/peer_link.rs
+++ b/crates/wax-route/src/peer_link.rs
@@ -99,8 +99,8 @@
     outbox: futures_channel::mpsc::UnboundedSender<PeerBody>,
 ) -> Rc<PeerState> {
     let now = shared.clock.now();
-    let local = *hello.failure_domain == *shared.failure_domain;
-    let view = UpstreamView::new(&hello.service, local, hello.slots, now);
+    let same_domain = *hello.failure_domain == *shared.failure_domain;
+    let view = UpstreamView::new(&hello.service, same_domain, hello.slots, now);
     let key = shared.routes.borrow_mut().add(view);
     count(Counter::LinksOpened);
     tracing::info!(
--- a/crates/wax-route/src/process.rs
+++ b/crates/wax-route/src/process.rs
@@ -98,7 +98,7 @@
         (callers, operators, peers): (TcpListener, TcpListener, TcpListener),
     ) -> Self {
         let clock = services.table.store().clock();
-        let own = services.members.own_row();
+        let own_row = services.members.own_row();
         let shared = EntryShared {
             name: daemon.name.clone(),
             failure_domain: daemon.failure_domain.clone(),
@@ -112,7 +112,7 @@
             teams: RefCell::new(TeamTable::new(options.max_requests)),
             routes: RefCell::default(),
             peers: PeerTable::default(),
-            attempts: AttemptTable::new(own.incarnation),
+            attempts: AttemptTable::new(own_row.incarnation),
             table: services.table,
             writer: services.writer,
             objects: services.objects,
@@ -192,19 +192,19 @@
     /// Builds the update for a sidecar at `version`: the last delta if it leads from there to the
     /// version in force, otherwise the whole tree.
     pub(crate) fn build_settings_push(&self, version: SettingsVersion) -> SettingsPush {
-        let own = self.settings.version();
+        let current = self.settings.version();
         let delta = self.last_delta.borrow();
         let delta = delta
             .as_ref()
-            .filter(|delta| delta.version == own && own == version.next());
+            .filter(|delta| delta.version == current && current == version.next());
         match delta {
             Some(delta) => SettingsPush {
-                version: own.0,
+                version: current.0,
                 tree: Default::default(),
                 delta: serde_json::to_vec(delta).unwrap_or_default().into(),
             },
             None => SettingsPush {
-                version: own.0,
+                version: current.0,
                 tree: self.settings.to_json().into(),
                 delta: Default::default(),
             },
--- a/crates/wax-route/src/request.rs
+++ b/crates/wax-route/src/request.rs
@@ -72,8 +72,11 @@
 
 impl Drop for AdmissionGuard {
     fn drop(&mut self) {
-        let held_for = self.shared.clock.now().since(self.admitted_at);
-        self.shared.teams.borrow_mut().release(self.team, held_for);
+        let in_flight_time = self.shared.clock.now().since(self.admitted_at);
+        self.shared
+            .teams
+            .borrow_mut()
+            .release(self.team, in_flight_time);
     }
 }
 
@@ -352,10 +355,10 @@
     }
 
     fn handle_chunk(&mut self, key: AttemptKey, chunk: &wax_wire::BodyChunk) -> FlowAction {
-        let Some((winner, buffer)) = &mut self.response else {
+        let Some((response_key, buffer)) = &mut self.response else {
             return FlowAction::Wait;
         };
-        if *winner != key {
+        if *response_key != key {
             return FlowAction::Wait;
         }
         match buffer.add(chunk) {
--- a/crates/wax-route/src/response.rs
+++ b/crates/wax-route/src/response.rs
@@ -158,15 +158,15 @@
 pub(crate) fn error_reply_with_outcome(
     error: &WaxError,
     outcome: RunOutcome,
-    after: Option<Duration>,
+    retry_after: Option<Duration>,
 ) -> HttpReply {
     let mut reply = error_reply(error);
     set_outcome(&mut reply, outcome);
-    if let Some(after) = after.or(error.retry_after()) {
-        let seconds = after.as_secs_f64().ceil().max(1.0) as u64;
+    if let Some(retry_after) = retry_after.or(error.retry_after()) {
+        let seconds = retry_after.as_secs_f64().ceil().max(1.0) as u64;
         let headers = reply.headers_mut();
         headers.insert(http::header::RETRY_AFTER, seconds.into());
-        headers.insert(RETRY_AFTER_MS, (after.as_millis() as u64).into());
+        headers.insert(RETRY_AFTER_MS, (retry_after.as_millis() as u64).into());
     }
     reply
 }
--- a/crates/wax-route/src/settings_api.rs
+++ b/crates/wax-route/src/settings_api.rs
@@ -126,11 +126,11 @@
     let deadline = shared.clock.now() + COMMIT_TIMEOUT;
     let edit = |tree: &mut SettingsTree| apply_edits(tree, &request);
     let version = commit_change(shared, expected, &request.author, edit, deadline).await?;
-    let force = wait_for_rollout(shared, version, Duration::from_millis(request.wait_ms)).await;
+    let rollout = wait_for_rollout(shared, version, Duration::from_millis(request.wait_ms)).await;
     let reply = ChangeReply {
         version,
         changes,
-        force: Some(force),
+        force: Some(rollout),
     };
     Ok(json_reply(StatusCode::OK, &reply))
 }
@@ -151,10 +151,10 @@
     version: SettingsVersion,
     max_wait: Duration,
 ) -> RolloutStatus {
-    let end = shared.clock.now() + max_wait;
+    let deadline = shared.clock.now() + max_wait;
     loop {
         let status = rollout_status(shared, version);
-        if status.in_force == status.processes || shared.clock.now() >= end {
+        if status.in_force == status.processes || shared.clock.now() >= deadline {
             return status;
         }
         // Confirmations of sidecars end the wait early. The versions of other entries are read from
--- a/crates/wax-route/src/settings_sync.rs
+++ b/crates/wax-route/src/settings_sync.rs
@@ -62,19 +62,19 @@
 pub(crate) async fn pull_settings(shared: &Rc<EntryShared>) -> Result<(), WaxError> {
     let head = read_head(shared).await?;
     let target = head.map_or_else(SettingsVersion::default, |row| row.value.version);
-    let own = shared.settings.version();
-    if target <= own {
+    let current = shared.settings.version();
+    if target <= current {
         if !shared.settings_loaded.replace(true) {
-            tracing::info!(version = %own, "settings loaded");
+            tracing::info!(version = %current, "settings loaded");
         }
         return Ok(());
     }
-    if target.0 - own.0 > MAX_LOG_DELTAS {
+    if target.0 - current.0 > MAX_LOG_DELTAS {
         let tree = read_tree(shared).await?;
         apply_tree(shared, tree);
         return Ok(());
     }
-    for delta in read_deltas(shared, own.next(), target).await? {
+    for delta in read_deltas(shared, current.next(), target).await? {
         apply_delta(shared, delta);
     }
     if shared.settings.version() < target {
--- a/crates/wax-sidecar/src/announce.rs
+++ b/crates/wax-sidecar/src/announce.rs
@@ -13,15 +13,15 @@
 /// Announces the load until the process ends. Each announcement is followed by a probe of an upstream
 /// that was unreachable.
 pub(crate) async fn announce_load(shared: Rc<SidecarShared>) {
-    let mut last = None;
+    let mut last_report = None;
     let mut since_last = Duration::ZERO;
     loop {
         sleep(MIN_ANNOUNCE_INTERVAL).await;
         since_last += MIN_ANNOUNCE_INTERVAL;
         let report = shared.load_report();
-        if last != Some(report) || since_last >= HEARTBEAT_PERIOD {
+        if last_report != Some(report) || since_last >= HEARTBEAT_PERIOD {
             shared.announce();
-            last = Some(report);
+            last_report = Some(report);
             since_last = Duration::ZERO;
         }
         if since_last.is_zero() {
--- a/crates/wax-sidecar/src/attempt.rs
+++ b/crates/wax-sidecar/src/attempt.rs
@@ -260,9 +260,9 @@
             context.hop_span("sidecar", parent)
         });
         let start = Instant::now();
-        let end = self.call(&shared, context).instrument(span.clone()).await;
+        let result = self.call(&shared, context).instrument(span.clone()).await;
         let elapsed = start.elapsed();
-        match end {
+        match result {
             CallResult::Complete(connection) => {
                 span.record("outcome", "ran");
                 // The connection is returned before the slot, so that the next attempt reuses it.
--- a/crates/wax-sidecar/src/link.rs
+++ b/crates/wax-sidecar/src/link.rs
@@ -24,7 +24,7 @@
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(5);
 /// Number of consecutive failures to connect after which an entry that the settings do not name is
 /// removed.
-const MAX_FAILED_DIALS: u32 = 30;
+const MAX_CONNECT_FAILURES: u32 = 30;
 
 /// Maintains the connection to one entry until the process stops or the entry is removed.
 pub(crate) async fn maintain_link(shared: Rc<SidecarShared>, address: SocketAddr) {
@@ -42,7 +42,7 @@
                 tracing::debug!(%error, "entry not connected");
             }
         }
-        if failures >= MAX_FAILED_DIALS && shared.remove_entry(address) {
+        if failures >= MAX_CONNECT_FAILURES && shared.remove_entry(address) {
             return;
         }
         sleep(backoff.next_delay(&mut rng)).await;
@@ -79,7 +79,7 @@
         ));
     }
     let (outbox, mut frames) = unbounded();
-    let writing = spawn(async move { writer.forward(&mut frames).await });
+    let writer_task = spawn(async move { writer.forward(&mut frames).await });
     let link = shared.add_link(outbox.clone());
     count(Counter::LinksOpened);
     tracing::info!(entry = %hello.name, %address, "entry connected");
@@ -98,7 +98,7 @@
     tracing::info!(entry = %hello.name, reason = %result, "entry disconnected");
     if shared.is_stopping() {
         // The process must not end before the last answers are written to the connection.
-        let _ = writing.await;
+        let _ = writer_task.await;
     }
     shared.change_open_links(-1);
     Ok(())
--- a/crates/wax-sidecar/src/process.rs
+++ b/crates/wax-sidecar/src/process.rs
@@ -235,9 +235,9 @@
                 let state = AttemptState::Queued(attempt);
                 self.attempt_table.borrow_mut().insert(key, state);
             }
-            GateChoice::Full(after) => attempt.refuse(NotRunReason::QueueFull, after),
-            GateChoice::CannotMeetDeadline(after) => {
-                attempt.refuse(NotRunReason::CannotMeetDeadline, after)
+            GateChoice::Full(retry_after) => attempt.refuse(NotRunReason::QueueFull, retry_after),
+            GateChoice::CannotMeetDeadline(retry_after) => {
+                attempt.refuse(NotRunReason::CannotMeetDeadline, retry_after)
             }
         }
     }
@@ -250,8 +250,8 @@
 
     /// Cancels an attempt.
     pub(crate) fn cancel(&self, key: AttemptKey) {
-        let choice = self.attempt_table.borrow_mut().cancel(key);
-        match choice {
+        let result = self.attempt_table.borrow_mut().cancel(key);
+        match result {
             CancelResult::WasQueued => {
                 count(Counter::SidecarCancelled);
                 self.gate.borrow_mut().remove(key);
--- a/crates/wax-tasks/src/commit.rs
+++ b/crates/wax-tasks/src/commit.rs
@@ -151,8 +151,8 @@
 
     /// Returns the rows of all tasks of a part with the changes of this group applied.
     fn task_rows(&self, state: &ShardState, part: &PartEntry) -> Vec<Option<TaskRow>> {
-        let place = part.row.place;
-        let tasks = (place.first..place.first + place.count).map(|index| TaskId {
+        let location = part.row.location;
+        let tasks = (location.first..location.first + location.count).map(|index| TaskId {
             job: part.row.job,
             index,
         });
--- a/crates/wax-tasks/src/commit_tests.rs
+++ b/crates/wax-tasks/src/commit_tests.rs
@@ -42,14 +42,14 @@
         attempts: 3,
         input: serde_json::Value::Null,
     };
-    let place = PartLocation {
+    let location = PartLocation {
         shard: ShardId(2),
         first: 0,
         count: 5,
     };
     let part = PartRow {
         job: JobId(9),
-        place,
+        location,
         spec,
         submitted_ms: 0,
     };
--- a/crates/wax-tasks/src/coordinator.rs
+++ b/crates/wax-tasks/src/coordinator.rs
@@ -136,7 +136,7 @@
             policy,
         };
         let clock = table.store().clock();
-        let workers = WorkerClient::new(WORKER_CALL_TIMEOUT)?;
+        let worker_client = WorkerClient::new(WORKER_CALL_TIMEOUT)?;
         Ok(Self {
             settings,
             options,
@@ -144,7 +144,7 @@
                 table,
                 objects,
                 directory,
-                workers,
+                worker_client,
                 settings: tree,
                 drains,
             },
@@ -193,7 +193,7 @@
             .filter(|member| member.coordinator && !member.leaving)
             .map(|member| &*member.name)
             .collect();
-        let own = self.members.own_row();
+        let own_row = self.members.own_row();
         for index in 0..self.settings.shards {
             let shard = ShardId(index);
             let row = rows.remove(shard_key(shard).as_str());
@@ -204,9 +204,9 @@
                 })
             });
             let identity = ProcessIdentity {
-                name: &own.name,
-                incarnation: own.incarnation,
-                leaving: leaving || own.leaving,
+                name: &own_row.name,
+                incarnation: own_row.incarnation,
+                leaving: leaving || own_row.leaving,
             };
             let top = top_member(index.into(), candidates.iter().copied());
             let value = row.as_ref().map(|row| &row.value);
@@ -253,14 +253,14 @@
 
     async fn claim_shard(&mut self, shard: ShardId, row: Option<RowEntry<ShardRow>>) {
         self.end_term(shard);
-        let own = self.members.own_row();
+        let own_row = self.members.own_row();
         let (version, epoch) = match &row {
             Some(row) => (row.version, row.value.epoch.next()),
             None => (RowVersion::default(), ShardEpoch(1)),
         };
         let next = ShardRow {
-            owner: Some(own.name),
-            incarnation: own.incarnation,
+            owner: Some(own_row.name),
+            incarnation: own_row.incarnation,
             epoch,
         };
         let started_at = self.clock.now();
--- a/crates/wax-tasks/src/drains.rs
+++ b/crates/wax-tasks/src/drains.rs
@@ -170,8 +170,9 @@
 }
 
 fn validate_domain_name(domain: &str) -> Result<(), WaxError> {
-    let is_plain = |character: char| character.is_ascii_alphanumeric() || "-_.".contains(character);
-    if !domain.is_empty() && domain.len() <= MAX_NAME_BYTES && domain.chars().all(is_plain) {
+    let is_allowed =
+        |character: char| character.is_ascii_alphanumeric() || "-_.".contains(character);
+    if !domain.is_empty() && domain.len() <= MAX_NAME_BYTES && domain.chars().all(is_allowed) {
         return Ok(());
     }
     let text = format!(
--- a/crates/wax-tasks/src/explain.rs
+++ b/crates/wax-tasks/src/explain.rs
@@ -22,12 +22,12 @@
     /// Returns an explanation for each task of a job whose shard this process owns.
     pub fn explain(&self, now: TimePoint, job: JobId) -> Vec<TaskExplanation> {
         let shards = self.shards.borrow();
-        let mut reasons: Vec<TaskExplanation> = shards
+        let mut explanations: Vec<TaskExplanation> = shards
             .values()
             .flat_map(|shared| explain_shard(shared, now, job))
             .collect();
-        reasons.sort_by_key(|reason| reason.index);
-        reasons
+        explanations.sort_by_key(|explanation| explanation.index);
+        explanations
     }
 }
 
@@ -81,7 +81,11 @@
         return "waits".to_owned();
     };
     let team = &part.row.spec.team;
-    if state.quotas.limited_teams().any(|held| *held == **team) {
+    if state
+        .quotas
+        .limited_teams()
+        .any(|limited| *limited == **team)
+    {
         return format!("waits: the quota of team {team} is used; raise it or wait for its tasks");
     }
     let quarantined = state
@@ -104,7 +108,7 @@
         .workers
         .values()
         .filter(|entry| !is_drained(&entry.info.failure_domain))
-        .filter_map(|entry| state.table.get(entry.key))
+        .filter_map(|entry| state.worker_table.get(entry.key))
         .map(wax_policy::WorkerCapacity::free)
         .max_by_key(|free| (free.accelerators, free.cpu_milli, free.memory_mib))
         .unwrap_or(ResourceVector::ZERO);
--- a/crates/wax-tasks/src/housekeeping.rs
+++ b/crates/wax-tasks/src/housekeeping.rs
@@ -29,7 +29,7 @@
                 let run_ids: Vec<TaskRunId> = entry
                     .orphans
                     .iter()
-                    .filter(|(_, seen)| **seen < confirmed_at)
+                    .filter(|(_, reported_at)| **reported_at < confirmed_at)
                     .map(|(run_id, _)| *run_id)
                     .collect();
                 for run_id in run_ids {
@@ -100,9 +100,9 @@
             return;
         };
         let shards = self.shared.options.shards;
-        let own = self.shared.term.shard();
+        let own_shard = self.shared.term.shard();
         for info in workers {
-            if shard_of_worker(&info.id, shards) == own {
+            if shard_of_worker(&info.id, shards) == own_shard {
                 self.refresh_worker(info);
             }
         }
--- a/crates/wax-tasks/src/job_service.rs
+++ b/crates/wax-tasks/src/job_service.rs
@@ -198,13 +198,13 @@
     /// platform does not answer, the expired list is returned.
     async fn worker_list(&self) -> Result<Vec<WorkerInfo>, WaxError> {
         let now = self.clock.now();
-        let known = self.workers.borrow().clone();
-        if let Some((fetched_at, workers)) = &known
+        let cached = self.workers.borrow().clone();
+        if let Some((fetched_at, workers)) = &cached
             && now.since(*fetched_at) < WORKER_LIST_MAX_AGE
         {
             return Ok(workers.clone());
         }
-        match (self.directory.list().await, known) {
+        match (self.directory.list().await, cached) {
             (Ok(workers), _) => {
                 *self.workers.borrow_mut() = Some((now, workers.clone()));
                 Ok(workers)
@@ -226,13 +226,13 @@
         let row = self.read_job(job).await?.1;
         let mut tasks = Vec::new();
         let mut ended = true;
-        for place in &row.parts {
+        for location in &row.parts {
             // The open rows are read first, so that a part that is closed between the two reads is
             // shown as closed.
-            let open = self.open_task_rows(job, *place).await?;
+            let open = self.open_task_rows(job, *location).await?;
             let closed = self
                 .table
-                .read::<ClosedRow>(&closed_key(job, place.first))
+                .read::<ClosedRow>(&closed_key(job, location.first))
                 .await?;
             let rows = match closed {
                 Some(closed) => closed.value.tasks.into_iter().map(Some).collect(),
@@ -242,7 +242,7 @@
                 }
             };
             for (offset, row) in rows.into_iter().enumerate() {
-                let index = place.first + offset as u32;
+                let index = location.first + offset as u32;
                 tasks.push(TaskView { index, row });
             }
         }
@@ -259,12 +259,12 @@
     async fn open_task_rows(
         &self,
         job: JobId,
-        place: PartLocation,
+        location: PartLocation,
     ) -> Result<Vec<Option<TaskRow>>, WaxError> {
-        let key = tasks_key(place.shard, job, place.first);
+        let key = tasks_key(location.shard, job, location.first);
         let row = self.table.read::<TasksRow>(&key).await?;
         let mut rows = row.map_or_else(Vec::new, |entry| entry.value.tasks);
-        rows.resize(place.count as usize, None);
+        rows.resize(location.count as usize, None);
         Ok(rows)
     }
 
@@ -317,7 +317,7 @@
             row.cancelled = true;
             let mut transaction = TableTransaction::default();
             transaction.put(job_key(job), version, &row);
-            let mut shards: Vec<_> = row.parts.iter().map(|place| place.shard).collect();
+            let mut shards: Vec<_> = row.parts.iter().map(|location| location.shard).collect();
             shards.sort_unstable();
             shards.dedup();
             for shard in shards {
@@ -358,16 +358,16 @@
     let mut transaction = TableTransaction::default();
     transaction.put(row_key, absent, &IdempotencyKeyRow { job });
     transaction.put(job_key(job), absent, row);
-    for place in &row.parts {
+    for location in &row.parts {
         let part = PartRow {
             job,
-            place: *place,
+            location: *location,
             spec: row.spec.clone(),
             submitted_ms: row.submitted_ms,
         };
-        transaction.put(part_key(place.shard, job, place.first), absent, &part);
-        let inbox = inbox_part_key(place.shard, job, place.first);
-        transaction.put(inbox, absent, &InboxRow::Part(job, place.first));
+        transaction.put(part_key(location.shard, job, location.first), absent, &part);
+        let inbox = inbox_part_key(location.shard, job, location.first);
+        transaction.put(inbox, absent, &InboxRow::Part(job, location.first));
     }
     transaction
 }
--- a/crates/wax-tasks/src/ledger_feed.rs
+++ b/crates/wax-tasks/src/ledger_feed.rs
@@ -142,13 +142,13 @@
         }
         for (key, sequence) in &mut stored_through {
             // An earlier report may still be pending and must not be acknowledged.
-            let gap = self
+            let first_pending = self
                 .pending
                 .keys()
                 .find(|(worker, boot, _)| *worker == key.0 && *boot == key.1)
                 .map(|(_, _, sequence)| *sequence);
-            if let Some(gap) = gap {
-                *sequence = (*sequence).min(gap.saturating_sub(1));
+            if let Some(first_pending) = first_pending {
+                *sequence = (*sequence).min(first_pending.saturating_sub(1));
             }
             let stored = self.stored.entry(key.clone()).or_default();
             *stored = (*stored).max(*sequence);
--- a/crates/wax-tasks/src/ownership.rs
+++ b/crates/wax-tasks/src/ownership.rs
@@ -35,17 +35,17 @@
 /// member.
 pub fn decide_shard(
     row: Option<&ShardRow>,
-    own: ProcessIdentity<'_>,
+    identity: ProcessIdentity<'_>,
     top: Option<&str>,
     owner_alive: bool,
 ) -> ShardChoice {
     let is_owner = row.is_some_and(|row| {
-        row.owner.as_deref() == Some(own.name) && row.incarnation == own.incarnation
+        row.owner.as_deref() == Some(identity.name) && row.incarnation == identity.incarnation
     });
-    let should_own = !own.leaving && top == Some(own.name);
+    let should_own = !identity.leaving && top == Some(identity.name);
     match (is_owner, should_own) {
         (true, true) => ShardChoice::Keep,
-        (true, false) if own.leaving || top.is_some() => ShardChoice::Release,
+        (true, false) if identity.leaving || top.is_some() => ShardChoice::Release,
         (true, false) => ShardChoice::Keep,
         (false, true) if !has_live_owner(row, owner_alive) => ShardChoice::Claim,
         (false, _) => ShardChoice::Yield,
--- a/crates/wax-tasks/src/placement.rs
+++ b/crates/wax-tasks/src/placement.rs
@@ -65,13 +65,13 @@
         if waiting.is_empty() {
             return Vec::new();
         }
-        let mut scratch = self.shared.state.borrow().table_without_stopping();
-        self.exclude_drained(&mut scratch);
+        let mut planned_table = self.shared.state.borrow().table_without_stopping();
+        self.exclude_drained(&mut planned_table);
         for change in earlier_changes {
             if let Some(worker) = &change.release
                 && let Some(entry) = self.shared.state.borrow().workers.get(worker)
             {
-                scratch.release(entry.key, change.task);
+                planned_table.release(entry.key, change.task);
             }
         }
         {
@@ -89,7 +89,7 @@
             if !self.try_reserve_quota(&tree, task) {
                 continue;
             }
-            match self.place_task(now, &tree, task, &mut scratch) {
+            match self.place_task(now, &tree, task, &mut planned_table) {
                 Some(change) => changes.push(change),
                 None => self.unreserve_quota(task),
             }
@@ -98,10 +98,10 @@
     }
 
     /// Closes the workers in drained failure domains to placements.
-    fn exclude_drained(&self, scratch: &mut wax_policy::WorkerTable) {
+    fn exclude_drained(&self, planned_table: &mut wax_policy::WorkerTable) {
         for entry in self.shared.state.borrow().workers.values() {
             if self.shared.drains.is_drained(&entry.info.failure_domain) {
-                scratch.set_open(entry.key, false);
+                planned_table.set_open(entry.key, false);
             }
         }
     }
@@ -152,7 +152,7 @@
         now: TimePoint,
         tree: &SettingsTree,
         task: TaskId,
-        scratch: &mut wax_policy::WorkerTable,
+        planned_table: &mut wax_policy::WorkerTable,
     ) -> Option<TaskChange> {
         let state = self.shared.state.borrow();
         let demand = state.demand(task)?;
@@ -163,7 +163,7 @@
             avoid: &avoid,
             policy: self.shared.options.policy,
         };
-        match scratch.choose(now, demand, context, &mut self.rng) {
+        match planned_table.choose(now, demand, context, &mut self.rng) {
             PlacementChoice::Place(key) => {
                 let worker = state.worker_ids.get(&key)?.clone();
                 let next = state.placed_row(task, &worker)?;
@@ -177,7 +177,7 @@
                     protected_until: now,
                     due_today: false,
                 };
-                scratch.reserve(key, running).then_some(TaskChange {
+                planned_table.reserve(key, running).then_some(TaskChange {
                     task,
                     next,
                     release: None,
@@ -188,7 +188,7 @@
                 let worker = state.worker_ids.get(&key)?.clone();
                 drop(state);
                 for evicted_task in evicted {
-                    scratch.release(key, evicted_task);
+                    planned_table.release(key, evicted_task);
                     self.stop_task(&worker, evicted_task);
                 }
                 None
@@ -258,7 +258,7 @@
     /// does not evict more tasks than necessary. A placement on capacity that is not released yet
     /// is left out of the commit.
     pub(crate) fn table_without_stopping(&self) -> wax_policy::WorkerTable {
-        let mut table = self.table.clone();
+        let mut table = self.worker_table.clone();
         for (task, entry) in self.tasks.iter().filter(|(_, entry)| entry.stopping) {
             if let Some(TaskState::Placed(worker)) = entry.row.as_ref().map(|row| &row.state)
                 && let Some(worker) = self.workers.get(worker)
@@ -286,8 +286,8 @@
     pub(crate) fn failed_workers(&self, task: TaskId) -> Vec<wax_policy::WorkerKey> {
         let row = self.tasks.get(&task).and_then(|entry| entry.row.as_ref());
         row.map_or_else(Vec::new, |row| {
-            let known = row.failed_on.iter();
-            let keys: Vec<_> = known
+            let failed_on = row.failed_on.iter();
+            let keys: Vec<_> = failed_on
                 .filter_map(|worker| self.workers.get(worker).map(|entry| entry.key))
                 .collect();
             // A task that has failed on every worker may be placed on any of them.
--- a/crates/wax-tasks/src/quota.rs
+++ b/crates/wax-tasks/src/quota.rs
@@ -152,9 +152,9 @@
         quota: ResourceVector,
     ) -> bool {
         let grant = self.grant_mut(team);
-        let own = grant.row.grants.get(&shard).copied().unwrap_or_default();
+        let own_grant = grant.row.grants.get(&shard).copied().unwrap_or_default();
         let used = saturating_add(grant.used, size);
-        if used.fits_in(own) && grant.row.total().fits_in(quota) {
+        if used.fits_in(own_grant) && grant.row.total().fits_in(quota) {
             grant.used = used;
             return true;
         }
@@ -178,8 +178,8 @@
         self.teams
             .iter()
             .filter(|(_, grant)| {
-                let own = grant.row.grants.get(&shard).copied().unwrap_or_default();
-                grant.target() != own
+                let own_grant = grant.row.grants.get(&shard).copied().unwrap_or_default();
+                grant.target() != own_grant
             })
             .map(|(team, _)| team.clone())
             .collect()
--- a/crates/wax-tasks/src/rows.rs
+++ b/crates/wax-tasks/src/rows.rs
@@ -60,7 +60,8 @@
     /// Job to which the part belongs.
     pub job: JobId,
     /// Shard and task range of the part.
-    pub place: PartLocation,
+    #[serde(rename = "place")]
+    pub location: PartLocation,
     /// Specification of the job.
     pub spec: JobSpec,
     /// Time of the submission, Unix milliseconds.
--- a/crates/wax-tasks/src/shard.rs
+++ b/crates/wax-tasks/src/shard.rs
@@ -39,7 +39,7 @@
     pub(crate) table: TableClient,
     pub(crate) objects: ObjectClient,
     pub(crate) directory: WorkerDirectory,
-    pub(crate) workers: WorkerClient,
+    pub(crate) worker_client: WorkerClient,
     pub(crate) settings: SettingsHolder,
     pub(crate) drains: DomainDrains,
     pub(crate) state: RefCell<ShardState>,
@@ -53,7 +53,7 @@
     pub(crate) table: TableClient,
     pub(crate) objects: ObjectClient,
     pub(crate) directory: WorkerDirectory,
-    pub(crate) workers: WorkerClient,
+    pub(crate) worker_client: WorkerClient,
     pub(crate) settings: SettingsHolder,
     pub(crate) drains: DomainDrains,
 }
@@ -145,7 +145,7 @@
                 continue;
             }
         };
-        let (events, inbox) = unbounded();
+        let (events, event_receiver) = unbounded();
         let shared = Rc::new(ShardShared {
             term: term.clone(),
             options,
@@ -153,7 +153,7 @@
             table: clients.table.clone(),
             objects: clients.objects.clone(),
             directory: clients.directory.clone(),
-            workers: clients.workers.clone(),
+            worker_client: clients.worker_client.clone(),
             settings: clients.settings.clone(),
             drains: clients.drains.clone(),
             state: RefCell::new(state),
@@ -161,9 +161,9 @@
             events,
         });
         publish(Some(shared.clone()));
-        let end = ShardLoop::new(shared.clone(), inbox).run().await;
+        let exit = ShardLoop::new(shared.clone(), event_receiver).run().await;
         contacts = take_contacts(&shared);
-        if end == LoopExit::TermEnded {
+        if exit == LoopExit::TermEnded {
             break;
         }
         tracing::warn!(
--- a/crates/wax-tasks/src/shard_load.rs
+++ b/crates/wax-tasks/src/shard_load.rs
@@ -86,8 +86,8 @@
         Some(entry) => (entry.value, entry.version),
         None => (AllocRow::default(), RowVersion::default()),
     };
-    let key = state.table.add(info.capacity);
-    state.table.set_open(key, false);
+    let key = state.worker_table.add(info.capacity);
+    state.worker_table.set_open(key, false);
     for entry in &alloc.tasks {
         let part = state.part_of(entry.task);
         let urgent = part.is_some_and(|part| part.row.spec.class == TaskClass::LatencyCritical);
@@ -101,7 +101,7 @@
             protected_until: now,
             due_today: false,
         };
-        if state.table.reserve(key, running) {
+        if state.worker_table.reserve(key, running) {
             count(Counter::TasksAdopted);
         }
         if let Some(task) = state.tasks.get_mut(&entry.task) {
--- a/crates/wax-tasks/src/shard_loop.rs
+++ b/crates/wax-tasks/src/shard_loop.rs
@@ -57,8 +57,8 @@
             let mut changes = self.process_events();
             changes.extend(self.cancel_waiting());
             changes.extend(self.place_waiting(&changes));
-            if let Some(end) = self.commit(changes).await {
-                return end;
+            if let Some(exit) = self.commit(changes).await {
+                return exit;
             }
             self.stop_cancelled();
             self.stop_orphans();
@@ -98,8 +98,8 @@
                         shard = %self.shared.term.shard(), ?keys,
                         "commit conflicts with the table"
                     );
-                    let own = crate::rows::shard_key(self.shared.term.shard());
-                    if keys.iter().any(|key| **key == *own) {
+                    let own_key = crate::rows::shard_key(self.shared.term.shard());
+                    if keys.iter().any(|key| **key == *own_key) {
                         self.shared.term.end();
                         return Some(LoopExit::TermEnded);
                     }
--- a/crates/wax-tasks/src/shard_state.rs
+++ b/crates/wax-tasks/src/shard_state.rs
@@ -113,7 +113,7 @@
     /// Waiting tasks: latency-critical ones first, then by time of submission.
     pub(crate) queue: BTreeSet<(bool, u64, TaskId)>,
     pub(crate) workers: HashMap<WorkerId, WorkerEntry>,
-    pub(crate) table: WorkerTable,
+    pub(crate) worker_table: WorkerTable,
     pub(crate) worker_ids: HashMap<WorkerKey, WorkerId>,
     pub(crate) cancelled: HashSet<JobId>,
     pub(crate) kinds: KindTable,
@@ -125,14 +125,14 @@
 impl ShardState {
     /// Adds a part with all its tasks waiting, unless the part is known already.
     pub(crate) fn add_part(&mut self, row: PartRow, version: RowVersion) {
-        let key = (row.job, row.place.first);
+        let key = (row.job, row.location.first);
         if self.parts.contains_key(&key) {
             return;
         }
-        for offset in 0..row.place.count {
+        for offset in 0..row.location.count {
             let task = TaskId {
                 job: row.job,
-                index: row.place.first + offset,
+                index: row.location.first + offset,
             };
             self.tasks.insert(
                 task,
@@ -149,7 +149,7 @@
         let kind = self
             .kinds
             .key(&format!("{}/{}/{}", spec.team, spec.service, spec.kind));
-        let open_tasks = row.place.count;
+        let open_tasks = row.location.count;
         let entry = PartEntry {
             row,
             kind,
@@ -219,13 +219,13 @@
     pub(crate) fn demand(&self, task: TaskId) -> Option<TaskDemand> {
         let part = self.part_of(task)?;
         let declared = part.row.spec.size;
-        let learned = self.sizes.corrected_size(part.kind, declared);
-        let fits = |entry: &WorkerEntry| learned.fits_in(entry.info.capacity);
+        let corrected = self.sizes.corrected_size(part.kind, declared);
+        let fits = |entry: &WorkerEntry| corrected.fits_in(entry.info.capacity);
         Some(TaskDemand {
             kind: part.kind,
             // The corrected size must not make the task too large for every worker.
             size: if self.workers.values().any(fits) {
-                learned
+                corrected
             } else {
                 declared
             },
@@ -276,7 +276,7 @@
         let Some(entry) = self.workers.get(worker) else {
             return;
         };
-        let Some(capacity) = self.table.get(entry.key) else {
+        let Some(capacity) = self.worker_table.get(entry.key) else {
             return;
         };
         if report.start_ms < entry.tasks_changed_ms {
@@ -323,7 +323,7 @@
 
     fn release(&mut self, worker: &WorkerId, task: TaskId) {
         if let Some(entry) = self.workers.get(worker) {
-            self.table.release(entry.key, task);
+            self.worker_table.release(entry.key, task);
         }
     }
 
@@ -351,7 +351,7 @@
             protected_until: now + protection,
             due_today: false,
         };
-        self.table.reserve(entry.key, running);
+        self.worker_table.reserve(entry.key, running);
     }
 
     /// Removes a closed part and its tasks.
@@ -359,10 +359,10 @@
         let Some(part) = self.parts.remove(&key) else {
             return;
         };
-        for offset in 0..part.row.place.count {
+        for offset in 0..part.row.location.count {
             let task = TaskId {
                 job: part.row.job,
-                index: part.row.place.first + offset,
+                index: part.row.location.first + offset,
             };
             self.tasks.remove(&task);
             self.queue.remove(&queue_order(&part.row, task));
--- a/crates/wax-tasks/src/split.rs
+++ b/crates/wax-tasks/src/split.rs
@@ -33,10 +33,11 @@
 
 /// Returns how many tasks of a size fit on an empty worker.
 fn task_slots(capacity: ResourceVector, size: ResourceVector) -> u32 {
-    let per = |have: u32, need: u32| have.checked_div(need).unwrap_or(u32::MAX);
-    per(capacity.cpu_milli, size.cpu_milli)
-        .min(per(capacity.memory_mib, size.memory_mib))
-        .min(per(capacity.accelerators, size.accelerators))
+    let count_fitting =
+        |available: u32, required: u32| available.checked_div(required).unwrap_or(u32::MAX);
+    count_fitting(capacity.cpu_milli, size.cpu_milli)
+        .min(count_fitting(capacity.memory_mib, size.memory_mib))
+        .min(count_fitting(capacity.accelerators, size.accelerators))
 }
 
 /// Splits `tasks` tasks into parts. The shard of each part is drawn at random, in proportion to the
--- a/crates/wax-tasks/src/transition.rs
+++ b/crates/wax-tasks/src/transition.rs
@@ -26,16 +26,16 @@
     row: Option<&TaskRow>,
     worker: &WorkerId,
     run_id: TaskRunId,
-    run: &TaskRunStatus,
+    status: &TaskRunStatus,
     attempts: u32,
 ) -> RunChoice {
     let Some(row) = row.filter(|row| is_current(row, worker, run_id)) else {
-        return match run {
+        return match status {
             TaskRunStatus::Running => RunChoice::Orphan,
             _ => RunChoice::Forget,
         };
     };
-    match run {
+    match status {
         TaskRunStatus::Running => RunChoice::NoChange,
         TaskRunStatus::Done(result) => {
             RunChoice::Change(with_state(row, TaskState::Done(result.clone())))
--- a/crates/wax-tasks/src/worker_events.rs
+++ b/crates/wax-tasks/src/worker_events.rs
@@ -38,7 +38,9 @@
 
     pub(crate) fn process_event(&mut self, event: WorkerEvent) -> Vec<TaskChange> {
         match event {
-            WorkerEvent::Renewed(worker, reply, sent) => self.process_renewal(&worker, reply, sent),
+            WorkerEvent::Renewed(worker, reply, sent_at) => {
+                self.process_renewal(&worker, reply, sent_at)
+            }
             WorkerEvent::RunChanged(worker, report) => {
                 let mut state = self.shared.state.borrow_mut();
                 if let Some(task) = state.tasks.get_mut(&report.run_id.task) {
@@ -66,14 +68,14 @@
         &mut self,
         worker: &WorkerId,
         reply: RenewReply,
-        sent: TimePoint,
+        sent_at: TimePoint,
     ) -> Vec<TaskChange> {
         let mut changes = Vec::new();
         self.update_boot(worker, reply.boot);
         for report in &reply.runs {
             changes.extend(self.process_run(worker, report));
         }
-        let missing = self.find_missing_runs(worker, &reply, sent);
+        let missing = self.find_missing_runs(worker, &reply, sent_at);
         changes.extend(missing);
         self.mitigate_interference(worker, &reply.usage);
         for report in &reply.usage {
@@ -188,7 +190,7 @@
         &self,
         worker: &WorkerId,
         reply: &RenewReply,
-        sent: TimePoint,
+        sent_at: TimePoint,
     ) -> Vec<TaskChange> {
         let mut state = self.shared.state.borrow_mut();
         let mut changes = Vec::new();
@@ -204,7 +206,7 @@
                 StartState::Running(boot) if boot == reply.boot => {
                     // The worker wrote its report before it received the start.
                     tracing::debug!(
-                        %worker, task = %run_id.task, sent = sent.0,
+                        %worker, task = %run_id.task, sent = sent_at.0,
                         "run is not in the worker's report yet"
                     );
                 }
@@ -272,7 +274,7 @@
         let Some(entry) = self.workers.get_mut(worker) else {
             return MitigationChoice::Keep;
         };
-        let Some(capacity) = self.table.get(entry.key) else {
+        let Some(capacity) = self.worker_table.get(entry.key) else {
             return MitigationChoice::Keep;
         };
         let most_slowed = usage
@@ -323,7 +325,7 @@
             // The first run that fails after the quarantine starts a new one.
             entry.failures = FAILURES_TO_QUARANTINE - 1;
             let key = entry.key;
-            self.table.set_open(key, false);
+            self.worker_table.set_open(key, false);
         }
     }
 }
--- a/crates/wax-tasks/src/worker_link.rs
+++ b/crates/wax-tasks/src/worker_link.rs
@@ -56,7 +56,7 @@
     }
     let request = build_renewal(shared, worker, choice, now);
     count(Counter::LeaseRenewals);
-    let result = shared.workers.renew(&address, &request).await;
+    let result = shared.worker_client.renew(&address, &request).await;
     if !shared.is_term_active() {
         return;
     }
@@ -81,8 +81,11 @@
     } else {
         Vec::new()
     };
-    let valid_until_ms =
-        call_valid_until(shared, state.workers.get(worker).and_then(|w| w.clock), now);
+    let valid_until_ms = call_valid_until(
+        shared,
+        state.workers.get(worker).and_then(|entry| entry.clock),
+        now,
+    );
     let entry = state.workers.get_mut(worker);
     let (forget, usage_through) = entry.map_or_else(Default::default, |entry| {
         if renewing {
@@ -140,7 +143,7 @@
     let reachable = entry.contact.is_reachable();
     let open = reachable && entry.quarantined_until.is_none_or(|until| until <= now);
     let key = entry.key;
-    state.table.set_open(key, open);
+    state.worker_table.set_open(key, open);
     drop(state);
     if was_reachable != reachable {
         let error = result.as_ref().err().map(ToString::to_string);
@@ -165,7 +168,7 @@
     let Some((address, request)) = build_start(&shared, &worker, run_id) else {
         return;
     };
-    let result = shared.workers.start(&address, &request).await;
+    let result = shared.worker_client.start(&address, &request).await;
     if !shared.is_term_active() {
         return;
     }
@@ -253,7 +256,7 @@
         owner: shared.term.epoch(),
         run_id,
     };
-    let result = shared.workers.stop(&address, &request).await;
+    let result = shared.worker_client.stop(&address, &request).await;
     if !shared.is_term_active() {
         return;
     }
@@ -290,7 +293,7 @@
         run_id,
         percent,
     };
-    let result = shared.workers.throttle(&address, &request).await;
+    let result = shared.worker_client.throttle(&address, &request).await;
     tracing::debug!(%worker, task = %run_id.task, percent, ok = result.is_ok(), "throttled");
 }
 
--- a/crates/wax-tasks/tests/decisions.rs
+++ b/crates/wax-tasks/tests/decisions.rs
@@ -132,8 +132,8 @@
             panic!("expected a change");
         };
         assert_eq!(next.failures, failures);
-        let given_up = matches!(next.state, TaskState::Failed(_));
-        assert_eq!(given_up, failures == 3);
+        let has_failed = matches!(next.state, TaskState::Failed(_));
+        assert_eq!(has_failed, failures == 3);
         current = TaskRow {
             state: TaskState::Placed(worker_id()),
             ..next
