--- a/crates/wax-member/src/heartbeat.rs
+++ b/crates/wax-member/src/heartbeat.rs
@@ -148,8 +148,9 @@
 /// Returns the version of the row that already exists under the name of this process, so that the
 /// next renewal overwrites it.
 ///
-/// The row may be left over from an earlier run. If another live process has the same name, the two
-/// processes overwrite each other's row and both log an error.
+/// The row may be left over from an earlier run of this process. If another live process has the same
+/// name, the two processes overwrite each other's row and both log an error. The first two renewals
+/// log none, because a restarted process first meets the row of its earlier run.
 async fn read_conflicting_version(
     table: &TableClient,
     key: &str,
@@ -191,8 +192,8 @@
     for (key, version, row) in stale {
         let mut transaction = TableTransaction::default();
         transaction.delete(key, version);
-        tracing::info!(member = %row.name, "member row deleted");
-        // The outcome does not matter: every other member tries to delete the row too.
+        tracing::info!(member = %row.name, "deleting the stale row of a member");
+        // A failure does not matter: every other member tries to delete the row too.
         let _ = table.commit(&transaction, now + commit_timeout).await;
     }
 }
--- a/crates/wax-route/src/body_forwarder.rs
+++ b/crates/wax-route/src/body_forwarder.rs
@@ -57,7 +57,8 @@
 }
 
 impl BodyForwarder {
-    /// Forwards the body to its end. A body that breaks off or is too long cancels the attempt.
+    /// Forwards the body to its end. If the body cannot be read to its end or is too long, the attempt
+    /// is cancelled.
     pub(crate) async fn run(mut self, first_data: Bytes, mut body: Incoming) {
         if !self.send(first_data).await {
             return;
@@ -78,6 +79,7 @@
         self.send_chunk(Bytes::new(), true);
     }
 
+    /// Sends data as credit permits. Returns `false` if the forwarder was stopped.
     async fn send(&mut self, mut data: Bytes) -> bool {
         while !data.is_empty() {
             if !self.credit.wait_for_credit().await {
--- a/crates/wax-route/src/callers.rs
+++ b/crates/wax-route/src/callers.rs
@@ -21,7 +21,7 @@
 use wax_trace::{Counter, TraceContext, count};
 use wax_types::{ErrorKind, RunOutcome, Step, TimePoint, WaxError};
 
-/// Longest body that is kept for retries. Of a longer one, the rest is sent only once.
+/// Longest body that is kept for retries. The part of a longer body beyond it is sent only once.
 const MAX_RESENDABLE_BODY_BYTES: usize = 16 << 10;
 
 /// Handles the requests of callers.
@@ -40,8 +40,8 @@
 /// Body of which the start was read.
 struct PartialBody {
     start: Bytes,
-    /// First data that `start` did not hold, and the stream of what follows; `None` if `start` is the
-    /// whole body.
+    /// First data beyond `start`, and the stream of what follows; `None` if `start` is the whole
+    /// body.
     rest: Option<(Bytes, Incoming)>,
 }
 
--- a/crates/wax-route/src/peers.rs
+++ b/crates/wax-route/src/peers.rs
@@ -65,7 +65,7 @@
         self.peers.borrow().values().cloned().collect()
     }
 
-    /// Returns the sidecars that were lost since `oldest`, and forgets those lost earlier.
+    /// Returns the sidecars that were lost since `oldest`, and removes those lost earlier.
     pub(crate) fn recently_lost(&self, oldest: TimePoint) -> Vec<(Box<str>, LostPeer)> {
         let mut lost = self.lost.borrow_mut();
         lost.retain(|_, peer| peer.lost_at >= oldest);
--- a/crates/wax-route/src/process.rs
+++ b/crates/wax-route/src/process.rs
@@ -58,9 +58,11 @@
     pub policy: RoutePolicy,
 }
 
+/// State and clients that all requests and connections of an entry share.
 pub(crate) struct EntryShared {
     pub(crate) name: Box<str>,
     pub(crate) failure_domain: Box<str>,
+    /// Address to which sidecars connect.
     pub(crate) peers_address: SocketAddr,
     pub(crate) clock: ProcessClock,
     pub(crate) started_at: wax_types::TimePoint,
@@ -84,6 +86,7 @@
     pub(crate) drains: DomainDrains,
     pub(crate) policy: RoutePolicy,
     pub(crate) rng: RefCell<Rng>,
+    /// Whether this entry shuts down; its readiness probes fail then.
     pub(crate) leaving: Cell<bool>,
     /// One in this many requests without a `traceparent` is traced; 0 for none.
     pub(crate) trace_one_in: u32,
--- a/crates/wax-route/src/request.rs
+++ b/crates/wax-route/src/request.rs
@@ -37,6 +37,7 @@
     pub(crate) body_rest: Option<(Bytes, Incoming)>,
     /// Whether `body_start` is the whole body.
     pub(crate) body_complete: bool,
+    /// Maximum size of the whole body.
     pub(crate) max_body_bytes: u64,
     pub(crate) deadline: TimePoint,
     pub(crate) trace: TraceContext,
@@ -339,7 +340,7 @@
         }
     }
 
-    /// The first attempt with a response head provides the response; the others are cancelled.
+    /// Selects the first attempt that returns a response head; the other attempts are cancelled.
     fn handle_response_head(
         &mut self,
         key: AttemptKey,
--- a/crates/wax-route/src/settings_api.rs
+++ b/crates/wax-route/src/settings_api.rs
@@ -14,6 +14,7 @@
 use wax_types::{ErrorKind, SettingsVersion, Step, WaxError};
 
 const MAX_BODY_BYTES: usize = 16 << 20;
+/// Timeout for the commit of a change.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
 const MAX_LOG_ENTRIES: u64 = 50;
 /// Maximum time between two checks of the rollout of a version.
@@ -36,6 +37,7 @@
     /// Version that the change is based on; `None` means the version in force.
     #[serde(default)]
     expected: Option<SettingsVersion>,
+    /// Name under which the change is logged.
     author: Box<str>,
     /// Changes of single values, applied after `tree`.
     #[serde(default)]
--- a/crates/wax-route/src/settings_sync.rs
+++ b/crates/wax-route/src/settings_sync.rs
@@ -53,7 +53,7 @@
 pub(crate) async fn poll_settings(shared: Rc<EntryShared>, period: Duration) {
     loop {
         sleep(period).await;
-        // The settings in force stay in force. The store client reports its outage.
+        // If the read fails, the settings in force stay unchanged. The store client logs the outage.
         let _ = pull_settings(&shared).await;
     }
 }
--- a/crates/wax-sidecar/src/attempt.rs
+++ b/crates/wax-sidecar/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at the upstream. A type for each state: queued, then running.
+//! One attempt at the upstream. Each state of an attempt has its own type: queued, then running.
 
 use crate::process::SidecarShared;
 use bytes::Bytes;
@@ -61,7 +61,8 @@
     /// Bytes of the response that may still be sent to the entry.
     credit: Cell<u64>,
     credit_changed: Event,
-    /// Sender of the request body to the upstream; `None` if the body is complete or was cut.
+    /// Sender of the request body to the upstream; `None` if the body is complete or
+    /// was aborted.
     body: RefCell<Option<BodySender>>,
     /// Number of bytes of the request body received so far.
     body_received: Cell<u64>,
@@ -158,7 +159,7 @@
     pub(crate) fn abandon(&self) {
         self.shared.abandoned.set(true);
         self.shared.credit_changed.notify(usize::MAX);
-        // Closes the request body, so that the upstream does not wait for the rest of it.
+        // Aborts the request body, so that the upstream does not wait for the rest of it.
         self.shared.body.borrow_mut().take();
     }
 
@@ -169,8 +170,8 @@
         self.shared.credit_changed.notify(usize::MAX);
     }
 
-    /// Forwards a part of the request body to the upstream. After the last part, a body whose
-    /// length differs from the total that the entry reported is cut.
+    /// Forwards a part of the request body to the upstream. If the length of the body after its last
+    /// part differs from the total that the entry reported, the body is aborted as truncated.
     pub(crate) fn receive_body_chunk(&self, chunk: BodyChunk) {
         let total = self.shared.body_received.get() + chunk.data.len() as u64;
         self.shared.body_received.set(total);
--- a/crates/wax-sidecar/src/attempt_table.rs
+++ b/crates/wax-sidecar/src/attempt_table.rs
@@ -4,7 +4,7 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 use wax_types::AttemptKey;
 
-/// Maximum number of tombstones; beyond it, the oldest is dropped.
+/// Maximum number of tombstones, including those that were taken; beyond it, the oldest is dropped.
 const MAX_TOMBSTONES: usize = 4_096;
 
 /// State of an attempt.
--- a/crates/wax-sidecar/src/link.rs
+++ b/crates/wax-sidecar/src/link.rs
@@ -22,8 +22,8 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// A connection without a frame for this long is closed. Entries send a heartbeat every second.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Number of consecutive failures to connect after which an entry that the settings do not name is
-/// removed.
+/// Number of consecutive failures to connect after which an entry is removed, unless it is named in
+/// the sidecar's settings.
 const MAX_CONNECT_FAILURES: u32 = 30;
 
 /// Maintains the connection to one entry until the process stops or the entry is removed.
@@ -195,8 +195,8 @@
     shared.acknowledge_settings();
 }
 
-/// Sends the own settings tree to an entry with an older version, which may have lost its connection
-/// to the store.
+/// Sends the settings tree of this sidecar to an entry that has an older version. Such an entry may
+/// have lost its connection to the store.
 fn handle_settings_ack(
     shared: &SidecarShared,
     ack: SettingsAck,
--- a/crates/wax-sidecar/src/process.rs
+++ b/crates/wax-sidecar/src/process.rs
@@ -35,6 +35,7 @@
     shared: Rc<SidecarShared>,
 }
 
+/// State that all connections and attempts of a sidecar share.
 pub(crate) struct SidecarShared {
     hello: PeerHello,
     options: SidecarSettings,
@@ -146,7 +147,8 @@
         }
     }
 
-    /// Removes an unreachable entry unless the settings name it. Returns whether it was removed.
+    /// Removes an unreachable entry unless it is named in the sidecar's settings. Returns whether it
+    /// was removed.
     pub(crate) fn remove_entry(&self, address: SocketAddr) -> bool {
         if self.options.entries.contains(&address) {
             return false;
@@ -248,7 +250,8 @@
         spawn(attempt.run(self.clone())).detach();
     }
 
-    /// Cancels an attempt.
+    /// Cancels an attempt: a queued attempt does not run, the response of a running one is discarded,
+    /// and an unknown one is refused if it arrives later.
     pub(crate) fn cancel(&self, key: AttemptKey) {
         let result = self.attempt_table.borrow_mut().cancel(key);
         match result {
--- a/crates/wax-tasks/src/coordinator.rs
+++ b/crates/wax-tasks/src/coordinator.rs
@@ -26,7 +26,8 @@
 
 /// Time-out of one call to a worker.
 const WORKER_CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Fixed part of the allowance for clocks that run at different speeds; 2 % of the lease is added.
+/// Fixed part of the allowance for clocks that run at different speeds. 2 % of the lease duration is
+/// added to it.
 const CLOCK_MARGIN: Duration = Duration::from_millis(200);
 /// Time that a handover allows for calls in progress before it releases the shard's row.
 const HANDOVER_DELAY: Duration = Duration::from_millis(50);
@@ -164,7 +165,7 @@
     pub async fn run(mut self, shutdown: ShutdownSignal) {
         let period = Duration::from_millis(self.settings.heartbeat_ms.into());
         while !shutdown.is_raised() {
-            // After a failure the terms stay active until their grace period ends.
+            // If the update fails, the active terms continue until their grace periods end.
             let _ = self.update_shards(false).await;
             let _ = timeout(period, shutdown.wait()).await;
         }
@@ -172,7 +173,7 @@
         if let Err(error) = self.update_shards(true).await {
             tracing::info!(
                 %error,
-                "shards were not handed over; other members claim them once this one counts as dead"
+                "shards were not handed over; other members claim them once this member counts as dead"
             );
         }
     }
--- a/crates/wax-tasks/src/housekeeping.rs
+++ b/crates/wax-tasks/src/housekeeping.rs
@@ -18,8 +18,9 @@
 const INBOX_PERIOD: Duration = Duration::from_millis(200);
 
 impl ShardLoop {
-    /// Stops orphans, which are runs without an allocation, once the ownership was confirmed after
-    /// they were first reported.
+    /// Stops orphans, which are runs without an allocation. A run is stopped only if the ownership of
+    /// the shard was confirmed after the run was first reported, since a newer owner may have started
+    /// it.
     pub(crate) fn stop_orphans(&self) {
         let confirmed_at = self.shared.term.confirmed_at();
         let due_stops: Vec<(WorkerId, TaskRunId)> = {
--- a/crates/wax-tasks/src/ledger_feed.rs
+++ b/crates/wax-tasks/src/ledger_feed.rs
@@ -101,6 +101,8 @@
         jobs
     }
 
+    /// Returns the pending reports for the next segment. Reports of jobs without a known account are
+    /// left out.
     fn next_batch(&self) -> Vec<((WorkerId, u64, u64), UsageReport)> {
         self.pending
             .iter()
--- a/crates/wax-tasks/src/placement.rs
+++ b/crates/wax-tasks/src/placement.rs
@@ -117,6 +117,7 @@
         state.quotas.try_reserve(shard, &team, size, quota)
     }
 
+    /// Reverts [`ShardLoop::try_reserve_quota`] for a task that fits no worker.
     pub(crate) fn unreserve_quota(&self, task: TaskId) {
         let mut state = self.shared.state.borrow_mut();
         if let Some((team, size)) = state.quota_charge(task) {
@@ -147,6 +148,10 @@
         self.shared.state.borrow_mut().quotas = quotas.into_inner();
     }
 
+    /// Chooses a worker for a waiting task and reserves its capacity in `planned_table`.
+    ///
+    /// Returns `None` if the task cannot be placed now. If other tasks must be evicted first, their
+    /// stops are started; the task is placed in a later iteration, once their capacity is released.
     pub(crate) fn place_task(
         &mut self,
         now: TimePoint,
@@ -214,6 +219,7 @@
         spawn(stop_run(self.shared.clone(), worker.clone(), run_id)).detach();
     }
 
+    /// Starts to stop the placed tasks of cancelled jobs.
     pub(crate) fn stop_cancelled(&self) {
         let placed: Vec<(TaskId, WorkerId)> = {
             let state = self.shared.state.borrow();
@@ -282,7 +288,7 @@
             .collect()
     }
 
-    /// Returns the workers on which a task has failed and should not be placed again.
+    /// Returns the workers that a task avoids because one of its runs has failed there.
     pub(crate) fn failed_workers(&self, task: TaskId) -> Vec<wax_policy::WorkerKey> {
         let row = self.tasks.get(&task).and_then(|entry| entry.row.as_ref());
         row.map_or_else(Vec::new, |row| {
--- a/crates/wax-tasks/src/quota.rs
+++ b/crates/wax-tasks/src/quota.rs
@@ -10,6 +10,7 @@
 use wax_settings::{NodePath, SettingsTree};
 use wax_types::{ResourceVector, RowVersion, ShardId, TimePoint, WaxError};
 
+/// Prefix of the keys of the rows.
 pub(crate) const QUOTA_PREFIX: &str = "quota/";
 
 /// Row `quota/TEAM`: grants from the quota of a team.
@@ -76,16 +77,17 @@
 struct TeamGrant {
     /// Last known row of the team.
     row: QuotaRow,
-    /// Sum of the placed tasks and of the reservations in the current pass over the queue.
+    /// Sum of the sizes of the placed tasks and of the reservations in the current pass over the
+    /// queue.
     used: ResourceVector,
-    /// Sum of the waiting tasks that exceeded the grant in the last pass over the queue.
+    /// Sum of the sizes of the waiting tasks that exceeded the grant in the last pass over the queue.
     wanted: ResourceVector,
     /// Maximum size, by component, of the waiting tasks that fitted the grant but no worker.
     retained: ResourceVector,
 }
 
 impl TeamGrant {
-    /// Returns the size that the grant should have.
+    /// Returns the size that the grant should have: the sum of `used`, `wanted` and `retained`.
     fn target(&self) -> ResourceVector {
         saturating_add(saturating_add(self.used, self.wanted), self.retained)
     }
@@ -252,8 +254,8 @@
             transaction.require(guard.0, guard.1);
             let outcome = table.commit(&transaction, deadline).await;
             if !matches!(outcome, CommitOutcome::Committed(_)) {
-                // The row has changed or the outcome is indeterminate: the next call reads it
-                // again.
+                // The row has changed, or the store did not confirm the commit. The next call reads
+                // the row again.
                 continue;
             }
         }
--- a/crates/wax-tasks/src/rows.rs
+++ b/crates/wax-tasks/src/rows.rs
@@ -189,6 +189,7 @@
     format!("job/{job}")
 }
 
+/// Returns the row key. The caller's key is hex-encoded, because it may contain the separator `/`.
 pub(crate) fn idempotency_row_key(team: &str, key: &str) -> String {
     let hex: String = key.bytes().map(|byte| format!("{byte:02x}")).collect();
     format!("jobkey/{team}/{hex}")
@@ -230,6 +231,7 @@
     format!("{}{worker}", alloc_prefix(shard))
 }
 
+/// Prefix of the keys of all [`ShardRow`]s.
 pub(crate) const SHARD_PREFIX: &str = "shard/";
 
 pub(crate) fn shard_key(shard: ShardId) -> String {
--- a/crates/wax-tasks/src/shard_loop.rs
+++ b/crates/wax-tasks/src/shard_loop.rs
@@ -28,8 +28,11 @@
     pub(crate) shared: Rc<ShardShared>,
     pub(crate) events: UnboundedReceiver<WorkerEvent>,
     pub(crate) rng: Rng,
+    /// Time of the next read of the shard's inbox.
     pub(crate) inbox_due: TimePoint,
+    /// Time of the next adjustment of the quota grants.
     pub(crate) quota_due: TimePoint,
+    /// Time of the next read of the platform's list of workers.
     pub(crate) directory_due: TimePoint,
 }
 
@@ -70,8 +73,8 @@
         LoopExit::TermEnded
     }
 
-    /// Commits `changes` and applies them to the state. Returns `None` if the loop continues,
-    /// otherwise why it must end.
+    /// Commits `changes` and applies them to the state. Returns `None` if the main loop continues,
+    /// otherwise the reason for which it must end.
     pub(crate) async fn commit(&mut self, changes: Vec<TaskChange>) -> Option<LoopExit> {
         if changes.is_empty() {
             return None;
@@ -114,6 +117,7 @@
         }
     }
 
+    /// Applies a committed group to the state, and starts the runs that the group has placed.
     pub(crate) fn apply_commit(&self, group: &ChangeGroup, version: wax_types::RowVersion) {
         let now = self.shared.now();
         group.apply(&mut self.shared.state.borrow_mut(), now, version);
@@ -131,7 +135,7 @@
 }
 
 impl ShardState {
-    /// Clears the flags of stops that were started before the state was loaded.
+    /// Clears the `stopping` flag of all tasks: no stop of this loop is in progress yet.
     pub(crate) fn clear_stopping(&mut self) {
         for task in self.tasks.values_mut() {
             task.stopping = false;
--- a/crates/wax-tasks/src/shard_state.rs
+++ b/crates/wax-tasks/src/shard_state.rs
@@ -49,6 +49,7 @@
 #[derive(Debug)]
 pub(crate) struct TaskEntry {
     pub(crate) part: PartKey,
+    /// Last committed row; `None` before the first placement.
     pub(crate) row: Option<TaskRow>,
     pub(crate) start: StartState,
     /// Whether a stop is in progress, for an eviction, a cancellation or a drain.
@@ -76,6 +77,7 @@
     pub(crate) usage_through: u64,
     /// Number of runs that have failed since the last successful one.
     pub(crate) failures: u32,
+    /// Time at which the quarantine ends; `None` if there was none since the last successful run.
     pub(crate) quarantined_until: Option<TimePoint>,
     /// Time at which the set of the worker's tasks last changed, Unix milliseconds.
     pub(crate) tasks_changed_ms: u64,
@@ -113,8 +115,10 @@
     /// Waiting tasks: latency-critical ones first, then by time of submission.
     pub(crate) queue: BTreeSet<(bool, u64, TaskId)>,
     pub(crate) workers: HashMap<WorkerId, WorkerEntry>,
+    /// Capacity and reservations of the workers, on which placements are decided.
     pub(crate) worker_table: WorkerTable,
     pub(crate) worker_ids: HashMap<WorkerKey, WorkerId>,
+    /// Jobs that were cancelled. A job is removed once its last part in this shard is closed.
     pub(crate) cancelled: HashSet<JobId>,
     pub(crate) kinds: KindTable,
     pub(crate) pairs: PairTable,
@@ -214,7 +218,7 @@
         })
     }
 
-    /// Returns what a task requests from a worker. The size is corrected by the measured use of its
+    /// Returns the demand of a task on a worker. The size is corrected by the measured use of its
     /// job kind.
     pub(crate) fn demand(&self, task: TaskId) -> Option<TaskDemand> {
         let part = self.part_of(task)?;
--- a/crates/wax-tasks/src/term.rs
+++ b/crates/wax-tasks/src/term.rs
@@ -24,11 +24,12 @@
 }
 
 impl OwnerTerm {
-    /// Creates a term after the commit of a claim.
+    /// Creates a term after the commit of a claim, or after a read that found an earlier claim of this
+    /// process.
     ///
-    /// `confirmed_at` is the time before the commit was sent; `claimed_at` is the time after its
-    /// reply. `version` is the version of the shard's row, and `grace` the time for which the owner
-    /// may act after a confirmation.
+    /// `confirmed_at` is the time before the commit or the read was sent; `claimed_at` is the time
+    /// after its reply. `version` is the version of the shard's row, and `grace` the time for which
+    /// the owner may act after a confirmation.
     pub fn new(
         shard: ShardId,
         epoch: ShardEpoch,
--- a/crates/wax-tasks/src/worker_events.rs
+++ b/crates/wax-tasks/src/worker_events.rs
@@ -64,6 +64,8 @@
         }
     }
 
+    /// Handles a worker's answer to a renewal: the runs that it reports, the runs that are missing in
+    /// it, and its usage reports.
     pub(crate) fn process_renewal(
         &mut self,
         worker: &WorkerId,
@@ -111,6 +113,7 @@
         }
     }
 
+    /// Limits the current run of a task to a share of its size, in percent.
     pub(crate) fn throttle(&self, worker: &WorkerId, task: TaskId, percent: u8) {
         let state = self.shared.state.borrow();
         let Some(row) = state.tasks.get(&task).and_then(|entry| entry.row.as_ref()) else {
@@ -138,6 +141,8 @@
         }
     }
 
+    /// Handles the report of one run by a worker. Returns the change of the task if its current run has
+    /// ended.
     pub(crate) fn process_run(&self, worker: &WorkerId, report: &TaskReport) -> Option<TaskChange> {
         let now = self.shared.now();
         let mut state = self.shared.state.borrow_mut();
