--- a/crates/wax-route/src/process.rs
+++ b/crates/wax-route/src/process.rs
@@ -58,9 +58,11 @@
     pub policy: RoutePolicy,
 }
 
+/// State and clients that all requests and connections of an entry share.
 pub(crate) struct EntryShared {
     pub(crate) name: Box<str>,
     pub(crate) failure_domain: Box<str>,
+    /// Address to which sidecars connect.
     pub(crate) peers_address: SocketAddr,
     pub(crate) clock: ProcessClock,
     pub(crate) started_at: wax_types::TimePoint,
@@ -84,6 +86,7 @@
     pub(crate) drains: DomainDrains,
     pub(crate) policy: RoutePolicy,
     pub(crate) rng: RefCell<Rng>,
+    /// Whether this entry shuts down; its readiness probes fail then.
     pub(crate) leaving: Cell<bool>,
     /// One in this many requests without a `traceparent` is traced; 0 for none.
     pub(crate) trace_one_in: u32,
@@ -98,7 +101,7 @@
         (callers, operators, peers): (TcpListener, TcpListener, TcpListener),
     ) -> Self {
         let clock = services.table.store().clock();
-        let own = services.members.own_row();
+        let own_row = services.members.own_row();
         let shared = EntryShared {
             name: daemon.name.clone(),
             failure_domain: daemon.failure_domain.clone(),
@@ -112,7 +115,7 @@
             teams: RefCell::new(TeamTable::new(options.max_requests)),
             routes: RefCell::default(),
             peers: PeerTable::default(),
-            attempts: AttemptTable::new(own.incarnation),
+            attempts: AttemptTable::new(own_row.incarnation),
             table: services.table,
             writer: services.writer,
             objects: services.objects,
@@ -192,19 +195,19 @@
     /// Builds the update for a sidecar at `version`: the last delta if it leads from there to the
     /// version in force, otherwise the whole tree.
     pub(crate) fn build_settings_push(&self, version: SettingsVersion) -> SettingsPush {
-        let own = self.settings.version();
+        let current = self.settings.version();
         let delta = self.last_delta.borrow();
         let delta = delta
             .as_ref()
-            .filter(|delta| delta.version == own && own == version.next());
+            .filter(|delta| delta.version == current && current == version.next());
         match delta {
             Some(delta) => SettingsPush {
-                version: own.0,
+                version: current.0,
                 tree: Default::default(),
                 delta: serde_json::to_vec(delta).unwrap_or_default().into(),
             },
             None => SettingsPush {
-                version: own.0,
+                version: current.0,
                 tree: self.settings.to_json().into(),
                 delta: Default::default(),
             },
--- a/crates/wax-route/src/request.rs
+++ b/crates/wax-route/src/request.rs
@@ -37,6 +37,7 @@
     pub(crate) body_rest: Option<(Bytes, Incoming)>,
     /// Whether `body_start` is the whole body.
     pub(crate) body_complete: bool,
+    /// Maximum size of the whole body.
     pub(crate) max_body_bytes: u64,
     pub(crate) deadline: TimePoint,
     pub(crate) trace: TraceContext,
@@ -72,8 +73,11 @@
 
 impl Drop for AdmissionGuard {
     fn drop(&mut self) {
-        let held_for = self.shared.clock.now().since(self.admitted_at);
-        self.shared.teams.borrow_mut().release(self.team, held_for);
+        let in_flight_time = self.shared.clock.now().since(self.admitted_at);
+        self.shared
+            .teams
+            .borrow_mut()
+            .release(self.team, in_flight_time);
     }
 }
 
@@ -336,7 +340,7 @@
         }
     }
 
-    /// The first attempt with a response head provides the response; the others are cancelled.
+    /// Selects the first attempt that returns a response head; the other attempts are cancelled.
     fn handle_response_head(
         &mut self,
         key: AttemptKey,
@@ -352,10 +356,10 @@
     }
 
     fn handle_chunk(&mut self, key: AttemptKey, chunk: &wax_wire::BodyChunk) -> FlowAction {
-        let Some((winner, buffer)) = &mut self.response else {
+        let Some((response_key, buffer)) = &mut self.response else {
             return FlowAction::Wait;
         };
-        if *winner != key {
+        if *response_key != key {
             return FlowAction::Wait;
         }
         match buffer.add(chunk) {
--- a/crates/wax-route/src/settings_api.rs
+++ b/crates/wax-route/src/settings_api.rs
@@ -14,6 +14,7 @@
 use wax_types::{ErrorKind, SettingsVersion, Step, WaxError};
 
 const MAX_BODY_BYTES: usize = 16 << 20;
+/// Timeout for the commit of a change.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
 const MAX_LOG_ENTRIES: u64 = 50;
 /// Maximum time between two checks of the rollout of a version.
@@ -36,6 +37,7 @@
     /// Version that the change is based on; `None` means the version in force.
     #[serde(default)]
     expected: Option<SettingsVersion>,
+    /// Name under which the change is logged.
     author: Box<str>,
     /// Changes of single values, applied after `tree`.
     #[serde(default)]
@@ -126,11 +128,11 @@
     let deadline = shared.clock.now() + COMMIT_TIMEOUT;
     let edit = |tree: &mut SettingsTree| apply_edits(tree, &request);
     let version = commit_change(shared, expected, &request.author, edit, deadline).await?;
-    let force = wait_for_rollout(shared, version, Duration::from_millis(request.wait_ms)).await;
+    let rollout = wait_for_rollout(shared, version, Duration::from_millis(request.wait_ms)).await;
     let reply = ChangeReply {
         version,
         changes,
-        force: Some(force),
+        force: Some(rollout),
     };
     Ok(json_reply(StatusCode::OK, &reply))
 }
@@ -151,10 +153,10 @@
     version: SettingsVersion,
     max_wait: Duration,
 ) -> RolloutStatus {
-    let end = shared.clock.now() + max_wait;
+    let deadline = shared.clock.now() + max_wait;
     loop {
         let status = rollout_status(shared, version);
-        if status.in_force == status.processes || shared.clock.now() >= end {
+        if status.in_force == status.processes || shared.clock.now() >= deadline {
             return status;
         }
         // Confirmations of sidecars end the wait early. The versions of other entries are read from
--- a/crates/wax-tasks/src/coordinator.rs
+++ b/crates/wax-tasks/src/coordinator.rs
@@ -26,7 +26,8 @@
 
 /// Time-out of one call to a worker.
 const WORKER_CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Fixed part of the allowance for clocks that run at different speeds; 2 % of the lease is added.
+/// Fixed part of the allowance for clocks that run at different speeds. 2 % of the lease duration is
+/// added to it.
 const CLOCK_MARGIN: Duration = Duration::from_millis(200);
 /// Time that a handover allows for calls in progress before it releases the shard's row.
 const HANDOVER_DELAY: Duration = Duration::from_millis(50);
@@ -136,7 +137,7 @@
             policy,
         };
         let clock = table.store().clock();
-        let workers = WorkerClient::new(WORKER_CALL_TIMEOUT)?;
+        let worker_client = WorkerClient::new(WORKER_CALL_TIMEOUT)?;
         Ok(Self {
             settings,
             options,
@@ -144,7 +145,7 @@
                 table,
                 objects,
                 directory,
-                workers,
+                worker_client,
                 settings: tree,
                 drains,
             },
@@ -164,7 +165,7 @@
     pub async fn run(mut self, shutdown: ShutdownSignal) {
         let period = Duration::from_millis(self.settings.heartbeat_ms.into());
         while !shutdown.is_raised() {
-            // After a failure the terms stay active until their grace period ends.
+            // If the update fails, the active terms continue until their grace periods end.
             let _ = self.update_shards(false).await;
             let _ = timeout(period, shutdown.wait()).await;
         }
@@ -172,7 +173,7 @@
         if let Err(error) = self.update_shards(true).await {
             tracing::info!(
                 %error,
-                "shards were not handed over; other members claim them once this one counts as dead"
+                "shards were not handed over; other members claim them once this member counts as dead"
             );
         }
     }
@@ -193,7 +194,7 @@
             .filter(|member| member.coordinator && !member.leaving)
             .map(|member| &*member.name)
             .collect();
-        let own = self.members.own_row();
+        let own_row = self.members.own_row();
         for index in 0..self.settings.shards {
             let shard = ShardId(index);
             let row = rows.remove(shard_key(shard).as_str());
@@ -204,9 +205,9 @@
                 })
             });
             let identity = ProcessIdentity {
-                name: &own.name,
-                incarnation: own.incarnation,
-                leaving: leaving || own.leaving,
+                name: &own_row.name,
+                incarnation: own_row.incarnation,
+                leaving: leaving || own_row.leaving,
             };
             let top = top_member(index.into(), candidates.iter().copied());
             let value = row.as_ref().map(|row| &row.value);
@@ -253,14 +254,14 @@
 
     async fn claim_shard(&mut self, shard: ShardId, row: Option<RowEntry<ShardRow>>) {
         self.end_term(shard);
-        let own = self.members.own_row();
+        let own_row = self.members.own_row();
         let (version, epoch) = match &row {
             Some(row) => (row.version, row.value.epoch.next()),
             None => (RowVersion::default(), ShardEpoch(1)),
         };
         let next = ShardRow {
-            owner: Some(own.name),
-            incarnation: own.incarnation,
+            owner: Some(own_row.name),
+            incarnation: own_row.incarnation,
             epoch,
         };
         let started_at = self.clock.now();
--- a/crates/wax-tasks/src/housekeeping.rs
+++ b/crates/wax-tasks/src/housekeeping.rs
@@ -18,8 +18,9 @@
 const INBOX_PERIOD: Duration = Duration::from_millis(200);
 
 impl ShardLoop {
-    /// Stops orphans, which are runs without an allocation, once the ownership was confirmed after
-    /// they were first reported.
+    /// Stops orphans, which are runs without an allocation. A run is stopped only if the ownership of
+    /// the shard was confirmed after the run was first reported, since a newer owner may have started
+    /// it.
     pub(crate) fn stop_orphans(&self) {
         let confirmed_at = self.shared.term.confirmed_at();
         let due_stops: Vec<(WorkerId, TaskRunId)> = {
@@ -29,7 +30,7 @@
                 let run_ids: Vec<TaskRunId> = entry
                     .orphans
                     .iter()
-                    .filter(|(_, seen)| **seen < confirmed_at)
+                    .filter(|(_, reported_at)| **reported_at < confirmed_at)
                     .map(|(run_id, _)| *run_id)
                     .collect();
                 for run_id in run_ids {
@@ -100,9 +101,9 @@
             return;
         };
         let shards = self.shared.options.shards;
-        let own = self.shared.term.shard();
+        let own_shard = self.shared.term.shard();
         for info in workers {
-            if shard_of_worker(&info.id, shards) == own {
+            if shard_of_worker(&info.id, shards) == own_shard {
                 self.refresh_worker(info);
             }
         }
--- a/crates/wax-tasks/src/placement.rs
+++ b/crates/wax-tasks/src/placement.rs
@@ -65,13 +65,13 @@
         if waiting.is_empty() {
             return Vec::new();
         }
-        let mut scratch = self.shared.state.borrow().table_without_stopping();
-        self.exclude_drained(&mut scratch);
+        let mut planned_table = self.shared.state.borrow().table_without_stopping();
+        self.exclude_drained(&mut planned_table);
         for change in earlier_changes {
             if let Some(worker) = &change.release
                 && let Some(entry) = self.shared.state.borrow().workers.get(worker)
             {
-                scratch.release(entry.key, change.task);
+                planned_table.release(entry.key, change.task);
             }
         }
         {
@@ -89,7 +89,7 @@
             if !self.try_reserve_quota(&tree, task) {
                 continue;
             }
-            match self.place_task(now, &tree, task, &mut scratch) {
+            match self.place_task(now, &tree, task, &mut planned_table) {
                 Some(change) => changes.push(change),
                 None => self.unreserve_quota(task),
             }
@@ -98,10 +98,10 @@
     }
 
     /// Closes the workers in drained failure domains to placements.
-    fn exclude_drained(&self, scratch: &mut wax_policy::WorkerTable) {
+    fn exclude_drained(&self, planned_table: &mut wax_policy::WorkerTable) {
         for entry in self.shared.state.borrow().workers.values() {
             if self.shared.drains.is_drained(&entry.info.failure_domain) {
-                scratch.set_open(entry.key, false);
+                planned_table.set_open(entry.key, false);
             }
         }
     }
@@ -117,6 +117,7 @@
         state.quotas.try_reserve(shard, &team, size, quota)
     }
 
+    /// Reverts [`ShardLoop::try_reserve_quota`] for a task that fits no worker.
     pub(crate) fn unreserve_quota(&self, task: TaskId) {
         let mut state = self.shared.state.borrow_mut();
         if let Some((team, size)) = state.quota_charge(task) {
@@ -147,12 +148,16 @@
         self.shared.state.borrow_mut().quotas = quotas.into_inner();
     }
 
+    /// Chooses a worker for a waiting task and reserves its capacity in `planned_table`.
+    ///
+    /// Returns `None` if the task cannot be placed now. If other tasks must be evicted first, their
+    /// stops are started; the task is placed in a later iteration, once their capacity is released.
     pub(crate) fn place_task(
         &mut self,
         now: TimePoint,
         tree: &SettingsTree,
         task: TaskId,
-        scratch: &mut wax_policy::WorkerTable,
+        planned_table: &mut wax_policy::WorkerTable,
     ) -> Option<TaskChange> {
         let state = self.shared.state.borrow();
         let demand = state.demand(task)?;
@@ -163,7 +168,7 @@
             avoid: &avoid,
             policy: self.shared.options.policy,
         };
-        match scratch.choose(now, demand, context, &mut self.rng) {
+        match planned_table.choose(now, demand, context, &mut self.rng) {
             PlacementChoice::Place(key) => {
                 let worker = state.worker_ids.get(&key)?.clone();
                 let next = state.placed_row(task, &worker)?;
@@ -177,7 +182,7 @@
                     protected_until: now,
                     due_today: false,
                 };
-                scratch.reserve(key, running).then_some(TaskChange {
+                planned_table.reserve(key, running).then_some(TaskChange {
                     task,
                     next,
                     release: None,
@@ -188,7 +193,7 @@
                 let worker = state.worker_ids.get(&key)?.clone();
                 drop(state);
                 for evicted_task in evicted {
-                    scratch.release(key, evicted_task);
+                    planned_table.release(key, evicted_task);
                     self.stop_task(&worker, evicted_task);
                 }
                 None
@@ -214,6 +219,7 @@
         spawn(stop_run(self.shared.clone(), worker.clone(), run_id)).detach();
     }
 
+    /// Starts to stop the placed tasks of cancelled jobs.
     pub(crate) fn stop_cancelled(&self) {
         let placed: Vec<(TaskId, WorkerId)> = {
             let state = self.shared.state.borrow();
@@ -258,7 +264,7 @@
     /// does not evict more tasks than necessary. A placement on capacity that is not released yet
     /// is left out of the commit.
     pub(crate) fn table_without_stopping(&self) -> wax_policy::WorkerTable {
-        let mut table = self.table.clone();
+        let mut table = self.worker_table.clone();
         for (task, entry) in self.tasks.iter().filter(|(_, entry)| entry.stopping) {
             if let Some(TaskState::Placed(worker)) = entry.row.as_ref().map(|row| &row.state)
                 && let Some(worker) = self.workers.get(worker)
@@ -282,12 +288,12 @@
             .collect()
     }
 
-    /// Returns the workers on which a task has failed and should not be placed again.
+    /// Returns the workers that a task avoids because one of its runs has failed there.
     pub(crate) fn failed_workers(&self, task: TaskId) -> Vec<wax_policy::WorkerKey> {
         let row = self.tasks.get(&task).and_then(|entry| entry.row.as_ref());
         row.map_or_else(Vec::new, |row| {
-            let known = row.failed_on.iter();
-            let keys: Vec<_> = known
+            let failed_on = row.failed_on.iter();
+            let keys: Vec<_> = failed_on
                 .filter_map(|worker| self.workers.get(worker).map(|entry| entry.key))
                 .collect();
             // A task that has failed on every worker may be placed on any of them.
--- a/crates/wax-tasks/src/shard_state.rs
+++ b/crates/wax-tasks/src/shard_state.rs
@@ -49,6 +49,7 @@
 #[derive(Debug)]
 pub(crate) struct TaskEntry {
     pub(crate) part: PartKey,
+    /// Last committed row; `None` before the first placement.
     pub(crate) row: Option<TaskRow>,
     pub(crate) start: StartState,
     /// Whether a stop is in progress, for an eviction, a cancellation or a drain.
@@ -76,6 +77,7 @@
     pub(crate) usage_through: u64,
     /// Number of runs that have failed since the last successful one.
     pub(crate) failures: u32,
+    /// Time at which the quarantine ends; `None` if there was none since the last successful run.
     pub(crate) quarantined_until: Option<TimePoint>,
     /// Time at which the set of the worker's tasks last changed, Unix milliseconds.
     pub(crate) tasks_changed_ms: u64,
@@ -113,8 +115,10 @@
     /// Waiting tasks: latency-critical ones first, then by time of submission.
     pub(crate) queue: BTreeSet<(bool, u64, TaskId)>,
     pub(crate) workers: HashMap<WorkerId, WorkerEntry>,
-    pub(crate) table: WorkerTable,
+    /// Capacity and reservations of the workers, on which placements are decided.
+    pub(crate) worker_table: WorkerTable,
     pub(crate) worker_ids: HashMap<WorkerKey, WorkerId>,
+    /// Jobs that were cancelled. A job is removed once its last part in this shard is closed.
     pub(crate) cancelled: HashSet<JobId>,
     pub(crate) kinds: KindTable,
     pub(crate) pairs: PairTable,
@@ -125,14 +129,14 @@
 impl ShardState {
     /// Adds a part with all its tasks waiting, unless the part is known already.
     pub(crate) fn add_part(&mut self, row: PartRow, version: RowVersion) {
-        let key = (row.job, row.place.first);
+        let key = (row.job, row.location.first);
         if self.parts.contains_key(&key) {
             return;
         }
-        for offset in 0..row.place.count {
+        for offset in 0..row.location.count {
             let task = TaskId {
                 job: row.job,
-                index: row.place.first + offset,
+                index: row.location.first + offset,
             };
             self.tasks.insert(
                 task,
@@ -149,7 +153,7 @@
         let kind = self
             .kinds
             .key(&format!("{}/{}/{}", spec.team, spec.service, spec.kind));
-        let open_tasks = row.place.count;
+        let open_tasks = row.location.count;
         let entry = PartEntry {
             row,
             kind,
@@ -214,18 +218,18 @@
         })
     }
 
-    /// Returns what a task requests from a worker. The size is corrected by the measured use of its
+    /// Returns the demand of a task on a worker. The size is corrected by the measured use of its
     /// job kind.
     pub(crate) fn demand(&self, task: TaskId) -> Option<TaskDemand> {
         let part = self.part_of(task)?;
         let declared = part.row.spec.size;
-        let learned = self.sizes.corrected_size(part.kind, declared);
-        let fits = |entry: &WorkerEntry| learned.fits_in(entry.info.capacity);
+        let corrected = self.sizes.corrected_size(part.kind, declared);
+        let fits = |entry: &WorkerEntry| corrected.fits_in(entry.info.capacity);
         Some(TaskDemand {
             kind: part.kind,
             // The corrected size must not make the task too large for every worker.
             size: if self.workers.values().any(fits) {
-                learned
+                corrected
             } else {
                 declared
             },
@@ -276,7 +280,7 @@
         let Some(entry) = self.workers.get(worker) else {
             return;
         };
-        let Some(capacity) = self.table.get(entry.key) else {
+        let Some(capacity) = self.worker_table.get(entry.key) else {
             return;
         };
         if report.start_ms < entry.tasks_changed_ms {
@@ -323,7 +327,7 @@
 
     fn release(&mut self, worker: &WorkerId, task: TaskId) {
         if let Some(entry) = self.workers.get(worker) {
-            self.table.release(entry.key, task);
+            self.worker_table.release(entry.key, task);
         }
     }
 
@@ -351,7 +355,7 @@
             protected_until: now + protection,
             due_today: false,
         };
-        self.table.reserve(entry.key, running);
+        self.worker_table.reserve(entry.key, running);
     }
 
     /// Removes a closed part and its tasks.
@@ -359,10 +363,10 @@
         let Some(part) = self.parts.remove(&key) else {
             return;
         };
-        for offset in 0..part.row.place.count {
+        for offset in 0..part.row.location.count {
             let task = TaskId {
                 job: part.row.job,
-                index: part.row.place.first + offset,
+                index: part.row.location.first + offset,
             };
             self.tasks.remove(&task);
             self.queue.remove(&queue_order(&part.row, task));
