--- a/crates/wax-front/src/show.rs
+++ b/crates/wax-front/src/show.rs
@@ -70,7 +70,7 @@
     }
     let reply = query(state, job.0, "").await.filter(|reply| reply.known)?;
     let outcome = JobOutcome::try_from(reply.outcome).ok()?;
-    Some((outcome, reply.begun))
+    Some((outcome, reply.started))
 }
 
 /// Returns how many accepted jobs of a queue have not started.
@@ -84,7 +84,7 @@
         None => query(state, 0, queue)
             .await
             .filter(|reply| reply.known)
-            .map(|reply| reply.pending),
+            .map(|reply| reply.pending_job_count),
     };
     pending.ok_or_else(|| {
         let kind = ErrorKind::Unavailable(Duration::from_secs(1));
--- a/crates/wax-owner/src/front_links.rs
+++ b/crates/wax-owner/src/front_links.rs
@@ -180,13 +180,13 @@
     if !query.queue.is_empty() {
         let pending = term.pending_job_count(&query.queue, now);
         reply.known = pending.is_some();
-        reply.pending = pending.unwrap_or(0);
+        reply.pending_job_count = pending.unwrap_or(0);
         return reply;
     }
     if let JobStatus::Known { outcome, started } = term.job_status(JobName(query.job)) {
         reply.known = true;
         reply.outcome = outcome.into();
-        reply.begun = started;
+        reply.started = started;
     }
     reply
 }
--- a/crates/wax-platform/src/http_call.rs
+++ b/crates/wax-platform/src/http_call.rs
@@ -16,17 +16,17 @@
 }
 
 impl HttpCaller {
-    /// Creates a client whose calls time out after `limit`.
+    /// Creates a client whose calls time out after `call_timeout`.
     ///
     /// # Errors
     ///
     /// The client cannot be built.
-    pub fn new(limit: Duration) -> Result<Self, WaxError> {
+    pub fn new(call_timeout: Duration) -> Result<Self, WaxError> {
         let client = Client::new()
             .map_err(|error| WaxError::new(ErrorKind::Invalid, Step::Connect, "http", error))?;
         Ok(Self {
             client,
-            call_timeout: limit,
+            call_timeout,
         })
     }
 
--- a/crates/wax-platform/src/store.rs
+++ b/crates/wax-platform/src/store.rs
@@ -29,7 +29,7 @@
 
 #[derive(Debug)]
 struct StoreShared {
-    base: Box<str>,
+    base_url: Box<str>,
     caller: HttpCaller,
     clock: ProcessClock,
     permits: Semaphore,
@@ -38,14 +38,14 @@
 }
 
 impl StoreHandle {
-    /// Creates a handle for the store at `base`, a URL like `http://IP:port`. Opens no connection yet.
+    /// Creates a handle for the store at `base_url`, a URL like `http://IP:port`. Opens no connection yet.
     ///
     /// # Errors
     ///
     /// The HTTP client cannot be built.
-    pub fn new(base: &str, limits: StoreLimits, clock: ProcessClock) -> Result<Self, WaxError> {
+    pub fn new(base_url: &str, limits: StoreLimits, clock: ProcessClock) -> Result<Self, WaxError> {
         let shared = StoreShared {
-            base: base.trim_end_matches('/').into(),
+            base_url: base_url.trim_end_matches('/').into(),
             caller: HttpCaller::new(limits.call_timeout)?,
             clock,
             permits: Semaphore::new(limits.concurrency),
@@ -72,7 +72,7 @@
     }
 
     pub(crate) fn url(&self, path: &str) -> String {
-        format!("{}{path}", self.shared.base)
+        format!("{}{path}", self.shared.base_url)
     }
 
     /// Sends a POST request with a JSON body, subject to the circuit breaker and the limit on concurrency.
@@ -112,7 +112,7 @@
                 Err(WaxError::new(
                     kind,
                     step,
-                    &*self.shared.base,
+                    &*self.shared.base_url,
                     "the store is down",
                 ))
             }
--- a/crates/wax-platform/src/workers.rs
+++ b/crates/wax-platform/src/workers.rs
@@ -45,13 +45,13 @@
 }
 
 impl WorkerClient {
-    /// Creates a client whose calls time out after `limit`.
+    /// Creates a client whose calls time out after `call_timeout`.
     ///
     /// # Errors
     ///
     /// The HTTP client cannot be built.
-    pub fn new(limit: Duration) -> Result<Self, WaxError> {
-        let caller = HttpCaller::new(limit)?;
+    pub fn new(call_timeout: Duration) -> Result<Self, WaxError> {
+        let caller = HttpCaller::new(call_timeout)?;
         Ok(Self { caller })
     }
 
--- a/crates/wax-wire/src/pool.rs
+++ b/crates/wax-wire/src/pool.rs
@@ -501,10 +501,10 @@
     pub outcome: i32,
     /// Whether any task of the job has begun.
     #[prost(bool, tag = "4")]
-    pub begun: bool,
+    pub started: bool,
     /// Number of the queue's jobs of which no task has begun.
     #[prost(uint64, tag = "5")]
-    pub pending: u64,
+    pub pending_job_count: u64,
 }
 
 /// A version of the operator's config.
--- a/crates/wax-wire/src/pool_parts.rs
+++ b/crates/wax-wire/src/pool_parts.rs
@@ -7,7 +7,7 @@
     TaskSize, WorkerState, WorkerView,
 };
 
-/// Encoded [`RunMark`]: a task and the number of its run.
+/// Encoded [`RunId`]: a task and the number of its run.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct RunIdFrame {
     #[prost(fixed64, tag = "1")]
@@ -164,9 +164,9 @@
     #[prost(uint32, tag = "3")]
     percent: u32,
     #[prost(uint32, tag = "4")]
-    figure: u32,
+    load_metric: u32,
     #[prost(bool, tag = "5")]
-    listed: bool,
+    confirmed_by_worker: bool,
 }
 
 impl From<&RunReport> for RunReportFrame {
@@ -175,8 +175,8 @@
             run_id: report.run_id.into(),
             checkpoint: report.checkpoint.to_string(),
             percent: report.percent,
-            figure: report.load_metric,
-            listed: report.confirmed_by_worker,
+            load_metric: report.load_metric,
+            confirmed_by_worker: report.confirmed_by_worker,
         }
     }
 }
@@ -187,8 +187,8 @@
             run_id: (&frame.run_id).into(),
             checkpoint: frame.checkpoint.as_str().into(),
             percent: frame.percent,
-            load_metric: frame.figure,
-            confirmed_by_worker: frame.listed,
+            load_metric: frame.load_metric,
+            confirmed_by_worker: frame.confirmed_by_worker,
         }
     }
 }
@@ -200,14 +200,16 @@
     run_id: RunIdFrame,
     /// How long the run had been running, in milliseconds, if known.
     #[prost(uint64, optional, tag = "2")]
-    ran_ms: Option<u64>,
+    min_run_time_ms: Option<u64>,
 }
 
 impl From<&LostRun> for LostRunFrame {
     fn from(lost: &LostRun) -> Self {
         Self {
             run_id: lost.run_id.into(),
-            ran_ms: lost.min_run_time.map(|ran| ran.as_millis() as u64),
+            min_run_time_ms: lost
+                .min_run_time
+                .map(|run_time| run_time.as_millis() as u64),
         }
     }
 }
@@ -216,7 +218,7 @@
     fn from(frame: &LostRunFrame) -> Self {
         Self {
             run_id: (&frame.run_id).into(),
-            min_run_time: frame.ran_ms.map(Duration::from_millis),
+            min_run_time: frame.min_run_time_ms.map(Duration::from_millis),
         }
     }
 }
--- a/crates/wax-wire/tests/fuzz.rs
+++ b/crates/wax-wire/tests/fuzz.rs
@@ -19,7 +19,7 @@
         step: 2,
         index: 17,
     };
-    let mark = RunId { task, run: 3 };
+    let run_id = RunId { task, run: 3 };
     let view = WorkerView {
         boot: boot.clone(),
         ..Default::default()
@@ -38,10 +38,10 @@
         PoolBody::AllRunsEnded(AllRunsEnded::new(&boot, true)),
         PoolBody::Ack(AckEnds::new(&boot, 57)),
         PoolBody::Stop(StopRun {
-            run_id: RunIdFrame::from(mark),
+            run_id: RunIdFrame::from(run_id),
         }),
         PoolBody::RunUpdates(RunUpdates {
-            started: vec![mark.into()],
+            started: vec![run_id.into()],
             ..Default::default()
         }),
     ];
@@ -56,11 +56,11 @@
             return;
         };
         match frame.body {
-            Some(PoolBody::WorkerSnapshot(up)) => {
-                let runs = up.runs.iter().map(wax_batch::RunReport::from);
-                drop((WorkerView::from(up.worker), runs.count()));
+            Some(PoolBody::WorkerSnapshot(snapshot)) => {
+                let runs = snapshot.runs.iter().map(wax_batch::RunReport::from);
+                drop((WorkerView::from(snapshot.worker), runs.count()));
             }
-            Some(PoolBody::AllRunsEnded(gone)) => drop(gone.boot()),
+            Some(PoolBody::AllRunsEnded(ended)) => drop(ended.boot()),
             Some(PoolBody::Ack(ack)) => drop(ack.boot()),
             Some(PoolBody::AgentHello(hello)) => {
                 drop(
--- a/crates/wax-wire/tests/pool.rs
+++ b/crates/wax-wire/tests/pool.rs
@@ -163,7 +163,7 @@
     stop: PoolBody::Stop(StopRun { run_id: run_id().into() }),
     ack: PoolBody::Ack(AckEnds::new(&boot(), 57)),
     job_query: PoolBody::JobQuery(JobQuery { request_id: 1, job: 2, queue: "q".into() }),
-    job_reply: PoolBody::JobReply(JobReply { request_id: 1, known: true, outcome: 1, begun: true, pending: 4 }),
+    job_reply: PoolBody::JobReply(JobReply { request_id: 1, known: true, outcome: 1, started: true, pending_job_count: 4 }),
     config: PoolBody::Config(ConfigPush { text: b"{}".to_vec() }),
     interference: PoolBody::Interference(InterferenceUpdate {
         pairs: vec![InterferenceFrame::new("red", "heavy", PairInterference { per_core: 0.25, precision: 2.0 })],
