--- a/crates/wax-platform/src/lib.rs
+++ b/crates/wax-platform/src/lib.rs
@@ -1,4 +1,4 @@
-//! Clients for the table service, object store and workers that entry processes use, over HTTP and JSON.
+//! Clients of the entry processes for the platform's table service, object store and workers, over HTTP and JSON.
 //!
 //! No other crate knows these wire formats, except the stand-in servers of the tests. The processes of the pool use
 //! the crate `platform` instead.
--- a/crates/wax-wire/src/codec.rs
+++ b/crates/wax-wire/src/codec.rs
@@ -56,7 +56,8 @@
     fn encode(&mut self, frame: M, buffer: &mut BytesMut) -> io::Result<()> {
         let length = frame.encoded_len();
         if length > MAX_FRAME_BYTES {
-            let text = format!("frame of {length} bytes exceeds {MAX_FRAME_BYTES}");
+            let text =
+                format!("frame of {length} bytes exceeds the maximum of {MAX_FRAME_BYTES} bytes");
             return Err(io::Error::new(io::ErrorKind::InvalidInput, text));
         }
         let bytes = Bytes::from(frame.encode_to_vec());
--- a/crates/wax-wire/src/link.rs
+++ b/crates/wax-wire/src/link.rs
@@ -33,7 +33,8 @@
     /// Returns the body; `None` if its kind is unknown.
     fn into_body(self) -> Option<Self::Body>;
 
-    /// Counts the frame in the metrics just before it is sent. Does nothing unless overridden.
+    /// Counts the frame in the metrics. [`LinkWriter::forward`] calls it before each frame; [`LinkWriter::write`] does
+    /// not. Does nothing unless overridden.
     fn count_sent(&self) {}
 }
 
--- a/crates/wax-wire/src/pool.rs
+++ b/crates/wax-wire/src/pool.rs
@@ -13,8 +13,8 @@
 use wax_policy::{DrainView, PairInterference};
 use wax_types::TimePoint;
 
-/// Upper bound on the heartbeat period that an owner can request. Grants are valid for twice as long, so an
-/// agent's authority does not expire between two heartbeats.
+/// Upper bound on the heartbeat period that an owner can request. The longest grants are valid for about twice as
+/// long, so an agent's authority does not expire between two heartbeats.
 const MAX_HEARTBEAT_PERIOD: Duration = Duration::from_millis(1_200);
 
 /// Envelope of each message between an owner and an agent or a front.
@@ -303,7 +303,7 @@
     /// The worker's description.
     #[prost(message, required, tag = "1")]
     pub worker: WorkerFrame,
-    /// Runs that are in progress or may still begin.
+    /// Runs that are in progress or may still start.
     #[prost(message, repeated, tag = "2")]
     pub runs: Vec<RunReportFrame>,
     /// Ends of runs that the worker still lists because they are not acknowledged.
@@ -499,10 +499,10 @@
     /// Outcome of the job as stored in its row, a `JobOutcome`.
     #[prost(int32, tag = "3")]
     pub outcome: i32,
-    /// Whether any task of the job has begun.
+    /// Whether any task of the job has started.
     #[prost(bool, tag = "4")]
     pub started: bool,
-    /// Number of the queue's jobs of which no task has begun.
+    /// Number of the queue's accepted jobs of which no task has started.
     #[prost(uint64, tag = "5")]
     pub pending_job_count: u64,
 }
@@ -555,7 +555,7 @@
 /// Interference between images: observations of an agent, or what the owner has merged from all agents.
 #[derive(Clone, PartialEq, Message)]
 pub struct InterferenceUpdate {
-    /// Pairs of images that have changed, or all pairs for an agent that knows too few.
+    /// Pairs of images whose estimates have changed, or all pairs for an agent that knows far fewer than the owner.
     #[prost(message, repeated, tag = "1")]
     pub pairs: Vec<InterferenceFrame>,
     /// Headroom of each serving image on the sender's worker. Set by agents only.
--- a/crates/wax-wire/src/pool_parts.rs
+++ b/crates/wax-wire/src/pool_parts.rs
@@ -198,7 +198,7 @@
 pub struct LostRunFrame {
     #[prost(message, required, tag = "1")]
     run_id: RunIdFrame,
-    /// How long the run had been running, in milliseconds, if known.
+    /// Lower bound on the run time in milliseconds; `None` if unknown.
     #[prost(uint64, optional, tag = "2")]
     min_run_time_ms: Option<u64>,
 }
--- a/crates/wax-wire/tests/link.rs
+++ b/crates/wax-wire/tests/link.rs
@@ -9,6 +9,7 @@
 }
 
 /// A link's buffers start at 2 KiB, while a config with many routes is hundreds of times as large.
+/// Guards against such a frame being truncated or mixed up with its neighbours.
 #[test]
 fn a_frame_larger_than_the_buffers_arrives_intact_between_small_frames() {
     let runtime = compio::runtime::Runtime::new().expect("the runtime starts");
--- a/crates/wax-wire/tests/pool.rs
+++ b/crates/wax-wire/tests/pool.rs
@@ -1,4 +1,5 @@
-//! Every kind of message of the pool is unchanged after encoding and decoding.
+//! Messages of the pool are unchanged after encoding and decoding. Guards against a field that is not encoded, or that
+//! is decoded as another one.
 
 use bytes::BytesMut;
 use std::time::Duration;
