--- a/crates/wax-platform/src/http_call.rs
+++ b/crates/wax-platform/src/http_call.rs
@@ -1,4 +1,4 @@
-//! HTTP calls with JSON bodies and a time-out.
+//! HTTP calls with JSON bodies and a timeout.
 
 use compio::time::timeout;
 use cyper::{Client, RequestBuilder};
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use wax_types::{ErrorKind, Step, WaxError};
 
-/// HTTP client whose time-out covers the whole call.
+/// HTTP client whose timeout covers the whole call.
 #[derive(Debug, Clone)]
 pub struct HttpCaller {
     client: Client,
--- a/crates/wax-platform/src/store.rs
+++ b/crates/wax-platform/src/store.rs
@@ -15,7 +15,7 @@
 /// Limits on the calls of one process to the store.
 #[derive(Debug, Clone, Copy)]
 pub struct StoreLimits {
-    /// Time-out of one call.
+    /// Timeout of one call.
     pub call_timeout: Duration,
     /// Maximum number of concurrent calls.
     pub concurrency: usize,
