--- a/crates/wax-platform/src/http_call.rs
+++ b/crates/wax-platform/src/http_call.rs
@@ -1,4 +1,4 @@
-//! HTTP calls with JSON bodies and a time-out.
+//! HTTP calls with JSON bodies and a timeout.
 
 use compio::time::timeout;
 use cyper::{Client, RequestBuilder};
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use wax_types::{ErrorKind, Step, WaxError};
 
-/// HTTP client whose time-out covers the whole call.
+/// HTTP client whose timeout covers the whole call.
 #[derive(Debug, Clone)]
 pub struct HttpCaller {
     client: Client,
@@ -16,17 +16,17 @@
 }
 
 impl HttpCaller {
-    /// Creates a client whose calls time out after `limit`.
+    /// Creates a client whose calls time out after `call_timeout`.
     ///
     /// # Errors
     ///
     /// The client cannot be built.
-    pub fn new(limit: Duration) -> Result<Self, WaxError> {
+    pub fn new(call_timeout: Duration) -> Result<Self, WaxError> {
         let client = Client::new()
             .map_err(|error| WaxError::new(ErrorKind::Invalid, Step::Connect, "http", error))?;
         Ok(Self {
             client,
-            call_timeout: limit,
+            call_timeout,
         })
     }
 
--- a/crates/wax-wire/tests/pool.rs
+++ b/crates/wax-wire/tests/pool.rs
@@ -1,4 +1,5 @@
-//! Every kind of message of the pool is unchanged after encoding and decoding.
+//! Messages of the pool are unchanged after encoding and decoding. Guards against a field that is not encoded, or that
+//! is decoded as another one.
 
 use bytes::BytesMut;
 use std::time::Duration;
@@ -163,7 +164,7 @@
     stop: PoolBody::Stop(StopRun { run_id: run_id().into() }),
     ack: PoolBody::Ack(AckEnds::new(&boot(), 57)),
     job_query: PoolBody::JobQuery(JobQuery { request_id: 1, job: 2, queue: "q".into() }),
-    job_reply: PoolBody::JobReply(JobReply { request_id: 1, known: true, outcome: 1, begun: true, pending: 4 }),
+    job_reply: PoolBody::JobReply(JobReply { request_id: 1, known: true, outcome: 1, started: true, pending_job_count: 4 }),
     config: PoolBody::Config(ConfigPush { text: b"{}".to_vec() }),
     interference: PoolBody::Interference(InterferenceUpdate {
         pairs: vec![InterferenceFrame::new("red", "heavy", PairInterference { per_core: 0.25, precision: 2.0 })],
