--- a/crates/wax-cli/src/commands/bound.rs
+++ b/crates/wax-cli/src/commands/bound.rs
@@ -73,10 +73,10 @@
         .values()
         .filter(|job| !job.long_running && !job.is_cancelled())
         .collect();
-    let last = finite.iter().map(|job| last_activity(job));
+    let activity_times = finite.iter().map(|job| last_activity(job));
     let slots = slots(
         history.started_at,
-        last.fold(history.started_at, f64::max),
+        activity_times.fold(history.started_at, f64::max),
         cores,
     );
     let mut queues: BTreeMap<&str, Vec<&JobHistory>> = BTreeMap::new();
@@ -115,7 +115,7 @@
 }
 
 fn queue_bound(jobs: &[&JobHistory], slots: &[BoundSlot]) -> QueueBound {
-    let bounded: Vec<BoundJob> = jobs
+    let bound_jobs: Vec<BoundJob> = jobs
         .iter()
         .map(|job| BoundJob {
             arrival_s: job.requested_at,
@@ -126,7 +126,7 @@
         .collect();
     let reached = jobs.iter().filter(|job| job.is_in_time());
     QueueBound {
-        bound: compute_bound(&bounded, slots),
+        bound: compute_bound(&bound_jobs, slots),
         in_time: reached.map(|job| job.work_core_s).sum(),
     }
 }
@@ -144,11 +144,11 @@
 
 /// Divides the time from the first line to the last activity of a job into slots with the same
 /// number of cores.
-fn slots(started_at: f64, last: f64, cores: f64) -> Vec<BoundSlot> {
-    let count = ((last - started_at) / SLOT_S).ceil() as usize;
+fn slots(started_at: f64, last_activity_at: f64, cores: f64) -> Vec<BoundSlot> {
+    let count = ((last_activity_at - started_at) / SLOT_S).ceil() as usize;
     let slot = |number: usize| BoundSlot {
         start_s: started_at + number as f64 * SLOT_S,
-        end_s: (started_at + (number + 1) as f64 * SLOT_S).min(last),
+        end_s: (started_at + (number + 1) as f64 * SLOT_S).min(last_activity_at),
         cores,
     };
     (0..count).map(slot).collect()
--- a/crates/wax-cli/src/commands/logs.rs
+++ b/crates/wax-cli/src/commands/logs.rs
@@ -121,7 +121,7 @@
         row.not_accepted.to_string(),
         row.in_time.to_string(),
         row.late.to_string(),
-        row.gone.to_string(),
+        row.failed_or_cancelled.to_string(),
         row.open.to_string(),
         format!("{:.2}, {:.2}", row.first_start[0], row.first_start[1]),
         format!("{:.2}, {:.2}", row.spread[0], row.spread[1]),
--- a/crates/wax-logs/src/report.rs
+++ b/crates/wax-logs/src/report.rs
@@ -20,7 +20,8 @@
     /// Number of jobs that were completed after the objective.
     pub late: u32,
     /// Number of jobs that failed or were cancelled by their callers.
-    pub gone: u32,
+    #[serde(rename = "gone")]
+    pub failed_or_cancelled: u32,
     /// Number of jobs that have not ended; jobs with a long-running step are expected not to.
     pub open: u32,
     /// Time from the request to the first start, seconds: median and 95th percentile over the jobs.
@@ -113,7 +114,7 @@
     match (&job.end, job.response_time_s()) {
         (_, Some(response_time)) if response_time <= job.objective_s => row.in_time += 1,
         (_, Some(_)) => row.late += 1,
-        (Some(_), None) => row.gone += 1,
+        (Some(_), None) => row.failed_or_cancelled += 1,
         (None, None) => row.open += 1,
     }
     if job.long_running || job.is_in_time() || job.is_cancelled() {
--- a/crates/wax-replay/src/batch.rs
+++ b/crates/wax-replay/src/batch.rs
@@ -267,9 +267,9 @@
         let record = &self.batch.tasks[&task];
         let urgent = self.world.kinds[record.kind].urgent;
         let remaining = record.work.saturating_sub(record.saved);
-        let ends = self.world.options.day.ends_today(now, remaining);
-        let weighed = self.world.policy.learns();
-        let order = (!urgent, weighed && !ends, record.submitted, task);
+        let ends_today = self.world.options.day.ends_today(now, remaining);
+        let learns = self.world.policy.learns();
+        let order = (!urgent, learns && !ends_today, record.submitted, task);
         self.batch.queue.insert(order);
     }
 
--- a/crates/wax-replay/src/quick.rs
+++ b/crates/wax-replay/src/quick.rs
@@ -303,12 +303,12 @@
             self.quick.answered += 1;
             return self.abandon_attempts(now, request);
         }
-        let alone = state.open_attempts.is_empty();
-        let others = state.tried.len() < self.quick.keys.len();
-        if !alone {
+        let none_open = state.open_attempts.is_empty();
+        let has_untried = state.tried.len() < self.quick.keys.len();
+        if !none_open {
             return;
         }
-        if !(others && self.quick.retries.try_spend() && self.send_attempt(now, request)) {
+        if !(has_untried && self.quick.retries.try_spend() && self.send_attempt(now, request)) {
             self.refuse_request(now, request);
         }
     }
