--- a/crates/wax-logs/src/cause.rs
+++ b/crates/wax-logs/src/cause.rs
@@ -57,8 +57,8 @@
 
 /// Tolerance when the timestamps of an end and of the start that it allowed are compared, seconds.
 const TIME_TOLERANCE_S: f64 = 0.05;
-/// Time that is attributed to a task without a result, seconds. Large enough to outweigh the
-/// causes before it.
+/// Time that is attributed to a task without a result, or to the missing owner of a job whose tasks
+/// were never started, seconds. Large enough to outweigh the earlier causes on the path.
 const UNFINISHED_TASK_S: f64 = 20.0;
 /// Limit on the tasks of a path that are followed; a longer path is not followed to its start.
 const MAX_PATH_STEPS: usize = 64;
@@ -95,8 +95,8 @@
         let counted_from = first.ordered_at - first.waited_s;
         let previous = predecessor(&tasks, counted_from, &first.task);
         let previous_end = previous.map_or(job.accepted_at, |(_, end)| end);
-        // The wait of a step is counted from scratch when a sibling task is requeued. An earlier
-        // report shows that the step was waiting before that.
+        // The wait counter of a step restarts when a sibling task is requeued. An earlier wait
+        // report shows that the step was already waiting before the restart.
         let reported = first_wait_report(job, first, previous_end);
         let wait_start = reported.map_or(counted_from, |reported| reported.min(counted_from));
         add(
@@ -160,8 +160,8 @@
     }
 }
 
-/// Reports that the step of a task is waiting, in order, from `previous_end` to the first start of
-/// the task.
+/// Returns the wait reports of a task's step between `previous_end` and the first start of the
+/// task, in order of time.
 fn wait_reports<'a>(
     job: &'a JobHistory,
     first: &'a RunHistory,
--- a/crates/wax-logs/src/report.rs
+++ b/crates/wax-logs/src/report.rs
@@ -72,6 +72,7 @@
     pub windows: Vec<WindowRow>,
 }
 
+/// Pace below which an image counts as slowed, percent of its full pace.
 const SLOWED_BELOW_PERCENT: u32 = 33;
 
 /// Aggregates a history in windows of `window` seconds.
--- a/crates/wax-logs/tests/reports.rs
+++ b/crates/wax-logs/tests/reports.rs
@@ -120,6 +120,8 @@
     assert!((shares[0].seconds - 5.48).abs() < 0.01, "{shares:?}");
 }
 
+/// Log files are read in any order, so a run's end may be parsed before its start. The history must
+/// be sorted by time first; otherwise ends would be lost.
 #[test]
 fn history_does_not_depend_on_line_order() {
     let lines = late_job_lines();
--- a/crates/wax-replay/src/batch.rs
+++ b/crates/wax-replay/src/batch.rs
@@ -30,8 +30,8 @@
 pub(crate) const LEASE_EXPIRY: Duration = Duration::from_secs(12);
 /// Limit on the waiting tasks that one scheduling round considers.
 const MAX_TASKS_PER_ROUND: usize = 256;
-/// Time for which a restarted task is protected from eviction, for each eviction that it has
-/// suffered.
+/// Time for which a restarted task is protected from eviction, for each of its earlier evictions;
+/// at most 10 evictions count.
 const EVICTION_PROTECTION: Duration = Duration::from_secs(30);
 /// Number of consecutive failed runs after which a worker is quarantined.
 const FAILURES_TO_QUARANTINE: u32 = 5;
--- a/crates/wax-replay/src/quick.rs
+++ b/crates/wax-replay/src/quick.rs
@@ -19,7 +19,7 @@
 /// Latency from an entry to a sidecar in the same failure domain.
 const LOCAL_LATENCY: Duration = Duration::from_micros(100);
 
-/// How an attempt ended at its sidecar.
+/// How an attempt ended at its sidecar; `Open` until it has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AttemptOutcome {
     Open,
@@ -247,8 +247,8 @@
         let spent = now.since(state.started);
         self.quick.gates[upstream].release(spent);
         if self.world.workers[self.world.upstreams[upstream].worker].down {
-            // The attempt ended with its worker without an answer. The entry finds out by a hedge
-            // or the deadline.
+            // The worker is down, so no answer is sent. The entry reacts only when the hedge is due
+            // or the deadline passes.
             return;
         }
         self.send_answer(now, attempt, AttemptOutcome::Answered);
