--- a/crates/wax-replay/src/batch/runs.rs
+++ b/crates/wax-replay/src/batch/runs.rs
@@ -74,10 +74,10 @@
             self.record_progress(now, task);
             let record = &self.batch.tasks[&task];
             let kind = &self.world.kinds[record.kind];
-            let enough =
+            let reserved_share =
                 f64::from(record.reserved.cpu_milli) / f64::from(kind.true_cpu_milli.max(1));
             let excess = self.excess_on_worker(worker, kind.key, Some(task));
-            let speed = enough.min(1.0) * record.throttle / (1.0 + excess);
+            let speed = reserved_share.min(1.0) * record.throttle / (1.0 + excess);
             let record = self.batch.tasks.get_mut(&task).expect("the task is known");
             record.speed = speed;
             record.generation += 1;
--- a/crates/wax-replay/src/trace.rs
+++ b/crates/wax-replay/src/trace.rs
@@ -14,7 +14,7 @@
     /// Options of the whole trace.
     Options {
         /// Delay until usage is reported to the owner.
-        #[serde(default = "default_lag")]
+        #[serde(default = "default_usage_lag_ms")]
         usage_lag_ms: u64,
         /// Weight of tail latency among the customer's objectives.
         #[serde(default = "default_weight")]
@@ -29,10 +29,10 @@
         #[serde(default)]
         day_start_min: u32,
         /// End of the working day, minutes after the start of the trace's day.
-        #[serde(default = "default_day_end")]
+        #[serde(default = "default_day_end_min")]
         day_end_min: u32,
         /// One-way latency between failure domains, microseconds.
-        #[serde(default = "default_hop")]
+        #[serde(default = "default_domain_latency_us")]
         domain_us: u64,
         /// End of the trace.
         until_ms: u64,
@@ -194,16 +194,16 @@
     },
 }
 
-fn default_lag() -> u64 {
+fn default_usage_lag_ms() -> u64 {
     2_000
 }
 fn default_weight() -> u32 {
     50
 }
-fn default_day_end() -> u32 {
+fn default_day_end_min() -> u32 {
     1_440
 }
-fn default_hop() -> u64 {
+fn default_domain_latency_us() -> u64 {
     500
 }
 fn default_attempts() -> u32 {
--- a/crates/wax-replay/src/world.rs
+++ b/crates/wax-replay/src/world.rs
@@ -442,7 +442,8 @@
         neighbours
             .map(|(neighbour, speed)| {
                 let pair = self.pairs.get(&(victim, neighbour));
-                let excess = pair.map_or(0.0, |(light, full)| if loaded { *full } else { *light });
+                let excess =
+                    pair.map_or(0.0, |(light, heavy)| if loaded { *heavy } else { *light });
                 excess * speed
             })
             .sum()
