--- a/crates/wax-cli/src/commands/explain.rs
+++ b/crates/wax-cli/src/commands/explain.rs
@@ -38,7 +38,7 @@
     Ok(table_text(&["TASK", "REASON"], &rows))
 }
 
-/// Returns the reason for a task that no owner reports.
+/// Describes the state of a task for which no owner has reported a reason.
 fn ended_reason(task: &Value) -> String {
     match &task["state"] {
         Value::Null => "its shard currently has no owner".to_owned(),
--- a/crates/wax-logs/src/line.rs
+++ b/crates/wax-logs/src/line.rs
@@ -38,12 +38,13 @@
     event: LogEvent,
 }
 
-/// Parses the lines of a file. Lines that contain no JSON object and events that reports do not use
-/// are skipped.
+/// Parses the lines of a file. Lines without a JSON object that starts with the key `timestamp` and
+/// events that reports do not use are skipped.
 ///
 /// # Errors
 ///
-/// An object of a known kind lacks a field, or its timestamp is invalid.
+/// The object of a line is not valid JSON, an event that reports use lacks a field, or its timestamp
+/// is invalid.
 pub fn parse_lines(text: &str) -> Result<Vec<LogLine>, LineError> {
     let mut lines = Vec::new();
     for (index, line) in text.lines().enumerate() {
--- a/crates/wax-logs/src/plot.rs
+++ b/crates/wax-logs/src/plot.rs
@@ -111,8 +111,8 @@
     ]
 }
 
-/// Counts the accepted jobs at a time that have not ended or still have a run in progress. Jobs
-/// with a long-running step are left out. An open job without a run in progress is waiting.
+/// Counts the accepted jobs that, at the given time, have not ended or still have a run in progress.
+/// Jobs with a long-running step are left out. An open job without a run in progress is waiting.
 fn open_jobs(history: &PoolHistory, at: f64) -> f64 {
     let is_open = |job: &&crate::history::JobHistory| {
         let ended = job.end.as_ref().is_some_and(|(end, _)| *end <= at);
--- a/crates/wax-replay/src/events.rs
+++ b/crates/wax-replay/src/events.rs
@@ -25,14 +25,15 @@
     JobArrives(usize),
     /// The owner starts a scheduling round.
     SchedulingDue,
-    /// A run ends. Ignored if the generation of the task has changed, as its speed was then changed
-    /// and its end planned again.
+    /// A run ends. Ignored if the generation of the task has changed: the end of the run was planned
+    /// again, or the run was stopped, lost or cancelled.
     RunEnds(TaskId, u64),
     /// Workers measure their usage.
     UsageMeasured,
     /// Delayed usage samples arrive at the owner.
     UsageArrives(usize),
-    /// A run that is being stopped has written its checkpoint.
+    /// A run that is being stopped has written its checkpoint. Holds the number of the task's
+    /// evictions when the stop was ordered; ignored if the task was evicted since then.
     StopDone(TaskId, u64),
     /// A fault starts (`true`) or ends (`false`).
     FaultChanges(usize, bool),
--- a/crates/wax-replay/src/report.rs
+++ b/crates/wax-replay/src/report.rs
@@ -44,7 +44,8 @@
     pub work_open_ms: u64,
     /// Number of evictions.
     pub evictions: u64,
-    /// Work that was done and lost, milliseconds.
+    /// Work that was done and then lost by evictions and lost workers, milliseconds. Work lost by
+    /// failed runs is not counted.
     pub lost_work_ms: u64,
 }
 
