--- a/tests/pool/soak.rs
+++ b/tests/pool/soak.rs
@@ -170,7 +170,7 @@
             let faults = match fault {
                 SoakFault::Down => json!({ "down": true }),
                 SoakFault::Slow => json!({ "delay_ms": 250 }),
-                SoakFault::Forget => json!({ "forget": true }),
+                SoakFault::DropHistory => json!({ "forget": true }),
                 _ => json!({ "lose_percent": 30 }),
             };
             site.store_faults(faults).await;
@@ -212,7 +212,7 @@
 }
 
 /// Executes the plan: begins and ends faults in the order of their times, and restarts crashed workers meanwhile.
-async fn play_faults(site: &mut Site, plan: &[PlannedFault], routes: &mut Vec<String>) {
+async fn execute_plan(site: &mut Site, plan: &[PlannedFault], routes: &mut Vec<String>) {
     let mut steps: Vec<(Duration, bool, &PlannedFault)> = Vec::new();
     for planned in plan {
         steps.push((planned.at, true, planned));
@@ -307,7 +307,7 @@
         .await;
     let callers_task = spawn(callers.clone().run_callers(seed));
     let mut routes = vec!["/g/".to_owned()];
-    play_faults(&mut site, &plan, &mut routes).await;
+    execute_plan(&mut site, &plan, &mut routes).await;
     callers.stop.set(true);
     callers_task
         .await
@@ -327,7 +327,7 @@
 const SHORT: SoakSize = SoakSize {
     fronts: 3,
     vms: 3,
-    length: Duration::from_secs(10),
+    duration: Duration::from_secs(10),
 };
 
 macro_rules! soak_seeds {
@@ -363,7 +363,7 @@
     let size = SoakSize {
         fronts: fronts as usize,
         vms: vms as usize,
-        length: Duration::from_secs(seconds),
+        duration: Duration::from_secs(seconds),
     };
     for seed in first..=last {
         run(soak(seed, size));
--- a/tests/pool/soak_plan.rs
+++ b/tests/pool/soak_plan.rs
@@ -11,7 +11,7 @@
     pub(crate) fronts: usize,
     pub(crate) vms: usize,
     /// Time during which faults begin.
-    pub(crate) length: Duration,
+    pub(crate) duration: Duration,
 }
 
 /// Process, connection or setting that a fault affects.
@@ -55,7 +55,7 @@
     /// Some replies of the store to transactions are lost.
     LoseReplies,
     /// The store drops its history.
-    Forget,
+    DropHistory,
     /// The operator drains the failure domain.
     Drain,
     /// The operator adds a route.
@@ -76,7 +76,7 @@
     let mut rng = Rng::with_seed(seed);
     let mut plan: Vec<PlannedFault> = Vec::new();
     let mut at = Duration::from_millis(500);
-    while at < size.length {
+    while at < size.duration {
         let (target, fault) = draw_fault(&mut rng, size, domains);
         let duration = Duration::from_millis(match fault {
             // Longer than the bound of a drain, up to which starts are still allowed.
@@ -123,7 +123,7 @@
         14 => (FaultTarget::Store, SoakFault::Down),
         15 => (FaultTarget::Store, SoakFault::Slow),
         16 => (FaultTarget::Store, SoakFault::LoseReplies),
-        17 => (FaultTarget::Store, SoakFault::Forget),
+        17 => (FaultTarget::Store, SoakFault::DropHistory),
         18 => {
             let domain = domains[rng.usize(0..domains.len())];
             (FaultTarget::Domain(domain), SoakFault::Drain)
--- a/tests/proofs/fault_sequences.rs
+++ b/tests/proofs/fault_sequences.rs
@@ -11,7 +11,7 @@
 
 const JOBS: usize = 10;
 const TASKS: u32 = 3;
-const FAULTS: usize = 10;
+const FAULT_COUNT: usize = 10;
 
 /// Injects one random fault, waits for a random time, and undoes the fault.
 async fn inject_fault(cluster: &mut Cluster, rng: &mut Rng) {
@@ -84,7 +84,7 @@
             inject_fault(&mut cluster, &mut rng).await;
         }
     }
-    for _ in JOBS / 2..FAULTS {
+    for _ in JOBS / 2..FAULT_COUNT {
         inject_fault(&mut cluster, &mut rng).await;
     }
     for (n, job) in jobs.iter().enumerate() {
