--- a/tests/proofs/alerts.rs
+++ b/tests/proofs/alerts.rs
@@ -53,7 +53,7 @@
 }
 
 /// Returns how often each key was executed on all upstreams together.
-async fn executed(cluster: &Cluster, upstreams: usize) -> BTreeMap<String, u64> {
+async fn execution_counts(cluster: &Cluster, upstreams: usize) -> BTreeMap<String, u64> {
     let mut counts = BTreeMap::new();
     for n in 1..=upstreams {
         let record = cluster.record(&format!("upstream-{n}")).await;
@@ -65,7 +65,7 @@
 }
 
 /// Checks the reported outcomes of all keys against the executions on the upstreams.
-fn check(histories: &BTreeMap<String, Vec<AlertEvent>>, executed: &BTreeMap<String, u64>) {
+fn check_outcomes(histories: &BTreeMap<String, Vec<AlertEvent>>, executed: &BTreeMap<String, u64>) {
     for (key, events) in histories {
         let count = executed.get(key).copied().unwrap_or(0);
         assert!(count <= 1, "{key} ran {count} times");
@@ -115,8 +115,8 @@
         let cluster = Cluster::start(ClusterPlan::default()).await;
         let keys: Vec<String> = (0..20).map(|n| format!("race-{n}")).collect();
         let histories = send_at_all_entries(&cluster, &keys, Instant::now()).await;
-        let executed = executed(&cluster, 2).await;
-        check(&histories, &executed);
+        let executed = execution_counts(&cluster, 2).await;
+        check_outcomes(&histories, &executed);
         assert_eq!(
             executed.len(),
             keys.len(),
@@ -134,7 +134,7 @@
         let keys: Vec<String> = (0..10).map(|n| format!("lost-{n}")).collect();
         let histories = send_at_all_entries(&cluster, &keys, Instant::now()).await;
         cluster.faults("platform", json!({})).await;
-        check(&histories, &executed(&cluster, 2).await);
+        check_outcomes(&histories, &execution_counts(&cluster, 2).await);
     });
 }
 
@@ -152,7 +152,7 @@
             assert_eq!(event.output, Some(AlertOutcome::NotRun));
         }
         assert!(
-            executed(&cluster, 2).await.is_empty(),
+            execution_counts(&cluster, 2).await.is_empty(),
             "a refused alert ran"
         );
     });
@@ -173,7 +173,7 @@
             (event.output == Some(AlertOutcome::Ran)).then_some(())
         })
         .await;
-        let executed = executed(&cluster, 2).await;
+        let executed = execution_counts(&cluster, 2).await;
         assert_eq!(executed.get("outage"), Some(&1));
     });
 }
@@ -214,7 +214,7 @@
             cluster.restart(&format!("entry-{victim}"));
             cluster.wait_until_routing(victim).await;
         }
-        check(&histories, &executed(&cluster, 2).await);
+        check_outcomes(&histories, &execution_counts(&cluster, 2).await);
     });
 }
 
--- a/tests/proofs/peer_protocol.rs
+++ b/tests/proofs/peer_protocol.rs
@@ -348,11 +348,11 @@
         let mut sidecar = FakeSidecar::connect(&cluster).await;
         let pending = send_call(&cluster, Method::POST, "/now");
         let id = sidecar.next_request().await;
-        let earlier = AttemptId {
+        let other_attempt = AttemptId {
             incarnation: id.incarnation ^ 1,
             sequence: id.sequence,
         };
-        sidecar.answer(earlier, "of another run", 14).await;
+        sidecar.answer(other_attempt, "of another run", 14).await;
         sidecar.answer(id, "mine", 4).await;
         let answer = pending
             .await
