--- a/benches/bench_process.rs
+++ b/benches/bench_process.rs
@@ -29,12 +29,12 @@
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
             .spawn()
-            .expect("the process starts");
+            .expect("the process must start");
         let mut line = String::new();
-        BufReader::new(child.stdout.take().expect("stdout is piped"))
+        BufReader::new(child.stdout.take().expect("stdout must be piped"))
             .read_line(&mut line)
-            .expect("the process prints");
-        let ready = serde_json::from_str(&line).expect("the process is ready");
+            .expect("the process must print a line");
+        let ready = serde_json::from_str(&line).expect("the line must be JSON");
         Self { child, ready }
     }
 
@@ -43,7 +43,7 @@
         let value = self.ready.get("ready").unwrap_or(&self.ready);
         value[key]
             .as_str()
-            .expect("the address is printed")
+            .expect("the address must be in the line")
             .to_owned()
     }
 
--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -116,7 +116,7 @@
 
     async fn store_stats(&self) -> Value {
         let url = format!("http://{}/stats", self.platform.address("platform"));
-        get_json(&url).await.expect("the platform answers")
+        get_json(&url).await.expect("the platform must answer")
     }
 
     async fn submit(&self, team: usize, tasks: usize, work_ms: u64, key: &str) {
@@ -376,7 +376,7 @@
         .collect();
     let wanted = |name: &str| only.is_empty() || only.iter().any(|arg| arg == name);
     compio::runtime::Runtime::new()
-        .expect("the runtime starts")
+        .expect("the runtime must start")
         .block_on(async {
             if wanted("sidecars") {
                 for count in [1, 100, 250, 400] {
--- a/benches/owner_load.rs
+++ b/benches/owner_load.rs
@@ -41,7 +41,8 @@
 const TASKS_PER_JOB: u32 = 20;
 /// Run time of each task.
 const TASK_DURATION: Duration = Duration::from_millis(1_200);
-/// Interval at which an agent gets its worker's progress.
+/// Interval at which a simulated agent records the progress of its worker's runs, which its next heartbeat round
+/// sends to the owner. Real agents learn of progress with each hold.
 const HOLD_PERIOD: Duration = Duration::from_millis(250);
 /// Heartbeat interval until the owner requests another one.
 const INITIAL_PERIOD: Duration = Duration::from_millis(400);
@@ -271,7 +272,11 @@
     let linked_agents = 1 + rest.iter().flatten().count();
     let linked_fronts = join_all((0..fronts).map(|number| link_front(owner, number))).await;
     let linked_fronts = linked_fronts.iter().flatten().count();
-    let pid = site.fronts[0].process.as_ref().expect("it runs").pid();
+    let pid = site.fronts[0]
+        .process
+        .as_ref()
+        .expect("the process must be running")
+        .pid();
     submit_jobs(
         &site,
         tasks_per_second,
--- a/tests/pool/faults.rs
+++ b/tests/pool/faults.rs
@@ -56,7 +56,7 @@
         assert_eq!(
             site.start_count(&name(1)).await,
             3,
-            "nothing was started again"
+            "no task must be started again"
         );
         site.audit().await;
     });
@@ -548,7 +548,7 @@
         };
         let owner = (0..3)
             .find(|front| owned(&site, *front))
-            .expect("one front owns the shard");
+            .expect("one front must own the shard");
         let (next, resumed) = ((owner + 1) % 3, (owner + 2) % 3);
         let resumed_name = format!("front-{resumed}");
         for front in [next, resumed] {
--- a/tests/pool/many_agents.rs
+++ b/tests/pool/many_agents.rs
@@ -15,7 +15,7 @@
     split_stream,
 };
 
-/// More agents than a transaction may have entries.
+/// Number of agents; greater than the number of entries that the store allows in one transaction.
 const AGENTS: usize = 200;
 /// Number of agents whose workers end while the store is down.
 const LEAVING_AGENTS: usize = 70;
--- a/tests/pool/restarts.rs
+++ b/tests/pool/restarts.rs
@@ -61,7 +61,8 @@
     a_lasting_task_runs_again_after_its_workers_clock_started_anew: long_running_tasks_run_again_after_restart, FromZero;
 }
 
-/// The agent sends a start while the boot that it is meant for is replaced by the next one under the same id.
+/// The agent sends a start that was ordered for one boot when the next boot under the same id is already running.
+/// Guards against a run on the next boot while the owner counts it as lost and starts the task elsewhere.
 #[test]
 fn a_start_that_reaches_the_next_boot_of_the_same_id_does_not_run_twice() {
     run(async {
@@ -86,7 +87,8 @@
     });
 }
 
-/// The platform may execute an order seconds late, when the next boot has already started.
+/// The platform may execute an order seconds late, when the next boot has already started. The next boot must
+/// refuse orders with the fencing token of the previous boot.
 #[test]
 fn an_order_for_the_previous_boot_is_fenced_after_a_restart_under_the_same_id() {
     run(async {
@@ -108,7 +110,8 @@
 }
 
 /// The agent receives a call of the previous boot after the next boot has become active. With `with_start_time`
-/// the body is the report of the previous boot; without, it lacks the start time that identifies a boot.
+/// the body is the report of the previous boot; without, it lacks the start time that identifies a boot. The call
+/// must not make the owner count the runs of the next boot as lost: no task may be started again.
 async fn late_call(test: &str, call: &str, with_start_time: bool) {
     let mut site = Site::start(test, 1, 2).await;
     site.wait_log_lines("front-0", "worker taken over", 2).await;
--- a/tests/pool/soak_plan.rs
+++ b/tests/pool/soak_plan.rs
@@ -79,11 +79,12 @@
     while at < size.duration {
         let (target, fault) = draw_fault(&mut rng, size, domains);
         let duration = Duration::from_millis(match fault {
-            // Longer than the bound of a drain, up to which starts are still allowed.
+            // Longer than `DRAIN_BOUND_MS`: starts are allowed for that time after a drain, so a shorter drain would
+            // check nothing.
             SoakFault::Drain => rng.u64(6_000..9_000),
             // Some freezes are longer than the heartbeat timeout of a link and the duration of a lease.
             SoakFault::Freeze => rng.u64(300..6_000),
-            // From less than one hold of the agent to longer than the remaining validity of leases.
+            // From less than one hold, by which the agent extends leases, to longer than the leases remain valid.
             SoakFault::Restart(_) => rng.u64(0..1_500),
             _ => rng.u64(300..3_500),
         });
--- a/tests/pool/store_proxy.rs
+++ b/tests/pool/store_proxy.rs
@@ -82,14 +82,15 @@
     }
 }
 
-/// Forwards both directions until one end closes. Data that arrives while the connection is silent is dropped.
+/// Forwards both directions until one end closes, and then closes the other end. On a silent connection, data is
+/// dropped and the other end stays open.
 fn forward_both_ways(one: &TcpStream, other: &TcpStream, is_silent: &Arc<AtomicBool>) {
     for (from, to) in [(one, other), (other, one)] {
         let mut from = from.try_clone().expect("the stream must be cloned");
         let mut to = to.try_clone().expect("the stream must be cloned");
         let is_silent = is_silent.clone();
         std::thread::spawn(move || {
-            // An error means that an end has closed; the other end is closed as well.
+            // An error means that one end has closed.
             let _ = copy_unless_silent(&mut from, &mut to, &is_silent);
             if !is_silent.load(Ordering::SeqCst) {
                 let _ = to.shutdown(Shutdown::Both);
--- a/tests/proofs/outage.rs
+++ b/tests/proofs/outage.rs
@@ -24,7 +24,8 @@
             cluster.wait_running(&job, index).await;
         }
         cluster.faults("platform", json!({ "down": true })).await;
-        // The outage lasts 5 s, which is longer than the leases of 1.7 s. Tasks with expired leases would have ended.
+        // The outage lasts until 5 s after the first start, several times the lease of 1.7 s. A task whose lease had
+        // expired would have been evicted by then.
         wait_for("quick requests through the outage", || async {
             let answer = cluster
                 .request(1, "/quick", &[])
--- a/tests/proofs/placement.rs
+++ b/tests/proofs/placement.rs
@@ -38,6 +38,7 @@
 }
 
 /// A takeover adopts running tasks: without a new epoch, without an eviction, and with one result for each task.
+/// After a freeze, tasks may be started again, so the number of runs is checked only for the other faults.
 async fn takeover(fault: OwnerFault) {
     let mut cluster = Cluster::start(one_shard()).await;
     cluster.wait_owned().await;
