--- a/tests/pool/drains.rs
+++ b/tests/pool/drains.rs
@@ -130,7 +130,7 @@
         let next = run_jobs_until_domain_unused(&site, "b", 1).await;
         site.store_proxies[0].cut();
         site.undrain("b").await;
-        site.store_faults(json!({ "forget": true })).await;
+        site.set_store_faults(json!({ "forget": true })).await;
         site.store_proxies[0].restore();
         run_jobs_until_domain_used(&site, "b", next).await;
         site.audit().await;
--- a/tests/pool/faults.rs
+++ b/tests/pool/faults.rs
@@ -126,7 +126,8 @@
     run(async {
         let site = Site::start("shrinks", 1, 1).await;
         site.wait_log("side-0", "worker registered").await;
-        site.worker_faults(0, json!({ "cpu_milli": 2000 })).await;
+        site.set_worker_faults(0, json!({ "cpu_milli": 2000 }))
+            .await;
         site.wait_log("side-0", "\"cpu_milli\":2000").await;
         let mut large = job(1, 1, 20);
         large["phases"][0]["cpu"] = json!(3000);
@@ -135,7 +136,7 @@
         assert_eq!(site.log("front-0").matches("start refused").count(), 0);
         site.submit(&name(2), &job(1, 2, 20)).await;
         site.wait_state(&name(2), "completed").await;
-        site.worker_faults(0, json!({})).await;
+        site.set_worker_faults(0, json!({})).await;
         site.wait_state(&name(1), "completed").await;
         site.audit().await;
     });
@@ -209,11 +210,11 @@
 fn lost_replies_of_the_store_lose_and_duplicate_nothing() {
     run(async {
         let site = Site::start("lost", 2, 2).await;
-        site.store_faults(json!({ "lose_percent": 30 })).await;
+        site.set_store_faults(json!({ "lose_percent": 30 })).await;
         for n in 1..=3 {
             site.submit(&name(n), &job(1, 3, 30)).await;
         }
-        site.store_faults(json!({})).await;
+        site.set_store_faults(json!({})).await;
         for n in 1..=3 {
             site.wait_state(&name(n), "completed").await;
             assert_eq!(site.start_count(&name(n)).await, 3);
@@ -228,7 +229,7 @@
         let site = Site::start("down", 1, 1).await;
         site.submit(&name(1), &job(2, 2, 300)).await;
         site.wait_running(&name(1)).await;
-        site.store_faults(json!({ "down": true })).await;
+        site.set_store_faults(json!({ "down": true })).await;
         let body = job(1, 1, 10).to_string().into_bytes();
         let answer = site
             .request(0, Method::POST, &name(2), body)
@@ -239,7 +240,7 @@
             answer.retry_after.is_some(),
             "the refusal must have a retry-after"
         );
-        site.store_faults(json!({})).await;
+        site.set_store_faults(json!({})).await;
         site.wait_state(&name(1), "completed").await;
         let refused_job = site
             .request(0, Method::GET, &name(2), Vec::new())
@@ -256,7 +257,7 @@
 fn a_front_without_a_path_to_the_store_refuses_at_once() {
     run(async {
         let site = Site::start("refuses", 1, 1).await;
-        site.store_faults(json!({ "down": true })).await;
+        site.set_store_faults(json!({ "down": true })).await;
         let body = job(1, 1, 10).to_string().into_bytes();
         wait_for(
             "a refusal because there is no path to the store",
@@ -268,7 +269,7 @@
             },
         )
         .await;
-        site.store_faults(json!({})).await;
+        site.set_store_faults(json!({})).await;
         site.submit(&name(1), &job(1, 1, 10)).await;
         site.wait_state(&name(1), "completed").await;
         assert_eq!(site.start_count(&name(1)).await, 1);
@@ -281,7 +282,7 @@
     run(async {
         let site = Site::start("forgets", 1, 1).await;
         for n in 1..=3 {
-            site.store_faults(json!({ "forget": true })).await;
+            site.set_store_faults(json!({ "forget": true })).await;
             site.submit(&name(n), &job(1, 1, 20)).await;
             site.wait_state(&name(n), "completed").await;
         }
@@ -293,7 +294,7 @@
 fn orders_executed_late_run_nothing_twice() {
     run(async {
         let site = Site::start("late", 1, 2).await;
-        site.worker_faults(0, json!({ "late_percent": 60, "late_ms": 1500 }))
+        site.set_worker_faults(0, json!({ "late_percent": 60, "late_ms": 1500 }))
             .await;
         for n in 1..=4 {
             site.submit(&name(n), &job(1, 3, 60)).await;
@@ -309,7 +310,7 @@
 fn a_worker_that_fails_every_task_does_not_fail_the_jobs() {
     run(async {
         let site = Site::start("grey", 1, 3).await;
-        site.worker_faults(0, json!({ "fail": true })).await;
+        site.set_worker_faults(0, json!({ "fail": true })).await;
         for n in 1..=6 {
             site.submit(&name(n), &job(1, 1, 60)).await;
             site.wait_state(&name(n), "completed").await;
@@ -324,7 +325,7 @@
         let site = Site::start("leaves", 1, 2).await;
         site.submit(&name(1), &job(1, 8, 20)).await;
         site.wait_state(&name(1), "completed").await;
-        site.worker_faults(0, json!({ "draining": true })).await;
+        site.set_worker_faults(0, json!({ "draining": true })).await;
         // The worker may get tasks until its agent has processed its report. Three jobs in a row without a
         // start on it show that it no longer gets any.
         let url = format!("http://{}/history", site.vms[0].app);
--- a/tests/pool/many_agents.rs
+++ b/tests/pool/many_agents.rs
@@ -155,7 +155,8 @@
         // reported yet.
         site.submit(&name(2), &job(1, 6, 2_500)).await;
         site.wait_running(&name(2)).await;
-        site.store_faults(serde_json::json!({ "down": true })).await;
+        site.set_store_faults(serde_json::json!({ "down": true }))
+            .await;
         for agent in &agents[..LEAVING_AGENTS] {
             agent.report_worker_ended();
         }
@@ -165,7 +166,7 @@
         site.wait_log_lines("front-0", "agent unlinked", LEAVING_AGENTS)
             .await;
         site.kill_front(0);
-        site.store_faults(serde_json::json!({})).await;
+        site.set_store_faults(serde_json::json!({})).await;
         drop(agents);
         let agents = link_all(site.fronts[1].peers, LEAVING_AGENTS..AGENTS).await;
         assert_eq!(agents.len(), AGENTS - LEAVING_AGENTS);
--- a/tests/pool/restarts.rs
+++ b/tests/pool/restarts.rs
@@ -80,7 +80,7 @@
         site.restart_worker(0, RestartClock::FromZero).await;
         site.wait_worker(0).await;
         // The slow store delays orders to the next boot, so that its runs could be started elsewhere meanwhile.
-        site.store_faults(json!({ "delay_ms": 700 })).await;
+        site.set_store_faults(json!({ "delay_ms": 700 })).await;
         site.signal_agent(0, libc::SIGCONT);
         site.wait_state(&name(2), "completed").await;
         site.audit().await;
@@ -187,7 +187,7 @@
                 site.start_worker_under_id_with(0, WORKER_CPU_MILLI / 4, &[]);
             }
             Self::Drained => {
-                site.worker_faults(0, json!({ "draining": true })).await;
+                site.set_worker_faults(0, json!({ "draining": true })).await;
                 site.wait_log("side-0", "Draining").await;
                 site.restart_worker(0, clock).await;
             }
@@ -214,10 +214,10 @@
                 site.signal_agent(0, libc::SIGCONT);
             }
             Self::StoreDown => {
-                site.store_faults(json!({ "down": true })).await;
+                site.set_store_faults(json!({ "down": true })).await;
                 site.restart_worker(0, clock).await;
                 site.wait_log("front-0", "worker is gone").await;
-                site.store_faults(json!({})).await;
+                site.set_store_faults(json!({})).await;
             }
             Self::AllWorkers => {
                 for number in 0..site.vms.len() {
--- a/tests/pool/site.rs
+++ b/tests/pool/site.rs
@@ -177,7 +177,7 @@
     pub(crate) vms: Vec<Vm>,
     folder: PathBuf,
     /// Version of the config that was written last.
-    config: u64,
+    config_version: u64,
     /// Histories of workers that the test has killed.
     past_histories: Vec<Value>,
     drains: Vec<DomainDrain>,
@@ -252,7 +252,7 @@
             fronts: Vec::new(),
             vms: Vec::new(),
             folder,
-            config: 0,
+            config_version: 0,
             past_histories: Vec::new(),
             drains: Vec::new(),
         };
@@ -276,7 +276,7 @@
             .collect();
         for number in 0..vms {
             let domain = DOMAINS[number % domains];
-            site.add_machine(
+            site.add_vm(
                 &format!("127.{base}.2.{}", number + 1),
                 port,
                 &seeds,
@@ -399,7 +399,7 @@
         self.fronts[number].process = None;
     }
 
-    fn add_machine(&mut self, ip: &str, port: u16, seeds: &[String], domain: &'static str) {
+    fn add_vm(&mut self, ip: &str, port: u16, seeds: &[String], domain: &'static str) {
         let name = format!("side-{}", self.vms.len());
         let (app, check_ins) = (free_port(ip), free_port(ip));
         let settings = self.folder.join(format!("{name}.yaml"));
@@ -572,7 +572,7 @@
 
     /// Writes a config with a queue for each prefix.
     pub(crate) async fn put_config(&mut self, prefixes: &[&str]) {
-        self.config += 3;
+        self.config_version += 3;
         let routes: Vec<Value> = prefixes
             .iter()
             .map(|prefix| {
@@ -580,7 +580,7 @@
                     "service": "svc", "maxAttempts": 2, "stretch": 2.0, "targetLatencyMs": 500, "timeoutMs": 3000 })
             })
             .collect();
-        let config = json!({ "version": self.config, "routes": routes, "services": [{ "name": "svc" }], "limits": {} });
+        let config = json!({ "version": self.config_version, "routes": routes, "services": [{ "name": "svc" }], "limits": {} });
         let value = base64(config.to_string().as_bytes());
         self.commit_as_operator(
             json!({ "writes": [{ "table": "op", "part": "", "key": "config", "value": value }] }),
@@ -625,7 +625,7 @@
         assert_eq!(answer.expect("the store answers").status, 200);
     }
 
-    pub(crate) async fn store_faults(&self, faults: Value) {
+    pub(crate) async fn set_store_faults(&self, faults: Value) {
         let answer = post_json(&format!("http://{}/faults", self.store), &faults).await;
         assert_eq!(answer.expect("the store answers").status, 200);
     }
@@ -636,7 +636,7 @@
         Some(get_json(&url).await?["rows"].as_array()?.len())
     }
 
-    pub(crate) async fn worker_faults(&self, number: usize, faults: Value) {
+    pub(crate) async fn set_worker_faults(&self, number: usize, faults: Value) {
         let url = format!("http://{}/faults", self.vms[number].app);
         let answer = wait_for("a worker to accept its faults", || async {
             post_json(&url, &faults).await.ok()
--- a/tests/pool/soak.rs
+++ b/tests/pool/soak.rs
@@ -164,7 +164,7 @@
                 SoakFault::Shrink => json!({ "cpu_milli": 1_500 }),
                 _ => json!({ "late_percent": 60, "late_ms": 2_500 }),
             };
-            site.worker_faults(number, faults).await;
+            site.set_worker_faults(number, faults).await;
         }
         (FaultTarget::Store, fault) => {
             let faults = match fault {
@@ -173,7 +173,7 @@
                 SoakFault::DropHistory => json!({ "forget": true }),
                 _ => json!({ "lose_percent": 30 }),
             };
-            site.store_faults(faults).await;
+            site.set_store_faults(faults).await;
         }
         (FaultTarget::Domain(domain), _) => site.drain(domain).await,
         (FaultTarget::Config, _) => {
@@ -199,8 +199,8 @@
         (FaultTarget::Worker(number), SoakFault::Restart(clock)) => {
             site.start_worker_under_id(number, clock);
         }
-        (FaultTarget::Worker(number), _) => site.worker_faults(number, json!({})).await,
-        (FaultTarget::Store, _) => site.store_faults(json!({})).await,
+        (FaultTarget::Worker(number), _) => site.set_worker_faults(number, json!({})).await,
+        (FaultTarget::Store, _) => site.set_store_faults(json!({})).await,
         (FaultTarget::Domain(domain), _) => site.undrain(domain).await,
         (FaultTarget::Config, _) => {}
     }
--- a/tests/proofs/alerts.rs
+++ b/tests/proofs/alerts.rs
@@ -130,10 +130,10 @@
     run(async {
         let cluster = Cluster::start(ClusterPlan::default()).await;
         let faults = json!({ "lose_replies_percent": 40, "lose_prefix": "once/" });
-        cluster.faults("platform", faults).await;
+        cluster.set_faults("platform", faults).await;
         let keys: Vec<String> = (0..10).map(|n| format!("lost-{n}")).collect();
         let histories = send_at_all_entries(&cluster, &keys, Instant::now()).await;
-        cluster.faults("platform", json!({})).await;
+        cluster.set_faults("platform", json!({})).await;
         check_outcomes(&histories, &execution_counts(&cluster, 2).await);
     });
 }
@@ -143,7 +143,7 @@
     run(async {
         let cluster = Cluster::start(ClusterPlan::default()).await;
         let faults = json!({ "lose_replies_percent": 100, "lose_prefix": "once/" });
-        cluster.faults("platform", faults).await;
+        cluster.set_faults("platform", faults).await;
         let keys: Vec<String> = (0..40).map(|n| format!("hung-{n}")).collect();
         let start = Instant::now();
         let calls = keys.iter().map(|key| send(&cluster, 1, key, start));
@@ -162,11 +162,13 @@
 fn an_outage_refuses_at_once_and_the_key_runs_later() {
     run(async {
         let cluster = Cluster::start(ClusterPlan::default()).await;
-        cluster.faults("platform", json!({ "down": true })).await;
+        cluster
+            .set_faults("platform", json!({ "down": true }))
+            .await;
         let start = Instant::now();
         let first = send(&cluster, 1, "outage", start).await;
         assert_eq!(first.output, Some(AlertOutcome::NotRun));
-        cluster.faults("platform", json!({})).await;
+        cluster.set_faults("platform", json!({})).await;
         // The first attempt's write may be indeterminate and lock the key for a moment.
         wait_for("the key to run", || async {
             let event = send(&cluster, 2, "outage", start).await;
--- a/tests/proofs/answers.rs
+++ b/tests/proofs/answers.rs
@@ -72,7 +72,7 @@
         let cluster = Cluster::start(ClusterPlan::default()).await;
         for n in 1..=2 {
             cluster
-                .faults(&format!("upstream-{n}"), json!({ "cut_answers": true }))
+                .set_faults(&format!("upstream-{n}"), json!({ "cut_answers": true }))
                 .await;
         }
         let short = cluster
--- a/tests/proofs/billing.rs
+++ b/tests/proofs/billing.rs
@@ -28,7 +28,7 @@
         cluster.wait_owned().await;
         for worker in cluster.worker_names() {
             let faults = json!({ "usage_lag_ms": 700, "usage_repeat": true });
-            cluster.faults(&worker, faults).await;
+            cluster.set_faults(&worker, faults).await;
         }
         let mut jobs = Vec::new();
         for n in 0..4 {
--- a/tests/proofs/fault_sequences.rs
+++ b/tests/proofs/fault_sequences.rs
@@ -35,23 +35,25 @@
             cluster.thaw(&worker);
         }
         3 => {
-            cluster.faults("platform", json!({ "down": true })).await;
+            cluster
+                .set_faults("platform", json!({ "down": true }))
+                .await;
             compio::time::sleep(pause).await;
-            cluster.faults("platform", json!({})).await;
+            cluster.set_faults("platform", json!({})).await;
         }
         4 => {
             let faults = json!({ "lose_replies_percent": 30, "delay_ms": 20 });
-            cluster.faults("platform", faults).await;
+            cluster.set_faults("platform", faults).await;
             compio::time::sleep(pause * 2).await;
-            cluster.faults("platform", json!({})).await;
+            cluster.set_faults("platform", json!({})).await;
         }
         _ => {
             cluster
-                .faults(&worker, json!({ "cut": true, "usage_repeat": true }))
+                .set_faults(&worker, json!({ "cut": true, "usage_repeat": true }))
                 .await;
             compio::time::sleep(pause * 3).await;
             cluster
-                .faults(&worker, json!({ "usage_repeat": true }))
+                .set_faults(&worker, json!({ "usage_repeat": true }))
                 .await;
         }
     }
--- a/tests/proofs/outage.rs
+++ b/tests/proofs/outage.rs
@@ -23,7 +23,9 @@
         for index in 0..3 {
             cluster.wait_running(&job, index).await;
         }
-        cluster.faults("platform", json!({ "down": true })).await;
+        cluster
+            .set_faults("platform", json!({ "down": true }))
+            .await;
         // The outage lasts until 5 s after the first start, several times the lease of 1.7 s. A task whose lease had
         // expired would have been evicted by then.
         wait_for("quick requests through the outage", || async {
@@ -47,7 +49,7 @@
             .expect("the call must be answered");
         assert_eq!(answer.status, 503, "{}", answer.text());
         assert!(answer.retry_after.is_some());
-        cluster.faults("platform", json!({})).await;
+        cluster.set_faults("platform", json!({})).await;
         let view = cluster.wait_ended(&job).await;
         for task in view["tasks"].as_array().into_iter().flatten() {
             assert!(task["state"]["done"].is_string(), "{task}");
@@ -64,12 +66,12 @@
     run(async {
         let cluster = Cluster::start(ClusterPlan::default()).await;
         let faults = json!({ "lose_replies_percent": 100, "lose_prefix": "jobkey/" });
-        cluster.faults("platform", faults).await;
+        cluster.set_faults("platform", faults).await;
         let first = cluster
             .submit(1, "sommaire", 1, json!({ "work_ms": 50 }), "same")
             .await
             .expect("the call must be answered");
-        cluster.faults("platform", json!({})).await;
+        cluster.set_faults("platform", json!({})).await;
         let job = cluster
             .submit_until_accepted("sommaire", 1, json!({ "work_ms": 50 }), "same")
             .await;
@@ -99,7 +101,9 @@
             .submit_until_accepted("sommaire", 2, input, "long")
             .await;
         cluster.wait_running(&job, 0).await;
-        cluster.faults("platform", json!({ "down": true })).await;
+        cluster
+            .set_faults("platform", json!({ "down": true }))
+            .await;
         wait_for("the owner to stop acting", || async {
             let mut owned = 0;
             for n in 1..=2 {
@@ -110,7 +114,7 @@
             (owned == 0).then_some(())
         })
         .await;
-        cluster.faults("platform", json!({})).await;
+        cluster.set_faults("platform", json!({})).await;
         cluster.wait_ended(&job).await;
         let later = cluster
             .submit_until_accepted("sommaire", 2, json!({ "work_ms": 100 }), "later")
--- a/tests/proofs/placement.rs
+++ b/tests/proofs/placement.rs
@@ -134,13 +134,13 @@
             .await;
         let worker = cluster.wait_running(&job, 0).await;
         // The worker answers no call from now on, and runs its task until the lease expires.
-        cluster.faults(&worker, json!({ "cut": true })).await;
+        cluster.set_faults(&worker, json!({ "cut": true })).await;
         wait_for("the task to run elsewhere", || async {
             let view = cluster.job(&job).await?;
             (view["tasks"][0]["epoch"].as_u64()? > 1).then_some(())
         })
         .await;
-        cluster.faults(&worker, json!({})).await;
+        cluster.set_faults(&worker, json!({})).await;
         cluster.wait_ended(&job).await;
         check_no_overlap(&all_runs(&cluster).await);
     });
@@ -221,13 +221,13 @@
         cluster.wait_running(&job, index).await;
     }
     let faults = json!({ "lose_replies_percent": lost_replies, "lose_prefix": "alloc/" });
-    cluster.faults("platform", faults).await;
+    cluster.set_faults("platform", faults).await;
     let urgent = cluster
         .submit_until_accepted("urgent", 1, json!({ "work_ms": 200 }), "urgent")
         .await;
     let view = cluster.wait_ended(&urgent).await;
     assert!(view["tasks"][0]["state"]["done"].is_string(), "{view}");
-    cluster.faults("platform", json!({})).await;
+    cluster.set_faults("platform", json!({})).await;
     let view = cluster.wait_ended(&job).await;
     let tasks = view["tasks"].as_array().cloned().unwrap_or_default();
     assert!(
@@ -304,7 +304,7 @@
     crate::support::run(async {
         let cluster = Cluster::start(one_shard()).await;
         cluster
-            .faults("worker-1", json!({ "fail_all": true }))
+            .set_faults("worker-1", json!({ "fail_all": true }))
             .await;
         let mut jobs = Vec::new();
         for n in 0..8 {
--- a/tests/proofs/settings_rollout.rs
+++ b/tests/proofs/settings_rollout.rs
@@ -156,13 +156,15 @@
     run(async {
         let cluster = Cluster::start(ClusterPlan::default()).await;
         let before = version(&cluster, 1).await;
-        cluster.faults("platform", json!({ "down": true })).await;
+        cluster
+            .set_faults("platform", json!({ "down": true }))
+            .await;
         let answer = change(&cluster, 1, 777, None)
             .await
             .expect("the call must be answered");
         assert_eq!(answer.status, 503, "{}", answer.text());
         assert!(answer.retry_after.is_some());
-        cluster.faults("platform", json!({})).await;
+        cluster.set_faults("platform", json!({})).await;
         wait_for("the store to be used again", || async {
             let answer = change(&cluster, 2, 778, None).await.ok()?;
             (answer.status == 200).then_some(())
@@ -187,7 +189,7 @@
             .await
             .expect("the entry must report a version");
         let faults = json!({ "lose_replies_percent": 60, "lose_prefix": "settings/head" });
-        cluster.faults("platform", faults).await;
+        cluster.set_faults("platform", faults).await;
         let start = Instant::now();
         let mut events = Vec::new();
         for round in 0..4 {
@@ -205,7 +207,7 @@
             });
             events.extend(join_all(calls).await.into_iter().map(|(event, _)| event));
         }
-        cluster.faults("platform", json!({})).await;
+        cluster.set_faults("platform", json!({})).await;
         assert!(
             is_linearizable(&HeadModel { start: begin }, &events),
             "{events:?}"
@@ -226,7 +228,9 @@
             .await
             .expect("the entry must report a version");
         cluster.kill("entry-1");
-        cluster.faults("platform", json!({ "down": true })).await;
+        cluster
+            .set_faults("platform", json!({ "down": true }))
+            .await;
         cluster.restart("entry-1");
         wait_for("the settings to arrive from a sidecar", || async {
             (version(&cluster, 1).await? == before).then_some(())
--- a/tests/proofs/support/cluster.rs
+++ b/tests/proofs/support/cluster.rs
@@ -97,7 +97,7 @@
             cluster.start_sidecar(n);
         }
         cluster.apply_tree().await;
-        cluster.wait_connected().await;
+        cluster.wait_settings_applied().await;
         cluster
     }
 
@@ -287,7 +287,7 @@
     }
 
     /// Sets the faults of the platform or of a stand-in.
-    pub(crate) async fn faults(&self, name: &str, faults: Value) {
+    pub(crate) async fn set_faults(&self, name: &str, faults: Value) {
         let url = format!("http://{}/faults", self.address(name, standin_kind(name)));
         let answer = post_json(&url, &faults).await.expect("faults are set");
         assert!(answer.status < 300, "faults: {}", answer.text());
@@ -321,7 +321,7 @@
         assert_eq!(answer.status, 200, "{}", answer.text());
     }
 
-    async fn wait_connected(&self) {
+    async fn wait_settings_applied(&self) {
         for n in 1..=self.plan.entries {
             let url = format!("{}/v1/status", self.operators(n));
             let wanted = self.plan.entries + self.plan.sidecars;
