--- a/tests/pool/site.rs
+++ b/tests/pool/site.rs
@@ -118,7 +118,7 @@
         let port = fastrand::u16(PORT_RANGE);
         let is_new = ALLOCATED_PORTS
             .lock()
-            .expect("no thread panics while it holds the lock")
+            .expect("the lock must not be poisoned")
             .insert(port);
         if !is_new {
             continue;
@@ -314,7 +314,7 @@
              logs:\n  stdout: true\n  json: true\n",
             store
         );
-        std::fs::write(&settings, text).expect("the settings are written");
+        std::fs::write(&settings, text).expect("the settings must be written");
         self.fronts.push(Front {
             process: None,
             settings,
@@ -359,7 +359,7 @@
             .args(options)
             .args(files)
             .output()
-            .expect("the tool runs");
+            .expect("the tool must run");
         let errors = String::from_utf8_lossy(&output.stderr);
         assert!(output.status.success(), "{errors}");
         String::from_utf8_lossy(&output.stdout).into_owned()
@@ -392,7 +392,7 @@
 
     pub(crate) fn signal_front(&self, number: usize, signal: i32) {
         let process = self.fronts[number].process.as_ref();
-        process.expect("the front runs").signal(signal);
+        process.expect("the front must be running").signal(signal);
     }
 
     pub(crate) fn kill_front(&mut self, number: usize) {
@@ -411,7 +411,7 @@
             self.store,
             seeds.join(", ")
         );
-        std::fs::write(&settings, text).expect("the settings are written");
+        std::fs::write(&settings, text).expect("the settings must be written");
         self.vms.push(Vm {
             agent: None,
             worker: None,
@@ -437,7 +437,7 @@
 
     pub(crate) fn signal_agent(&self, number: usize, signal: i32) {
         let process = self.vms[number].agent.as_ref();
-        process.expect("the agent runs").signal(signal);
+        process.expect("the agent must be running").signal(signal);
     }
 
     pub(crate) fn kill_agent(&mut self, number: usize) {
@@ -462,7 +462,7 @@
         self.start_worker_under_id(number, clock);
     }
 
-    /// Starts a worker that has ended under its previous id.
+    /// Restarts an ended worker under its previous id.
     pub(crate) fn start_worker_under_id(&mut self, number: usize, clock: RestartClock) {
         let restart_count = self.vms[number].restart_count + 1;
         let clock_ms = match clock {
@@ -473,7 +473,7 @@
         self.start_worker_under_id_with(number, WORKER_CPU_MILLI, &["--clock-ms", &clock_ms]);
     }
 
-    /// Starts a worker that has ended under its previous id, with this CPU capacity and further command-line options.
+    /// Restarts an ended worker under its previous id, with this CPU capacity and further command-line options.
     pub(crate) fn start_worker_under_id_with(
         &mut self,
         number: usize,
@@ -551,7 +551,7 @@
         }
     }
 
-    /// Returns how many starts of a task were ordered, by the logs of all fronts.
+    /// Returns the number of ordered starts of a task, counted in the logs of all fronts.
     pub(crate) fn ordered_start_count(&self, task: &str) -> usize {
         let task = format!("\"task\":\"{task}\"");
         let logs = (0..self.fronts.len()).map(|number| self.log(&format!("front-{number}")));
@@ -570,7 +570,7 @@
         .await;
     }
 
-    /// Writes a config with a queue for each prefix.
+    /// Writes the next version of the config, with a queue for each prefix.
     pub(crate) async fn put_config(&mut self, prefixes: &[&str]) {
         self.config_version += 3;
         let routes: Vec<Value> = prefixes
@@ -622,12 +622,12 @@
         let headers = [("content-type", "application/json"), ("x-operator", "1")];
         let url = format!("http://{}/v1/rows-tx", self.store);
         let answer = call(Method::POST, &url, &headers, body.to_string().into_bytes()).await;
-        assert_eq!(answer.expect("the store answers").status, 200);
+        assert_eq!(answer.expect("the store must answer").status, 200);
     }
 
     pub(crate) async fn set_store_faults(&self, faults: Value) {
         let answer = post_json(&format!("http://{}/faults", self.store), &faults).await;
-        assert_eq!(answer.expect("the store answers").status, 200);
+        assert_eq!(answer.expect("the store must answer").status, 200);
     }
 
     /// Returns the number of agent rows in the store, one for each agent that may have received orders.
@@ -661,14 +661,14 @@
         let id = self.worker_id(number);
         let agent = self.vms[number].check_ins;
         let url = format!("http://{agent}/v1/instances/{id}/{call}");
-        let answer = post_json(&url, body).await.expect("the agent answers");
+        let answer = post_json(&url, body).await.expect("the agent must answer");
         assert_eq!(answer.status, 200);
     }
 
     /// Sends an order to a worker directly, bypassing its agent.
     pub(crate) async fn send_order(&self, number: usize, order: &str, body: &Value) -> Answer {
         let url = format!("http://{}/v1/{order}", self.vms[number].app);
-        post_json(&url, body).await.expect("the worker answers")
+        post_json(&url, body).await.expect("the worker must answer")
     }
 
     fn url(&self, front: usize, job: &str) -> String {
--- a/tests/proofs/stops.rs
+++ b/tests/proofs/stops.rs
@@ -209,7 +209,7 @@
             .rsplit(':')
             .next()
             .expect("the address must have a port");
-        let port: u16 = port.parse().expect("a port is a number");
+        let port: u16 = port.parse().expect("the port must be a number");
         cluster.kill("entry-1");
         // An outgoing connection or another test may take the port on another address.
         let _other = std::net::TcpListener::bind(("127.0.0.1", port))
--- a/tests/proofs/support/cluster.rs
+++ b/tests/proofs/support/cluster.rs
@@ -213,15 +213,17 @@
 
     fn start_daemon(&mut self, name: &str, settings: &str) {
         let file = self.folder.join(format!("{name}.yaml"));
-        std::fs::write(&file, settings).expect("the settings are written");
+        std::fs::write(&file, settings).expect("the settings must be written");
         let args = ["--settings".to_owned(), file.display().to_string()];
         self.spawn(name, "waxwingd", &args);
     }
 
     /// Restarts a process that has ended, at its previous addresses.
     pub(crate) fn restart(&mut self, name: &str) {
-        let (kind, n) = name.split_once('-').expect("names have a number");
-        let n = n.parse().expect("names have a number");
+        let (kind, n) = name
+            .split_once('-')
+            .expect("the name must end with a number");
+        let n = n.parse().expect("the name must end with a number");
         match kind {
             "entry" => self.start_entry(n),
             "sidecar" => self.start_sidecar(n),
@@ -289,14 +291,16 @@
     /// Sets the faults of the platform or of a stand-in.
     pub(crate) async fn set_faults(&self, name: &str, faults: Value) {
         let url = format!("http://{}/faults", self.address(name, standin_kind(name)));
-        let answer = post_json(&url, &faults).await.expect("faults are set");
+        let answer = post_json(&url, &faults)
+            .await
+            .expect("the faults must be set");
         assert!(answer.status < 300, "faults: {}", answer.text());
     }
 
     /// Returns what a stand-in has recorded, such as its runs or requests.
     pub(crate) async fn record(&self, name: &str) -> Value {
         let url = format!("http://{}/audit", self.address(name, standin_kind(name)));
-        get_json(&url).await.expect("the stand-in answers")
+        get_json(&url).await.expect("the stand-in must answer")
     }
 
     /// Commits the settings tree that the tests use.
@@ -317,7 +321,7 @@
         }});
         let body = json!({ "author": "test", "tree": tree });
         let url = format!("{}/v1/settings", self.operators(1));
-        let answer = post_json(&url, &body).await.expect("the entry answers");
+        let answer = post_json(&url, &body).await.expect("the entry must answer");
         assert_eq!(answer.status, 200, "{}", answer.text());
     }
 
--- a/tests/proofs/support/history.rs
+++ b/tests/proofs/support/history.rs
@@ -47,6 +47,7 @@
     search(model, events, 0, &model.start(), &mut seen)
 }
 
+/// Searches for an order of the operations that are not yet in `done`, which has one bit for each operation.
 fn search<M: HistoryModel>(
     model: &M,
     events: &[HistoryEvent<M::Input, M::Output>],
--- a/tests/proofs/tool.rs
+++ b/tests/proofs/tool.rs
@@ -140,7 +140,7 @@
         };
         let cluster = Cluster::start(plan).await;
         cluster.wait_owned().await;
-        // The first worker is in this failure domain.
+        // Of the three workers, only `worker-1` is in `domain-2`.
         for _ in 0..2 {
             let (code, text) = waxwing(&cluster, &["domain", "drain", "domain-2"]);
             assert_eq!(code, Some(0), "{text}");
@@ -177,7 +177,9 @@
             "writes": [{ "key": key, "value": { "nonce": 1, "value": "?" } }],
         });
         let url = format!("{}/table/commit", cluster.platform_url());
-        let answer = post_json(&url, &row).await.expect("the platform answers");
+        let answer = post_json(&url, &row)
+            .await
+            .expect("the platform must answer");
         assert_eq!(answer.status, 200, "{}", answer.text());
         let (code, text) = waxwing(&cluster, &["domain", "drain", "domain-2"]);
         assert_eq!(code, Some(0), "{text}");
