--- a/tests/proofs/placement.rs
+++ b/tests/proofs/placement.rs
@@ -38,7 +38,7 @@
 }
 
 /// A takeover adopts running tasks: without a new epoch, without an eviction, and with one result for each task.
-/// After a freeze, tasks may be started again, so the number of runs is checked only for the other faults.
+/// The number of runs is not checked after a freeze.
 async fn takeover(fault: OwnerFault) {
     let mut cluster = Cluster::start(one_shard()).await;
     cluster.wait_owned().await;
