--- a/tests/pool/restarts.rs
+++ b/tests/pool/restarts.rs
@@ -61,7 +61,8 @@
     a_lasting_task_runs_again_after_its_workers_clock_started_anew: long_running_tasks_run_again_after_restart, FromZero;
 }
 
-/// The agent sends a start while the boot that it is meant for is replaced by the next one under the same id.
+/// The agent sends a start that was ordered for one boot when the next boot under the same id is already running.
+/// Guards against a run on the next boot while the owner counts it as lost and starts the task elsewhere.
 #[test]
 fn a_start_that_reaches_the_next_boot_of_the_same_id_does_not_run_twice() {
     run(async {
@@ -79,14 +80,15 @@
         site.restart_worker(0, RestartClock::FromZero).await;
         site.wait_worker(0).await;
         // The slow store delays orders to the next boot, so that its runs could be started elsewhere meanwhile.
-        site.store_faults(json!({ "delay_ms": 700 })).await;
+        site.set_store_faults(json!({ "delay_ms": 700 })).await;
         site.signal_agent(0, libc::SIGCONT);
         site.wait_state(&name(2), "completed").await;
         site.audit().await;
     });
 }
 
-/// The platform may execute an order seconds late, when the next boot has already started.
+/// The platform may execute an order seconds late, when the next boot has already started. The next boot must
+/// refuse orders with the fencing token of the previous boot.
 #[test]
 fn an_order_for_the_previous_boot_is_fenced_after_a_restart_under_the_same_id() {
     run(async {
@@ -108,7 +110,8 @@
 }
 
 /// The agent receives a call of the previous boot after the next boot has become active. With `with_start_time`
-/// the body is the report of the previous boot; without, it lacks the start time that identifies a boot.
+/// the body is the report of the previous boot; without, it lacks the start time that identifies a boot. The call
+/// must not make the owner count the runs of the next boot as lost: no task may be started again.
 async fn late_call(test: &str, call: &str, with_start_time: bool) {
     let mut site = Site::start(test, 1, 2).await;
     site.wait_log_lines("front-0", "worker taken over", 2).await;
@@ -184,7 +187,7 @@
                 site.start_worker_under_id_with(0, WORKER_CPU_MILLI / 4, &[]);
             }
             Self::Drained => {
-                site.worker_faults(0, json!({ "draining": true })).await;
+                site.set_worker_faults(0, json!({ "draining": true })).await;
                 site.wait_log("side-0", "Draining").await;
                 site.restart_worker(0, clock).await;
             }
@@ -211,10 +214,10 @@
                 site.signal_agent(0, libc::SIGCONT);
             }
             Self::StoreDown => {
-                site.store_faults(json!({ "down": true })).await;
+                site.set_store_faults(json!({ "down": true })).await;
                 site.restart_worker(0, clock).await;
                 site.wait_log("front-0", "worker is gone").await;
-                site.store_faults(json!({})).await;
+                site.set_store_faults(json!({})).await;
             }
             Self::AllWorkers => {
                 for number in 0..site.vms.len() {
--- a/tests/pool/soak_plan.rs
+++ b/tests/pool/soak_plan.rs
@@ -11,7 +11,7 @@
     pub(crate) fronts: usize,
     pub(crate) vms: usize,
     /// Time during which faults begin.
-    pub(crate) length: Duration,
+    pub(crate) duration: Duration,
 }
 
 /// Process, connection or setting that a fault affects.
@@ -55,7 +55,7 @@
     /// Some replies of the store to transactions are lost.
     LoseReplies,
     /// The store drops its history.
-    Forget,
+    DropHistory,
     /// The operator drains the failure domain.
     Drain,
     /// The operator adds a route.
@@ -76,14 +76,15 @@
     let mut rng = Rng::with_seed(seed);
     let mut plan: Vec<PlannedFault> = Vec::new();
     let mut at = Duration::from_millis(500);
-    while at < size.length {
+    while at < size.duration {
         let (target, fault) = draw_fault(&mut rng, size, domains);
         let duration = Duration::from_millis(match fault {
-            // Longer than the bound of a drain, up to which starts are still allowed.
+            // Longer than `DRAIN_BOUND_MS`: starts are allowed for that time after a drain, so a shorter drain would
+            // check nothing.
             SoakFault::Drain => rng.u64(6_000..9_000),
             // Some freezes are longer than the heartbeat timeout of a link and the duration of a lease.
             SoakFault::Freeze => rng.u64(300..6_000),
-            // From less than one hold of the agent to longer than the remaining validity of leases.
+            // From less than one hold, by which the agent extends leases, to longer than the leases remain valid.
             SoakFault::Restart(_) => rng.u64(0..1_500),
             _ => rng.u64(300..3_500),
         });
@@ -123,7 +124,7 @@
         14 => (FaultTarget::Store, SoakFault::Down),
         15 => (FaultTarget::Store, SoakFault::Slow),
         16 => (FaultTarget::Store, SoakFault::LoseReplies),
-        17 => (FaultTarget::Store, SoakFault::Forget),
+        17 => (FaultTarget::Store, SoakFault::DropHistory),
         18 => {
             let domain = domains[rng.usize(0..domains.len())];
             (FaultTarget::Domain(domain), SoakFault::Drain)
--- a/tests/proofs/fault_sequences.rs
+++ b/tests/proofs/fault_sequences.rs
@@ -11,7 +11,7 @@
 
 const JOBS: usize = 10;
 const TASKS: u32 = 3;
-const FAULTS: usize = 10;
+const FAULT_COUNT: usize = 10;
 
 /// Injects one random fault, waits for a random time, and undoes the fault.
 async fn inject_fault(cluster: &mut Cluster, rng: &mut Rng) {
@@ -35,23 +35,25 @@
             cluster.thaw(&worker);
         }
         3 => {
-            cluster.faults("platform", json!({ "down": true })).await;
+            cluster
+                .set_faults("platform", json!({ "down": true }))
+                .await;
             compio::time::sleep(pause).await;
-            cluster.faults("platform", json!({})).await;
+            cluster.set_faults("platform", json!({})).await;
         }
         4 => {
             let faults = json!({ "lose_replies_percent": 30, "delay_ms": 20 });
-            cluster.faults("platform", faults).await;
+            cluster.set_faults("platform", faults).await;
             compio::time::sleep(pause * 2).await;
-            cluster.faults("platform", json!({})).await;
+            cluster.set_faults("platform", json!({})).await;
         }
         _ => {
             cluster
-                .faults(&worker, json!({ "cut": true, "usage_repeat": true }))
+                .set_faults(&worker, json!({ "cut": true, "usage_repeat": true }))
                 .await;
             compio::time::sleep(pause * 3).await;
             cluster
-                .faults(&worker, json!({ "usage_repeat": true }))
+                .set_faults(&worker, json!({ "usage_repeat": true }))
                 .await;
         }
     }
@@ -84,7 +86,7 @@
             inject_fault(&mut cluster, &mut rng).await;
         }
     }
-    for _ in JOBS / 2..FAULTS {
+    for _ in JOBS / 2..FAULT_COUNT {
         inject_fault(&mut cluster, &mut rng).await;
     }
     for (n, job) in jobs.iter().enumerate() {
