--- a/crates/wax-standin/src/main.rs
+++ b/crates/wax-standin/src/main.rs
@@ -51,7 +51,7 @@
 /// Prints `count` free ports. All of them stay bound until the last one is found, so that they
 /// differ.
 fn print_ports(count: u16) -> Result<(), wax_types::WaxError> {
-    let mut held = Vec::new();
+    let mut listeners = Vec::new();
     for _ in 0..count {
         let any = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
         let listener = wax_http::bind_listener(any)?;
@@ -60,7 +60,7 @@
             wax_types::WaxError::new(kind, wax_types::Step::Listen, "ports", error)
         })?;
         println!("{}", address.port());
-        held.push(listener);
+        listeners.push(listener);
     }
     Ok(())
 }
--- a/crates/wax-standin/src/worker.rs
+++ b/crates/wax-standin/src/worker.rs
@@ -110,37 +110,37 @@
     loop {
         ticks.tick().await;
         let actions = state.runs.borrow_mut().advance(Instant::now());
-        for RunAction::WriteResult(mark) in actions {
-            state.write_result(mark).await;
+        for RunAction::WriteResult(run_id) in actions {
+            state.write_result(run_id).await;
         }
     }
 }
 
 impl WorkerState {
-    async fn write_result(&self, mark: TaskRunId) {
-        let key = format!("results/{}", mark.task);
-        let body = json!({ "task": mark.task, "epoch": mark.epoch, "answer": "done" });
+    async fn write_result(&self, run_id: TaskRunId) {
+        let key = format!("results/{}", run_id.task);
+        let body = json!({ "task": run_id.task, "epoch": run_id.epoch, "answer": "done" });
         let bytes = serde_json::to_vec(&body).unwrap_or_default();
         if self.objects.create(&key, bytes).await.is_err() {
             // The run stays in the state `Running`; the next tick writes the result again.
             return;
         }
         let mut runs = self.runs.borrow_mut();
-        runs.end(Instant::now(), mark, TaskRunStatus::Done(key.into()));
+        runs.end(Instant::now(), run_id, TaskRunStatus::Done(key.into()));
     }
 
-    async fn write_checkpoint(&self, mark: TaskRunId) -> Option<Box<str>> {
-        let done_ms = self.runs.borrow().get(mark)?.progress_ms(Instant::now());
+    async fn write_checkpoint(&self, run_id: TaskRunId) -> Option<Box<str>> {
+        let done_ms = self.runs.borrow().get(run_id)?.progress_ms(Instant::now());
         let key = format!(
             "checkpoints/{}/{}/{}",
-            mark.task,
-            mark.epoch,
+            run_id.task,
+            run_id.epoch,
             fastrand::u64(..)
         );
         let bytes = serde_json::to_vec(&CheckpointData { done_ms }).unwrap_or_default();
         self.objects.create(&key, bytes).await.ok()?;
         let key: Box<str> = key.into();
-        self.runs.borrow_mut().get_mut(mark)?.checkpoint = Some(key.clone());
+        self.runs.borrow_mut().get_mut(run_id)?.checkpoint = Some(key.clone());
         Some(key)
     }
 
@@ -204,18 +204,18 @@
 
     async fn stop(&self, request: ControlRequest) -> Result<HttpReply, WaxError> {
         self.check_owner(request.owner)?;
-        let mark = request.run_id;
-        self.runs.borrow_mut().fence(mark);
-        let checkpoint = self.write_checkpoint(mark).await;
+        let run_id = request.run_id;
+        self.runs.borrow_mut().fence(run_id);
+        let checkpoint = self.write_checkpoint(run_id).await;
         let mut runs = self.runs.borrow_mut();
-        runs.end(Instant::now(), mark, TaskRunStatus::Stopped(checkpoint));
+        runs.end(Instant::now(), run_id, TaskRunStatus::Stopped(checkpoint));
         drop(runs);
-        Ok(self.run_reply(mark))
+        Ok(self.run_reply(run_id))
     }
 
-    fn run_reply(&self, mark: TaskRunId) -> HttpReply {
+    fn run_reply(&self, run_id: TaskRunId) -> HttpReply {
         let runs = self.runs.borrow();
-        let run = runs.get(mark);
+        let run = runs.get(run_id);
         let reply = ControlReply {
             run: run.map(|run| run.run.clone()),
             checkpoint: run.and_then(|run| run.checkpoint.clone()),
--- a/crates/wax-standin/src/worker_runs.rs
+++ b/crates/wax-standin/src/worker_runs.rs
@@ -51,7 +51,7 @@
 
 #[derive(Debug)]
 pub(crate) struct RunState {
-    pub(crate) mark: TaskRunId,
+    pub(crate) run_id: TaskRunId,
     pub(crate) size: ResourceVector,
     pub(crate) input: TaskInput,
     /// Work done before `since`, milliseconds at full speed.
@@ -166,9 +166,9 @@
     }
 
     /// Fences an epoch of a task: starts of this epoch or an earlier one are refused from now on.
-    pub(crate) fn fence(&mut self, mark: TaskRunId) {
-        let epoch = self.fenced.entry(mark.task).or_default();
-        *epoch = mark.epoch.max(*epoch);
+    pub(crate) fn fence(&mut self, run_id: TaskRunId) {
+        let epoch = self.fenced.entry(run_id.task).or_default();
+        *epoch = run_id.epoch.max(*epoch);
     }
 
     pub(crate) fn start(
@@ -185,10 +185,10 @@
             return StartReply::Fenced;
         }
         if let Some(run) = self.runs.get(&request.run_id.task) {
-            if run.mark.epoch == request.run_id.epoch {
+            if run.run_id.epoch == request.run_id.epoch {
                 return StartReply::Already;
             }
-            if run.mark.epoch > request.run_id.epoch {
+            if run.run_id.epoch > request.run_id.epoch {
                 return StartReply::Fenced;
             }
             if run.run == TaskRunStatus::Running {
@@ -197,7 +197,7 @@
         }
         let input: TaskInput = serde_json::from_value(request.input.clone()).unwrap_or_default();
         let run = RunState {
-            mark: request.run_id,
+            run_id: request.run_id,
             size: request.size,
             input: input.clone(),
             done_ms,
@@ -237,21 +237,21 @@
         self.max_overload = self.max_overload.max(over);
     }
 
-    pub(crate) fn get(&self, mark: TaskRunId) -> Option<&RunState> {
+    pub(crate) fn get(&self, run_id: TaskRunId) -> Option<&RunState> {
         self.runs
-            .get(&mark.task)
-            .filter(|run| run.mark.epoch == mark.epoch)
+            .get(&run_id.task)
+            .filter(|run| run.run_id.epoch == run_id.epoch)
     }
 
-    pub(crate) fn get_mut(&mut self, mark: TaskRunId) -> Option<&mut RunState> {
+    pub(crate) fn get_mut(&mut self, run_id: TaskRunId) -> Option<&mut RunState> {
         self.runs
-            .get_mut(&mark.task)
-            .filter(|run| run.mark.epoch == mark.epoch)
+            .get_mut(&run_id.task)
+            .filter(|run| run.run_id.epoch == run_id.epoch)
     }
 
-    pub(crate) fn renew(&mut self, now: Instant, marks: &[TaskRunId], lease_ms: u64) {
-        for mark in marks {
-            if let Some(run) = self.get_mut(*mark)
+    pub(crate) fn renew(&mut self, now: Instant, run_ids: &[TaskRunId], lease_ms: u64) {
+        for run_id in run_ids {
+            if let Some(run) = self.get_mut(*run_id)
                 && run.run == TaskRunStatus::Running
                 && now < run.lease_end
             {
@@ -260,13 +260,13 @@
         }
     }
 
-    pub(crate) fn forget(&mut self, marks: &[TaskRunId]) {
-        for mark in marks {
+    pub(crate) fn forget(&mut self, run_ids: &[TaskRunId]) {
+        for run_id in run_ids {
             if self
-                .get(*mark)
+                .get(*run_id)
                 .is_some_and(|run| run.run != TaskRunStatus::Running)
             {
-                self.runs.remove(&mark.task);
+                self.runs.remove(&run_id.task);
             }
         }
     }
@@ -275,7 +275,7 @@
         self.runs
             .values()
             .map(|run| TaskReport {
-                run_id: run.mark,
+                run_id: run.run_id,
                 run: run.run.clone(),
             })
             .collect()
@@ -283,24 +283,24 @@
 
     /// Ends a run at `now` with an outcome, and closes its last usage interval. Does nothing if the
     /// run is not running.
-    pub(crate) fn end(&mut self, now: Instant, mark: TaskRunId, outcome: TaskRunStatus) {
+    pub(crate) fn end(&mut self, now: Instant, run_id: TaskRunId, outcome: TaskRunStatus) {
         if self
-            .get(mark)
+            .get(run_id)
             .is_none_or(|run| run.run != TaskRunStatus::Running)
         {
             return;
         }
-        self.close_interval(now, mark);
+        self.close_interval(now, run_id);
         // `now` may be in the past: a lease that expired while this process was suspended ended the
         // run then.
         let end = wall_clock_ms() - now.elapsed().as_millis() as u64;
-        if let Some(run) = self.get_mut(mark) {
+        if let Some(run) = self.get_mut(run_id) {
             run.run = outcome;
         }
         if let Some(line) = self
             .audit
             .iter_mut()
-            .rfind(|line| line.task == mark.task && line.epoch == mark.epoch)
+            .rfind(|line| line.task == run_id.task && line.epoch == run_id.epoch)
         {
             line.end_ms = Some(end);
         }
@@ -313,11 +313,13 @@
             .runs
             .values()
             .filter(|run| run.run == TaskRunStatus::Running)
-            .map(|run| run.mark)
+            .map(|run| run.run_id)
             .collect();
         let mut actions = Vec::new();
-        for mark in running {
-            let Some(run) = self.get(mark) else { continue };
+        for run_id in running {
+            let Some(run) = self.get(run_id) else {
+                continue;
+            };
             let expired = now >= run.lease_end;
             let lease_end = run.lease_end;
             let finished = run.progress_ms(now) >= run.input.work_ms as f64;
@@ -325,27 +327,27 @@
             let due = now.saturating_duration_since(run.interval_start) >= self.usage_period;
             let checkpoint = run.checkpoint.clone();
             if expired {
-                self.end(lease_end, mark, TaskRunStatus::Stopped(checkpoint));
+                self.end(lease_end, run_id, TaskRunStatus::Stopped(checkpoint));
             } else if failed {
                 self.end(
                     now,
-                    mark,
+                    run_id,
                     TaskRunStatus::Failed("the task exited with status 1".into()),
                 );
             } else if finished {
-                actions.push(RunAction::WriteResult(mark));
+                actions.push(RunAction::WriteResult(run_id));
             } else if due {
-                self.close_interval(now, mark);
+                self.close_interval(now, run_id);
             }
         }
         actions
     }
 
-    fn close_interval(&mut self, now: Instant, mark: TaskRunId) {
+    fn close_interval(&mut self, now: Instant, run_id: TaskRunId) {
         let sequence = self.sequence + 1;
         let boot = self.boot;
         let lag = Duration::from_millis(self.faults.usage_lag_ms);
-        let Some(run) = self.get_mut(mark) else {
+        let Some(run) = self.get_mut(run_id) else {
             return;
         };
         let length = now.saturating_duration_since(run.interval_start);
@@ -354,7 +356,7 @@
         let report = UsageReport {
             sequence,
             boot,
-            run_id: mark,
+            run_id,
             interval: run.interval,
             start_ms: run.interval_start_ms,
             length_ms,
@@ -373,7 +375,7 @@
         if let Some(line) = self
             .audit
             .iter_mut()
-            .rfind(|line| line.task == mark.task && line.epoch == mark.epoch)
+            .rfind(|line| line.task == run_id.task && line.epoch == run_id.epoch)
         {
             line.cpu_milli_seconds += cpu;
         }
