--- a/crates/wax-http/src/server.rs
+++ b/crates/wax-http/src/server.rs
@@ -28,8 +28,8 @@
 /// descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Maximum number of connections that wait to be accepted; equals the default limit of Linux
-/// (`net.core.somaxconn`), which caps higher values.
+/// Maximum number of connections that wait to be accepted. Linux caps it at `net.core.somaxconn`,
+/// which is 4,096 by default.
 const ACCEPT_BACKLOG: i32 = 4_096;
 
 /// Handles the requests of one server.
--- a/crates/wax-ledger/tests/sums.rs
+++ b/crates/wax-ledger/tests/sums.rs
@@ -1,5 +1,6 @@
 //! The sums must not depend on the order of entries or on how often an entry is written. Entries
-//! are repeated and reordered when a write is retried after a lost reply.
+//! are repeated when a write is retried under another name after a lost reply. Their order varies
+//! because the name of each segment contains a random nonce and segments are read as listed.
 
 use proptest::prelude::*;
 use wax_ledger::{LedgerEntry, UsageAmount, UsageKey, UsageSum};
--- a/crates/wax-standin/src/load.rs
+++ b/crates/wax-standin/src/load.rs
@@ -62,8 +62,8 @@
 }
 
 impl LoadState {
-    /// Sends one request and records its outcome. The latency counts from `due_at`, not from the
-    /// actual send, so that delays of this process do not hide slow responses.
+    /// Sends one request and records its outcome. The latency counts from `due_at`, when the request
+    /// was scheduled, so it includes the delay if the request is sent late.
     async fn call(&self, due_at: Instant) {
         let outcome = match timeout(self.answer_timeout(), self.send_request()).await {
             Ok(outcome) => outcome,
--- a/crates/wax-standin/src/platform.rs
+++ b/crates/wax-standin/src/platform.rs
@@ -19,8 +19,9 @@
 use wax_types::{ErrorKind, Step, WaxError};
 
 const MAX_BODY_BYTES: usize = 64 << 20;
-/// Time before a call with a lost reply is answered. Longer than the callers' timeouts, so that
-/// they see no reply.
+/// Time before a commit with a lost reply is answered. Longer than the default timeout for one call
+/// (`platform.call_ms`, 1 s), so that the caller sees no reply. A caller with a longer `call_ms` than
+/// 30 s receives the status 504.
 const LOST_REPLY_DELAY: Duration = Duration::from_secs(30);
 
 #[derive(Default)]
--- a/crates/wax-standin/src/site.rs
+++ b/crates/wax-standin/src/site.rs
@@ -20,8 +20,8 @@
 const MAX_BODY_BYTES: usize = 1_000_000;
 /// Maximum number of entries in one transaction.
 const MAX_TX_ENTRIES: usize = 100;
-/// Time before a call with a lost reply is answered. Longer than the callers' timeouts, so that
-/// they see no reply.
+/// Time before a transaction with a lost reply is answered. Longer than the callers' timeout for one
+/// attempt, so that they see no reply.
 const LOST_REPLY_DELAY: Duration = Duration::from_secs(30);
 
 /// Faults of the store. `POST /faults` replaces all of them; fields that the request omits are
@@ -179,7 +179,7 @@
                     json!({ "rows": changes, "rowVersion": version, "nowMs": self.now_ms() });
                 return json_reply(StatusCode::OK, &body);
             }
-            // After a change as well as after the time-out the loop checks again.
+            // The loop reads the changes again after a change and after the timeout.
             let _ = timeout(remaining, listener).await;
         }
     }
--- a/crates/wax-standin/src/site_worker.rs
+++ b/crates/wax-standin/src/site_worker.rs
@@ -22,8 +22,8 @@
 const MAX_BODY_BYTES: usize = 1 << 20;
 const TICK_PERIOD: Duration = Duration::from_millis(5);
 const CHECK_IN_PERIOD: Duration = Duration::from_millis(300);
-/// Time before an order with a lost reply is answered. Longer than the agent's timeouts, so that
-/// the agent sees no reply.
+/// Time before a start order with a lost reply is answered. Longer than the agent's timeout for an
+/// order, so that the agent sees no reply.
 const LOST_REPLY_DELAY: Duration = Duration::from_secs(30);
 
 /// Exit code of a worker that was crashed by one of its tasks.
