--- a/crates/wax-standin/src/worker.rs
+++ b/crates/wax-standin/src/worker.rs
@@ -217,7 +217,7 @@
         let runs = self.runs.borrow();
         let run = runs.get(run_id);
         let reply = ControlReply {
-            run: run.map(|run| run.run.clone()),
+            run: run.map(|run| run.status.clone()),
             checkpoint: run.and_then(|run| run.checkpoint.clone()),
         };
         json_reply(StatusCode::OK, &reply)
--- a/crates/wax-standin/src/worker_runs.rs
+++ b/crates/wax-standin/src/worker_runs.rs
@@ -61,7 +61,7 @@
     /// Progress relative to full speed, from 0 to 1.
     speed: f64,
     lease_end: Instant,
-    pub(crate) run: TaskRunStatus,
+    pub(crate) status: TaskRunStatus,
     pub(crate) checkpoint: Option<Box<str>>,
     /// Number of the current usage interval.
     interval: u32,
@@ -73,10 +73,10 @@
     /// Returns the work done until `now`, milliseconds at full speed. A run makes no progress after
     /// its lease has expired.
     pub(crate) fn progress_ms(&self, now: Instant) -> f64 {
-        let live = now
+        let elapsed = now
             .min(self.lease_end)
             .saturating_duration_since(self.since);
-        self.done_ms + live.as_secs_f64() * 1_000.0 * self.speed
+        self.done_ms + elapsed.as_secs_f64() * 1_000.0 * self.speed
     }
 
     pub(crate) fn set_speed(&mut self, now: Instant, speed: f64) {
@@ -191,7 +191,7 @@
             if run.run_id.epoch > request.run_id.epoch {
                 return StartReply::Fenced;
             }
-            if run.run == TaskRunStatus::Running {
+            if run.status == TaskRunStatus::Running {
                 return StartReply::Refused("an earlier epoch still runs".into());
             }
         }
@@ -204,7 +204,7 @@
             since: now,
             speed: initial_speed(request, &input),
             lease_end: now + Duration::from_millis(request.lease_ms),
-            run: TaskRunStatus::Running,
+            status: TaskRunStatus::Running,
             checkpoint: request.checkpoint.clone(),
             interval: 0,
             interval_start: now,
@@ -228,13 +228,18 @@
         let load = self
             .runs
             .values()
-            .filter(|run| run.run == TaskRunStatus::Running)
+            .filter(|run| run.status == TaskRunStatus::Running)
             .fold(ResourceVector::ZERO, |sum, run| {
                 sum.checked_add(run.size).unwrap_or(sum)
             });
-        let over = load.saturating_sub(self.capacity);
-        let over = u64::from(over.cpu_milli.max(over.memory_mib).max(over.accelerators));
-        self.max_overload = self.max_overload.max(over);
+        let excess = load.saturating_sub(self.capacity);
+        let overload = u64::from(
+            excess
+                .cpu_milli
+                .max(excess.memory_mib)
+                .max(excess.accelerators),
+        );
+        self.max_overload = self.max_overload.max(overload);
     }
 
     pub(crate) fn get(&self, run_id: TaskRunId) -> Option<&RunState> {
@@ -252,7 +257,7 @@
     pub(crate) fn renew(&mut self, now: Instant, run_ids: &[TaskRunId], lease_ms: u64) {
         for run_id in run_ids {
             if let Some(run) = self.get_mut(*run_id)
-                && run.run == TaskRunStatus::Running
+                && run.status == TaskRunStatus::Running
                 && now < run.lease_end
             {
                 run.lease_end = now + Duration::from_millis(lease_ms);
@@ -264,7 +269,7 @@
         for run_id in run_ids {
             if self
                 .get(*run_id)
-                .is_some_and(|run| run.run != TaskRunStatus::Running)
+                .is_some_and(|run| run.status != TaskRunStatus::Running)
             {
                 self.runs.remove(&run_id.task);
             }
@@ -276,7 +281,7 @@
             .values()
             .map(|run| TaskReport {
                 run_id: run.run_id,
-                run: run.run.clone(),
+                run: run.status.clone(),
             })
             .collect()
     }
@@ -286,7 +291,7 @@
     pub(crate) fn end(&mut self, now: Instant, run_id: TaskRunId, outcome: TaskRunStatus) {
         if self
             .get(run_id)
-            .is_none_or(|run| run.run != TaskRunStatus::Running)
+            .is_none_or(|run| run.status != TaskRunStatus::Running)
         {
             return;
         }
@@ -295,7 +300,7 @@
         // run then.
         let end = wall_clock_ms() - now.elapsed().as_millis() as u64;
         if let Some(run) = self.get_mut(run_id) {
-            run.run = outcome;
+            run.status = outcome;
         }
         if let Some(line) = self
             .audit
@@ -312,7 +317,7 @@
         let running: Vec<TaskRunId> = self
             .runs
             .values()
-            .filter(|run| run.run == TaskRunStatus::Running)
+            .filter(|run| run.status == TaskRunStatus::Running)
             .map(|run| run.run_id)
             .collect();
         let mut actions = Vec::new();
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -38,10 +38,10 @@
     );
     let addresses = ListenAddresses::of(&listeners)?;
     let clock = ProcessClock::start();
-    let health = store_health(&settings, clock)?;
-    let table = TableClient::new(health.clone());
-    let objects = ObjectClient::new(health.clone());
-    let directory = WorkerDirectory::new(health);
+    let store = open_store(&settings, clock)?;
+    let table = TableClient::new(store.clone());
+    let objects = ObjectClient::new(store.clone());
+    let directory = WorkerDirectory::new(store);
     let coordinator_settings = settings.coordinator.clone().unwrap_or_default();
     let members = member_handle(&settings, &addresses, &coordinator_settings);
     let writer = GroupWriter::start(table.clone());
@@ -63,7 +63,7 @@
     let handle = coordinator
         .as_ref()
         .map_or_else(CoordinatorHandle::default, CoordinatorProcess::handle);
-    let desk = JobService::new(
+    let job_service = JobService::new(
         table.clone(),
         writer.clone(),
         objects.clone(),
@@ -76,7 +76,7 @@
         objects,
         members: members.clone(),
         settings: tree,
-        job_service: desk,
+        job_service,
         coordinator: handle,
         drains,
         policy: RoutePolicy::default(),
@@ -104,7 +104,7 @@
     Ok(())
 }
 
-fn store_health(settings: &DaemonSettings, clock: ProcessClock) -> Result<StoreHandle, WaxError> {
+fn open_store(settings: &DaemonSettings, clock: ProcessClock) -> Result<StoreHandle, WaxError> {
     let limits = StoreLimits {
         call_timeout: Duration::from_millis(settings.platform.call_ms.into()),
         concurrency: settings.platform.concurrency as usize,
