--- a/crates/wax-http/src/server.rs
+++ b/crates/wax-http/src/server.rs
@@ -65,7 +65,7 @@
     TcpListener::from_std(StdListener::from(socket))
 }
 
-/// Number of open connections of a server, now and at most.
+/// Current and highest number of open connections of a server.
 #[derive(Debug, Default)]
 pub struct OpenConnections {
     open: Cell<usize>,
--- a/crates/wax-settings/tests/files.rs
+++ b/crates/wax-settings/tests/files.rs
@@ -1,5 +1,5 @@
-//! Parsing a settings file gives settings or an error that names the file; it never panics,
-//! whatever the text.
+//! Parsing a settings file must return settings or an error that names the file, and must not panic
+//! on any text.
 
 use proptest::prelude::*;
 use wax_settings::{DaemonSettings, SettingsFile};
--- a/crates/wax-standin/src/site_runs.rs
+++ b/crates/wax-standin/src/site_runs.rs
@@ -151,8 +151,8 @@
         }
     }
 
-    /// Returns whether an order with this fencing token is accepted: no higher token has been
-    /// received.
+    /// Records the fencing token of an order. Returns whether the order is accepted, which requires
+    /// that no higher token has been received.
     fn accept_token(&mut self, token: u64) -> bool {
         let is_accepted = token >= self.token;
         self.token = self.token.max(token);
--- a/crates/wax-standin/tests/cli.rs
+++ b/crates/wax-standin/tests/cli.rs
@@ -1,4 +1,4 @@
-//! Tests of the stand-in's command line.
+//! Checks that `--help` succeeds and prints the usage to standard output.
 
 use std::process::Command;
 
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -21,8 +21,8 @@
 
 /// Timeout for reading the owner's row from the store.
 const OWNER_READ_TIMEOUT: Duration = Duration::from_millis(600);
-/// Interval at which the settings file is checked for changes. Polling is used because the file may
-/// change without a SIGHUP.
+/// Interval at which the settings file is checked for changes. The file is polled because it may
+/// change without a SIGHUP; the signal itself is ignored.
 const SETTINGS_POLL_PERIOD: Duration = Duration::from_millis(1_000);
 
 pub(crate) async fn run_front(settings: DaemonSettings, file: &Path) -> Result<(), WaxError> {
