--- a/crates/wax-standin/src/worker.rs
+++ b/crates/wax-standin/src/worker.rs
@@ -67,11 +67,11 @@
         call_timeout: Duration::from_secs(2),
         concurrency: 16,
     };
-    let health = StoreHandle::new(&base, limits, ProcessClock::start())?;
+    let store = StoreHandle::new(&base, limits, ProcessClock::start())?;
     let usage_period = Duration::from_millis(options.usage_ms);
     let state = Rc::new(WorkerState {
         runs: RefCell::new(RunTable::new(options.capacity, usage_period)),
-        objects: ObjectClient::new(health),
+        objects: ObjectClient::new(store),
     });
     let info = WorkerInfo {
         id: id.into(),
