--- a/crates/wax-standin/src/faults.rs
+++ b/crates/wax-standin/src/faults.rs
@@ -11,7 +11,7 @@
     pub(crate) down: bool,
     /// Delay before every call is processed, milliseconds.
     pub(crate) delay_ms: u64,
-    /// Percentage of commits that take effect but whose reply is lost.
+    /// Percentage of commits that are processed but whose reply is lost.
     pub(crate) lose_replies_percent: u32,
     /// Replies are lost only for commits that write a key with this prefix; empty for all keys.
     pub(crate) lose_prefix: String,
--- a/crates/wax-standin/src/site.rs
+++ b/crates/wax-standin/src/site.rs
@@ -33,7 +33,8 @@
     down: bool,
     /// Delay before every call is processed, milliseconds.
     delay_ms: u64,
-    /// Percentage of transactions that take effect but whose reply is lost.
+    /// Percentage of transactions that are processed but whose reply is lost; the operator's replies
+    /// are never lost.
     lose_percent: u32,
     /// The next call of the feed is answered with 410, as if the history had been discarded. Resets
     /// itself.
--- a/crates/wax-standin/src/site_worker.rs
+++ b/crates/wax-standin/src/site_worker.rs
@@ -34,9 +34,9 @@
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
 struct SiteWorkerFaults {
-    /// Every run ends as failed.
+    /// Every run that finishes its work ends as failed.
     fail: bool,
-    /// Percentage of start orders that are carried out after `late_ms` and are not answered.
+    /// Percentage of start orders that are processed only after `late_ms` and whose reply is lost.
     late_percent: u32,
     /// Delay of these start orders, milliseconds.
     late_ms: u64,
