--- a/crates/wax-standin/src/site.rs
+++ b/crates/wax-standin/src/site.rs
@@ -20,8 +20,8 @@
 const MAX_BODY_BYTES: usize = 1_000_000;
 /// Maximum number of entries in one transaction.
 const MAX_TX_ENTRIES: usize = 100;
-/// Time before a call with a lost reply is answered. Longer than the callers' timeouts, so that
-/// they see no reply.
+/// Time before a transaction with a lost reply is answered. Longer than the callers' timeout for one
+/// attempt, so that they see no reply.
 const LOST_REPLY_DELAY: Duration = Duration::from_secs(30);
 
 /// Faults of the store. `POST /faults` replaces all of them; fields that the request omits are
@@ -33,7 +33,8 @@
     down: bool,
     /// Delay before every call is processed, milliseconds.
     delay_ms: u64,
-    /// Percentage of transactions that take effect but whose reply is lost.
+    /// Percentage of transactions that are processed but whose reply is lost; the operator's replies
+    /// are never lost.
     lose_percent: u32,
     /// The next call of the feed is answered with 410, as if the history had been discarded. Resets
     /// itself.
@@ -179,7 +180,7 @@
                     json!({ "rows": changes, "rowVersion": version, "nowMs": self.now_ms() });
                 return json_reply(StatusCode::OK, &body);
             }
-            // After a change as well as after the time-out the loop checks again.
+            // The loop reads the changes again after a change and after the timeout.
             let _ = timeout(remaining, listener).await;
         }
     }
--- a/crates/wax-standin/src/site_worker.rs
+++ b/crates/wax-standin/src/site_worker.rs
@@ -22,8 +22,8 @@
 const MAX_BODY_BYTES: usize = 1 << 20;
 const TICK_PERIOD: Duration = Duration::from_millis(5);
 const CHECK_IN_PERIOD: Duration = Duration::from_millis(300);
-/// Time before an order with a lost reply is answered. Longer than the agent's timeouts, so that
-/// the agent sees no reply.
+/// Time before a start order with a lost reply is answered. Longer than the agent's timeout for an
+/// order, so that the agent sees no reply.
 const LOST_REPLY_DELAY: Duration = Duration::from_secs(30);
 
 /// Exit code of a worker that was crashed by one of its tasks.
@@ -34,9 +34,9 @@
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
 struct SiteWorkerFaults {
-    /// Every run ends as failed.
+    /// Every run that finishes its work ends as failed.
     fail: bool,
-    /// Percentage of start orders that are carried out after `late_ms` and are not answered.
+    /// Percentage of start orders that are processed only after `late_ms` and whose reply is lost.
     late_percent: u32,
     /// Delay of these start orders, milliseconds.
     late_ms: u64,
--- a/crates/wax-standin/src/worker_runs.rs
+++ b/crates/wax-standin/src/worker_runs.rs
@@ -51,7 +51,7 @@
 
 #[derive(Debug)]
 pub(crate) struct RunState {
-    pub(crate) mark: TaskRunId,
+    pub(crate) run_id: TaskRunId,
     pub(crate) size: ResourceVector,
     pub(crate) input: TaskInput,
     /// Work done before `since`, milliseconds at full speed.
@@ -61,7 +61,7 @@
     /// Progress relative to full speed, from 0 to 1.
     speed: f64,
     lease_end: Instant,
-    pub(crate) run: TaskRunStatus,
+    pub(crate) status: TaskRunStatus,
     pub(crate) checkpoint: Option<Box<str>>,
     /// Number of the current usage interval.
     interval: u32,
@@ -73,10 +73,10 @@
     /// Returns the work done until `now`, milliseconds at full speed. A run makes no progress after
     /// its lease has expired.
     pub(crate) fn progress_ms(&self, now: Instant) -> f64 {
-        let live = now
+        let elapsed = now
             .min(self.lease_end)
             .saturating_duration_since(self.since);
-        self.done_ms + live.as_secs_f64() * 1_000.0 * self.speed
+        self.done_ms + elapsed.as_secs_f64() * 1_000.0 * self.speed
     }
 
     pub(crate) fn set_speed(&mut self, now: Instant, speed: f64) {
@@ -166,9 +166,9 @@
     }
 
     /// Fences an epoch of a task: starts of this epoch or an earlier one are refused from now on.
-    pub(crate) fn fence(&mut self, mark: TaskRunId) {
-        let epoch = self.fenced.entry(mark.task).or_default();
-        *epoch = mark.epoch.max(*epoch);
+    pub(crate) fn fence(&mut self, run_id: TaskRunId) {
+        let epoch = self.fenced.entry(run_id.task).or_default();
+        *epoch = run_id.epoch.max(*epoch);
     }
 
     pub(crate) fn start(
@@ -185,26 +185,26 @@
             return StartReply::Fenced;
         }
         if let Some(run) = self.runs.get(&request.run_id.task) {
-            if run.mark.epoch == request.run_id.epoch {
+            if run.run_id.epoch == request.run_id.epoch {
                 return StartReply::Already;
             }
-            if run.mark.epoch > request.run_id.epoch {
+            if run.run_id.epoch > request.run_id.epoch {
                 return StartReply::Fenced;
             }
-            if run.run == TaskRunStatus::Running {
+            if run.status == TaskRunStatus::Running {
                 return StartReply::Refused("an earlier epoch still runs".into());
             }
         }
         let input: TaskInput = serde_json::from_value(request.input.clone()).unwrap_or_default();
         let run = RunState {
-            mark: request.run_id,
+            run_id: request.run_id,
             size: request.size,
             input: input.clone(),
             done_ms,
             since: now,
             speed: initial_speed(request, &input),
             lease_end: now + Duration::from_millis(request.lease_ms),
-            run: TaskRunStatus::Running,
+            status: TaskRunStatus::Running,
             checkpoint: request.checkpoint.clone(),
             interval: 0,
             interval_start: now,
@@ -228,31 +228,36 @@
         let load = self
             .runs
             .values()
-            .filter(|run| run.run == TaskRunStatus::Running)
+            .filter(|run| run.status == TaskRunStatus::Running)
             .fold(ResourceVector::ZERO, |sum, run| {
                 sum.checked_add(run.size).unwrap_or(sum)
             });
-        let over = load.saturating_sub(self.capacity);
-        let over = u64::from(over.cpu_milli.max(over.memory_mib).max(over.accelerators));
-        self.max_overload = self.max_overload.max(over);
+        let excess = load.saturating_sub(self.capacity);
+        let overload = u64::from(
+            excess
+                .cpu_milli
+                .max(excess.memory_mib)
+                .max(excess.accelerators),
+        );
+        self.max_overload = self.max_overload.max(overload);
     }
 
-    pub(crate) fn get(&self, mark: TaskRunId) -> Option<&RunState> {
+    pub(crate) fn get(&self, run_id: TaskRunId) -> Option<&RunState> {
         self.runs
-            .get(&mark.task)
-            .filter(|run| run.mark.epoch == mark.epoch)
+            .get(&run_id.task)
+            .filter(|run| run.run_id.epoch == run_id.epoch)
     }
 
-    pub(crate) fn get_mut(&mut self, mark: TaskRunId) -> Option<&mut RunState> {
+    pub(crate) fn get_mut(&mut self, run_id: TaskRunId) -> Option<&mut RunState> {
         self.runs
-            .get_mut(&mark.task)
-            .filter(|run| run.mark.epoch == mark.epoch)
+            .get_mut(&run_id.task)
+            .filter(|run| run.run_id.epoch == run_id.epoch)
     }
 
-    pub(crate) fn renew(&mut self, now: Instant, marks: &[TaskRunId], lease_ms: u64) {
-        for mark in marks {
-            if let Some(run) = self.get_mut(*mark)
-                && run.run == TaskRunStatus::Running
+    pub(crate) fn renew(&mut self, now: Instant, run_ids: &[TaskRunId], lease_ms: u64) {
+        for run_id in run_ids {
+            if let Some(run) = self.get_mut(*run_id)
+                && run.status == TaskRunStatus::Running
                 && now < run.lease_end
             {
                 run.lease_end = now + Duration::from_millis(lease_ms);
@@ -260,13 +265,13 @@
         }
     }
 
-    pub(crate) fn forget(&mut self, marks: &[TaskRunId]) {
-        for mark in marks {
+    pub(crate) fn forget(&mut self, run_ids: &[TaskRunId]) {
+        for run_id in run_ids {
             if self
-                .get(*mark)
-                .is_some_and(|run| run.run != TaskRunStatus::Running)
+                .get(*run_id)
+                .is_some_and(|run| run.status != TaskRunStatus::Running)
             {
-                self.runs.remove(&mark.task);
+                self.runs.remove(&run_id.task);
             }
         }
     }
@@ -275,32 +280,32 @@
         self.runs
             .values()
             .map(|run| TaskReport {
-                run_id: run.mark,
-                run: run.run.clone(),
+                run_id: run.run_id,
+                run: run.status.clone(),
             })
             .collect()
     }
 
     /// Ends a run at `now` with an outcome, and closes its last usage interval. Does nothing if the
     /// run is not running.
-    pub(crate) fn end(&mut self, now: Instant, mark: TaskRunId, outcome: TaskRunStatus) {
+    pub(crate) fn end(&mut self, now: Instant, run_id: TaskRunId, outcome: TaskRunStatus) {
         if self
-            .get(mark)
-            .is_none_or(|run| run.run != TaskRunStatus::Running)
+            .get(run_id)
+            .is_none_or(|run| run.status != TaskRunStatus::Running)
         {
             return;
         }
-        self.close_interval(now, mark);
+        self.close_interval(now, run_id);
         // `now` may be in the past: a lease that expired while this process was suspended ended the
         // run then.
         let end = wall_clock_ms() - now.elapsed().as_millis() as u64;
-        if let Some(run) = self.get_mut(mark) {
-            run.run = outcome;
+        if let Some(run) = self.get_mut(run_id) {
+            run.status = outcome;
         }
         if let Some(line) = self
             .audit
             .iter_mut()
-            .rfind(|line| line.task == mark.task && line.epoch == mark.epoch)
+            .rfind(|line| line.task == run_id.task && line.epoch == run_id.epoch)
         {
             line.end_ms = Some(end);
         }
@@ -312,12 +317,14 @@
         let running: Vec<TaskRunId> = self
             .runs
             .values()
-            .filter(|run| run.run == TaskRunStatus::Running)
-            .map(|run| run.mark)
+            .filter(|run| run.status == TaskRunStatus::Running)
+            .map(|run| run.run_id)
             .collect();
         let mut actions = Vec::new();
-        for mark in running {
-            let Some(run) = self.get(mark) else { continue };
+        for run_id in running {
+            let Some(run) = self.get(run_id) else {
+                continue;
+            };
             let expired = now >= run.lease_end;
             let lease_end = run.lease_end;
             let finished = run.progress_ms(now) >= run.input.work_ms as f64;
@@ -325,27 +332,27 @@
             let due = now.saturating_duration_since(run.interval_start) >= self.usage_period;
             let checkpoint = run.checkpoint.clone();
             if expired {
-                self.end(lease_end, mark, TaskRunStatus::Stopped(checkpoint));
+                self.end(lease_end, run_id, TaskRunStatus::Stopped(checkpoint));
             } else if failed {
                 self.end(
                     now,
-                    mark,
+                    run_id,
                     TaskRunStatus::Failed("the task exited with status 1".into()),
                 );
             } else if finished {
-                actions.push(RunAction::WriteResult(mark));
+                actions.push(RunAction::WriteResult(run_id));
             } else if due {
-                self.close_interval(now, mark);
+                self.close_interval(now, run_id);
             }
         }
         actions
     }
 
-    fn close_interval(&mut self, now: Instant, mark: TaskRunId) {
+    fn close_interval(&mut self, now: Instant, run_id: TaskRunId) {
         let sequence = self.sequence + 1;
         let boot = self.boot;
         let lag = Duration::from_millis(self.faults.usage_lag_ms);
-        let Some(run) = self.get_mut(mark) else {
+        let Some(run) = self.get_mut(run_id) else {
             return;
         };
         let length = now.saturating_duration_since(run.interval_start);
@@ -354,7 +361,7 @@
         let report = UsageReport {
             sequence,
             boot,
-            run_id: mark,
+            run_id,
             interval: run.interval,
             start_ms: run.interval_start_ms,
             length_ms,
@@ -373,7 +380,7 @@
         if let Some(line) = self
             .audit
             .iter_mut()
-            .rfind(|line| line.task == mark.task && line.epoch == mark.epoch)
+            .rfind(|line| line.task == run_id.task && line.epoch == run_id.epoch)
         {
             line.cpu_milli_seconds += cpu;
         }
